--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -30,8 +30,10 @@
     private static final long ROOM_NS = 20_000_000L; // ns; between looks for room for a long value
     private static final long CROWDED_NS = 300_000_000L; // ns; the same after an answer where many are connected
     private static final long FAULT_REST_NS = 100_000_000L; // ns; who sends nonsense again at once costs others nothing
-    private static final long LOOK_NS = 100_000_000L; // ns; between looks for its end while nothing is read
-    private static final int AHEAD_BYTES = 64 * 1024; // bytes; kept here unread at most, as of one reading
+    private static final long LOOK_NS = 40_000_000L; // ns; between looks for its end while nothing is read
+    private static final long KNOWN_NS = 15_000_000L; // ns; an attempt begins for a client that was there so long ago
+    private static final int AHEAD_BYTES = 64 * 1024; // bytes; kept here unread, as of one reading
+    private static final int MOST_AHEAD_BYTES = 1024 * 1024; // bytes; the same where there is room: an end may come behind
     private static final int PASSING_BYTES = 64 * 1024; // bytes; of a long value that wait for the client, at most
     private static final int SYSTEM_BYTES = 128 * 1024; // bytes; of a long value; the system takes twice that
     private static final long TAKING_NS = 30_000_000_000L; // ns; for those to be taken, at 10 KB a second
@@ -61,6 +63,9 @@
     private boolean answered, resting, lost, again, looking, ahead, over;
     private Upload upload; // the long value that is coming in
     private long uploadRoom, seen; // what it holds; bytes that the client had taken at the last look
+    private long aheadRoom; // bytes; for what was read ahead beyond the first part
+    private long lookedAt; // when its end was last looked for behind all that had come
+    private boolean mayHoldMore; // the system, of what came: the last reading was as long as it could be
     private boolean noRoom;
     private int dropped;
 
@@ -95,6 +100,7 @@
             return;
         }
         cameAt = clients.now();
+        mayHoldMore = ahead ? mayHoldMore : bytes.remaining() >= AHEAD_BYTES;
         if (upload != null) {
             upload(bytes); // all of them: what follows may read on, into the same buffer
         } else if (!over) {
@@ -128,6 +134,7 @@
                 taken(command, 0);
             }
         }
+        giveAheadRoom();
         if (!over) {
             boolean reads = !resting && !again && waiting() < MOST_WAITING && !noRoom;
             begunAt = reads && !lost && in.available() > 0 ? Math.min(begunAt, clients.now()) : Long.MAX_VALUE;
@@ -154,15 +161,31 @@
         }
     }
 
+    /**
+     * Whether its client has ended it: asked before an attempt begins. What the loop has not been told of is looked for,
+     * where it reads nothing from this client, has not read all that came, or has been held up.
+     */
+    boolean hasLeft() {
+        long toldAt = connection.isReading() && !mayHoldMore ? clients.loop.arrivedAt() : lookedAt;
+        if (gone()) {
+            close();
+        } else if (clients.now() - Math.max(toldAt, lookedAt) > KNOWN_NS) {
+            goesOn();
+        }
+        return over;
+    }
+
     /** Looks whether its client has ended it, behind all that came before that and is kept for later. */
     private boolean goesOn() {
         boolean reads = connection.isReading();
         if (!over && (upload == null || noRoom)) {
+            lookedAt = clients.now();
             ahead = true;
-            while (in.available() < AHEAD_BYTES && connection.unread(AHEAD_BYTES - in.available()) && !gone()) {
+            while (aheadLeft() > 0 && connection.unread(aheadLeft()) && !gone()) {
                 continue;
             }
             ahead = false;
+            mayHoldMore = aheadLeft() == 0;
             if (gone()) {
                 close();
             } else if (reads && in.available() > 0) {
@@ -172,6 +195,34 @@
         return !over;
     }
 
+    /** Whether all that came has been read: only then is an end behind it seen. */
+    private boolean hasReadAll() {
+        if (mayHoldMore) {
+            goesOn();
+        }
+        return !mayHoldMore;
+    }
+
+    /** How many bytes may be read ahead now. */
+    private int aheadLeft() {
+        giveAheadRoom();
+        int held = in.available();
+        int most = AHEAD_BYTES + (int) aheadRoom;
+        if (held >= most && most < MOST_AHEAD_BYTES && clients.readAhead.take(AHEAD_BYTES)) {
+            aheadRoom += AHEAD_BYTES;
+            most += AHEAD_BYTES;
+        }
+        return most - held;
+    }
+
+    /** Gives back the room that what is left unread does not need any more. */
+    private void giveAheadRoom() {
+        while (aheadRoom > 0 && (over || in.available() <= aheadRoom)) {
+            clients.readAhead.give(AHEAD_BYTES);
+            aheadRoom -= AHEAD_BYTES;
+        }
+    }
+
     private boolean gone() {
         return over || connection.closed();
     }
@@ -306,6 +357,10 @@
         if (guest) {
             return clients.gate.busy;
         }
+        if (!hasReadAll()) {
+            clients.log.trouble("more is sent ahead than can be kept", this);
+            return clients.gate.busy; // its client may have left, behind all that
+        }
         if (!clients.gate.admits(track, customer)) {
             return clients.gate.rejection();
         }
@@ -477,6 +532,7 @@
             drop(writing);
         }
         giveUploadRoom();
+        giveAheadRoom();
         slots.clear();
         writing = null;
         connection.close();
--- a/proxy/src/main/java/spurroad/routing/Clients.java
+++ b/proxy/src/main/java/spurroad/routing/Clients.java
@@ -20,6 +20,7 @@
 public final class Clients implements Listener.Door {
     static final int QUERY_BYTES = 8192; // bytes; what a query without a value holds on its way, with room
     private static final int ROOM_SHARE = 8; // one part in so many of the memory is for queries under way
+    private static final int READ_AHEAD_SHARE = 4; // one part in so many of that room: few clients send so much
     private static final int HEAP_SHARE = 3; // one part in so many of the heap; answers and buffers take more
     private static final int AT_ONCE = 4; // connections; closed at a shortage, so that it is not one again at once
     private static final int CROWD = 4; // one part in so many of the places: as many open queries are rare
@@ -34,6 +35,7 @@
     final Decider decider;
     final Room room;
     final Room uploads; // for long values that come in, besides
+    final Room readAhead; // for what clients send ahead of their answers beyond the first part, besides
     final Gate gate;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private volatile int count; // of them, for other threads
@@ -59,6 +61,7 @@
         long memory = Math.min(start.memoryMb * MIB / ROOM_SHARE, Runtime.getRuntime().maxMemory() / HEAP_SHARE);
         room = new Room(Math.min(memory, (long) start.figures.mostOpen * QUERY_BYTES));
         uploads = new Room(Math.max(MetaCommand.MOST_VALUE, memory / 2));
+        readAhead = new Room(memory / READ_AHEAD_SHARE);
         gate = new Gate(start, loop, log, room, decider);
         decider.gated(gate);
         loop.tell(this::tidy);
--- a/proxy/src/main/java/spurroad/routing/Errand.java
+++ b/proxy/src/main/java/spurroad/routing/Errand.java
@@ -36,7 +36,7 @@
 
     /** Whether nobody waits for it any more; never so for a probe. */
     boolean unwanted() {
-        return query != null && query.left;
+        return query != null && query.unwanted();
     }
 
     MetaCommand command() {
--- a/proxy/src/main/java/spurroad/routing/Query.java
+++ b/proxy/src/main/java/spurroad/routing/Query.java
@@ -35,4 +35,9 @@
         this.takenAt = takenAt;
         this.waitNs = waitNs;
     }
+
+    /** Whether nobody waits for it any more as of this moment; its client, if it has one, is asked. On the loop. */
+    boolean unwanted() {
+        return left || client != null && client.hasLeft();
+    }
 }
--- a/proxy/src/test/java/spurroad/Peers.java
+++ b/proxy/src/test/java/spurroad/Peers.java
@@ -155,6 +155,17 @@
             }
         }
 
+        /** Says more than the other side may read now; what it has not taken is lost once this client leaves. */
+        public void sayInBackground(String text) {
+            daemon(() -> say(text));
+        }
+
+        /** Leaves by a reset. */
+        public void reset() throws IOException {
+            socket.setSoLinger(true, 0);
+            socket.close();
+        }
+
         @Override
         public void close() throws IOException {
             socket.close();
--- a/proxy/src/test/java/spurroad/program/LeavingClientsTest.java
+++ b/proxy/src/test/java/spurroad/program/LeavingClientsTest.java
@@ -16,12 +16,14 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
+import java.util.stream.IntStream;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import spurroad.Peers;
 import spurroad.Peers.Client;
 import spurroad.Peers.Peer;
+import spurroad.RecordingNodes;
 import spurroad.protocol.ByteSource;
 import spurroad.start.ProxyStart;
 
@@ -31,19 +33,26 @@
  */
 public class LeavingClientsTest {
     private static final int CLIENTS = 200, NODES = 20, HOLDERS = 8;
-    private static final long MS = 1_000_000L, KNOWN_MS = 2_000, GONE_MS = 400, AFTER_MS = 400;
+    private static final long MS = 1_000_000L, KNOWN_MS = 2_000, GONE_MS = 400, AFTER_MS = 400, SETTLE_MS = 300;
+    private static final int MOST_PLAYS = 5; // until events come in the order that is tested
     private static final long CONNECTS_MS = 3_500; // a connect comes up within 3 s, as the system asks again
     private static final String OF = "[wf]"; // ids of queries of clients that leave, before the play's number
     private static final String READ = "mg k# v Ow# Pc=read,t=acme,d=9000\r\n";
     private static final String WRITE = "ms k# 1 Ow# Pc=put,t=acme,d=9000,k=w#\r\na\r\n";
     private static final int BULK_BYTES = 4_000_000, FEW = 3; // more than the systems hold; room for three
+    private static final int PIPELINED_BYTES = 300_000; // behind the sixteenth command: more than one reading takes
+    private static final long LATEST_MS = 60; // from a client's leaving to an attempt; 100 are allowed, a rest lasts as long
+    private static final long LEAVE_MS = 400; // over which clients leave one after another
+    private static final String FLOOD = "mn\r\n".repeat(PIPELINED_BYTES / 4);
     private static final String LONG = write(70_000), BULK = write(BULK_BYTES);
 
     /** For what a query waits, and what its client says, # being the client's number. */
     private enum Waits {
         CONNECTION(READ), PLACE(READ), MODULE(WRITE), REST("nonsense\r\n" + READ), ROOM(LONG),
         SIXTEENTH(READ.replace("Ow", "Of") + "mn\r\n".repeat(15) + READ), UPLOAD(LONG.substring(0, 65_000)),
-        FETCH(READ.replace("Ow", "Of")), LAST_BYTE(BULK), NOTHING(READ);
+        FETCH(READ.replace("Ow", "Of")), LAST_BYTE(BULK), NOTHING(READ),
+        PIPELINED(SIXTEENTH.says + FLOOD), PIPELINED_UPLOAD(SIXTEENTH.says + LONG + FLOOD),
+        PIPELINED_PLACE(READ + "mn\r\n".repeat(15) + FLOOD);
 
         private final String says;
 
@@ -152,14 +161,23 @@
     }
 
     private Service proxy(Waits waits, boolean cancels) throws Exception {
+        boolean raw = waits == Waits.CONNECTION || waits == Waits.LAST_BYTE;
+        int[] ports = new int[NODES + 1];
+        for (int i = 0; i < NODES; i++) {
+            ports[i] = raw ? raw(waits == Waits.LAST_BYTE) : opened(new Peer(m -> node(waits, m))).port;
+        }
+        ports[NODES] = opened(new Peer(this::origin)).port;
+        return proxy(waits, cancels, ports);
+    }
+
+    /** One with cache nodes at the ports, and with an origin at the last. */
+    private Service proxy(Waits waits, boolean cancels, int[] ports) throws Exception {
         String[] targets = new String[NODES + 1];
         for (int i = 0; i < NODES; i++) {
-            boolean raw = waits == Waits.CONNECTION || waits == Waits.LAST_BYTE;
-            int port = raw ? raw(waits == Waits.LAST_BYTE) : opened(new Peer(m -> node(waits, m))).port;
-            targets[i] = Peers.target("s-" + i, "m1", port, "active", 0);
+            targets[i] = Peers.target("s-" + i, "m1", ports[i], "active", 0);
         }
-        targets[NODES] = Peers.target("s-o", "origin", opened(new Peer(this::origin)).port, "active", 0);
-        int sockets = waits == Waits.PLACE ? 340 : 1024; // so that some hundred are left for nodes
+        targets[NODES] = Peers.target("s-o", "origin", ports[NODES], "active", 0);
+        int sockets = waits == Waits.PLACE || waits == Waits.PIPELINED_PLACE ? 340 : 2048; // so that some hundred are left for nodes, or none are short
         int discovery = opened(new Peer(m -> ServiceTest.WATCH)).port;
         return ServiceTest.service(new ProxyStart(Peers.start(discovery, sockets, Peers.list(1, true, targets))
             .replace("\"connectTimeoutUs\":250000", "\"connectTimeoutUs\":5000000")
@@ -186,11 +204,7 @@
     public void nothingIsSentOnForClientsThatLeft(Waits waits, boolean cancels) throws Exception {
         begin(waits == Waits.NOTHING);
         Service s = proxy(waits, cancels);
-        List<Client> holders = new ArrayList<>();
-        for (int i = 0; i < HOLDERS && waits == Waits.ROOM; i++) { // more than there is room for
-            holders.add(opened(new Client(s.port())));
-            holders.get(i).say(BULK.substring(0, 50).replace("#", "h" + i));
-        }
+        List<Client> holders = waits == Waits.ROOM ? holders(s) : List.of();
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < (waits == Waits.LAST_BYTE ? FEW : CLIENTS); i++) {
             Client c = new Client(s.port()).say("mn\r\n" + waits.says.replace("#", number(i)));
@@ -224,6 +238,196 @@
         assertTrue(waits != Waits.LAST_BYTE || begun, "none was begun");
     }
 
+    @DataProvider
+    Object[][] leaving() {
+        List<Object[]> all = new ArrayList<>();
+        for (Waits waits : Waits.values()) {
+            if (waits != Waits.LAST_BYTE) { // there attempts begin before clients leave
+                all.add(new Object[] {waits, true, false});
+                all.add(new Object[] {waits, false, true});
+            }
+        }
+        return all.toArray(Object[][]::new);
+    }
+
+    /**
+     * What the clients wait for comes while they leave, one after another or all at once, by a close or a reset. From the
+     * third attempt on that begins more than 0.1 s after its client's close a day is broken; here none may.
+     */
+    @Test(dataProvider = "leaving", timeOut = 60_000)
+    public void noAttemptBeginsLongAfterItsClientHasLeft(Waits waits, boolean closes, boolean atOnce) throws Exception {
+        boolean speaksLast = waits == Waits.NOTHING || waits == Waits.REST;
+        begin(speaksLast);
+        Heartbeat heartbeat = opened(new Heartbeat());
+        RecordingNodes nodes = opened(new RecordingNodes(NODES + 1, m -> answer(waits, m)));
+        int[] ports = IntStream.rangeClosed(0, NODES).map(nodes::port).toArray();
+        for (int i = 0; i < NODES && waits == Waits.CONNECTION; i++) {
+            ports[i] = raw(false);
+        }
+        Service s = proxy(waits, true, ports);
+        List<Client> holders = waits == Waits.ROOM ? holders(s) : List.of();
+        List<Client> clients = new ArrayList<>();
+        for (int i = 0; i < CLIENTS; i++) {
+            clients.add(new Client(s.port()));
+            if (!speaksLast) {
+                say(clients.get(i), waits, i);
+            }
+        }
+        Thread.sleep(SETTLE_MS);
+        if (speaksLast) {
+            nodes.release();
+        }
+        long[] left = new long[CLIENTS];
+        for (int i = CLIENTS - 1; i >= 0; i--) { // whoever came last waits longest
+            if (i == CLIENTS / 2) {
+                release(nodes, holders);
+            }
+            if (speaksLast) {
+                clients.get(i).say(waits.says.replace("#", number(i)));
+            }
+            if (!atOnce) {
+                Thread.sleep(LEAVE_MS / CLIENTS);
+            }
+            left[i] = System.nanoTime();
+            leave(clients.get(i), closes);
+        }
+        awaitKnown(s);
+        Thread.sleep(waits == Waits.CONNECTION ? CONNECTS_MS : AFTER_MS);
+        nodes.firstCameAt().forEach((id, at) -> sentOn.merge(id.replace(RecordingNodes.AT_ORIGIN, ""), at, Math::max));
+        long stalledMs = Math.max(heartbeat.longestNs, nodes.longestTurnNs()) / MS;
+        String figures = waits + (closes ? ", closed" : ", reset") + (atOnce ? " all at once" : " one by one")
+            + ": the last attempt came " + latest(left) + " ms after its client left, of " + sentOn.size()
+            + "; the machine stalled for up to " + stalledMs + " ms";
+        System.out.println(figures);
+        assertTrue(latest(left) <= LATEST_MS + stalledMs, figures);
+    }
+
+    /** Tells for how long a thread was held up at most, by the machine and not by the proxy. */
+    private static final class Heartbeat implements AutoCloseable {
+        private volatile long longestNs;
+        private volatile boolean ended;
+
+        private Heartbeat() {
+            Peers.daemon(() -> {
+                while (!ended) {
+                    long since = System.nanoTime();
+                    Thread.sleep(1);
+                    longestNs = Math.max(longestNs, System.nanoTime() - since);
+                }
+            });
+        }
+
+        @Override
+        public void close() {
+            ended = true;
+        }
+    }
+
+    /** A cache node's or, to a GET, the origin's. */
+    private static String answer(Waits waits, String id) {
+        if (id.startsWith(RecordingNodes.AT_ORIGIN)) {
+            return "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv";
+        }
+        return waits == Waits.FETCH ? "EN O" + id + "\r\n" : "VA 1 O" + id + "\r\nv\r\n";
+    }
+
+    private void release(RecordingNodes nodes, List<Client> holders) throws IOException {
+        nodes.release();
+        gate.countDown();
+        for (Client holder : holders) {
+            holder.close();
+        }
+    }
+
+    private void say(Client client, Waits waits, int number) throws IOException {
+        String says = waits.says.replace("#", number(number));
+        if (says.length() > PIPELINED_BYTES) {
+            client.sayInBackground(says); // it is not read whole yet
+        } else {
+            client.say(says);
+        }
+    }
+
+    private static void leave(Client client, boolean closes) throws IOException {
+        if (closes) {
+            client.close();
+        } else {
+            client.reset();
+        }
+    }
+
+    private List<Client> holders(Service s) throws IOException {
+        List<Client> holders = new ArrayList<>();
+        for (int i = 0; i < HOLDERS; i++) { // more than there is room for
+            holders.add(opened(new Client(s.port())));
+            holders.get(i).say(BULK.substring(0, 50).replace("#", "h" + i));
+        }
+        return holders;
+    }
+
+    /**
+     * The loop is held up behind decisions to begin while all leave: it carries them out before it has read of that. Played
+     * until the loop was held up in that moment.
+     */
+    @Test(timeOut = 60_000)
+    public void noAttemptBeginsForClientsThatLeftWhileTheLoopWasHeldUp() throws Exception {
+        boolean heldUp = false;
+        for (int i = 0; i < MOST_PLAYS && !heldUp; i++) {
+            heldUp = allLeaveWhileTheLoopIsHeldUp();
+        }
+        assertTrue(heldUp, "the loop was never held up between decisions and attempts");
+    }
+
+    private boolean allLeaveWhileTheLoopIsHeldUp() throws Exception {
+        begin(true);
+        RecordingNodes nodes = opened(new RecordingNodes(NODES + 1, m -> answer(Waits.NOTHING, m)));
+        nodes.release();
+        Service s = proxy(Waits.NOTHING, true, IntStream.rangeClosed(0, NODES).map(nodes::port).toArray());
+        List<Client> clients = new ArrayList<>();
+        for (int i = 0; i < CLIENTS; i++) {
+            clients.add(new Client(s.port()).say("mn\r\n"));
+            assertEquals(clients.get(i).line(), "MN");
+        }
+        CountDownLatch holds = new CountDownLatch(1);
+        CountDownLatch asked = new CountDownLatch(1);
+        CountDownLatch holdsAgain = new CountDownLatch(1);
+        CountDownLatch gone = new CountDownLatch(1);
+        Runnable holdUpWhileAllLeave = () -> s.called("s-0", false, known -> {
+            holdsAgain.countDown();
+            await(gone);
+        });
+        s.called("s-0", false, known -> { // runs on the loop
+            holds.countDown();
+            await(asked);
+            // the next turn reads what all ask, the one behind it is held up
+            s.called("s-0", false, next -> holdUpWhileAllLeave.run());
+        });
+        holds.await();
+        for (int i = 0; i < CLIENTS; i++) {
+            say(clients.get(i), Waits.NOTHING, i);
+        }
+        asked.countDown();
+        holdsAgain.await();
+        for (Client each : clients) {
+            each.close();
+        }
+        Thread.sleep(2 * LATEST_MS); // in which the module decides, and what has begun comes to nodes
+        int begun = nodes.firstCameAt().size();
+        gone.countDown();
+        awaitKnown(s);
+        Thread.sleep(AFTER_MS);
+        assertEquals(nodes.firstCameAt().size(), begun, "attempts, and before clients left");
+        return begun < CLIENTS / 2;
+    }
+
+    private static void await(CountDownLatch latch) {
+        try {
+            latch.await();
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
     /** What waited for a connection was answered before the kill, and went out all the same when that came up. */
     @Test(timeOut = 60_000)
     public void nothingIsSentOnOnceTheEndHasAnsweredIt() throws Exception {
--- a/proxy/src/test/java/spurroad/program/OverloadTest.java
+++ b/proxy/src/test/java/spurroad/program/OverloadTest.java
@@ -11,6 +11,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import spurroad.Peers;
 import spurroad.Peers.Client;
@@ -124,20 +125,29 @@
         }
     }
 
-    /** One that sends hundreds of commands at once holds up nobody, and has all its answers in order. */
-    @Test
-    public void hundredsOfCommandsAtOnceAreAnsweredInOrderAndHoldUpNobody() throws Exception {
+    /** How many commands: what one reading takes, and more than are kept unread. */
+    @DataProvider
+    Object[][] many() {
+        return new Object[][] {{500}, {40_000}};
+    }
+
+    /**
+     * One that sends many commands at once holds up nobody, and has all its answers in order. What can't be kept until its
+     * turn comes is turned away: whether its client is still there could not be seen.
+     */
+    @Test(dataProvider = "many")
+    public void manyCommandsAtOnceAreAnsweredInOrderAndHoldUpNobody(int count) throws Exception {
         try (Peer discovery = new Peer(m -> null); Peer node = new Peer(hit("v"))) {
             Service s = proxy(discovery, 256, node);
             try (Client many = new Client(s.port()); Client one = new Client(s.port())) {
                 StringBuilder all = new StringBuilder();
-                for (int i = 0; i < 500; i++) {
+                for (int i = 0; i < count; i++) {
                     all.append(READ.replace("O1", "O" + (1000 + i)));
                 }
-                many.say(all.toString());
+                many.sayInBackground(all.toString());
                 String other = one.say(READ).line();
                 assertTrue(other.startsWith("VA 1 O1") || other.startsWith("SERVER_ERROR busy "), other);
-                for (int i = 0; i < 500; i++) {
+                for (int i = 0; i < count; i++) {
                     String line = many.line();
                     if (line.startsWith("VA")) {
                         assertEquals(line + many.line(), "VA 1 O" + (1000 + i) + "v");
