--- a/control/src/main/java/spurroad/control/decide/Member.java
+++ b/control/src/main/java/spurroad/control/decide/Member.java
@@ -7,9 +7,9 @@
  * @param endpoint address and port
  * @param weight   its size, above zero
  */
-public record Member(String uid, String endpoint, String zone, String kind, double weight, Standing standing)
+public record Member(String uid, String endpoint, String zone, String kind, double weight, MemberStatus status)
     implements Comparable<Member> {
-    public Member with(Standing other) {
+    public Member with(MemberStatus other) {
         return new Member(uid, endpoint, zone, kind, weight, other);
     }
 
--- a/control/src/main/java/spurroad/control/decide/State.java
+++ b/control/src/main/java/spurroad/control/decide/MemberState.java
@@ -1,7 +1,7 @@
 package spurroad.control.decide;
 
 /** What may be sent to a node, from the least strict on. */
-public enum State {
+public enum MemberState {
     /** Everything. */
     ACTIVE,
     /** Nothing new; what it has is finished. */
--- a/control/src/main/java/spurroad/control/decide/Guard.java
+++ b/control/src/main/java/spurroad/control/decide/ShrinkGuard.java
@@ -15,7 +15,7 @@
  * <p>The part is of the weight of what was active when the first of them went missing, so that a fleet can't be lost in
  * slices either. No clock: it is told the time. Not for several threads.
  */
-public final class Guard {
+public final class ShrinkGuard {
     /**
      * What the guard lets through.
      *
@@ -38,7 +38,7 @@
      * @param mostLost part of the weight that may go missing at once, from 0 to 1
      * @param holdNs   for how long what is beyond that is held, in nanoseconds
      */
-    public Guard(double mostLost, long holdNs) {
+    public ShrinkGuard(double mostLost, long holdNs) {
         this.mostLost = mostLost;
         this.holdNs = holdNs;
     }
@@ -52,7 +52,7 @@
             before = active(last);
         }
         for (Member m : last.values()) {
-            if (!proposed.containsKey(m.uid()) && m.standing().state() == State.ACTIVE) {
+            if (!proposed.containsKey(m.uid()) && m.status().state() == MemberState.ACTIVE) {
                 missing.putIfAbsent(m.uid(), new Missing(m, now));
             }
         }
@@ -70,7 +70,7 @@
     }
 
     private static double active(Map<String, Member> fleet) {
-        return fleet.values().stream().filter(m -> m.standing().state() == State.ACTIVE).mapToDouble(Member::weight)
+        return fleet.values().stream().filter(m -> m.status().state() == MemberState.ACTIVE).mapToDouble(Member::weight)
             .sum();
     }
 }
--- a/control/src/main/java/spurroad/control/decide/Snapshot.java
+++ b/control/src/main/java/spurroad/control/decide/Snapshot.java
@@ -35,7 +35,7 @@
             MessageDigest hash = MessageDigest.getInstance("SHA-256");
             for (Member m : members.values()) {
                 field(hash, "member", m.uid(), m.endpoint(), m.zone(), m.kind(), Double.toString(m.weight()),
-                    Long.toString(m.standing().startedMs()), m.standing().state().name());
+                    Long.toString(m.status().startedMs()), m.status().state().name());
             }
             policy.forEach((key, value) -> field(hash, "policy", key, value));
             return HexFormat.of().formatHex(hash.digest()).substring(0, VERSION_DIGITS);
@@ -56,6 +56,6 @@
 
     /** What has changed since another one, a line each, in the order of uids and keys. */
     public List<String> since(Snapshot before) {
-        return Difference.of(before, this);
+        return SnapshotDelta.of(before, this);
     }
 }
--- a/control/src/main/java/spurroad/control/decide/Difference.java
+++ b/control/src/main/java/spurroad/control/decide/SnapshotDelta.java
@@ -8,12 +8,12 @@
 import java.util.function.BiFunction;
 
 /** What differs between two snapshots, for people: a line each, {@code +}, {@code -} or {@code ~} first. */
-final class Difference {
-    private Difference() { }
+final class SnapshotDelta {
+    private SnapshotDelta() { }
 
     static List<String> of(Snapshot before, Snapshot after) {
         List<String> lines = new ArrayList<>();
-        compare(before.members(), after.members(), lines, Difference::member, Difference::changed);
+        compare(before.members(), after.members(), lines, SnapshotDelta::member, SnapshotDelta::changed);
         compare(before.policy(), after.policy(), lines, (key, value) -> key + " = " + value,
             (was, is) -> was + " -> " + is);
         return lines;
@@ -36,15 +36,15 @@
     }
 
     private static String member(String uid, Member m) {
-        return uid + " at " + m.endpoint() + ", " + m.standing().state();
+        return uid + " at " + m.endpoint() + ", " + m.status().state();
     }
 
     private static String changed(Member was, Member is) {
         List<String> what = new ArrayList<>();
-        if (was.standing().state() != is.standing().state()) {
-            what.add(was.standing().state() + " -> " + is.standing().state());
+        if (was.status().state() != is.status().state()) {
+            what.add(was.status().state() + " -> " + is.status().state());
         }
-        if (was.standing().startedMs() != is.standing().startedMs()) {
+        if (was.status().startedMs() != is.status().startedMs()) {
             what.add("started anew");
         }
         if (!was.endpoint().equals(is.endpoint())) {
--- a/control/src/main/java/spurroad/control/decide/Views.java
+++ b/control/src/main/java/spurroad/control/decide/SourceViews.java
@@ -8,14 +8,14 @@
 import java.util.TreeMap;
 
 /**
- * The fleet as several sources see it: discovery, a second discovery, the nodes' own word. Each node stands as the join
- * of what is said of it ({@link Standing}). What a whole list leaves out is gone for its source, unless another that is
- * as live names it in a later life. A source that has fallen silent is still believed in what it said, which can only
+ * The fleet as several sources see it: discovery, a second discovery, the nodes' own word. The status of each node is
+ * the join of what is said of it ({@link MemberStatus}). What a whole list leaves out is gone for its source, unless
+ * another that is as live names it in a later life. A source that has fallen silent is still believed in what it said, which can only
  * be stricter or older, but no longer in what it left out: it can't know what has come since.
  *
  * <p>Bounded: what is gone for every source is forgotten. Not for several threads.
  */
-public final class Views {
+public final class SourceViews {
     private static final class View {
         private final Map<String, Member> members = new HashMap<>();
         private boolean live, whole;
@@ -61,25 +61,25 @@
         SortedMap<String, Member> fleet = new TreeMap<>();
         for (View v : views.values()) {
             for (Member m : v.members.values()) {
-                fleet.merge(m.uid(), m, Views::join);
+                fleet.merge(m.uid(), m, SourceViews::join);
             }
         }
-        fleet.replaceAll((uid, m) -> m.with(m.standing().join(leftOut(uid, m.standing()))));
+        fleet.replaceAll((uid, m) -> m.with(m.status().join(leftOut(uid, m.status()))));
         forget(fleet);
-        fleet.values().removeIf(m -> m.standing().state() == State.GONE);
+        fleet.values().removeIf(m -> m.status().state() == MemberState.GONE);
         return fleet;
     }
 
     private static Member join(Member a, Member b) {
-        Standing joined = a.standing().join(b.standing());
-        return joined.equals(b.standing()) ? b : a; // with the address of the life that holds
+        MemberStatus joined = a.status().join(b.status());
+        return joined.equals(b.status()) ? b : a; // with the address of the life that holds
     }
 
     /** What those say of a node who do not name it, though they have told all and are heard. */
-    private Standing leftOut(String uid, Standing said) {
+    private MemberStatus leftOut(String uid, MemberStatus said) {
         for (View v : views.values()) {
             if (v.live && v.whole && !v.members.containsKey(uid)) {
-                return new Standing(said.startedMs(), State.GONE);
+                return new MemberStatus(said.startedMs(), MemberState.GONE);
             }
         }
         return said;
@@ -87,8 +87,8 @@
 
     private void forget(Map<String, Member> fleet) {
         for (View v : views.values()) {
-            v.members.values().removeIf(m -> m.standing().state() == State.GONE && views.values().stream().allMatch(
-                o -> !o.members.containsKey(m.uid()) || o.members.get(m.uid()).standing().state() == State.GONE));
+            v.members.values().removeIf(m -> m.status().state() == MemberState.GONE && views.values().stream().allMatch(
+                o -> !o.members.containsKey(m.uid()) || o.members.get(m.uid()).status().state() == MemberState.GONE));
         }
     }
 }
--- a/control/src/test/java/spurroad/control/decide/FleetTest.java
+++ b/control/src/test/java/spurroad/control/decide/FleetTest.java
@@ -17,51 +17,51 @@
     private static final long S = 1_000_000_000L;
     private static final SortedMap<String, String> NO_POLICY = new TreeMap<>();
 
-    private static State state(Views views, String uid) {
+    private static MemberState state(SourceViews views, String uid) {
         Member m = views.fleet().get(uid);
-        return m == null ? State.GONE : m.standing().state();
+        return m == null ? MemberState.GONE : m.status().state();
     }
 
     // ---- views
 
     @Test
     public void aDrainIsBelievedWhoeverSaysItAlsoWhileAnotherSourceIsDead() {
-        Views v = new Views();
+        SourceViews v = new SourceViews();
         v.whole("discovery", List.of(Members.active("n1"), Members.active("n2")));
         v.lost("discovery");
-        v.changed("nodes", List.of(Members.member("n1", 0, State.DRAINING)));
-        assertEquals(state(v, "n1"), State.DRAINING);
-        assertEquals(state(v, "n2"), State.ACTIVE);
+        v.changed("nodes", List.of(Members.member("n1", 0, MemberState.DRAINING)));
+        assertEquals(state(v, "n1"), MemberState.DRAINING);
+        assertEquals(state(v, "n2"), MemberState.ACTIVE);
     }
 
     @Test
     public void whatAWholeListLeavesOutIsGoneButNotForASourceThatHasFallenSilent() {
-        Views v = new Views();
+        SourceViews v = new SourceViews();
         v.whole("a", List.of(Members.active("n1")));
         v.whole("b", List.of(Members.active("n1"), Members.active("n2")));
-        assertEquals(state(v, "n2"), State.GONE);
+        assertEquals(state(v, "n2"), MemberState.GONE);
         v.lost("a");
-        assertEquals(state(v, "n2"), State.ACTIVE, "it came after a was last heard");
-        assertEquals(state(v, "n1"), State.ACTIVE);
+        assertEquals(state(v, "n2"), MemberState.ACTIVE, "it came after a was last heard");
+        assertEquals(state(v, "n1"), MemberState.ACTIVE);
     }
 
     @Test
     public void aNodeThatStartedAnewIsBackWhateverWasSaidOfItsFormerLife() {
-        Views v = new Views();
-        v.changed("a", List.of(Members.member("n1", 100, State.GONE)));
-        v.changed("b", List.of(Members.member("n1", 100, State.ACTIVE)));
-        assertEquals(state(v, "n1"), State.GONE);
-        v.changed("b", List.of(Members.member("n1", 200, State.ACTIVE)));
-        assertEquals(state(v, "n1"), State.ACTIVE);
+        SourceViews v = new SourceViews();
+        v.changed("a", List.of(Members.member("n1", 100, MemberState.GONE)));
+        v.changed("b", List.of(Members.member("n1", 100, MemberState.ACTIVE)));
+        assertEquals(state(v, "n1"), MemberState.GONE);
+        v.changed("b", List.of(Members.member("n1", 200, MemberState.ACTIVE)));
+        assertEquals(state(v, "n1"), MemberState.ACTIVE);
     }
 
     // ---- the guard
 
     @Test
     public void aListThatEmptiesByAFaultTakesOnlySoMuchWithIt() {
-        Guard g = new Guard(0.25, 30 * S);
+        ShrinkGuard g = new ShrinkGuard(0.25, 30 * S);
         assertEquals(g.judge(0, Members.fleet(8)).fleet().size(), 8);
-        Guard.Verdict v = g.judge(S, new TreeMap<>());
+        ShrinkGuard.Verdict v = g.judge(S, new TreeMap<>());
         assertEquals(v.held().size(), 6);
         assertEquals(v.fleet().size(), 6);
         assertEquals(g.judge(2 * S, Members.fleet(8)).held(), Set.of());
@@ -71,7 +71,7 @@
 
     @Test
     public void aFleetCantBeLostInSlicesEither() {
-        Guard g = new Guard(0.25, 30 * S);
+        ShrinkGuard g = new ShrinkGuard(0.25, 30 * S);
         g.judge(0, Members.fleet(8));
         for (int left = 7; left >= 0; left--) {
             g.judge((8 - left) * S, Members.fleet(left));
@@ -81,19 +81,19 @@
 
     @Test
     public void whatIsCalledDrainingIsTakenAtOnceHoweverMuchItIs() {
-        Guard g = new Guard(0.25, 30 * S);
+        ShrinkGuard g = new ShrinkGuard(0.25, 30 * S);
         g.judge(0, Members.fleet(8));
         SortedMap<String, Member> draining = Members.fleet(8);
-        draining.replaceAll((uid, m) -> m.with(new Standing(0, State.DRAINING)));
-        Guard.Verdict v = g.judge(S, draining);
+        draining.replaceAll((uid, m) -> m.with(new MemberStatus(0, MemberState.DRAINING)));
+        ShrinkGuard.Verdict v = g.judge(S, draining);
         assertEquals(v.held(), Set.of());
-        assertTrue(v.fleet().values().stream().allMatch(m -> m.standing().state() == State.DRAINING));
+        assertTrue(v.fleet().values().stream().allMatch(m -> m.status().state() == MemberState.DRAINING));
         assertEquals(g.judge(2 * S, new TreeMap<>()).fleet().size(), 0, "what had drained may go");
     }
 
     @Test
     public void aFewMayGoAtAnyTime() {
-        Guard g = new Guard(0.25, 30 * S);
+        ShrinkGuard g = new ShrinkGuard(0.25, 30 * S);
         g.judge(0, Members.fleet(8));
         assertEquals(g.judge(S, Members.fleet(6)).fleet().size(), 6);
     }
@@ -105,7 +105,7 @@
         Snapshot a = Snapshot.of(1, 5, "first", Members.fleet("n1", "n2"), NO_POLICY);
         assertEquals(Snapshot.of(9, 7, "elsewhere", Members.fleet("n2", "n1"), NO_POLICY).version(), a.version());
         SortedMap<String, Member> other = Members.fleet("n1", "n2");
-        other.put("n2", other.get("n2").with(new Standing(0, State.DRAINING)));
+        other.put("n2", other.get("n2").with(new MemberStatus(0, MemberState.DRAINING)));
         assertNotEquals(Snapshot.version(other, NO_POLICY), a.version());
         assertNotEquals(Snapshot.version(Members.fleet("n1", "n2"), new TreeMap<>(Map.of("k", "v"))),
             a.version());
@@ -121,7 +121,7 @@
         Snapshot one = h.take(1, "start", Members.fleet("n1", "n2"), p1);
         assertEquals(h.take(2, "the same again", Members.fleet("n1", "n2"), p1), one);
         SortedMap<String, Member> later = Members.fleet("n1", "n3");
-        later.put("n1", later.get("n1").with(new Standing(0, State.DRAINING)));
+        later.put("n1", later.get("n1").with(new MemberStatus(0, MemberState.DRAINING)));
         Snapshot two = h.take(3, "list", later, p2);
         assertEquals(two.since(one), List.of("~ n1: ACTIVE -> DRAINING", "- n2 at " + one.members().get("n2").endpoint()
             + ", ACTIVE", "+ n3 at " + two.members().get("n3").endpoint() + ", ACTIVE", "+ ring-points = 96",
--- a/control/src/test/java/spurroad/control/decide/Members.java
+++ b/control/src/test/java/spurroad/control/decide/Members.java
@@ -7,13 +7,14 @@
 final class Members {
     private Members() { }
 
-    static Member member(String uid, long startedMs, State state) {
-        return new Member(uid, "127.0.0.1:" + (1000 + uid.hashCode() % 1000), "east", "m1", 1, new Standing(startedMs,
+    static Member member(String uid, long startedMs, MemberState state) {
+        return new Member(uid, "127.0.0.1:" + (1000 + uid.hashCode() % 1000), "east", "m1", 1, 
+            new MemberStatus(startedMs,
             state));
     }
 
     static Member active(String uid) {
-        return member(uid, 0, State.ACTIVE);
+        return member(uid, 0, MemberState.ACTIVE);
     }
 
     /** Active ones, by these uids. */
--- a/control/src/test/java/spurroad/control/decide/ViewsProperties.java
+++ b/control/src/test/java/spurroad/control/decide/SourceViewsProperties.java
@@ -12,24 +12,26 @@
 import net.jqwik.api.Provide;
 
 /** What holds of the fleet whatever is said by whom and in which order. */
-class ViewsProperties {
+class SourceViewsProperties {
     /** A source says something of a node. */
     record Said(String source, Member member) { }
 
     @Provide
-    Arbitrary<Standing> standings() {
-        return Combinators.combine(Arbitraries.longs().between(0, 3), Arbitraries.of(State.class)).as(Standing::new);
+    Arbitrary<MemberStatus> statuses() {
+        return Combinators.combine(Arbitraries.longs().between(0, 3), Arbitraries.of(MemberState.class))
+            .as(MemberStatus::new);
     }
 
     @Provide
     Arbitrary<List<Said>> sayings() {
-        return Combinators.combine(Arbitraries.of("a", "b", "c"), Arbitraries.of("n1", "n2", "n3", "n4"), standings())
-            .as((source, uid, s) -> new Said(source, Members.member(uid, s.startedMs(), s.state()))).list().ofMaxSize(20);
+        return Combinators.combine(Arbitraries.of("a", "b", "c"), Arbitraries.of("n1", "n2", "n3", "n4"), statuses())
+            .as((source, uid, s) -> new Said(source, Members.member(uid, s.startedMs(), s.state())))
+            .list().ofMaxSize(20);
     }
 
     @Property(seed = "1")
-    void standingsAreALattice(@ForAll("standings") Standing a, @ForAll("standings") Standing b,
-                              @ForAll("standings") Standing c) {
+    void statusesFormALattice(@ForAll("statuses") MemberStatus a, @ForAll("statuses") MemberStatus b,
+                              @ForAll("statuses") MemberStatus c) {
         check(a.join(a).equals(a), "said twice is said once");
         check(a.join(b).equals(b.join(a)), "whoever says it first");
         check(a.join(b).join(c).equals(a.join(b.join(c))), "whoever is joined first");
@@ -39,13 +41,13 @@
     @Property(seed = "2", tries = 300)
     void theOrderInWhichSourcesAreHeardDoesNotMatter(@ForAll("sayings") List<Said> said, @ForAll Random random) {
         List<String> sources = new ArrayList<>(List.of("a", "b", "c"));
-        Views one = views(said, sources);
+        SourceViews one = views(said, sources);
         Collections.shuffle(sources, random);
         check(one.fleet().equals(views(said, sources).fleet()), "in the order " + sources);
     }
 
-    private static Views views(List<Said> said, List<String> sources) {
-        Views views = new Views();
+    private static SourceViews views(List<Said> said, List<String> sources) {
+        SourceViews views = new SourceViews();
         for (String source : sources) {
             said.stream().filter(s -> s.source.equals(source)).forEach(s -> views.changed(source, List.of(s.member)));
         }
@@ -55,7 +57,7 @@
     /** Nobody is sent queries whom any source, live or lost, called leaving in a life that none calls over. */
     @Property(seed = "3", tries = 300)
     void theStricterStateWinsUntilAllAgree(@ForAll("sayings") List<Said> said, @ForAll boolean lost) {
-        Views views = views(said, List.of("a", "b", "c"));
+        SourceViews views = views(said, List.of("a", "b", "c"));
         if (lost) {
             views.lost("b");
         }
@@ -63,9 +65,9 @@
             for (String source : List.of("a", "b", "c")) {
                 // what it said last of that node
                 said.stream().filter(s -> s.source.equals(source) && s.member.uid().equals(m.uid()))
-                    .reduce((x, y) -> y).map(s -> s.member.standing()).ifPresent(s -> check(
-                        s.startedMs() < m.standing().startedMs() || s.startedMs() == m.standing().startedMs()
-                        && s.state().compareTo(m.standing().state()) <= 0, m + " though " + source + " said " + s));
+                    .reduce((x, y) -> y).map(s -> s.member.status()).ifPresent(s -> check(
+                        s.startedMs() < m.status().startedMs() || s.startedMs() == m.status().startedMs()
+                        && s.state().compareTo(m.status().state()) <= 0, m + " though " + source + " said " + s));
             }
         }
     }
