--- a/proxy/src/main/java/spurroad/protocol/Http.java
+++ b/proxy/src/main/java/spurroad/protocol/Http.java
@@ -44,9 +44,12 @@
         return request("GET", target, host, Map.of(), 0, null);
     }
 
-    /** The origin's form of a query, but for a long value: the id and the list go on as they came. */
-    public static byte[] forOrigin(MetaCommand c, String host) {
-        Map<String, String> headers = Map.of("X-Request-Id", c.id(), "X-Extras", c.extras());
+    /**
+     * The origin's form of a request, without a long value: the id and the list go on as they came, but for how long the
+     * proxy will wait.
+     */
+    public static byte[] forOrigin(MetaCommand c, long waitMs, String host) {
+        Map<String, String> headers = Map.of("X-Request-Id", c.id(), "X-Extras", c.extras(waitMs));
         boolean write = c.kind == MetaCommand.Kind.WRITE;
         return request(write ? "PUT" : "GET", "/" + encoded(c.key()), host, headers, c.length(), write ? c.value : null);
     }
--- a/proxy/src/main/java/spurroad/protocol/MetaCommand.java
+++ b/proxy/src/main/java/spurroad/protocol/MetaCommand.java
@@ -276,9 +276,9 @@
         return at < 0 ? "" : line.substring(at, partEnd(at));
     }
 
-    /** The list of names and values as it came. */
-    public String extras() {
-        return line.substring(listFrom, listTo);
+    /** The list of names and values as it came, but for how long the proxy will wait. */
+    public String extras(long waitMs) {
+        return withWait(listFrom, listTo, waitMs);
     }
 
     /** How long the client waits, in milliseconds; -1 where it does not say. */
@@ -291,10 +291,15 @@
         return Math.max(0, whole("h"));
     }
 
+    /** A part of the line that holds the whole list, with another time to wait in place of the client's. */
+    private String withWait(int from, int to, long waitMs) {
+        int wait = valueAt("d");
+        return line.substring(from, wait) + waitMs + line.substring(partEnd(wait), to);
+    }
+
     /** The command for a cache node: as it came, but for how long the proxy will wait; without a long value. */
     public byte[] forNode(long waitMs) {
-        int at = valueAt("d");
-        String changed = line.substring(0, at) + waitMs + line.substring(partEnd(at));
+        String changed = withWait(0, line.length(), waitMs);
         return kind == Kind.READ || isLong() ? MetaReply.text(changed) : MetaReply.withValue(changed, value);
     }
 }
--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -314,8 +314,9 @@
             clients.log.trouble("no room for a query", this);
             return clients.gate.busy;
         }
+        long arrivedAt = clients.loop.arrivedAt();
         Query query = new Query(this, command, new TrackId(track), slot.results, new CustomerId(customer),
-            clients.loop.arrivedAt(), clients.waitNs(command.waitMs()));
+            arrivedAt, clients.endsAt(arrivedAt, command.waitMs()));
         slot.queryRoom = room;
         slot.query = query;
         clients.open.put(command.id(), query);
--- a/proxy/src/main/java/spurroad/routing/Clients.java
+++ b/proxy/src/main/java/spurroad/routing/Clients.java
@@ -205,12 +205,10 @@
         loop.tell(() -> List.copyOf(connections).forEach(ClientConnection::closeIfIdle));
     }
 
-    /** For how long a client's query can be worked on: what the client says, or less while this process ends. */
-    long waitNs(long waitMs) {
-        if (waitMs > longestWaitMs) {
-            longestWaitMs = waitMs;
-        }
-        return Math.min(waitMs * NS_PER_MS, answeredBy - now());
+    /** Until when a client's request can be worked on: what the client says, or less while this process ends. */
+    long endsAt(long arrivedAt, long waitMs) {
+        longestWaitMs = Math.max(longestWaitMs, waitMs);
+        return Math.min(arrivedAt + waitMs * NS_PER_MS, answeredBy);
     }
 
     /** All that was taken and all that comes is answered within this time from now, in nanoseconds. */
--- a/proxy/src/main/java/spurroad/routing/Decider.java
+++ b/proxy/src/main/java/spurroad/routing/Decider.java
@@ -234,7 +234,7 @@
         aged++;
         MetaCommand c = q.command;
         // the answer's way back counts too: it is to leave a tick before the client's time is over
-        long budget = q.waitNs - (now - q.takenAt) - figures.deployment.tickNs();
+        long budget = q.endsAt - now - figures.deployment.tickNs();
         balance.arrived(now, q.id, q.track, q.customer, Members.key(c.key()),
             c.kind == MetaCommand.Kind.WRITE, c.hintUs() * NS_PER_US, Math.max(0, budget), fresh());
         carryOut();
@@ -490,7 +490,9 @@
         }
         for (Decisions.Start s : decisions.starts) {
             Query q = queries.get(s.query());
-            Errand e = new Errand(q, q.executions.size(), nodes.get(s.node()), now + s.allowNs(),
+            // the module counted from when it began to decide, some time ago
+            long until = Math.min(now + s.allowNs(), q.endsAt - figures.deployment.tickNs());
+            Errand e = new Errand(q, q.executions.size(), nodes.get(s.node()), until,
                 s.sentBy() - figures.deployment.tickNs(), stalls.total());
             q.executions.add(e);
             q.out++;
--- a/proxy/src/main/java/spurroad/routing/Dialect.java
+++ b/proxy/src/main/java/spurroad/routing/Dialect.java
@@ -41,7 +41,7 @@
         return new Dialect() {
             @Override
             public byte[] message(MetaCommand query, long waitMs) {
-                return query == null ? Http.get("/_load", host) : Http.forOrigin(query, host);
+                return query == null ? Http.get("/_load", host) : Http.forOrigin(query, waitMs, host);
             }
 
             @Override
--- a/proxy/src/main/java/spurroad/routing/Errand.java
+++ b/proxy/src/main/java/spurroad/routing/Errand.java
@@ -5,6 +5,7 @@
 
 /** One execution of a query, or a probe where there is no query: its node's actor ends it exactly once. */
 final class Errand {
+    private static final long NS_PER_MS = 1_000_000L;
     final Query query;
     final int number;
     final NodeActor node;
@@ -34,6 +35,19 @@
         this.stalledNs = stalledNs;
     }
 
+    /**
+     * What its node is told of the time left, in milliseconds: no more than is left for the request at the moment in which
+     * its first byte goes out, and at least one, as a node takes none for a request that is over.
+     */
+    long timeLeftMs(long now) {
+        return Math.max(1, (until - now) / NS_PER_MS);
+    }
+
+    /** Whether its time is over, so that there is nothing left to tell a node; never so for a probe. */
+    boolean overdue(long now) {
+        return query != null && now >= until;
+    }
+
     /** Whether nobody waits for it any more; never so for a probe. */
     boolean unwanted() {
         return query != null && query.left;
--- a/proxy/src/main/java/spurroad/routing/NodeActor.java
+++ b/proxy/src/main/java/spurroad/routing/NodeActor.java
@@ -108,7 +108,7 @@
      * else: the news that forbids it may have come between the decision and a place or a connection.
      */
     Outcome forbids(Errand e) {
-        if (e.unwanted() || now() >= e.sentBy) {
+        if (e.unwanted() || now() >= e.sentBy || e.overdue(now())) {
             return Outcome.NEVER_SENT; // nobody waits for it, or its time to go out is over: the node is not to blame
         }
         // a probe of a node that drains is no query, and its failure would speak against the node
--- a/proxy/src/main/java/spurroad/routing/NodeConnection.java
+++ b/proxy/src/main/java/spurroad/routing/NodeConnection.java
@@ -21,7 +21,6 @@
     private static final long STALL_NS = 300_000_000L; // ns; inside an answer: one that was given whole arrives sooner
     private static final long PASSAGE_STALL_NS = 2_500_000_000L; // ns; inside a long value that is being read
     private static final byte[] LINE_END = MetaReply.lineEnd();
-    private static final long NS_PER_MS = 1_000_000L;
     private final NodeActor node;
     private final Dialect dialect;
     private final ByteSource in = new ByteSource();
@@ -73,8 +72,7 @@
     /** Sends an errand. */
     void write(Errand e) {
         e.begun = true;
-        long waitMs = Math.max(1, (e.until - node.now()) / NS_PER_MS);
-        connection.write(dialect.message(e.command(), waitMs));
+        connection.write(dialect.message(e.command(), e.timeLeftMs(node.now())));
         if (e.query != null && e.command().isLong()) {
             e.command().pieces().forEach(connection::write);
             connection.write(dialect.afterValue());
--- a/proxy/src/main/java/spurroad/routing/Query.java
+++ b/proxy/src/main/java/spurroad/routing/Query.java
@@ -15,8 +15,8 @@
     final Results.OfClass results;
     final CustomerId customer;
     final long takenAt;
-    /** For how long it can be worked on, in nanoseconds from then. */
-    final long waitNs;
+    /** When its client stops waiting, or this process ends, in Unix nanoseconds: no attempt tells more than that. */
+    final long endsAt;
     /** Whether nobody waits for it any more: what was not yet written for it is not sent on. The loop's. */
     boolean left;
     // the decider's
@@ -26,13 +26,13 @@
     boolean over;
 
     Query(ClientConnection client, MetaCommand command, TrackId track, Results.OfClass results, CustomerId customer,
-          long takenAt, long waitNs) {
+          long takenAt, long endsAt) {
         this.client = client;
         this.command = command;
         this.track = track;
         this.results = results;
         this.customer = customer;
         this.takenAt = takenAt;
-        this.waitNs = waitNs;
+        this.endsAt = endsAt;
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/ParsersTest.java
+++ b/proxy/src/test/java/spurroad/protocol/ParsersTest.java
@@ -91,8 +91,10 @@
         assertEquals(List.of(c.key(), c.id(), c.waitMs(), c.hintUs(), c.figure("c")),
             List.of("k", "1", 480L, 900L, "read"));
         assertEquals(text(c.forNode(5)), "mg k v O1 Pc=read,t=acme,d=5,r=1,h=900,size=20\r\n");
-        assertEquals(text(Http.forOrigin(c, "h:1")).split("\r\n")[0], "GET /k HTTP/1.1");
-        assertTrue(text(Http.forOrigin(c, "h:1")).contains("X-Extras: c=read,t=acme,d=480,r=1,h=900,size=20\r\n"));
+        String toOrigin = text(Http.forOrigin(c, 5, "h:1"));
+        assertEquals(toOrigin.split("\r\n")[0], "GET /k HTTP/1.1");
+        assertTrue(toOrigin.contains("\r\nX-Request-Id: 1\r\n"));
+        assertTrue(toOrigin.contains("\r\nX-Extras: c=read,t=acme,d=5,r=1,h=900,size=20\r\n"));
     }
 
     @DataProvider
