--- a/proxy/src/main/java/spurroad/routing/Errand.java
+++ b/proxy/src/main/java/spurroad/routing/Errand.java
@@ -10,7 +10,10 @@
     final int number;
     final NodeActor node;
     final long until;
-    /** By when its last byte has to go out, if at all: later a repeat is no repeat any more where it would run. */
+    /**
+     * By when its last byte has to go out, if at all: later a repeat is no repeat any more where it would
+     * run.
+     */
     final long sentBy;
     /** Whether its first byte has gone out, and whether its last may have. */
     boolean begun, written;
@@ -36,8 +39,9 @@
     }
 
     /**
-     * What its node is told of the time left, in milliseconds: no more than is left for the request at the moment in which
-     * its first byte goes out, and at least one, as a node takes none for a request that is over.
+     * What its node is told of the time left, in milliseconds: no more than is left for the request at the
+     * moment in which its first byte goes out, and at least one, as a node takes none for a request that is
+     * over.
      */
     long timeLeftMs(long now) {
         return Math.max(1, (until - now) / NS_PER_MS);
--- a/proxy/src/main/java/spurroad/routing/Query.java
+++ b/proxy/src/main/java/spurroad/routing/Query.java
@@ -7,7 +7,9 @@
 import spurroad.model.TrackId;
 import spurroad.protocol.MetaCommand;
 
-/** One query on its way through the proxy: made by its client's actor, then the decider's until it is over. */
+/**
+ * One query on its way through the proxy: made by its client's actor, then the decider's until it is over.
+ */
 final class Query {
     final ClientConnection client;
     final MetaCommand command;
@@ -15,7 +17,10 @@
     final Results.OfClass results;
     final CustomerId customer;
     final long takenAt;
-    /** When its client stops waiting, or this process ends, in Unix nanoseconds: no attempt tells more than that. */
+    /**
+     * When its client stops waiting, or this process ends, in Unix nanoseconds: no attempt tells more than
+     * that.
+     */
     final long endsAt;
     /** Whether nobody waits for it any more: what was not yet written for it is not sent on. The loop's. */
     boolean left;
@@ -25,7 +30,8 @@
     int out;
     boolean over;
 
-    Query(ClientConnection client, MetaCommand command, TrackId track, Results.OfClass results, CustomerId customer,
+    Query(ClientConnection client, MetaCommand command, TrackId track, Results.OfClass results,
+          CustomerId customer,
           long takenAt, long endsAt) {
         this.client = client;
         this.command = command;
--- a/proxy/src/test/java/spurroad/program/TimeLeftTest.java
+++ b/proxy/src/test/java/spurroad/program/TimeLeftTest.java
@@ -21,9 +21,9 @@
 import spurroad.start.ProxyStart;
 
 /**
- * What attempts tell cache nodes and the origin of the time that is left to the client. Servers miss, fail, turn away, break
- * off and answer late in a random order; an attempt is held against the time that had passed for certain before it began: that
- * of the last answer to an earlier attempt of the same request.
+ * What attempts tell cache nodes and the origin of the time that is left to the client. Servers miss, fail,
+ * turn away, break off and answer late in a random order; an attempt is held against the time that had passed
+ * for certain before it began: that of the last answer to an earlier attempt of the same request.
  */
 public class TimeLeftTest {
     private static final long NS_PER_MS = 1_000_000L;
@@ -39,10 +39,10 @@
     private static final Pattern WAIT = Pattern.compile("[P,: ]d=(\\d+)");
 
     /** A request of a client: when it was sent, and how long its client waits. */
-    private record Sent(long atNs, long waitMs) { }
+    private record Sent(long atNs, long waitMs) {}
 
     /** An attempt as its server saw it: what it told, and what was left at most when it began. */
-    private record Attempt(String message, long toldMs, long leftMs, boolean further) { }
+    private record Attempt(String message, long toldMs, long leftMs, boolean further) {}
 
     private final Map<String, Sent> sent = new ConcurrentHashMap<>();
     private final Map<String, Long> lastAnswer = new ConcurrentHashMap<>();
@@ -66,7 +66,7 @@
         }
         Random originRandom = new Random(random.nextLong());
         try (Peer origin = new Peer(message -> origin(message, originRandom));
-             Peer discovery = new Peer(message -> ServiceTest.WATCH)) {
+            Peer discovery = new Peer(message -> ServiceTest.WATCH)) {
             Service service = ServiceTest.service(new ProxyStart(settings(discovery, cacheNodes, origin)));
             List<Thread> clients = new ArrayList<>();
             AtomicInteger answered = new AtomicInteger();
@@ -86,9 +86,12 @@
                 node.close();
             }
         }
-        assertTrue(attempts.stream().filter(Attempt::further).count() > CLIENTS, "too few further attempts to tell");
-        assertTrue(attempts.stream().anyMatch(a -> a.further && a.message.startsWith("GET")), "none at the origin");
-        assertTrue(attempts.stream().anyMatch(a -> a.further && a.message.startsWith("mg")), "none at cache nodes");
+        assertTrue(attempts.stream().filter(Attempt::further).count() > CLIENTS,
+            "too few further attempts to tell");
+        assertTrue(attempts.stream().anyMatch(a -> a.further && a.message.startsWith("GET")),
+            "none at the origin");
+        assertTrue(attempts.stream().anyMatch(a -> a.further && a.message.startsWith("mg")),
+            "none at cache nodes");
         for (Attempt a : attempts) {
             assertTrue(a.toldMs >= 1 && a.toldMs <= Math.max(1, a.leftMs + ROUNDING_MS), a.toString());
         }
@@ -112,7 +115,8 @@
                 long waitMs = SHORTEST_WAIT_MS + random.nextInt(LONGEST_WAIT_MS - SHORTEST_WAIT_MS);
                 boolean write = random.nextInt(4) == 0;
                 sent.put(id, new Sent(System.nanoTime(), waitMs));
-                client.say(write ? "ms k" + number + " 1 O" + id + " Pc=put,t=acme,d=" + waitMs + ",k=" + id + "\r\na\r\n"
+                client.say(write
+                    ? "ms k" + number + " 1 O" + id + " Pc=put,t=acme,d=" + waitMs + ",k=" + id + "\r\na\r\n"
                     : "mg k" + number + " v O" + id + " Pc=read,t=acme,d=" + waitMs + ",h=9\r\n");
                 String line = client.line();
                 assertNotNull(line, "no answer to " + id);
@@ -134,7 +138,8 @@
         Sent request = sent.get(id.group(1));
         Long answer = lastAnswer.get(id.group(1));
         long passedMs = answer == null ? 0 : (answer - request.atNs) / NS_PER_MS;
-        attempts.add(new Attempt(message, Long.parseLong(wait.group(1)), request.waitMs - passedMs, answer != null));
+        attempts.add(
+            new Attempt(message, Long.parseLong(wait.group(1)), request.waitMs - passedMs, answer != null));
     }
 
     private void answering(String message, Random random) {
