--- a/cli/src/test/java/spurroad/cli/ArchitectureTest.java
+++ b/cli/src/test/java/spurroad/cli/ArchitectureTest.java
@@ -39,6 +39,16 @@
             .orShould().callMethod(System.class, "currentTimeMillis").check(ALL);
     }
 
+    @Test
+    public void distributionDecidesWithoutInputOutputClockOrThread() {
+        classes().that().resideInAPackage("spurroad.control.distribution").should().onlyDependOnClassesThat()
+            .resideInAnyPackage("spurroad.control.distribution", "java.lang", "java.lang.runtime", "java.lang.invoke",
+                "java.util", "java.util.function", "java.util.stream", "java.util.zip", "java.nio", "java.nio.charset")
+            .check(ALL);
+        noClasses().that().resideInAPackage("spurroad.control.distribution").should()
+            .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis").check(ALL);
+    }
+
     @Test
     public void modelsOfTheRigTouchNoInputOutputClockOrThread() {
         noClasses().that().resideInAnyPackage("spurroad.rig.model", "spurroad.rig.judge", "spurroad.rig.time",
--- /dev/null
+++ b/control/src/main/java/spurroad/control/distribution/Admission.java
@@ -0,0 +1,50 @@
+package spurroad.control.distribution;
+
+import java.util.Random;
+
+/**
+ * Bounds how many new children a publisher takes in a second. Those it turns away are told when to come again, spread
+ * over the time that as many as came lately need.
+ */
+final class Admission {
+    private static final long FORGET = DistributionSettings.SECOND;
+
+    private final int perSecond;
+    private final int burst;
+    private final Random random;
+    private double tokens;
+    private long refilledAt = Long.MIN_VALUE;
+    private int turnedAway; // since windowStart
+    private long windowStart;
+
+    Admission(int perSecond, int burst, Random random) {
+        this.perSecond = perSecond;
+        this.burst = burst;
+        this.random = random;
+        tokens = burst;
+    }
+
+    boolean admit(long now) {
+        if (refilledAt != Long.MIN_VALUE) {
+            double refill = (double) (now - refilledAt) * perSecond / DistributionSettings.SECOND;
+            tokens = Math.min(burst, tokens + refill);
+        }
+        refilledAt = now;
+        if (tokens < 1) {
+            return false;
+        }
+        tokens--;
+        return true;
+    }
+
+    /** When one that is turned away shall come again, in milliseconds from now. */
+    long retryAfterMillis(long now) {
+        if (now - windowStart > FORGET) {
+            windowStart = now;
+            turnedAway = 0;
+        }
+        turnedAway++;
+        double queueMillis = 1_000.0 * turnedAway / perSecond;
+        return 10 + (long) (queueMillis * (0.5 + random.nextDouble()));
+    }
+}
--- /dev/null
+++ b/control/src/main/java/spurroad/control/distribution/ConfigurationUpdate.java
@@ -0,0 +1,49 @@
+package spurroad.control.distribution;
+
+import java.util.List;
+
+/** Brings the configuration of a subscriber forward. */
+public sealed interface ConfigurationUpdate permits ConfigurationUpdate.Delta, ConfigurationUpdate.Snapshot {
+    /** The sequence number that the subscriber has reached once it has applied this. */
+    long toSequence();
+
+    /** What it carries, in the order of sequence numbers. */
+    List<Entry> entries();
+
+    /**
+     * All changes of a scope in {@code (fromSequence, toSequence]}, joined: of each resource only the latest.
+     */
+    record Delta(long fromSequence, long toSequence, List<Entry> entries) implements ConfigurationUpdate {
+        public Delta {
+            if (fromSequence < 0 || toSequence <= fromSequence) {
+                throw new IllegalArgumentException("delta from " + fromSequence + " to " + toSequence);
+            }
+            requireOrder(entries, fromSequence, toSequence);
+            entries = List.copyOf(entries);
+        }
+    }
+
+    /** The whole state of a scope at a sequence number; it contains no removals. */
+    record Snapshot(long toSequence, List<Entry> entries) implements ConfigurationUpdate {
+        public Snapshot {
+            requireOrder(entries, 0, toSequence);
+            for (Entry entry : entries) {
+                if (entry.isRemoval()) {
+                    throw new IllegalArgumentException("snapshot with the removal of " + entry.key());
+                }
+            }
+            entries = List.copyOf(entries);
+        }
+    }
+
+    private static void requireOrder(List<Entry> entries, long after, long last) {
+        long previous = after;
+        for (Entry entry : entries) {
+            if (entry.sequence() <= previous || entry.sequence() > last) {
+                throw new IllegalArgumentException("sequence " + entry.sequence() + " after " + previous + " up to "
+                    + last);
+            }
+            previous = entry.sequence();
+        }
+    }
+}
--- /dev/null
+++ b/control/src/main/java/spurroad/control/distribution/MalformedMessageException.java
@@ -0,0 +1,10 @@
+package spurroad.control.distribution;
+
+/** Bytes that are no message; nothing of them may be used. */
+public final class MalformedMessageException extends Exception {
+    private static final long serialVersionUID = 1;
+
+    public MalformedMessageException(String reason) {
+        super(reason);
+    }
+}
--- /dev/null
+++ b/control/src/main/java/spurroad/control/distribution/Participant.java
@@ -0,0 +1,13 @@
+package spurroad.control.distribution;
+
+/** A process of the fleet as its carrier sees it. Times are nanoseconds of one clock that never goes back. */
+public interface Participant {
+    /** Takes a message. */
+    void receive(long now, ProcessId from, Message message, Outbox outbox);
+
+    /** Does what is due. */
+    void wake(long now, Outbox outbox);
+
+    /** When to wake it next, at the latest; asked for after each call. */
+    long nextWakeAt();
+}
--- /dev/null
+++ b/control/src/main/java/spurroad/control/distribution/Publisher.java
@@ -0,0 +1,244 @@
+package spurroad.control.distribution;
+
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+import spurroad.control.distribution.Message.Acknowledge;
+import spurroad.control.distribution.Message.Heartbeat;
+import spurroad.control.distribution.Message.RefusalReason;
+import spurroad.control.distribution.Message.Refused;
+import spurroad.control.distribution.Message.Subscribe;
+import spurroad.control.distribution.Message.Update;
+
+/**
+ * The sending end of the links to all children of one process. It keeps a position a child and no queue: what a child
+ * is sent next is made from the state, joined, when there is room for it. All children are served once in a flush
+ * interval; publishers that started apart do so apart.
+ */
+public final class Publisher {
+    /** What the owner knows of its own standing at the time. */
+    public record Standing(long epoch, long ageMillis, boolean connected) { }
+
+    private static final class Child {
+        private final Scope scope;
+        private boolean hasState;
+        private long sequenceSent;
+        private long sequenceAcknowledged;
+        private long purgeSent;
+        private long purgeAcknowledged;
+        private long updatesSent;
+        private long updatesAcknowledged;
+        private long rewoundAt; // number of the latest update when it was decided to send again
+        private long heardMillis;
+        private long lastHeard;
+        private long rewoundTime;
+
+        private Child(Scope scope) {
+            this.scope = scope;
+        }
+
+        private void rewind(long now) {
+            sequenceSent = sequenceAcknowledged;
+            purgeSent = purgeAcknowledged;
+            rewoundAt = updatesSent;
+            rewoundTime = now;
+            updatesAcknowledged = updatesSent;
+        }
+    }
+
+    private record SinceKey(long from, boolean hasState, Scope scope) { }
+
+    private final DistributionSettings settings;
+    private final Scope scope;
+    private final ConfigurationState configuration;
+    private final PurgeLog purges;
+    private final Admission admission;
+    private final Random random;
+    private final Map<ProcessId, Child> children = new LinkedHashMap<>();
+    // updates made for one child serve all others that are at the same place; forgotten with the next change
+    private final Map<SinceKey, Optional<ConfigurationUpdate>> madeUpdates = new HashMap<>();
+    private final Map<Long, PurgeBatch> madeBatches = new HashMap<>();
+    private long madeAtSequence;
+    private long madeAtPurge;
+    private long nextFlush = Long.MAX_VALUE;
+
+    /** Creates one for a state that its owner brings forward. */
+    public Publisher(DistributionSettings settings, Scope scope, ConfigurationState configuration, PurgeLog purges,
+                     long seed) {
+        this.settings = settings;
+        this.scope = scope;
+        this.configuration = configuration;
+        this.purges = purges;
+        random = new Random(seed);
+        admission = new Admission(settings.admissionsPerSecond, settings.admissionBurst, random);
+    }
+
+    /** Takes a child, or refuses it. */
+    public void subscribed(long now, ProcessId from, Subscribe request, Standing standing, Outbox outbox) {
+        Optional<RefusalReason> refusal = refusal(now, from, request, standing);
+        if (refusal.isPresent()) {
+            children.remove(from);
+            outbox.send(from, new Refused(refusal.get(), admission.retryAfterMillis(now)));
+            return;
+        }
+        Child child = new Child(request.scope());
+        child.hasState = request.hasState();
+        child.sequenceSent = request.sequence();
+        child.sequenceAcknowledged = request.sequence();
+        child.purgeSent = request.purgeNumber();
+        child.purgeAcknowledged = request.purgeNumber();
+        child.heardMillis = request.sentAtMillis();
+        child.lastHeard = now;
+        children.put(from, child);
+        if (request.purgeNumber() == Subscribe.NO_PURGES) {
+            startPurges(now, from, child, request.purgeHistory(), standing, outbox);
+        } else {
+            send(now, from, child, standing, outbox);
+        }
+        keepPurgesThatAreNeeded();
+        if (nextFlush == Long.MAX_VALUE) {
+            nextFlush = now + 1 + (long) (random.nextDouble() * settings.flushInterval);
+        }
+    }
+
+    private Optional<RefusalReason> refusal(long now, ProcessId from, Subscribe request, Standing standing) {
+        if (!configuration.isComplete() || !scope.covers(request.scope()) || !standing.connected()) {
+            return Optional.of(RefusalReason.NOT_READY);
+        }
+        boolean reaches = request.purgeNumber() == Subscribe.NO_PURGES || purges.reaches(request.purgeNumber());
+        if (!reaches && !request.acceptsReset()) {
+            return Optional.of(RefusalReason.LOG_TOO_SHORT);
+        }
+        boolean isKnown = children.containsKey(from);
+        if (!isKnown && children.size() >= settings.mostChildren || !admission.admit(now)) {
+            return Optional.of(RefusalReason.BUSY);
+        }
+        return Optional.empty();
+    }
+
+    /** A child that knows no purges holds nothing that they concern; it starts as far back as it wishes to keep. */
+    private void startPurges(long now, ProcessId to, Child child, int history, Standing standing, Outbox outbox) {
+        long start = Math.max(purges.oldest(), purges.number() - history);
+        child.purgeSent = start;
+        send(now, to, child, configurationFor(child), Optional.of(new PurgeUpdate.Reset(start)), standing, outbox);
+    }
+
+    /** Takes note of what a child has applied. */
+    public void acknowledged(long now, ProcessId from, Acknowledge acknowledge) {
+        Child child = children.get(from);
+        if (child == null || acknowledge.updateNumber() > child.updatesSent) {
+            return;
+        }
+        child.lastHeard = now;
+        child.heardMillis = Math.max(child.heardMillis, acknowledge.sentAtMillis());
+        child.updatesAcknowledged = Math.max(child.updatesAcknowledged, acknowledge.updateNumber());
+        child.sequenceAcknowledged = Math.max(child.sequenceAcknowledged, acknowledge.sequence());
+        child.purgeAcknowledged = Math.max(child.purgeAcknowledged, acknowledge.purgeNumber());
+        if (acknowledge.missed() && acknowledge.updateNumber() > child.rewoundAt) {
+            child.rewind(now);
+        }
+        child.sequenceSent = Math.max(child.sequenceSent, child.sequenceAcknowledged);
+        child.purgeSent = Math.max(child.purgeSent, child.purgeAcknowledged);
+    }
+
+    /** Where it is time, sends to each child what is new to it, or a heartbeat; drops those that have fallen silent. */
+    public void flush(long now, Standing standing, Outbox outbox) {
+        if (now < nextFlush) {
+            return;
+        }
+        children.values().removeIf(child -> now - child.lastHeard >= settings.childTimeout);
+        for (Map.Entry<ProcessId, Child> entry : children.entrySet()) {
+            Child child = entry.getValue();
+            if (hasRoom(now, child)) {
+                send(now, entry.getKey(), child, standing, outbox);
+            }
+        }
+        keepPurgesThatAreNeeded();
+        nextFlush = children.isEmpty() ? Long.MAX_VALUE : now + settings.flushInterval;
+    }
+
+    private void keepPurgesThatAreNeeded() {
+        long needed = Long.MAX_VALUE;
+        for (Child child : children.values()) {
+            needed = Math.min(needed, child.purgeAcknowledged);
+        }
+        purges.needAfter(needed);
+    }
+
+    /** To a slow reader nothing more is sent for a time: what is new waits in the state, not in a queue. */
+    private boolean hasRoom(long now, Child child) {
+        if (child.updatesSent - child.updatesAcknowledged < settings.mostUnacknowledged) {
+            return true;
+        }
+        if (now - Math.max(child.lastHeard, child.rewoundTime) < settings.resendAfter) {
+            return false;
+        }
+        child.rewind(now);
+        return true;
+    }
+
+    private void send(long now, ProcessId to, Child child, Standing standing, Outbox outbox) {
+        send(now, to, child, configurationFor(child), purgesFor(child), standing, outbox);
+    }
+
+    private void send(long now, ProcessId to, Child child, Optional<ConfigurationUpdate> update,
+                      Optional<PurgeUpdate> purgeUpdate, Standing standing, Outbox outbox) {
+        update.ifPresent(it -> child.sequenceSent = it.toSequence());
+        child.hasState |= update.isPresent();
+        purgeUpdate.ifPresent(it -> child.purgeSent = it.toNumber());
+        boolean isComplete = child.purgeSent >= purges.number();
+        child.updatesSent++;
+        Heartbeat heartbeat = new Heartbeat(standing.epoch(), child.sequenceSent, child.purgeSent,
+            isComplete ? standing.ageMillis() : Heartbeat.UNKNOWN_AGE, child.heardMillis, standing.connected());
+        outbox.send(to, new Update(child.updatesSent, heartbeat, update, purgeUpdate));
+    }
+
+    private Optional<ConfigurationUpdate> configurationFor(Child child) {
+        if (madeAtSequence != configuration.sequence()) {
+            madeUpdates.clear();
+            madeAtSequence = configuration.sequence();
+        }
+        if (child.hasState && child.sequenceSent >= configuration.sequence()) {
+            return Optional.empty();
+        }
+        return madeUpdates.computeIfAbsent(new SinceKey(child.sequenceSent, child.hasState, child.scope),
+            key -> configuration.since(key.from(), key.hasState(), key.scope()));
+    }
+
+    private Optional<PurgeUpdate> purgesFor(Child child) {
+        if (madeAtPurge != purges.number()) {
+            madeBatches.clear();
+            madeAtPurge = purges.number();
+        }
+        if (child.purgeSent >= purges.number()) {
+            return Optional.empty();
+        }
+        if (!purges.reaches(child.purgeSent)) {
+            return Optional.of(new PurgeUpdate.Reset(purges.number()));
+        }
+        return Optional.of(madeBatches.computeIfAbsent(child.purgeSent,
+            from -> purges.since(from, settings.mostPurgesPerUpdate).orElseThrow()));
+    }
+
+    /** Lets all children go, so that they find another parent at once. */
+    public void dismiss(RefusalReason reason, Outbox outbox) {
+        for (ProcessId child : children.keySet()) {
+            outbox.send(child, new Refused(reason, 0));
+        }
+        children.clear();
+        nextFlush = Long.MAX_VALUE;
+        keepPurgesThatAreNeeded();
+    }
+
+    /** When to flush next. */
+    public long nextFlushAt() {
+        return nextFlush;
+    }
+
+    /** How many children there are. */
+    public int children() {
+        return children.size();
+    }
+}
--- /dev/null
+++ b/control/src/main/java/spurroad/control/distribution/Subscriber.java
@@ -0,0 +1,250 @@
+package spurroad.control.distribution;
+
+import java.util.List;
+import java.util.Random;
+import spurroad.control.distribution.Message.Acknowledge;
+import spurroad.control.distribution.Message.Heartbeat;
+import spurroad.control.distribution.Message.RefusalReason;
+import spurroad.control.distribution.Message.Refused;
+import spurroad.control.distribution.Message.Subscribe;
+import spurroad.control.distribution.Message.Update;
+
+/**
+ * The receiving end of a link: finds a parent, applies what it sends, and finds another when it is lost. Keeps the last
+ * good state without a parent. What a former parent still sends is ignored.
+ */
+public final class Subscriber implements Participant {
+    private enum Link { SEARCHING, SUBSCRIBING, ATTACHED }
+
+    private static final long SPREAD = 200 * DistributionSettings.MILLISECOND; // of those who lose one parent together
+    private static final long REFUSAL_PAUSE = 500 * DistributionSettings.MILLISECOND;
+
+    private static final long LONGEST_PAUSE_MILLIS = 10_000; // whatever a publisher says
+
+    private final DistributionSettings settings;
+    private final Scope scope;
+    private final ConfigurationState configuration;
+    private final PurgeLog purges;
+    private final int purgeHistory;
+    private final AppliedListener listener;
+    private final Random random;
+    private final ParentSelector selector;
+    private final Freshness freshness;
+
+    private Link link = Link.SEARCHING;
+    private ProcessId parent;
+    private long epoch;
+    private boolean knowsPurges;
+    private int shortLogs; // candidates in a row whose log of purges was too short
+    private long searchAt;
+    private long lastHeard;
+    private long detachedSince = Long.MAX_VALUE;
+    private long returnAt = Long.MAX_VALUE;
+    private long reparented;
+
+    /**
+     * Creates one without state or parent.
+     *
+     * @param purgeHistory how many earlier purges it wants when it knows none yet: for a relay's children
+     * @param seed         of its chance: the spread of retries
+     */
+    public Subscriber(DistributionSettings settings, Scope scope, ConfigurationState configuration, PurgeLog purges,
+                      int purgeHistory, AppliedListener listener, long seed) {
+        this.settings = settings;
+        this.scope = scope;
+        this.configuration = configuration;
+        this.purges = purges;
+        this.purgeHistory = purgeHistory;
+        this.listener = listener;
+        random = new Random(seed);
+        selector = new ParentSelector(random);
+        freshness = new Freshness(settings.freshnessLease);
+    }
+
+    /** Takes other candidates for its parent; the present one is left unless it is among the preferred ones. */
+    public void candidates(long now, List<ProcessId> preferred, List<ProcessId> others) {
+        selector.use(preferred, others);
+        if (parent == null || !preferred.contains(parent)) {
+            search(now);
+        }
+    }
+
+    @Override
+    public void receive(long now, ProcessId from, Message message, Outbox outbox) {
+        if (!from.equals(parent)) {
+            return;
+        }
+        if (message instanceof Update update) {
+            updated(now, update, outbox);
+        } else if (message instanceof Refused refused) {
+            refused(now, refused);
+        }
+    }
+
+    private void updated(long now, Update update, Outbox outbox) {
+        if (link != Link.ATTACHED) {
+            attached(now);
+        }
+        lastHeard = now;
+        Heartbeat heartbeat = update.heartbeat();
+        boolean isCurrent = heartbeat.epoch() >= epoch;
+        if (isCurrent) {
+            update.configuration().ifPresent(this::applyConfiguration);
+            update.purges().ifPresent(this::applyPurges);
+        }
+        boolean missed = isCurrent && (configuration.sequence() < heartbeat.configurationSequence()
+            || purges.number() < heartbeat.purgeNumber());
+        if (isCurrent && !missed) {
+            epoch = heartbeat.epoch();
+            freshness.heard(now, heartbeat.echoMillis(), heartbeat.ageMillis());
+        }
+        detached(now, heartbeat.connected());
+        outbox.send(parent, new Acknowledge(update.number(), configuration.sequence(), purges.number(), missed,
+            sendTime(now)));
+    }
+
+    private void attached(long now) {
+        link = Link.ATTACHED;
+        shortLogs = 0;
+        detachedSince = Long.MAX_VALUE;
+        selector.succeeded(parent);
+        long away = settings.returnInterval + (long) (random.nextDouble() * settings.returnInterval);
+        returnAt = selector.isPreferred(parent) ? Long.MAX_VALUE : now + away;
+    }
+
+    private void detached(long now, boolean connected) {
+        if (connected) {
+            detachedSince = Long.MAX_VALUE;
+        } else {
+            detachedSince = Math.min(detachedSince, now);
+        }
+    }
+
+    private void applyConfiguration(ConfigurationUpdate update) {
+        configuration.apply(update, listener::changed);
+    }
+
+    private void applyPurges(PurgeUpdate update) {
+        if (update instanceof PurgeUpdate.Reset reset) {
+            if (!knowsPurges || reset.toNumber() > purges.number()) {
+                purges.reset(reset.toNumber());
+                listener.purgesReset(reset.toNumber());
+                knowsPurges = true;
+            }
+            return;
+        }
+        PurgeBatch batch = (PurgeBatch) update;
+        long before = purges.number();
+        if (purges.append(batch) > 0) {
+            knowsPurges = true;
+            listener.purged(batch, before);
+        }
+    }
+
+    private void refused(long now, Refused refused) {
+        if (refused.reason() == RefusalReason.LOG_TOO_SHORT) {
+            shortLogs++;
+        }
+        long pause = refused.reason() == RefusalReason.BUSY
+            ? Math.min(refused.retryAfterMillis(), LONGEST_PAUSE_MILLIS) * DistributionSettings.MILLISECOND
+            : REFUSAL_PAUSE;
+        selector.refused(parent, now, pause);
+        search(now);
+    }
+
+    private void search(long now) {
+        link = Link.SEARCHING;
+        parent = null;
+        searchAt = now;
+    }
+
+    @Override
+    public void wake(long now, Outbox outbox) {
+        if (link != Link.SEARCHING && isLost(now)) {
+            boolean wasAttached = link == Link.ATTACHED;
+            selector.failed(parent, now);
+            search(now);
+            if (wasAttached) {
+                searchAt = now + (long) (random.nextDouble() * SPREAD);
+            }
+        } else if (link == Link.ATTACHED && now >= returnAt) {
+            selector.forgive();
+            search(now);
+        }
+        if (link == Link.SEARCHING && now >= searchAt) {
+            subscribe(now, outbox);
+        }
+    }
+
+    private boolean isLost(long now) {
+        long timeout = link == Link.SUBSCRIBING ? settings.requestTimeout : settings.parentTimeout;
+        return now - lastHeard >= timeout || now >= detachedUntil();
+    }
+
+    private long detachedUntil() {
+        return detachedSince == Long.MAX_VALUE ? Long.MAX_VALUE : detachedSince + settings.detachedTimeout;
+    }
+
+    private void subscribe(long now, Outbox outbox) {
+        parent = selector.next(now);
+        if (parent == null) {
+            searchAt = Math.max(now, selector.nextAt());
+            return;
+        }
+        link = Link.SUBSCRIBING;
+        reparented++;
+        lastHeard = now;
+        detachedSince = Long.MAX_VALUE;
+        outbox.send(parent, new Subscribe(scope, configuration.isComplete(), configuration.sequence(),
+            knowsPurges ? purges.number() : Subscribe.NO_PURGES, purgeHistory, shortLogs >= selector.size(),
+            sendTime(now)));
+    }
+
+    private static long sendTime(long now) {
+        return now / DistributionSettings.MILLISECOND;
+    }
+
+    @Override
+    public long nextWakeAt() {
+        return switch (link) {
+            case SEARCHING -> searchAt;
+            case SUBSCRIBING -> lastHeard + settings.requestTimeout;
+            case ATTACHED -> Math.min(Math.min(lastHeard + settings.parentTimeout, detachedUntil()), returnAt);
+        };
+    }
+
+    /** Whether it has a parent that answered. */
+    public boolean isAttached() {
+        return link == Link.ATTACHED;
+    }
+
+    /** Its parent, or whom it asks at present; null for nobody. */
+    public ProcessId parent() {
+        return parent;
+    }
+
+    /** The newest epoch of the core that it has heard of. */
+    public long epoch() {
+        return epoch;
+    }
+
+    /** Up to when it knows all. */
+    public Freshness freshness() {
+        return freshness;
+    }
+
+    /** Its configuration. */
+    public ConfigurationState configuration() {
+        return configuration;
+    }
+
+    /** Its purges. */
+    public PurgeLog purges() {
+        return purges;
+    }
+
+    /** How often it has asked somebody to be its parent. */
+    public long subscriptions() {
+        return reparented;
+    }
+}
--- /dev/null
+++ b/control/src/test/java/spurroad/control/distribution/Applied.java
@@ -0,0 +1,36 @@
+package spurroad.control.distribution;
+
+import static org.testng.Assert.assertTrue;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/** What took effect at one process; fails where something does so twice or goes back. */
+final class Applied implements AppliedListener {
+    final Map<ResourceKey, Long> sequences = new HashMap<>();
+    long purgeNumber;
+    long purges;
+    int resets;
+
+    @Override
+    public void changed(Entry entry) {
+        Long before = sequences.put(entry.key(), entry.sequence());
+        assertTrue(before == null || before < entry.sequence(), entry.key() + ": " + entry.sequence() + " after "
+            + before);
+    }
+
+    @Override
+    public void purged(PurgeBatch batch, long fromNumber) {
+        assertTrue(fromNumber == purgeNumber, "purges after " + fromNumber + " where " + purgeNumber + " are known");
+        assertTrue(batch.fromNumber() <= fromNumber && batch.toNumber() > fromNumber);
+        purges += batch.toNumber() - fromNumber;
+        purgeNumber = batch.toNumber();
+    }
+
+    @Override
+    public void purgesReset(long toNumber) {
+        assertTrue(toNumber >= purgeNumber, "reset to " + toNumber + " after " + purgeNumber);
+        purgeNumber = toNumber;
+        resets++;
+    }
+}
--- /dev/null
+++ b/control/src/test/java/spurroad/control/distribution/LinkTest.java
@@ -0,0 +1,346 @@
+package spurroad.control.distribution;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+import spurroad.control.distribution.ConfigurationUpdate.Delta;
+import spurroad.control.distribution.ConfigurationUpdate.Snapshot;
+import spurroad.control.distribution.Message.Acknowledge;
+import spurroad.control.distribution.Message.Heartbeat;
+import spurroad.control.distribution.Message.RefusalReason;
+import spurroad.control.distribution.Message.Refused;
+import spurroad.control.distribution.Message.Subscribe;
+import spurroad.control.distribution.Message.Update;
+
+/** One publisher and one subscriber, message by message. */
+public class LinkTest {
+    private static final long SECOND = DistributionSettings.SECOND;
+    private static final long START = 1_000 * SECOND;
+    private static final ProcessId PARENT = new ProcessId(1);
+    private static final ProcessId OTHER_PARENT = new ProcessId(2);
+    private static final ProcessId CHILD = new ProcessId(3);
+    private static final Scope EAST = new Scope("east");
+
+    private final DistributionSettings settings = new DistributionSettings();
+    private ConfigurationState source;
+    private PurgeLog sourcePurges;
+    private Publisher publisher;
+    private Publisher.Standing standing;
+    private Applied applied;
+    private Subscriber subscriber;
+    private final List<Message> toChild = new ArrayList<>();
+    private final List<Message> toParent = new ArrayList<>();
+    private final List<ProcessId> asked = new ArrayList<>();
+
+    @BeforeMethod
+    public void start() {
+        source = new ConfigurationState(8);
+        sourcePurges = new PurgeLog(64, 1 << 14);
+        publisher = new Publisher(settings, Scope.ALL, source, sourcePurges, 1);
+        standing = new Publisher.Standing(1, 0, true);
+        applied = new Applied();
+        subscriber = new Subscriber(settings, EAST, new ConfigurationState(0), new PurgeLog(0, 0), 0, applied, 7);
+        subscriber.candidates(START, List.of(PARENT, OTHER_PARENT), List.of());
+        toChild.clear();
+        toParent.clear();
+        asked.clear();
+        change(1);
+    }
+
+    private void change(int name) {
+        source.append(new ResourceKey("east", "node-" + name), new byte[] {(byte) name});
+    }
+
+    private void purge(int count) {
+        for (int i = 0; i < count; i++) {
+            sourcePurges.append(i);
+        }
+    }
+
+    private void fromChild(ProcessId to, Message message) {
+        asked.add(to);
+        toParent.add(message);
+    }
+
+    private static Message takeFirst(List<Message> messages) {
+        return messages.remove(0);
+    }
+
+    /** Lets the child ask; whoever it asks is played by the one publisher. */
+    private void attach(long now) {
+        subscriber.wake(now, this::fromChild);
+        publisher.subscribed(now, CHILD, (Subscribe) takeFirst(toParent), standing, (to, m) -> toChild.add(m));
+        deliver(now);
+    }
+
+    private void deliver(long now) {
+        while (!toChild.isEmpty()) {
+            subscriber.receive(now, subscriber.parent(), takeFirst(toChild), this::fromChild);
+        }
+        while (!toParent.isEmpty()) {
+            publisher.acknowledged(now, CHILD, (Acknowledge) takeFirst(toParent));
+        }
+    }
+
+    private List<Message> flush(long now) {
+        toChild.clear();
+        publisher.flush(now, standing, (to, m) -> toChild.add(m));
+        return toChild;
+    }
+
+    private Update flushed(long now) {
+        return (Update) flush(now).get(0);
+    }
+
+    @Test
+    public void aNewChildGetsTheWholeStateAndThenDeltas() {
+        attach(START);
+        assertEquals(subscriber.configuration().sequence(), 1);
+        change(2);
+        Update update = flushed(START + SECOND);
+        assertTrue(update.configuration().orElseThrow() instanceof Delta);
+        deliver(START + SECOND);
+        assertEquals(subscriber.configuration().sequence(), 2);
+        assertTrue(flushed(START + 2 * SECOND).configuration().isEmpty(), "a heartbeat");
+    }
+
+    @Test
+    public void aLostUpdateIsNoticedByTheNextHeartbeatAndSentAgain() {
+        attach(START);
+        change(2);
+        flush(START + SECOND).clear(); // lost
+        flush(START + 2 * SECOND);
+        deliver(START + 2 * SECOND);
+        assertEquals(subscriber.configuration().sequence(), 1);
+        flush(START + 3 * SECOND);
+        deliver(START + 3 * SECOND);
+        assertEquals(subscriber.configuration().sequence(), 2);
+        assertEquals(applied.sequences.size(), 2);
+    }
+
+    @Test
+    public void doubledReorderedAndLateUpdatesChangeNothingTwice() {
+        attach(START);
+        change(2);
+        Update first = flushed(START + SECOND);
+        change(2);
+        Update second = flushed(START + 2 * SECOND);
+        receive(second);
+        assertEquals(subscriber.configuration().sequence(), 1, "what lies before it is missing");
+        receive(first);
+        assertEquals(subscriber.configuration().sequence(), 2);
+        receive(second);
+        receive(first);
+        receive(second);
+        assertEquals(subscriber.configuration().sequence(), 3);
+    }
+
+    private void receive(Update update) {
+        subscriber.receive(START + 2 * SECOND, subscriber.parent(), update, this::fromChild);
+    }
+
+    @Test
+    public void wordFromAnOlderEpochIsNotApplied() {
+        standing = new Publisher.Standing(5, 0, true);
+        attach(START);
+        standing = new Publisher.Standing(4, 0, true);
+        change(2);
+        purge(3);
+        flush(START + SECOND);
+        deliver(START + SECOND);
+        assertEquals(subscriber.configuration().sequence(), 1);
+        assertEquals(subscriber.epoch(), 5);
+        assertEquals(applied.purges, 0);
+    }
+
+    @Test
+    public void whatAFormerParentSendsIsIgnored() {
+        attach(START);
+        Delta delta = new Delta(1, 2, List.of(new Entry(2, new ResourceKey("east", "x"), null)));
+        ProcessId former = subscriber.parent().equals(PARENT) ? OTHER_PARENT : PARENT;
+        subscriber.receive(START, former, new Update(1, new Heartbeat(9, 2, 0, 0, 0, true), Optional.of(delta),
+            Optional.empty()), this::fromChild);
+        assertEquals(subscriber.configuration().sequence(), 1);
+        assertTrue(toParent.isEmpty());
+    }
+
+    @Test
+    public void aSlowReaderIsSentTheNewestJoinedAndNoQueue() {
+        attach(START);
+        long now = START;
+        int updates = 0;
+        for (int i = 0; i < 200; i++) { // its acknowledgements do not come for 50 s, but it is not silent
+            change(2);
+            now += settings.flushInterval;
+            publisher.acknowledged(now, CHILD, new Acknowledge(0, 1, 0, false, now / DistributionSettings.MILLISECOND));
+            updates += flush(now).size();
+        }
+        assertTrue(updates <= settings.mostUnacknowledged, updates + " updates on the way");
+        toChild.clear();
+        publisher.acknowledged(now, CHILD, new Acknowledge(updates + 2L, 1, 0, true, 0));
+        assertTrue(flush(now + SECOND / 2).isEmpty(), "an update that was never sent can't be acknowledged");
+        publisher.acknowledged(now, CHILD, new Acknowledge(updates + 1L, 1, 0, true, 0));
+        Update joined = flushed(now + 2 * SECOND);
+        assertTrue(joined.configuration().orElseThrow() instanceof Snapshot, "the log of 8 no longer reaches back");
+        assertEquals(joined.configuration().orElseThrow().entries().size(), 2);
+        deliver(now + 2 * SECOND);
+        assertEquals(subscriber.configuration().sequence(), 201);
+    }
+
+    @Test
+    public void aSilentChildIsDroppedAndItsPositionForgotten() {
+        attach(START);
+        publisher.flush(START + 4 * SECOND, standing, (to, m) -> { });
+        assertEquals(publisher.children(), 1);
+        publisher.flush(START + 6 * SECOND, standing, (to, m) -> { });
+        assertEquals(publisher.children(), 0);
+        assertEquals(publisher.nextFlushAt(), Long.MAX_VALUE);
+    }
+
+    @Test
+    public void aSilentParentIsLeftWithinTheBoundAndItsChildTakesUpWhereItWas() {
+        attach(START);
+        ProcessId first = asked.get(0);
+        long lost = START + settings.parentTimeout;
+        assertTrue(subscriber.nextWakeAt() <= lost);
+        subscriber.wake(lost, this::fromChild);
+        subscriber.wake(subscriber.nextWakeAt(), this::fromChild);
+        assertTrue(subscriber.nextWakeAt() < lost + SECOND);
+        assertFalse(asked.get(asked.size() - 1).equals(first));
+        Subscribe again = (Subscribe) toParent.get(toParent.size() - 1);
+        assertEquals(again.sequence(), 1);
+        assertTrue(again.hasState());
+    }
+
+    @Test
+    public void aParentThatHasNoParentIsLeftWhenItFindsNoneSoon() {
+        attach(START);
+        standing = new Publisher.Standing(1, 0, false);
+        flush(START + SECOND);
+        deliver(START + SECOND);
+        subscriber.wake(START + SECOND + settings.detachedTimeout - 1, this::fromChild);
+        assertTrue(subscriber.isAttached());
+        subscriber.wake(START + SECOND + settings.detachedTimeout, this::fromChild);
+        assertFalse(subscriber.isAttached());
+    }
+
+    @Test
+    public void thoseWhoComeAtOnceAreTakenAtABoundedRateAndSpread() {
+        List<Refused> refusals = new ArrayList<>();
+        Subscribe request = new Subscribe(EAST, false, 0, Subscribe.NO_PURGES, 0, false, 0);
+        for (int i = 0; i < 400; i++) {
+            publisher.subscribed(START, new ProcessId(100 + i), request, standing, (to, m) -> {
+                if (m instanceof Refused refused) {
+                    refusals.add(refused);
+                }
+            });
+        }
+        assertEquals(publisher.children(), settings.admissionBurst);
+        assertTrue(refusals.stream().allMatch(r -> r.reason() == RefusalReason.BUSY));
+        long early = refusals.stream().filter(r -> r.retryAfterMillis() < 900).count();
+        assertTrue(early > 90 && early < 270, early + " of 360 come in the half of the time that they need");
+        publisher.subscribed(START + SECOND, new ProcessId(9), request, standing, (to, m) -> toChild.add(m));
+        assertTrue(toChild.get(0) instanceof Update, "later ones are taken again");
+    }
+
+    @Test
+    public void purgesComeInOrderEachOnceAndInBoundedBatches() {
+        attach(START);
+        purge(10_000);
+        long now = START;
+        for (int i = 0; i < 4; i++) {
+            now += SECOND;
+            Update update = flushed(now);
+            update.purges().map(PurgeBatch.class::cast)
+                .ifPresent(batch -> assertTrue(batch.hashes().length <= settings.mostPurgesPerUpdate));
+            Update doubled = (Update) toChild.get(0);
+            toChild.add(doubled);
+            deliver(now);
+        }
+        assertEquals(applied.purges, 10_000);
+        assertEquals(applied.resets, 1, "at the start, when nothing was stored");
+    }
+
+    @Test
+    public void whoeverIsTooFarBehindTheLogIsSentToAnotherAndResetOnlyWhereNobodyHasIt() {
+        purge(100);
+        Subscribe behind = new Subscribe(EAST, true, 1, 10, 0, false, 0);
+        publisher.subscribed(START, CHILD, behind, standing, (to, m) -> toChild.add(m));
+        assertEquals(((Refused) toChild.get(0)).reason(), RefusalReason.LOG_TOO_SHORT);
+        toChild.clear();
+        Subscribe accepting = new Subscribe(EAST, true, 1, 10, 0, true, 0);
+        publisher.subscribed(START, CHILD, accepting, standing, (to, m) -> toChild.add(m));
+        assertEquals(((Update) toChild.get(0)).purges(), Optional.of(new PurgeUpdate.Reset(100)));
+    }
+
+    @Test
+    public void aChildThatSawNoneOfItsFirstUpdatesIsResetAndDoesNotHang() {
+        purge(100);
+        subscriber.wake(START, this::fromChild);
+        publisher.subscribed(START, CHILD, (Subscribe) takeFirst(toParent), standing, (to, m) -> { }); // lost
+        purge(5);
+        for (int i = 1; i < 5; i++) {
+            flush(START + i * SECOND / 4);
+            deliver(START + i * SECOND / 4);
+        }
+        assertEquals(subscriber.purges().number(), 105);
+        assertEquals(subscriber.configuration().sequence(), 1);
+    }
+
+    // ---- freshness
+
+    @Test
+    public void nothingIsFreshBeforeTheFirstWordNorALeaseAfterTheLast() {
+        assertFalse(subscriber.freshness().isFresh(START));
+        attach(START);
+        assertTrue(subscriber.freshness().isFresh(START + settings.freshnessLease - 1));
+        assertFalse(subscriber.freshness().isFresh(START + settings.freshnessLease));
+    }
+
+    @Test
+    public void ageIsCountedFromTheEchoAndFromWhatThePublisherKnew() {
+        attach(START);
+        standing = new Publisher.Standing(1, 2_000, true);
+        flush(START + 4 * SECOND);
+        deliver(START + 5 * SECOND); // a second on its way
+        assertEquals(subscriber.freshness().ageMillis(START + 5 * SECOND), 5_000, "what came first is the better word");
+        flush(START + 6 * SECOND);
+        deliver(START + 6 * SECOND);
+        assertEquals(subscriber.freshness().ageMillis(START + 6 * SECOND), 3_000,
+            "2 s old when it was sent, which was after the echo at 5 s");
+    }
+
+    @Test
+    public void aPublisherThatCannotSayOrLiesKeepsNothingFresh() {
+        standing = new Publisher.Standing(1, Heartbeat.UNKNOWN_AGE, true);
+        attach(START);
+        assertFalse(subscriber.freshness().isFresh(START));
+        for (long echo : new long[] {START / DistributionSettings.MILLISECOND + 1, Long.MAX_VALUE}) {
+            subscriber.receive(START, subscriber.parent(), new Update(9, new Heartbeat(1, 1, 0, 0, echo, true),
+                Optional.empty(), Optional.empty()), this::fromChild);
+            assertFalse(subscriber.freshness().isFresh(START), "echo " + echo);
+        }
+        subscriber.receive(START, subscriber.parent(), new Update(9, new Heartbeat(1, 1, 0, Long.MAX_VALUE, 5, true),
+            Optional.empty(), Optional.empty()), this::fromChild);
+        assertFalse(subscriber.freshness().isFresh(START));
+    }
+
+    @Test
+    public void whoeverStillLacksPurgesIsNotFreshByAHeartbeat() {
+        attach(START);
+        purge(6_000);
+        flush(START + SECOND);
+        deliver(START + SECOND);
+        assertEquals(subscriber.purges().number(), 4_096);
+        assertEquals(subscriber.freshness().ageMillis(START + SECOND), 1_000, "not younger than before");
+        flush(START + 2 * SECOND);
+        deliver(START + 2 * SECOND);
+        assertTrue(subscriber.freshness().ageMillis(START + 2 * SECOND) <= 1_000);
+    }
+}
--- /dev/null
+++ b/control/src/test/java/spurroad/control/distribution/MessageCodecTest.java
@@ -0,0 +1,112 @@
+package spurroad.control.distribution;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertThrows;
+import static org.testng.Assert.assertTrue;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.Optional;
+import java.util.Random;
+import java.util.zip.CRC32C;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import spurroad.control.distribution.ConfigurationUpdate.Delta;
+import spurroad.control.distribution.ConfigurationUpdate.Snapshot;
+
+public class MessageCodecTest {
+    private static final Entry ENTRY = new Entry(7, new ResourceKey("östlich", "node-7"), new byte[] {1, 2});
+    private static final Entry REMOVAL = new Entry(9, new ResourceKey("", "limit"), null);
+    private static final Message.Heartbeat HEARTBEAT = new Message.Heartbeat(3, 1L << 40, 5, -1, 1L << 41, true);
+
+    @DataProvider
+    public Object[][] messages() {
+        return new Object[][] {
+            {new Message.Subscribe(Scope.ALL, false, 0, Message.Subscribe.NO_PURGES, 0, false, 0)},
+            {new Message.Subscribe(new Scope("east"), true, Long.MAX_VALUE, 12, 8_192, true, 1L << 41)},
+            {new Message.Refused(Message.RefusalReason.LOG_TOO_SHORT, 1_234)},
+            {new Message.Update(1, HEARTBEAT, Optional.empty(), Optional.empty())},
+            {new Message.Update(2, HEARTBEAT, Optional.of(new Delta(6, 9, List.of(ENTRY, REMOVAL))),
+                Optional.of(new PurgeBatch(5, new long[] {-1, 0, Long.MIN_VALUE})))},
+            {new Message.Update(3, HEARTBEAT, Optional.of(new Snapshot(9, List.of(ENTRY))),
+                Optional.of(new PurgeUpdate.Reset(77)))},
+            {new Message.Acknowledge(1, 2, 3, true, 4)},
+            {new Message.LeaseRequest("site-1", 5)},
+            {new Message.LeaseReply("site-1", true, 3_000, 5)},
+            {new Message.LeaseReply("site-1", false, Message.LeaseReply.ASK_ANOTHER, 5)},
+            {new Message.VoteRequest(1, 2, 3, true)},
+            {new Message.Vote(1, true, false)},
+            {new Message.Append(4, 3, 2, List.of(), 1, 7, -1, 6)},
+            {new Message.Append(4, 3, 2, List.of(new CoreEntry(1, new CoreCommand.NoOperation()),
+                new CoreEntry(2, new CoreCommand.Change(REMOVAL.key(), null))), 1, 7, 8, 6)},
+            {new Message.AppendReply(1, true, 2, 3, 4)},
+            {new Message.InstallState(8, new CoreSnapshot(5, 4, new Snapshot(9, List.of(ENTRY)), 3), 2)}};
+    }
+
+    @Test(dataProvider = "messages")
+    public void whatIsWrittenIsReadAgain(Message message) throws MalformedMessageException {
+        assertEquals(MessageCodec.decode(MessageCodec.encode(message)), message);
+    }
+
+    @Test
+    public void commandsWithArraysAreReadAgain() throws MalformedMessageException {
+        Message.Append read = (Message.Append) MessageCodec.decode(MessageCodec.encode(new Message.Append(1, 0, 0,
+            List.of(new CoreEntry(1, new CoreCommand.Purges(new long[] {5, -6})),
+                new CoreEntry(1, new CoreCommand.Change(ENTRY.key(), new byte[] {9}))), 0, 0, 0, 0)));
+        assertEquals(((CoreCommand.Purges) read.entries().get(0).command()).hashes(), new long[] {5, -6});
+        assertEquals(((CoreCommand.Change) read.entries().get(1).command()).value(), new byte[] {9});
+    }
+
+    @Test(dataProvider = "messages")
+    public void noSpoiltOrCutMessageIsBelieved(Message message) {
+        byte[] bytes = MessageCodec.encode(message);
+        for (int bit = 0; bit < bytes.length * 8; bit++) {
+            byte[] spoilt = bytes.clone();
+            spoilt[bit / 8] ^= (byte) (1 << bit % 8);
+            assertThrows(MalformedMessageException.class, () -> MessageCodec.decode(spoilt));
+        }
+        for (int length = 0; length < bytes.length; length++) {
+            byte[] cut = Arrays.copyOf(bytes, length);
+            assertThrows(MalformedMessageException.class, () -> MessageCodec.decode(cut));
+        }
+    }
+
+    /** With a right checksum the rest is checked all the same: nothing but the one exception, and no large memory. */
+    @Test(dataProvider = "messages")
+    public void noGarbageBreaksTheReader(Message message) {
+        byte[] bytes = MessageCodec.encode(message);
+        Random random = new Random(bytes.length);
+        for (int i = 0; i < 3_000; i++) {
+            byte[] body = Arrays.copyOf(bytes, Math.max(1, bytes.length - 4 + random.nextInt(3) - 1));
+            for (int change = random.nextInt(4); change >= 0; change--) {
+                body[random.nextInt(body.length)] = (byte) random.nextInt();
+            }
+            try {
+                Message read = MessageCodec.decode(withChecksum(body));
+                assertEquals(MessageCodec.encode(read).length, body.length + 4, "read as " + read);
+            } catch (MalformedMessageException expected) {
+                assertTrue(expected.getMessage() != null);
+            }
+        }
+    }
+
+    private static byte[] withChecksum(byte[] body) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(body, 0, body.length);
+        byte[] whole = Arrays.copyOf(body, body.length + 4);
+        for (int i = 0; i < 4; i++) {
+            whole[body.length + i] = (byte) (checksum.getValue() >>> 24 - 8 * i);
+        }
+        return whole;
+    }
+
+    @Test
+    public void aHeartbeatIsShortAndAPurgeTakesEightBytes() {
+        int heartbeat = MessageCodec.encode(new Message.Update(1_000, HEARTBEAT, Optional.empty(),
+            Optional.empty())).length;
+        int batch = MessageCodec.encode(new Message.Update(1_000, HEARTBEAT, Optional.empty(),
+            Optional.of(new PurgeBatch(5, new long[112])))).length;
+        assertTrue(heartbeat <= 40, heartbeat + " bytes");
+        assertTrue(batch - heartbeat <= 112 * 8 + 4, batch - heartbeat + " bytes");
+    }
+}
--- /dev/null
+++ b/control/src/test/java/spurroad/control/distribution/Network.java
@@ -0,0 +1,140 @@
+package spurroad.control.distribution;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.Set;
+import java.util.function.BiPredicate;
+
+/** Carries messages as bytes in simulated time, and loses, doubles, delays and reorders them by a seeded chance. */
+final class Network {
+    static final long MS = DistributionSettings.MILLISECOND;
+    static final long SECOND = DistributionSettings.SECOND;
+
+    private record Event(long at, long order, Runnable work) implements Comparable<Event> {
+        @Override
+        public int compareTo(Event other) {
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+        }
+    }
+
+    private final Random random;
+    private final PriorityQueue<Event> events = new PriorityQueue<>();
+    private final Map<ProcessId, Participant> processes = new HashMap<>();
+    private final Map<ProcessId, Long> wakeAt = new HashMap<>();
+    private final Set<ProcessId> stopped = new HashSet<>();
+    private long now = SECOND;
+    private long order;
+    private long shortestDelay = MS;
+    private long longestDelay = 20 * MS;
+    private double loss;
+    private double doubling;
+    private BiPredicate<ProcessId, ProcessId> passes = (from, to) -> true;
+    private long sent;
+
+    Network(long seed) {
+        random = new Random(seed);
+    }
+
+    long now() {
+        return now;
+    }
+
+    long sent() {
+        return sent;
+    }
+
+    void delays(long shortest, long longest) {
+        shortestDelay = shortest;
+        longestDelay = longest;
+    }
+
+    void faults(double lost, double doubled) {
+        loss = lost;
+        doubling = doubled;
+    }
+
+    /** Only messages of these ways arrive from now on; what is under way arrives too. */
+    void passes(BiPredicate<ProcessId, ProcessId> way) {
+        passes = way;
+    }
+
+    void add(ProcessId id, Participant process) {
+        processes.put(id, process);
+        stopped.remove(id);
+        wakeAt.remove(id);
+        scheduleWake(id);
+    }
+
+    /** The process is gone; what is sent to it is lost. */
+    void stop(ProcessId id) {
+        stopped.add(id);
+        processes.remove(id);
+        wakeAt.remove(id);
+    }
+
+    void at(long time, Runnable work) {
+        events.add(new Event(Math.max(time, now), order++, work));
+    }
+
+    void run(long duration) {
+        long until = now + duration;
+        while (!events.isEmpty() && events.peek().at() <= until) {
+            Event next = events.poll();
+            now = next.at();
+            next.work().run();
+        }
+        now = until;
+    }
+
+    /** Has a process do something that sends. */
+    void send(ProcessId from, ProcessId to, Message message) {
+        sent++;
+        byte[] bytes = MessageCodec.encode(message);
+        if (stopped.contains(from) || !passes.test(from, to) || random.nextDouble() < loss) {
+            return;
+        }
+        deliver(from, to, bytes);
+        if (random.nextDouble() < doubling) {
+            deliver(from, to, bytes);
+        }
+    }
+
+    private void deliver(ProcessId from, ProcessId to, byte[] bytes) {
+        long delay = shortestDelay + (long) (random.nextDouble() * (longestDelay - shortestDelay));
+        at(now + delay, () -> {
+            Participant process = processes.get(to);
+            if (process != null) {
+                process.receive(now, from, decode(bytes), (target, reply) -> send(to, target, reply));
+                scheduleWake(to);
+            }
+        });
+    }
+
+    private static Message decode(byte[] bytes) {
+        try {
+            return MessageCodec.decode(bytes);
+        } catch (MalformedMessageException malformed) {
+            throw new AssertionError(malformed);
+        }
+    }
+
+    private void scheduleWake(ProcessId id) {
+        Participant process = processes.get(id);
+        long next = Math.max(process.nextWakeAt(), now + MS / 10);
+        if (next == Long.MAX_VALUE || wakeAt.getOrDefault(id, Long.MAX_VALUE) <= next) {
+            return;
+        }
+        wakeAt.put(id, next);
+        at(next, () -> {
+            if (processes.get(id) != process || wakeAt.getOrDefault(id, -1L) != next) {
+                return;
+            }
+            wakeAt.remove(id);
+            process.wake(now, (target, reply) -> send(id, target, reply));
+            scheduleWake(id);
+        });
+    }
+}
