--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -55,6 +55,8 @@
     private final Connection connection;
     private final boolean guest;
     private final ByteSource in = new ByteSource();
+    private final ArrivalTimes arrivals = new ArrivalTimes(); // of what stands in `in`
+    private long commandArrivedAt; // of the command read last
     private final Deque<Slot> slots = new ArrayDeque<>();
     private Slot writing; // answered, and not yet taken whole by the system
     private long takingUntil; // while a long answer may still stand in the system's buffers here
@@ -97,9 +99,9 @@
         }
         cameAt = clients.now();
         if (upload != null) {
-            upload(bytes); // all of them: what follows may read on, into the same buffer
+            upload(bytes, connection.arrivedAt()); // all of them: what follows may read on, into the same buffer
         } else if (!over) {
-            in.feed(bytes);
+            feed(bytes, connection.arrivedAt());
             if (!ahead) {
                 work();
             }
@@ -127,7 +129,7 @@
             if (command.isLong()) {
                 begin(new Upload(command));
             } else {
-                taken(command, 0);
+                taken(command, 0, commandArrivedAt);
             }
         }
         if (!over) {
@@ -197,13 +199,20 @@
         reading(true);
         cameAt = clients.now(); // it was not read from
         if (in.available() > 0) {
-            upload(ByteBuffer.wrap(in.take(in.available())));
+            long arrivedAt = arrivals.earliest();
+            arrivals.take(in.available());
+            upload(ByteBuffer.wrap(in.take(in.available())), arrivedAt);
         }
     }
 
-    private void upload(ByteBuffer bytes) {
+    private void feed(ByteBuffer bytes, long arrivedAt) {
+        arrivals.read(bytes.remaining(), arrivedAt);
+        in.feed(bytes);
+    }
+
+    private void upload(ByteBuffer bytes, long arrivedAt) {
         if (noRoom) {
-            in.feed(bytes);
+            feed(bytes, arrivedAt);
             return;
         }
         try {
@@ -215,10 +224,10 @@
             upload = null;
             uploadRoom = 0;
             if (bytes.hasRemaining()) {
-                in.feed(bytes);
+                feed(bytes, arrivedAt);
             }
             if (goesOn()) { // it may have sent all of it and gone long ago, while there was no room
-                taken(whole, room);
+                taken(whole, room, arrivedAt);
                 work();
             } else {
                 clients.uploads.give(room);
@@ -255,7 +264,11 @@
     /** The next command, or null where it is not there whole. */
     private MetaCommand next() {
         try {
+            int before = in.available();
             MetaCommand command = in.message(MetaCommand::read);
+            if (command != null) {
+                commandArrivedAt = arrivals.take(before - in.available());
+            }
             begunAt = command == null ? begunAt : Long.MAX_VALUE;
             return command;
         } catch (IOException e) {
@@ -264,7 +277,7 @@
         }
     }
 
-    private void taken(MetaCommand command, long uploadRoomHeld) {
+    private void taken(MetaCommand command, long uploadRoomHeld, long arrivedAt) {
         Slot slot = new Slot();
         takingUntil = waiting() == 0 ? 0 : takingUntil; // who asks on has taken what came before
         slot.uploadRoom = uploadRoomHeld;
@@ -272,7 +285,7 @@
         slot.answer = switch (command.kind) {
             case FAULT -> fault(slot, command.fault, command.lost);
             case READY -> MetaReply.ready();
-            default -> query(slot, command);
+            default -> query(slot, command, arrivedAt);
         };
         flush();
     }
@@ -294,7 +307,7 @@
     }
 
     /** In the order of what it costs: most of a crowd gets no further than the gate, and takes nothing. */
-    private byte[] query(Slot slot, MetaCommand command) {
+    private byte[] query(Slot slot, MetaCommand command, long arrivedAt) {
         int track = clients.track(command), customer = clients.customer(command);
         String refusal = clients.refusal(command, track, customer);
         if (refusal != null) {
@@ -318,9 +331,8 @@
             clients.log.trouble("no room for a query", this);
             return clients.gate.busy;
         }
-        long arrivedAt = clients.loop.arrivedAt();
         Query query = new Query(this, command, new TrackId(track), slot.results, new CustomerId(customer),
-            arrivedAt, clients.endsAt(arrivedAt, command.waitMs()));
+            clients.loop.arrivedAt(), clients.endsAt(arrivedAt, command.waitMs()));
         slot.queryRoom = room;
         slot.query = query;
         clients.open.put(command.id(), query);
--- a/proxy/src/main/java/spurroad/transport/Connection.java
+++ b/proxy/src/main/java/spurroad/transport/Connection.java
@@ -33,6 +33,7 @@
         void ended();
     }
 
+    private static final long NOT_UNREAD = Long.MIN_VALUE;
     private final Loop loop;
     private final ReadableByteChannel source;
     private final WritableByteChannel sink;
@@ -43,6 +44,12 @@
     private SelectionKey reads, writes;
     private User user;
     private boolean closed, endedInOrder;
+    /**
+     * Since when what is unread may have stood so, while it is not read or more is there than was read at
+     * once.
+     */
+    private long unreadSince = NOT_UNREAD;
+    private long arrivedAt;
 
     /** A socket, or two channels that stand for one; to be opened before anything else. */
     public Connection(Loop loop, ReadableByteChannel source, WritableByteChannel sink, Runnable placeBack) {
@@ -113,8 +120,10 @@
     /** Whether anything came, which its user has been told then. */
     private boolean read(int most) {
         try {
-            loop.in.clear().limit(Math.min(most, loop.in.capacity()));
+            int limit = Math.min(most, loop.in.capacity());
+            loop.in.clear().limit(limit);
             int n = source.read(loop.in);
+            noteArrival(n == limit);
             if (n > 0) {
                 user.came(loop.in.flip());
             } else if (n < 0) {
@@ -128,6 +137,23 @@
         }
     }
 
+    private void noteArrival(boolean mayHoldMore) {
+        arrivedAt = unreadSince == NOT_UNREAD ? loop.arrivedAt() : unreadSince;
+        if (mayHoldMore) {
+            unreadSince = arrivedAt;
+        } else {
+            unreadSince = isReading() ? NOT_UNREAD : loop.now();
+        }
+    }
+
+    /**
+     * When, at the earliest, what was read last can have arrived, in Unix nanoseconds: it may have stood
+     * unread while the loop was busy, or while this connection was not read from.
+     */
+    public long arrivedAt() {
+        return arrivedAt;
+    }
+
     /** Looks whether something came, and tells its user of that first; also true where it broke. */
     public boolean unread() {
         return unread(loop.in.capacity());
@@ -145,10 +171,17 @@
             int wanted = on ? now | SelectionKey.OP_READ : now & ~SelectionKey.OP_READ;
             if (now != wanted) {
                 reads.interestOps(wanted);
+                noteReading(on);
             }
         }
     }
 
+    private void noteReading(boolean on) {
+        if (!on && unreadSince == NOT_UNREAD) {
+            unreadSince = loop.arrivedAt();
+        }
+    }
+
     /** Whether what comes is read. */
     public boolean isReading() {
         return !closed && reads.isValid() && (reads.interestOps() & SelectionKey.OP_READ) != 0;
