--- a/control/src/test/java/spurroad/control/decide/Members.java
+++ b/control/src/test/java/spurroad/control/decide/Members.java
@@ -8,9 +8,8 @@
     private Members() { }
 
     static Member member(String uid, long startedMs, MemberState state) {
-        return new Member(uid, "127.0.0.1:" + (1000 + uid.hashCode() % 1000), "east", "m1", 1, 
-            new MemberStatus(startedMs,
-            state));
+        return new Member(uid, "127.0.0.1:" + (1000 + uid.hashCode() % 1000), "east", "m1", 1,
+            new MemberStatus(startedMs, state));
     }
 
     static Member active(String uid) {
