--- a/rig/src/main/java/spurroad/rig/judge/Judge.java
+++ b/rig/src/main/java/spurroad/rig/judge/Judge.java
@@ -15,7 +15,7 @@
 import spurroad.rig.model.Reply;
 import spurroad.rig.model.Request;
 import spurroad.rig.model.Try;
-import spurroad.rig.model.Witness;
+import spurroad.rig.model.RequestObserver;
 import spurroad.rig.scenario.Scenario.Rules;
 
 /**
@@ -25,7 +25,7 @@
  * <p>A query is remembered until {@link #FORGET_NS} after its client's last wait is over; what a server does for it
  * later than that is not seen. One thread only, that of the world's timeline.
  */
-public final class Judge implements Witness {
+public final class Judge implements RequestObserver {
     private static final long FORGET_NS = 5_000_000_000L; // ns; longer than any queue before a server
     private static final int MOST_TOLD = 1000; // breaches; more are counted, without their stories
 
--- a/rig/src/main/java/spurroad/rig/model/CacheNode.java
+++ b/rig/src/main/java/spurroad/rig/model/CacheNode.java
@@ -35,7 +35,7 @@
     private final Timeline timeline;
     private final Load load;
     private final Ledger ledger;
-    private final Witness witness;
+    private final RequestObserver observer;
     private final Chance chance;
     private final Servers servers;
     private final Map<Integer, Copy> copies;
@@ -48,14 +48,14 @@
     private long hits, reads;
 
     /** One that has been up for long, and holds nothing yet. */
-    public CacheNode(String uid, NodeGroup group, Load load, Timeline timeline, Ledger ledger, Witness witness,
+    public CacheNode(String uid, NodeGroup group, Load load, Timeline timeline, Ledger ledger, RequestObserver observer,
                      Chance chance) {
         this.uid = uid;
         this.group = group;
         this.load = load;
         this.timeline = timeline;
         this.ledger = ledger;
-        this.witness = witness;
+        this.observer = observer;
         this.chance = chance;
         servers = new Servers(timeline, group.service());
         copies = new LinkedHashMap<>(16, 0.75f, true) {
@@ -76,7 +76,7 @@
         if (reach == Reach.VANISHED || reach == Reach.DOWN) {
             return;
         }
-        witness.begun(timeline.now(), uid, request);
+        observer.begun(timeline.now(), uid, request);
         if (silent) {
             return;
         }
@@ -115,7 +115,7 @@
 
     private void answered(Request request, Reply reply, Consumer<Reply> answer) {
         Reply given = chance.is(spoilt) ? reply.spoiltBy(1 + chance.below(Reply.WAYS_TO_SPOIL)) : reply;
-        witness.ended(timeline.now(), uid, request, given);
+        observer.ended(timeline.now(), uid, request, given);
         if (!cutBack) {
             answer.accept(given);
         }
@@ -133,7 +133,7 @@
         }
         if (++strikes > Math.max(LEAST_STRIKES, group.service().queue())) {
             strikes = 0;
-            witness.fellOver(now, uid, "cold, up for " + (now - startedAt) / 1_000_000 + " ms of "
+            observer.fellOver(now, uid, "cold, up for " + (now - startedAt) / 1_000_000 + " ms of "
                 + group.warmUpNs() / 1_000_000 + ", turned away " + group.service().queue() + " within 1 s");
             reach(Reach.DOWN);
             timeline.after(FALLEN_NS, this::restart);
--- a/rig/src/main/java/spurroad/rig/model/Origin.java
+++ b/rig/src/main/java/spurroad/rig/model/Origin.java
@@ -20,26 +20,26 @@
     private final Service service;
     private final Load load;
     private final Ledger ledger;
-    private final Witness witness;
+    private final RequestObserver observer;
     private final Chance chance;
     private final Servers servers;
     private final Map<String, Long> marks = new HashMap<>(); // until when each is remembered
     private long sweptAt;
     private double speed = 1;
 
-    public Origin(Service service, Load load, Timeline timeline, Ledger ledger, Witness witness, Chance chance) {
+    public Origin(Service service, Load load, Timeline timeline, Ledger ledger, RequestObserver observer, Chance chance) {
         this.service = service;
         this.load = load;
         this.timeline = timeline;
         this.ledger = ledger;
-        this.witness = witness;
+        this.observer = observer;
         this.chance = chance;
         servers = new Servers(timeline, service);
     }
 
     /** Takes an execution whose last byte has come; a write has its effect when it is done. */
     public void offer(Request request, Consumer<Reply> answer) {
-        witness.begun(timeline.now(), UID, request);
+        observer.begun(timeline.now(), UID, request);
         boolean taken = servers.offer(new Servers.Work() {
             @Override
             public long begins() {
@@ -49,13 +49,13 @@
             @Override
             public void done() {
                 Reply reply = request.track().write() ? write(request) : read(request);
-                witness.ended(timeline.now(), UID, request, reply);
+                observer.ended(timeline.now(), UID, request, reply);
                 answer.accept(reply);
             }
         });
         if (!taken) {
             Reply busy = new Reply(Reply.Kind.BUSY, 0, 0, servers.inFlight(), 0);
-            witness.ended(timeline.now(), UID, request, busy);
+            observer.ended(timeline.now(), UID, request, busy);
             answer.accept(busy);
         }
     }
@@ -79,7 +79,7 @@
                 marks.put(request.mark(), now + request.track().dedupNs());
             }
             ledger.written(request.key());
-            witness.effect(now, request);
+            observer.effect(now, request);
         }
         return new Reply(Reply.Kind.RECEIPT, ledger.version(request.key()), 0, servers.inFlight(), 0);
     }
--- a/rig/src/main/java/spurroad/rig/model/Witness.java
+++ b/rig/src/main/java/spurroad/rig/model/RequestObserver.java
@@ -1,7 +1,7 @@
 package spurroad.rig.model;
 
 /** Who is told what servers see and do; the judge. Times are those of the world's timeline. */
-public interface Witness {
+public interface RequestObserver {
     /** The last byte of an execution has come to a server; before anything becomes of it. */
     void begun(long at, String uid, Request request);
 
--- a/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
+++ b/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
@@ -64,7 +64,7 @@
         Ledger ledger = new Ledger();
         seen = new ArrayList<>();
         fell = new ArrayList<>();
-        Witness witness = new Witness() {
+        RequestObserver observer = new RequestObserver() {
             @Override
             public void begun(long at, String uid, Request request) { }
 
@@ -84,9 +84,9 @@
             }
         };
         Scenario.NodeGroup group = scenario.world().nodes().get(0);
-        a = new CacheNode("a-0", group, scenario.load(), timeline, ledger, witness, new Chance(1, "a-0"));
-        b = new CacheNode("a-1", group, scenario.load(), timeline, ledger, witness, new Chance(1, "a-1"));
-        origin = new Origin(scenario.world().origin(), scenario.load(), timeline, ledger, witness,
+        a = new CacheNode("a-0", group, scenario.load(), timeline, ledger, observer, new Chance(1, "a-0"));
+        b = new CacheNode("a-1", group, scenario.load(), timeline, ledger, observer, new Chance(1, "a-1"));
+        origin = new Origin(scenario.world().origin(), scenario.load(), timeline, ledger, observer,
             new Chance(1, "origin"));
     }
 
