--- a/rig/src/main/java/spurroad/rig/model/CacheNode.java
+++ b/rig/src/main/java/spurroad/rig/model/CacheNode.java
@@ -36,7 +36,7 @@
     private final Load load;
     private final Ledger ledger;
     private final RequestObserver observer;
-    private final Chance chance;
+    private final RandomStream random;
     private final Servers servers;
     private final Map<Integer, Copy> copies;
     private Runnable reachChanged = () -> { };
@@ -49,14 +49,14 @@
 
     /** One that has been up for long, and holds nothing yet. */
     public CacheNode(String uid, NodeGroup group, Load load, Timeline timeline, Ledger ledger, RequestObserver observer,
-                     Chance chance) {
+                     RandomStream random) {
         this.uid = uid;
         this.group = group;
         this.load = load;
         this.timeline = timeline;
         this.ledger = ledger;
         this.observer = observer;
-        this.chance = chance;
+        this.random = random;
         servers = new Servers(timeline, group.service());
         copies = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
@@ -84,7 +84,7 @@
             @Override
             public long begins() {
                 double cost = group.service().meanNs() / (group.speed() * speed * warmth());
-                return chance.time(cost, group.service().spread()) + (request.fresh() ? group.connectNs() : 0);
+                return random.time(cost, group.service().spread()) + (request.fresh() ? group.connectNs() : 0);
             }
 
             @Override
@@ -99,7 +99,7 @@
     }
 
     private Reply reply(Request request) {
-        if (chance.is(failing)) {
+        if (random.is(failing)) {
             return new Reply(Reply.Kind.FAILED, 0, 0, report(), 0);
         }
         reads++;
@@ -109,12 +109,12 @@
             return new Reply(Reply.Kind.MISS, 0, 0, report(), 0);
         }
         hits++;
-        int bytes = chance.is(load.longPart()) ? load.longBytes() : load.valueBytes();
+        int bytes = random.is(load.longPart()) ? load.longBytes() : load.valueBytes();
         return new Reply(Reply.Kind.VALUE, copy.version, bytes, report(), 0);
     }
 
     private void answered(Request request, Reply reply, Consumer<Reply> answer) {
-        Reply given = chance.is(spoilt) ? reply.spoiltBy(1 + chance.below(Reply.WAYS_TO_SPOIL)) : reply;
+        Reply given = random.is(spoilt) ? reply.spoiltBy(1 + random.below(Reply.WAYS_TO_SPOIL)) : reply;
         observer.ended(timeline.now(), uid, request, given);
         if (!cutBack) {
             answer.accept(given);
--- a/rig/src/main/java/spurroad/rig/model/Origin.java
+++ b/rig/src/main/java/spurroad/rig/model/Origin.java
@@ -21,19 +21,19 @@
     private final Load load;
     private final Ledger ledger;
     private final RequestObserver observer;
-    private final Chance chance;
+    private final RandomStream random;
     private final Servers servers;
     private final Map<String, Long> marks = new HashMap<>(); // until when each is remembered
     private long sweptAt;
     private double speed = 1;
 
-    public Origin(Service service, Load load, Timeline timeline, Ledger ledger, RequestObserver observer, Chance chance) {
+    public Origin(Service service, Load load, Timeline timeline, Ledger ledger, RequestObserver observer, RandomStream random) {
         this.service = service;
         this.load = load;
         this.timeline = timeline;
         this.ledger = ledger;
         this.observer = observer;
-        this.chance = chance;
+        this.random = random;
         servers = new Servers(timeline, service);
     }
 
@@ -43,7 +43,7 @@
         boolean taken = servers.offer(new Servers.Work() {
             @Override
             public long begins() {
-                return chance.time(service.meanNs() / speed, service.spread());
+                return random.time(service.meanNs() / speed, service.spread());
             }
 
             @Override
@@ -62,7 +62,7 @@
 
     private Reply read(Request request) {
         ledger.read(request.id(), request.key());
-        int bytes = chance.is(load.longPart()) ? load.longBytes() : load.valueBytes();
+        int bytes = random.is(load.longPart()) ? load.longBytes() : load.valueBytes();
         return new Reply(Reply.Kind.VALUE, ledger.version(request.key()), bytes, servers.inFlight(), 0);
     }
 
--- a/rig/src/main/java/spurroad/rig/model/Population.java
+++ b/rig/src/main/java/spurroad/rig/model/Population.java
@@ -43,7 +43,7 @@
     private final Timeline timeline;
     private final Gateway gateway;
     private final Book book;
-    private final Chance arrivals, what;
+    private final RandomStream arrivals, what;
     private final Popularity popularity;
     private double times = 1;
     private long number, nextAt, until;
@@ -54,9 +54,9 @@
         this.timeline = timeline;
         this.gateway = gateway;
         this.book = book;
-        arrivals = new Chance(seed, "arrivals");
-        what = new Chance(seed, "queries");
-        popularity = new Popularity(load, new Chance(seed, "keys"));
+        arrivals = new RandomStream(seed, "arrivals");
+        what = new RandomStream(seed, "queries");
+        popularity = new Popularity(load, new RandomStream(seed, "keys"));
     }
 
     /** Queries fall due from now on until a time. */
--- a/rig/src/main/java/spurroad/rig/model/Chance.java
+++ b/rig/src/main/java/spurroad/rig/model/RandomStream.java
@@ -5,12 +5,12 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** What one part of a world draws by chance: a stream of its own, so that a change in one part moves no other. */
-public final class Chance {
+public final class RandomStream {
     private final UniformRandomProvider source;
     private final ZigguratSampler.Exponential exponential;
 
     /** The stream of a part of the world that was made from a seed. */
-    public Chance(long seed, String part) {
+    public RandomStream(long seed, String part) {
         source = RandomSource.XO_SHI_RO_256_PP.create(seed * 0x9e3779b97f4a7c15L + part.hashCode());
         exponential = ZigguratSampler.Exponential.of(source);
     }
--- a/rig/src/main/java/spurroad/rig/world/Front.java
+++ b/rig/src/main/java/spurroad/rig/world/Front.java
@@ -1,26 +1,26 @@
 package spurroad.rig.world;
 
 import java.util.Arrays;
-import spurroad.rig.model.Chance;
+import spurroad.rig.model.RandomStream;
 
 /** Deals proxies out to clients by chance, and learns late that one has gone or is back. */
 public final class Front {
     /** After which it knows what has become of a proxy, in nanoseconds. */
     public static final long NOTICE_NS = 1_000_000_000L;
 
-    private final Chance chance;
+    private final RandomStream random;
     private final boolean[] offered;
 
     /** One that deals out all of so many proxies. */
     public Front(int proxies, long seed) {
-        chance = new Chance(seed, "front");
+        random = new RandomStream(seed, "front");
         offered = new boolean[proxies];
         Arrays.fill(offered, true);
     }
 
     /** A proxy that is dealt out; any of them where none is. */
     public int choose() {
-        int n = offered.length, first = chance.below(n);
+        int n = offered.length, first = random.below(n);
         for (int i = 0; i < n; i++) {
             if (offered[(first + i) % n]) {
                 return (first + i) % n;
--- a/rig/src/main/java/spurroad/rig/world/World.java
+++ b/rig/src/main/java/spurroad/rig/world/World.java
@@ -9,7 +9,7 @@
 import spurroad.rig.judge.Judge;
 import spurroad.rig.judge.Tally;
 import spurroad.rig.model.CacheNode;
-import spurroad.rig.model.Chance;
+import spurroad.rig.model.RandomStream;
 import spurroad.rig.model.Ledger;
 import spurroad.rig.model.Origin;
 import spurroad.rig.model.Population;
@@ -45,7 +45,7 @@
         judge = new Judge(scenario.rules());
         tally = new Tally(scenario);
         origin = new Origin(scenario.world().origin(), scenario.load(), timeline, ledger, judge,
-            new Chance(seed, Origin.UID));
+            new RandomStream(seed, Origin.UID));
         members = new Membership(timeline, scenario.world().listNs());
         int place = 0;
         members.begin(Origin.UID, null, place++);
@@ -58,7 +58,7 @@
     }
 
     private CacheNode make(String uid, NodeGroup group) {
-        CacheNode node = new CacheNode(uid, group, scenario.load(), timeline, ledger, judge, new Chance(seed, uid));
+        CacheNode node = new CacheNode(uid, group, scenario.load(), timeline, ledger, judge, new RandomStream(seed, uid));
         nodes.put(uid, node);
         return node;
     }
--- a/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
+++ b/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
@@ -84,10 +84,10 @@
             }
         };
         Scenario.NodeGroup group = scenario.world().nodes().get(0);
-        a = new CacheNode("a-0", group, scenario.load(), timeline, ledger, observer, new Chance(1, "a-0"));
-        b = new CacheNode("a-1", group, scenario.load(), timeline, ledger, observer, new Chance(1, "a-1"));
+        a = new CacheNode("a-0", group, scenario.load(), timeline, ledger, observer, new RandomStream(1, "a-0"));
+        b = new CacheNode("a-1", group, scenario.load(), timeline, ledger, observer, new RandomStream(1, "a-1"));
         origin = new Origin(scenario.world().origin(), scenario.load(), timeline, ledger, observer,
-            new Chance(1, "origin"));
+            new RandomStream(1, "origin"));
     }
 
     private Request request(String id, int key, boolean fresh) {
