--- a/rig/src/main/java/spurroad/rig/judge/Story.java
+++ b/rig/src/main/java/spurroad/rig/judge/EventHistory.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 
 /** What happened to one query, over all its tries, as lines with their times; bounded. */
-final class Story {
+final class EventHistory {
     private static final int MOST = 100; // lines; a query that has more is in a loop that its first ones tell of
 
     private final List<String> lines = new ArrayList<>(6);
--- a/rig/src/main/java/spurroad/rig/judge/Judge.java
+++ b/rig/src/main/java/spurroad/rig/judge/Judge.java
@@ -32,7 +32,7 @@
     /** A query and all that was seen of its tries. */
     private static final class Query {
         private final Ask ask;
-        private final Story story = new Story();
+        private final EventHistory story = new EventHistory();
         private int effects, open; // tries that are remembered
 
         private Query(Ask ask) {
