--- a/rig/src/main/java/spurroad/rig/judge/Tally.java
+++ b/rig/src/main/java/spurroad/rig/judge/OutcomeStatistics.java
@@ -13,7 +13,7 @@
  * What became of queries: by second of when they fell due, by track and by customer, with latency from when they were
  * due. What falls due before the counted time is left out of all but the seconds.
  */
-public final class Tally implements Population.Book {
+public final class OutcomeStatistics implements Population.Book {
     private static final long MOST_US = 600_000_000L; // us; a latency above ten minutes counts as that
     private static final int DIGITS = 3;
 
@@ -54,7 +54,7 @@
     private final Histogram latencyUs = new Histogram(MOST_US, DIGITS);
     private final Histogram lateUs = new Histogram(MOST_US, DIGITS);
 
-    public Tally(Scenario scenario) {
+    public OutcomeStatistics(Scenario scenario) {
         warmNs = scenario.warmNs();
         scenario.load().tracks().forEach(t -> tracks.put(t.name(), new Count()));
         scenario.load().customers().forEach(c -> customers.put(c.name(), new Count()));
--- a/rig/src/main/java/spurroad/rig/play/Player.java
+++ b/rig/src/main/java/spurroad/rig/play/Player.java
@@ -113,7 +113,7 @@
                 return failure;
             }
             Rules rules = world.scenario.rules();
-            double lateUs = world.tally.lateUs().getValueAtPercentile(99);
+            double lateUs = world.outcomes.lateUs().getValueAtPercentile(99);
             return lateUs * 1000 > rules.lateNs() ? "the rig ran late: " + lateUs / 1000 + " ms at the 99th percentile,"
                 + " more than " + rules.lateNs() / 1e6 + " ms" : "";
         }
--- a/rig/src/main/java/spurroad/rig/play/Result.java
+++ b/rig/src/main/java/spurroad/rig/play/Result.java
@@ -8,7 +8,7 @@
 import spurroad.rig.judge.Breach;
 import spurroad.rig.judge.Judge;
 import spurroad.rig.judge.Rule;
-import spurroad.rig.judge.Tally;
+import spurroad.rig.judge.OutcomeStatistics;
 import spurroad.rig.world.World;
 
 /**
@@ -32,7 +32,7 @@
     /** Queries by what became of them, and their goodput. */
     public record Counts(long due, long inTime, long late, long rejected, long failed, long unanswered,
                          double goodput) {
-        static Counts of(Tally.Count c) {
+        static Counts of(OutcomeStatistics.Count c) {
             return new Counts(c.due, c.inTime, c.late, c.rejected, c.failed, c.unanswered, c.goodput());
         }
     }
@@ -55,7 +55,7 @@
     /** Of a world that has been played. */
     static Result of(World w, String clock, String build, String voidFor, List<Proxy> proxies, long connections,
                      double tookS) {
-        Tally t = w.tally;
+        OutcomeStatistics t = w.outcomes;
         Judge j = w.judge;
         Map<String, Counts> tracks = new LinkedHashMap<>(), customers = new LinkedHashMap<>();
         t.tracks().forEach((name, c) -> tracks.put(name, Counts.of(c)));
@@ -66,7 +66,7 @@
         }
         List<Second> seconds = new ArrayList<>();
         for (int i = 0; i < t.seconds().size(); i++) {
-            Tally.Count c = t.seconds().get(i);
+            OutcomeStatistics.Count c = t.seconds().get(i);
             Histogram us = t.latencyUs(i);
             World.Queues q = i < w.queues().size() ? w.queues().get(i) : new World.Queues(0, 0, 0);
             seconds.add(new Second(c.due, c.inTime, c.late, c.rejected, c.failed + c.unanswered, c.goodput(),
--- a/rig/src/main/java/spurroad/rig/world/World.java
+++ b/rig/src/main/java/spurroad/rig/world/World.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import spurroad.rig.judge.Judge;
-import spurroad.rig.judge.Tally;
+import spurroad.rig.judge.OutcomeStatistics;
 import spurroad.rig.model.CacheNode;
 import spurroad.rig.model.RandomStream;
 import spurroad.rig.model.Ledger;
@@ -29,7 +29,7 @@
     public final long seed;
     public final Timeline timeline;
     public final Judge judge;
-    public final Tally tally;
+    public final OutcomeStatistics outcomes;
     public final Ledger ledger = new Ledger();
     public final Origin origin;
     public final Membership members;
@@ -43,7 +43,7 @@
         this.seed = seed;
         this.timeline = timeline;
         judge = new Judge(scenario.rules());
-        tally = new Tally(scenario);
+        outcomes = new OutcomeStatistics(scenario);
         origin = new Origin(scenario.world().origin(), scenario.load(), timeline, ledger, judge,
             new RandomStream(seed, Origin.UID));
         members = new Membership(timeline, scenario.world().listNs());
@@ -136,6 +136,6 @@
     public record Queues(double mean, int most, int origin) { }
 
     public Population population(Population.Gateway gateway) {
-        return new Population(scenario, seed, timeline, gateway, tally);
+        return new Population(scenario, seed, timeline, gateway, outcomes);
     }
 }
--- a/rig/src/test/java/spurroad/rig/judge/JudgeTest.java
+++ b/rig/src/test/java/spurroad/rig/judge/JudgeTest.java
@@ -47,7 +47,7 @@
             @Override
             public void leave(Try t) { }
         };
-        new Population(scenario, 1, timeline, gateway, new Tally(scenario)).begin(S);
+        new Population(scenario, 1, timeline, gateway, new OutcomeStatistics(scenario)).begin(S);
         timeline.runUntil(S);
         read = of(tries, Effect.IDEMPOTENT);
         put = of(tries, Effect.DEDUPLICATED);
--- a/rig/src/test/java/spurroad/rig/model/PopulationTest.java
+++ b/rig/src/test/java/spurroad/rig/model/PopulationTest.java
@@ -8,7 +8,7 @@
 import java.util.function.Function;
 import org.testng.annotations.Test;
 import spurroad.rig.Worlds;
-import spurroad.rig.judge.Tally;
+import spurroad.rig.judge.OutcomeStatistics;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.time.SimulatedTimeline;
 
@@ -20,9 +20,9 @@
     private SimulatedTimeline timeline;
 
     /** Plays with a proxy that answers after a time, or never where the rule gives null. */
-    private Tally play(Scenario scenario, long answerNs, Function<Try, Answer> rule) {
+    private OutcomeStatistics play(Scenario scenario, long answerNs, Function<Try, Answer> rule) {
         timeline = new SimulatedTimeline();
-        Tally tally = new Tally(scenario);
+        OutcomeStatistics outcomes = new OutcomeStatistics(scenario);
         Population[] of = new Population[1];
         sent.clear();
         taken.clear();
@@ -47,10 +47,10 @@
             public void leave(Try t) {
                 taken.add(t);
             }
-        }, tally);
+        }, outcomes);
         of[0].begin(scenario.lengthNs());
         timeline.runUntil(scenario.lengthNs() + 20 * S);
-        return tally;
+        return outcomes;
     }
 
     private static Answer served(Try t) {
@@ -64,9 +64,9 @@
     @Test
     public void asMuchFallsDueWhateverBecomesOfIt() {
         Scenario s = clients("tries = 1\n");
-        Tally quick = play(s, MS, PopulationTest::served);
+        OutcomeStatistics quick = play(s, MS, PopulationTest::served);
         List<Long> due = sent.stream().map(t -> t.ask.due).toList();
-        Tally never = play(s, MS, t -> null);
+        OutcomeStatistics never = play(s, MS, t -> null);
         assertEquals(sent.stream().map(t -> t.ask.due).toList(), due, "open loop: the same moments");
         assertEquals(quick.all().inTime, quick.all().due);
         assertEquals(never.all().unanswered, never.all().due);
@@ -76,7 +76,7 @@
 
     @Test
     public void latencyCountsFromWhenAQueryWasDueOverAllTries() {
-        Tally t = play(clients("tries = 2\nretry = \"as-told\"\n"), 10 * MS, x -> x.number == 1
+        OutcomeStatistics t = play(clients("tries = 2\nretry = \"as-told\"\n"), 10 * MS, x -> x.number == 1
             ? new Answer(Answer.Kind.REJECTED, 50 * MS, "", 0) : served(x));
         assertEquals(t.latencyUs().getValueAtPercentile(50) / 1000.0, 70, 1);
         assertEquals(t.all().inTime, t.all().due);
@@ -84,7 +84,7 @@
 
     @Test
     public void whoIsRejectedAsksAgainAsOftenAsItMayAndAsLongAsItWaits() {
-        Tally t = play(clients("tries = 3\nretry = \"at-once\"\n"), MS,
+        OutcomeStatistics t = play(clients("tries = 3\nretry = \"at-once\"\n"), MS,
             x -> new Answer(Answer.Kind.REJECTED, 0, "", 0));
         assertEquals(sent.size(), 3 * t.seconds().stream().mapToLong(c -> c.due).sum());
         assertEquals(t.all().rejected, t.all().due);
--- a/rig/src/test/java/spurroad/rig/sim/SimulatedWorldTest.java
+++ b/rig/src/test/java/spurroad/rig/sim/SimulatedWorldTest.java
@@ -39,8 +39,8 @@
     }
 
     private static String print(World w) {
-        return w.tally.all().inTime + " " + w.tally.all().due + " " + w.tally.latencyUs().getTotalCount() + " "
-            + w.tally.latencyUs().getMean() + " " + w.judge.executions() + " " + w.judge.taken();
+        return w.outcomes.all().inTime + " " + w.outcomes.all().due + " " + w.outcomes.latencyUs().getTotalCount() + " "
+            + w.outcomes.latencyUs().getMean() + " " + w.judge.executions() + " " + w.judge.taken();
     }
 
     @Test
@@ -59,8 +59,8 @@
     public void aCalmWorldIsServedAndRulesAreKept(Policy.Kind policy) {
         World w = play(Worlds.small("8s", ""), 1, policy);
         assertEquals(w.judge.breaches(), List.of());
-        assertTrue(w.tally.all().goodput() > 0.97, policy + " " + w.tally.all().goodput());
-        assertTrue(w.tally.all().due > 1000);
+        assertTrue(w.outcomes.all().goodput() > 0.97, policy + " " + w.outcomes.all().goodput());
+        assertTrue(w.outcomes.all().due > 1000);
     }
 
     /** Each kind of fault is played alone, begins and ends, and breaks no rule of the mechanism's. */
@@ -69,8 +69,8 @@
         World w = play(Worlds.small("14s", Worlds.fault(Worlds.name(kind), "3s", "3s", Worlds.rest(kind))), 2,
             Policy.Kind.MECHANISM);
         assertEquals(w.judge.breaches(), List.of());
-        assertTrue(w.tally.all().goodput() > 0.5, kind + " " + w.tally.all().goodput());
-        double last = w.tally.seconds().get(12).goodput();
+        assertTrue(w.outcomes.all().goodput() > 0.5, kind + " " + w.outcomes.all().goodput());
+        double last = w.outcomes.seconds().get(12).goodput();
         assertTrue(last > 0.9, kind + ": " + last + " in the second before the last, long after its end");
     }
 
@@ -89,10 +89,10 @@
                 200, s.load().customers(), List.of(new Scenario.Track("read", 1, Effect.IDEMPOTENT,
                 false, 300_000_000L, 4_000_000_000L, 0, 1, 0.3)), s.load().clients()), s.faults(), s.rules(), s.seeds());
         World w = play(patient, 1, Policy.Kind.RANDOM);
-        double most = w.tally.latencyUs().getMaxValue() / 1e6;
+        double most = w.outcomes.latencyUs().getMaxValue() / 1e6;
         assertTrue(most > 1.8 && most < 2.3, most + " s at most");
         // half of what falls due in the two seconds waits for a second on average
-        assertTrue(w.tally.latencyUs().getValueAtPercentile(90) > 300_000);
+        assertTrue(w.outcomes.latencyUs().getValueAtPercentile(90) > 300_000);
     }
 
     // ---- planted faults of a proxy
