--- a/rig/src/main/java/spurroad/rig/judge/Judge.java
+++ b/rig/src/main/java/spurroad/rig/judge/Judge.java
@@ -32,7 +32,7 @@
     /** A query and all that was seen of its tries. */
     private static final class Query {
         private final Ask ask;
-        private final EventHistory story = new EventHistory();
+        private final EventHistory history = new EventHistory();
         private int effects, open; // tries that are remembered
 
         private Query(Ask ask) {
@@ -82,7 +82,7 @@
         cases.put(t.id, c);
         q.open++;
         byEnd.add(c);
-        q.story.add(at, "try " + t + " is sent to p-" + t.proxy);
+        q.history.add(at, "try " + t + " is sent to p-" + t.proxy);
     }
 
     /** Its last byte was written to a connection that the proxy's machine has accepted. */
@@ -101,7 +101,7 @@
             return;
         }
         answered++;
-        c.query.story.add(at, "try " + t + " is answered " + answer.kind() + (answer.forId().isEmpty() ? ""
+        c.query.history.add(at, "try " + t + " is answered " + answer.kind() + (answer.forId().isEmpty() ? ""
             : " made for " + answer.forId()));
         if (++c.answers > 1) {
             breach(Rule.ONE_ANSWER, at, c, "a second final answer");
@@ -123,7 +123,7 @@
         Case c = cases.get(t.id);
         if (c != null && !c.left) {
             c.left = true;
-            c.query.story.add(at, "try " + t + ": its client waits no longer");
+            c.query.history.add(at, "try " + t + ": its client waits no longer");
             if (c.answers == 0 && c.takenAt != Long.MAX_VALUE) {
                 unanswered(at, c, "no answer until its client's time was over");
             }
@@ -135,7 +135,7 @@
         Case c = cases.get(t.id);
         if (c != null && !c.left && c.answers == 0 && c.takenAt != Long.MAX_VALUE && !c.lost) {
             c.lost = true;
-            c.query.story.add(at, "try " + t + ": its connection ended");
+            c.query.history.add(at, "try " + t + ": its connection ended");
             if (isExcused(at, c)) {
                 excused++;
             } else {
@@ -164,7 +164,7 @@
         if (c == null) {
             return; // long over for its client, and forgotten
         }
-        c.query.story.add(at, "an execution of " + request.id() + " comes to " + uid);
+        c.query.history.add(at, "an execution of " + request.id() + " comes to " + uid);
         Leaving l = leaving.getOrDefault(c.t.proxy, Map.of()).get(uid);
         if (l != null && at - l.toldAt > rules.graceNs()) {
             breach(Rule.NOTHING_TO_LEAVING, at, c, "sent to " + uid + " " + (at - l.toldAt) / 1_000_000
@@ -185,7 +185,7 @@
     public void ended(long at, String uid, Request request, Reply reply) {
         Case c = cases.get(request.id());
         if (c != null) {
-            c.query.story.add(at, uid + " answers " + reply.kind() + (reply.spoilt() > 0 ? ", spoilt" : ""));
+            c.query.history.add(at, uid + " answers " + reply.kind() + (reply.spoilt() > 0 ? ", spoilt" : ""));
             if (reply.kind() == Reply.Kind.BUSY || reply.kind() == Reply.Kind.MISS) {
                 c.mayHaveRun--;
                 c.ran.remove(uid);
@@ -197,7 +197,7 @@
     public void effect(long at, Request request) {
         Case c = cases.get(request.id());
         if (c != null) {
-            c.query.story.add(at, "the write of " + request.id() + " has its effect");
+            c.query.history.add(at, "the write of " + request.id() + " has its effect");
             if (++c.query.effects > 1) {
                 breach(Rule.NO_EFFECT_TWICE, at, c, "its effect was had " + c.query.effects + " times");
             }
@@ -258,7 +258,7 @@
     }
 
     private void breach(Rule rule, long at, Case c, String what) {
-        breach(new Breach(rule, at, c.t.id, what, c.query.story.lines()));
+        breach(new Breach(rule, at, c.t.id, what, c.query.history.lines()));
     }
 
     private void breach(Breach b) {
