--- a/rig/src/main/java/spurroad/rig/judge/Judge.java
+++ b/rig/src/main/java/spurroad/rig/judge/Judge.java
@@ -13,7 +13,7 @@
 import spurroad.rig.model.Answer;
 import spurroad.rig.model.Ask;
 import spurroad.rig.model.Reply;
-import spurroad.rig.model.Request;
+import spurroad.rig.model.ServerRequest;
 import spurroad.rig.model.Try;
 import spurroad.rig.model.RequestObserver;
 import spurroad.rig.scenario.Scenario.Rules;
@@ -158,7 +158,7 @@
     // ---- told by servers' side
 
     @Override
-    public void begun(long at, String uid, Request request) {
+    public void begun(long at, String uid, ServerRequest request) {
         executions++;
         Case c = cases.get(request.id());
         if (c == null) {
@@ -182,7 +182,7 @@
     }
 
     @Override
-    public void ended(long at, String uid, Request request, Reply reply) {
+    public void ended(long at, String uid, ServerRequest request, Reply reply) {
         Case c = cases.get(request.id());
         if (c != null) {
             c.query.history.add(at, uid + " answers " + reply.kind() + (reply.spoilt() > 0 ? ", spoilt" : ""));
@@ -194,7 +194,7 @@
     }
 
     @Override
-    public void effect(long at, Request request) {
+    public void effect(long at, ServerRequest request) {
         Case c = cases.get(request.id());
         if (c != null) {
             c.query.history.add(at, "the write of " + request.id() + " has its effect");
--- a/rig/src/main/java/spurroad/rig/model/CacheNode.java
+++ b/rig/src/main/java/spurroad/rig/model/CacheNode.java
@@ -72,7 +72,7 @@
     // ---- what peers do
 
     /** Takes an execution whose last byte has come; the answer is given later, or never. */
-    public void offer(Request request, Consumer<Reply> answer) {
+    public void offer(ServerRequest request, Consumer<Reply> answer) {
         if (reach == Reach.VANISHED || reach == Reach.DOWN) {
             return;
         }
@@ -98,7 +98,7 @@
         }
     }
 
-    private Reply reply(Request request) {
+    private Reply reply(ServerRequest request) {
         if (random.is(failing)) {
             return new Reply(Reply.Kind.FAILED, 0, 0, report(), 0);
         }
@@ -113,7 +113,7 @@
         return new Reply(Reply.Kind.VALUE, copy.version, bytes, report(), 0);
     }
 
-    private void answered(Request request, Reply reply, Consumer<Reply> answer) {
+    private void answered(ServerRequest request, Reply reply, Consumer<Reply> answer) {
         Reply given = random.is(spoilt) ? reply.spoiltBy(1 + random.below(Reply.WAYS_TO_SPOIL)) : reply;
         observer.ended(timeline.now(), uid, request, given);
         if (!cutBack) {
--- a/rig/src/main/java/spurroad/rig/model/Origin.java
+++ b/rig/src/main/java/spurroad/rig/model/Origin.java
@@ -38,7 +38,7 @@
     }
 
     /** Takes an execution whose last byte has come; a write has its effect when it is done. */
-    public void offer(Request request, Consumer<Reply> answer) {
+    public void offer(ServerRequest request, Consumer<Reply> answer) {
         observer.begun(timeline.now(), UID, request);
         boolean taken = servers.offer(new Servers.Work() {
             @Override
@@ -60,13 +60,13 @@
         }
     }
 
-    private Reply read(Request request) {
+    private Reply read(ServerRequest request) {
         ledger.read(request.id(), request.key());
         int bytes = random.is(load.longPart()) ? load.longBytes() : load.valueBytes();
         return new Reply(Reply.Kind.VALUE, ledger.version(request.key()), bytes, servers.inFlight(), 0);
     }
 
-    private Reply write(Request request) {
+    private Reply write(ServerRequest request) {
         long now = timeline.now();
         if (now - sweptAt > SWEEP_NS) {
             sweptAt = now;
--- a/rig/src/main/java/spurroad/rig/model/Request.java
+++ b/rig/src/main/java/spurroad/rig/model/ServerRequest.java
@@ -10,4 +10,4 @@
  * @param mark  of a deduplicated write, else empty
  * @param fresh whether its connection has just been opened for it
  */
-public record Request(String id, int key, Track track, String mark, boolean fresh) { }
+public record ServerRequest(String id, int key, Track track, String mark, boolean fresh) { }
--- a/rig/src/main/java/spurroad/rig/net/Figures.java
+++ b/rig/src/main/java/spurroad/rig/net/Figures.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import spurroad.rig.model.Request;
+import spurroad.rig.model.ServerRequest;
 import spurroad.rig.scenario.Scenario;
 
 /** The list of names and values of a command, and the execution that a command asks for. */
@@ -25,12 +25,12 @@
     }
 
     /** The execution; null where the command is none of this scenario's. */
-    Request request(String key, String id, String list, boolean fresh) {
+    ServerRequest request(String key, String id, String list, boolean fresh) {
         Map<String, String> figures = read(list);
         Scenario.Track track = tracks.get(figures.get("c"));
         if (track == null || !key.matches("k[0-9]{1,9}") || id.isEmpty()) {
             return null;
         }
-        return new Request(id, Integer.parseInt(key.substring(1)), track, figures.getOrDefault("k", ""), fresh);
+        return new ServerRequest(id, Integer.parseInt(key.substring(1)), track, figures.getOrDefault("k", ""), fresh);
     }
 }
--- a/rig/src/main/java/spurroad/rig/net/NodeServer.java
+++ b/rig/src/main/java/spurroad/rig/net/NodeServer.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import spurroad.rig.model.CacheNode;
 import spurroad.rig.model.Reply;
-import spurroad.rig.model.Request;
+import spurroad.rig.model.ServerRequest;
 
 /** Carries the meta commands to a cache node at one address; another may take its place there. The loop's. */
 final class NodeServer {
@@ -89,7 +89,7 @@
         }
 
         private void query(ChannelHandlerContext context, MetaDecoder.Message m) {
-            Request request = figures.request(m.words()[1], m.flag('O'), m.flag('P'), fresh);
+            ServerRequest request = figures.request(m.words()[1], m.flag('O'), m.flag('P'), fresh);
             fresh = false;
             if (request == null) {
                 write(context, "CLIENT_ERROR bad command line format");
@@ -98,7 +98,7 @@
             node.offer(request, reply -> answer(context, request, reply));
         }
 
-        private void answer(ChannelHandlerContext context, Request request, Reply reply) {
+        private void answer(ChannelHandlerContext context, ServerRequest request, Reply reply) {
             if (reply.spoilt() > 0) {
                 spoilt(context, request, reply);
                 return;
@@ -113,7 +113,7 @@
             }
         }
 
-        private void spoilt(ChannelHandlerContext context, Request request, Reply reply) {
+        private void spoilt(ChannelHandlerContext context, ServerRequest request, Reply reply) {
             switch (reply.spoilt()) {
                 case 1 -> write(context, "\u0001\u0002\u00ff noise");
                 case 2 -> value(context, "VA 3 O" + request.id(), Values.of(request, reply));
--- a/rig/src/main/java/spurroad/rig/net/OriginServer.java
+++ b/rig/src/main/java/spurroad/rig/net/OriginServer.java
@@ -15,7 +15,7 @@
 import java.nio.charset.StandardCharsets;
 import spurroad.rig.model.Origin;
 import spurroad.rig.model.Reply;
-import spurroad.rig.model.Request;
+import spurroad.rig.model.ServerRequest;
 
 /** Carries HTTP/1.1 to the origin. The loop's. */
 final class OriginServer {
@@ -48,7 +48,7 @@
                 write(context, HttpResponseStatus.OK, NOTHING, false);
                 return;
             }
-            Request request = figures.request(r.uri().substring(1), header(r, "X-Request-Id"),
+            ServerRequest request = figures.request(r.uri().substring(1), header(r, "X-Request-Id"),
                 header(r, "X-Extras"), false);
             if (request == null) {
                 write(context, HttpResponseStatus.BAD_REQUEST, NOTHING, false);
@@ -62,7 +62,7 @@
             return value == null ? "" : value;
         }
 
-        private void answer(ChannelHandlerContext context, Request request, Reply reply) {
+        private void answer(ChannelHandlerContext context, ServerRequest request, Reply reply) {
             switch (reply.kind()) {
                 case VALUE -> write(context, HttpResponseStatus.OK, Values.of(request, reply), false);
                 case RECEIPT -> write(context, HttpResponseStatus.OK,
--- a/rig/src/main/java/spurroad/rig/net/Values.java
+++ b/rig/src/main/java/spurroad/rig/net/Values.java
@@ -3,13 +3,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import spurroad.rig.model.Reply;
-import spurroad.rig.model.Request;
+import spurroad.rig.model.ServerRequest;
 
 /** Values say for which try and in which version they were made, so that whoever is served with one can tell. */
 final class Values {
     private Values() { }
 
-    static byte[] of(Request request, Reply reply) {
+    static byte[] of(ServerRequest request, Reply reply) {
         byte[] head = (request.id() + " k" + request.key() + " " + reply.version() + " ")
             .getBytes(StandardCharsets.ISO_8859_1);
         byte[] value = new byte[Math.max(head.length, reply.bytes())];
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedProxy.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedProxy.java
@@ -14,7 +14,7 @@
 import spurroad.rig.model.Answer;
 import spurroad.rig.model.CacheNode;
 import spurroad.rig.model.Reply;
-import spurroad.rig.model.Request;
+import spurroad.rig.model.ServerRequest;
 import spurroad.rig.model.Try;
 import spurroad.rig.policy.Policy;
 import spurroad.rig.time.Timeline;
@@ -264,7 +264,7 @@
     /** Its last byte comes to the server, also when the proxy has given it up since. */
     private void come(Execution e, boolean fresh) {
         Try t = e.query.t;
-        Request request = new Request(t.id, t.ask.key, t.ask.track, t.ask.mark, fresh);
+        ServerRequest request = new ServerRequest(t.id, t.ask.key, t.ask.track, t.ask.mark, fresh);
         if (e.pool.node == null) {
             world.origin.offer(request, r -> timeline.after(oneWay, () -> replied(e, r)));
         } else if (e.pool.node.reach() == CacheNode.Reach.DOWN) {
--- a/rig/src/test/java/spurroad/rig/judge/JudgeTest.java
+++ b/rig/src/test/java/spurroad/rig/judge/JudgeTest.java
@@ -13,7 +13,7 @@
 import spurroad.rig.model.Ask;
 import spurroad.rig.model.Population;
 import spurroad.rig.model.Reply;
-import spurroad.rig.model.Request;
+import spurroad.rig.model.ServerRequest;
 import spurroad.rig.model.Try;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.time.SimulatedTimeline;
@@ -58,8 +58,8 @@
         return tries.stream().filter(t -> t.ask.track.effect() == effect).findFirst().orElseThrow();
     }
 
-    private static Request request(Try t) {
-        return new Request(t.id, t.ask.key, t.ask.track, t.ask.mark, false);
+    private static ServerRequest request(Try t) {
+        return new ServerRequest(t.id, t.ask.key, t.ask.track, t.ask.mark, false);
     }
 
     private static Answer value(Try t) {
--- a/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
+++ b/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
@@ -66,15 +66,15 @@
         fell = new ArrayList<>();
         RequestObserver observer = new RequestObserver() {
             @Override
-            public void begun(long at, String uid, Request request) { }
+            public void begun(long at, String uid, ServerRequest request) { }
 
             @Override
-            public void ended(long at, String uid, Request request, Reply reply) {
+            public void ended(long at, String uid, ServerRequest request, Reply reply) {
                 seen.add(uid + " " + request.id() + " " + reply.kind());
             }
 
             @Override
-            public void effect(long at, Request request) {
+            public void effect(long at, ServerRequest request) {
                 seen.add("effect " + request.mark());
             }
 
@@ -90,8 +90,8 @@
             new RandomStream(1, "origin"));
     }
 
-    private Request request(String id, int key, boolean fresh) {
-        return new Request(id, key, read, "", fresh);
+    private ServerRequest request(String id, int key, boolean fresh) {
+        return new ServerRequest(id, key, read, "", fresh);
     }
 
     /** Asks a node and waits for what it says. */
@@ -99,7 +99,7 @@
         return ask(n, request("q" + ids++, key, false));
     }
 
-    private Reply ask(CacheNode n, Request r) {
+    private Reply ask(CacheNode n, ServerRequest r) {
         List<Reply> replies = new ArrayList<>();
         n.offer(r, replies::add);
         timeline.runUntil(timeline.now() + 100 * MS);
@@ -107,7 +107,7 @@
     }
 
     private Reply.Kind fetch(CacheNode n, int key) {
-        Request r = request("q" + ids++, key, false);
+        ServerRequest r = request("q" + ids++, key, false);
         assertEquals(ask(n, r).kind(), Reply.Kind.MISS);
         List<Reply> replies = new ArrayList<>();
         origin.offer(r, replies::add);
@@ -139,7 +139,7 @@
     public void aWriteVoidsEveryCopyAndARepeatWithinTheWindowHasNoEffect() {
         fetch(a, 7);
         fetch(b, 7);
-        Request write = new Request("w1", 7, put, "m1", false);
+        ServerRequest write = new ServerRequest("w1", 7, put, "m1", false);
         seen.clear();
         origin.offer(write, r -> { });
         timeline.runUntil(timeline.now() + 100 * MS);
