--- a/rig/src/main/java/spurroad/rig/judge/Judge.java
+++ b/rig/src/main/java/spurroad/rig/judge/Judge.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import spurroad.model.Effect;
 import spurroad.rig.model.Answer;
-import spurroad.rig.model.Ask;
+import spurroad.rig.model.ClientRequest;
 import spurroad.rig.model.Reply;
 import spurroad.rig.model.ServerRequest;
 import spurroad.rig.model.Try;
@@ -31,12 +31,12 @@
 
     /** A query and all that was seen of its tries. */
     private static final class Query {
-        private final Ask ask;
+        private final ClientRequest request;
         private final EventHistory history = new EventHistory();
         private int effects, open; // tries that are remembered
 
-        private Query(Ask ask) {
-            this.ask = ask;
+        private Query(ClientRequest request) {
+            this.request = request;
         }
     }
 
@@ -60,7 +60,7 @@
 
     private final Rules rules;
     private final Map<String, Case> cases = new HashMap<>();
-    private final Map<Ask, Query> queries = new HashMap<>();
+    private final Map<ClientRequest, Query> queries = new HashMap<>();
     private final Deque<Case> byEnd = new ArrayDeque<>();
     private final Map<Integer, Map<String, Leaving>> leaving = new HashMap<>(); // by proxy and node
     private final Map<Integer, Long> heldSince = new HashMap<>(); // proxies that can't answer, by the rig's own doing
@@ -77,7 +77,7 @@
 
     /** A try is about to be sent; told before its first byte goes out. */
     public void sending(long at, Try t) {
-        Query q = queries.computeIfAbsent(t.ask, Query::new);
+        Query q = queries.computeIfAbsent(t.request, Query::new);
         Case c = new Case(t, q);
         cases.put(t.id, c);
         q.open++;
@@ -109,7 +109,7 @@
         if (answer.served() && !answer.forId().equals(t.id)) {
             breach(Rule.ONE_ANSWER, at, c, "served with what was made for " + answer.forId());
         }
-        if (answer.kind() == Answer.Kind.REJECTED && t.ask.track.effect() == Effect.NON_IDEMPOTENT
+        if (answer.kind() == Answer.Kind.REJECTED && t.request.track.effect() == Effect.NON_IDEMPOTENT
             && c.mayHaveRun > 0) {
             breach(Rule.NO_EFFECT_TWICE, at, c, "rejected, though it may have run");
         }
@@ -249,7 +249,7 @@
             byEnd.remove();
             cases.remove(c.t.id, c);
             if (--c.query.open == 0) {
-                queries.remove(c.t.ask);
+                queries.remove(c.t.request);
             }
             if (c.answers == 0 && !c.left && !c.lost && c.takenAt != Long.MAX_VALUE) {
                 unanswered(at, c, "never answered, its connection still open");
--- a/rig/src/main/java/spurroad/rig/judge/OutcomeStatistics.java
+++ b/rig/src/main/java/spurroad/rig/judge/OutcomeStatistics.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import spurroad.rig.model.Ask;
+import spurroad.rig.model.ClientRequest;
 import spurroad.rig.model.Population;
 import spurroad.rig.scenario.Scenario;
 
@@ -23,12 +23,12 @@
         /** By the importance of their tracks. */
         public double worthDue, worthGot;
 
-        private void due(Ask a) {
+        private void due(ClientRequest a) {
             due++;
             worthDue += a.track.importance();
         }
 
-        private void ended(Ask a, Ask.End end) {
+        private void ended(ClientRequest a, ClientRequest.Outcome end) {
             switch (end) {
                 case IN_TIME -> inTime++;
                 case LATE -> late++;
@@ -36,8 +36,8 @@
                 case FAILED -> failed++;
                 case UNANSWERED -> unanswered++;
             }
-            worthGot += end == Ask.End.IN_TIME ? a.track.importance()
-                : end == Ask.End.LATE ? a.track.importance() * a.track.late() : 0;
+            worthGot += end == ClientRequest.Outcome.IN_TIME ? a.track.importance()
+                : end == ClientRequest.Outcome.LATE ? a.track.importance() * a.track.late() : 0;
         }
 
         /** The part of the worth that was had, from 0 to 1; 1 where nothing fell due. */
@@ -61,12 +61,12 @@
     }
 
     @Override
-    public void due(Ask ask) {
-        second(ask.due).due(ask);
-        if (ask.due >= warmNs) {
-            all.due(ask);
-            tracks.get(ask.track.name()).due(ask);
-            customers.get(ask.customer.name()).due(ask);
+    public void due(ClientRequest request) {
+        second(request.due).due(request);
+        if (request.due >= warmNs) {
+            all.due(request);
+            tracks.get(request.track.name()).due(request);
+            customers.get(request.customer.name()).due(request);
         }
     }
 
@@ -80,17 +80,17 @@
     }
 
     @Override
-    public void ended(Ask ask, Ask.End end, long at) {
-        second(ask.due).ended(ask, end);
-        long us = Math.min(MOST_US, Math.max(0, at - ask.due) / 1000);
-        boolean served = end == Ask.End.IN_TIME || end == Ask.End.LATE;
+    public void ended(ClientRequest request, ClientRequest.Outcome end, long at) {
+        second(request.due).ended(request, end);
+        long us = Math.min(MOST_US, Math.max(0, at - request.due) / 1000);
+        boolean served = end == ClientRequest.Outcome.IN_TIME || end == ClientRequest.Outcome.LATE;
         if (served) {
-            latencies.get((int) (ask.due / 1_000_000_000L)).recordValue(us);
+            latencies.get((int) (request.due / 1_000_000_000L)).recordValue(us);
         }
-        if (ask.due >= warmNs) {
-            all.ended(ask, end);
-            tracks.get(ask.track.name()).ended(ask, end);
-            customers.get(ask.customer.name()).ended(ask, end);
+        if (request.due >= warmNs) {
+            all.ended(request, end);
+            tracks.get(request.track.name()).ended(request, end);
+            customers.get(request.customer.name()).ended(request, end);
             if (served) {
                 latencyUs.recordValue(us);
             }
@@ -98,8 +98,8 @@
     }
 
     @Override
-    public void late(Ask ask, long ns) {
-        if (ask.due >= warmNs) {
+    public void late(ClientRequest request, long ns) {
+        if (request.due >= warmNs) {
             lateUs.recordValue(Math.min(MOST_US, Math.max(0, ns / 1000)));
         }
     }
--- a/rig/src/main/java/spurroad/rig/model/Ask.java
+++ b/rig/src/main/java/spurroad/rig/model/ClientRequest.java
@@ -4,9 +4,9 @@
 import spurroad.rig.scenario.Scenario.Track;
 
 /** What a client wants once, over all its tries. */
-public final class Ask {
+public final class ClientRequest {
     /** How it ended for the client. */
-    public enum End { IN_TIME, LATE, REJECTED, FAILED, UNANSWERED }
+    public enum Outcome { IN_TIME, LATE, REJECTED, FAILED, UNANSWERED }
 
     public final long number;
     /** When it fell due, in the timeline's nanoseconds; whatever the rig did then. */
@@ -19,7 +19,7 @@
     int tries;
     boolean over;
 
-    Ask(long number, long due, Track track, Customer customer, int key, String mark) {
+    ClientRequest(long number, long due, Track track, Customer customer, int key, String mark) {
         this.number = number;
         this.due = due;
         this.track = track;
--- a/rig/src/main/java/spurroad/rig/model/Population.java
+++ b/rig/src/main/java/spurroad/rig/model/Population.java
@@ -28,12 +28,12 @@
 
     /** Who is told what becomes of queries. */
     public interface Book {
-        void due(Ask ask);
+        void due(ClientRequest request);
 
-        void ended(Ask ask, Ask.End end, long at);
+        void ended(ClientRequest request, ClientRequest.Outcome end, long at);
 
         /** The work of sending it came so much after it fell due: the rig's own lateness. */
-        void late(Ask ask, long ns);
+        void late(ClientRequest request, long ns);
     }
 
     private static final long SPREAD_NS = 100_000_000L; // ns; mean pause of those who spread their retries
@@ -77,11 +77,11 @@
         Scenario.Track track = drawn(load.tracks(), Scenario.Track::part);
         Scenario.Customer customer = drawn(load.customers(), Scenario.Customer::part);
         String mark = track.effect() == Effect.DEDUPLICATED ? "m" + Long.toHexString(number) : "";
-        Ask ask = new Ask(number++, nextAt, track, customer, popularity.key(nextAt), mark);
-        book.due(ask);
-        book.late(ask, timeline.now() - nextAt);
+        ClientRequest request = new ClientRequest(number++, nextAt, track, customer, popularity.key(nextAt), mark);
+        book.due(request);
+        book.late(request, timeline.now() - nextAt);
         next();
-        ask(ask);
+        attempt(request);
     }
 
     private <T> T drawn(List<T> of, ToDoubleFunction<T> part) {
@@ -95,16 +95,16 @@
         return of.get(of.size() - 1);
     }
 
-    private void ask(Ask ask) {
+    private void attempt(ClientRequest request) {
         long now = timeline.now();
-        long patience = ask.due + clients.patienceNs();
-        if (ask.over || now >= patience) {
-            end(ask, Ask.End.UNANSWERED);
+        long patience = request.due + clients.patienceNs();
+        if (request.over || now >= patience) {
+            end(request, ClientRequest.Outcome.UNANSWERED);
             return;
         }
-        int n = ++ask.tries;
-        Try t = new Try("q" + Long.toHexString(ask.number) + "." + n, ask, n, gateway.choose(),
-            Math.min(patience, now + ask.track.timeoutNs()));
+        int n = ++request.tries;
+        Try t = new Try("q" + Long.toHexString(request.number) + "." + n, request, n, gateway.choose(),
+            Math.min(patience, now + request.track.timeoutNs()));
         t.timeOver = timeline.at(t.until, () -> timeOver(t));
         gateway.send(t);
     }
@@ -113,7 +113,7 @@
         if (!t.over) {
             t.over = true;
             gateway.leave(t);
-            again(t, Ask.End.UNANSWERED, t.ask.track.effect() == Effect.IDEMPOTENT, 0);
+            again(t, ClientRequest.Outcome.UNANSWERED, t.request.track.effect() == Effect.IDEMPOTENT, 0);
         }
     }
 
@@ -130,9 +130,9 @@
         over(t);
         long now = timeline.now();
         switch (answer.kind()) {
-            case VALUE, RECEIPT -> end(t.ask, now - t.ask.due <= t.ask.track.sloNs() ? Ask.End.IN_TIME : Ask.End.LATE);
-            case REJECTED -> again(t, Ask.End.REJECTED, true, answer.comeBackNs());
-            case FAILED -> again(t, Ask.End.FAILED, t.ask.track.effect() == Effect.IDEMPOTENT, 0);
+            case VALUE, RECEIPT -> end(t.request, now - t.request.due <= t.request.track.sloNs() ? ClientRequest.Outcome.IN_TIME : ClientRequest.Outcome.LATE);
+            case REJECTED -> again(t, ClientRequest.Outcome.REJECTED, true, answer.comeBackNs());
+            case FAILED -> again(t, ClientRequest.Outcome.FAILED, t.request.track.effect() == Effect.IDEMPOTENT, 0);
         }
     }
 
@@ -140,14 +140,14 @@
     public void broken(Try t, boolean sent) {
         if (!t.over) {
             over(t);
-            again(t, Ask.End.FAILED, !sent || t.ask.track.effect() == Effect.IDEMPOTENT, 0);
+            again(t, ClientRequest.Outcome.FAILED, !sent || t.request.track.effect() == Effect.IDEMPOTENT, 0);
         }
     }
 
-    private void again(Try t, Ask.End otherwise, boolean may, long comeBackNs) {
-        Ask ask = t.ask;
-        if (!may || ask.tries >= clients.tries() || timeline.now() >= ask.due + clients.patienceNs()) {
-            end(ask, otherwise);
+    private void again(Try t, ClientRequest.Outcome otherwise, boolean may, long comeBackNs) {
+        ClientRequest request = t.request;
+        if (!may || request.tries >= clients.tries() || timeline.now() >= request.due + clients.patienceNs()) {
+            end(request, otherwise);
             return;
         }
         long pause = switch (clients.retry()) {
@@ -155,17 +155,17 @@
             case AS_TOLD -> comeBackNs;
             case SPREAD -> what.time(SPREAD_NS, 1);
         };
-        if (timeline.now() + pause >= ask.due + clients.patienceNs()) {
-            end(ask, otherwise);
+        if (timeline.now() + pause >= request.due + clients.patienceNs()) {
+            end(request, otherwise);
         } else {
-            timeline.after(pause, () -> ask(ask));
+            timeline.after(pause, () -> attempt(request));
         }
     }
 
-    private void end(Ask ask, Ask.End end) {
-        if (!ask.over) {
-            ask.over = true;
-            book.ended(ask, end, timeline.now());
+    private void end(ClientRequest request, ClientRequest.Outcome end) {
+        if (!request.over) {
+            request.over = true;
+            book.ended(request, end, timeline.now());
         }
     }
 
--- a/rig/src/main/java/spurroad/rig/model/Try.java
+++ b/rig/src/main/java/spurroad/rig/model/Try.java
@@ -5,7 +5,7 @@
 /** One try of a query: what a proxy takes for a query, under an id of its own. */
 public final class Try {
     public final String id;
-    public final Ask ask;
+    public final ClientRequest request;
     /** From 1 on. */
     public final int number;
     /** The proxy that it was sent to, or is to be. */
@@ -16,9 +16,9 @@
     boolean over;
     Timeline.Alarm timeOver;
 
-    Try(String id, Ask ask, int number, int proxy, long until) {
+    Try(String id, ClientRequest request, int number, int proxy, long until) {
         this.id = id;
-        this.ask = ask;
+        this.request = request;
         this.number = number;
         this.proxy = proxy;
         this.until = until;
--- a/rig/src/main/java/spurroad/rig/net/ClientSide.java
+++ b/rig/src/main/java/spurroad/rig/net/ClientSide.java
@@ -186,11 +186,11 @@
         }
 
         private ByteBuf command(Try t, long waitMs) {
-            String list = "c=" + t.ask.track.name() + ",t=" + t.ask.customer.name() + ",d=" + waitMs
-                + (t.ask.mark.isEmpty() ? "" : ",k=" + t.ask.mark) + (t.number > 1 ? ",r=1" : "");
-            String line = t.ask.track.write()
-                ? "ms k" + t.ask.key + " " + VALUE_BYTES + " O" + t.id + " P" + list + "\r\n" + "w".repeat(VALUE_BYTES)
-                : "mg k" + t.ask.key + " v O" + t.id + " P" + list;
+            String list = "c=" + t.request.track.name() + ",t=" + t.request.customer.name() + ",d=" + waitMs
+                + (t.request.mark.isEmpty() ? "" : ",k=" + t.request.mark) + (t.number > 1 ? ",r=1" : "");
+            String line = t.request.track.write()
+                ? "ms k" + t.request.key + " " + VALUE_BYTES + " O" + t.id + " P" + list + "\r\n" + "w".repeat(VALUE_BYTES)
+                : "mg k" + t.request.key + " v O" + t.id + " P" + list;
             return Unpooled.copiedBuffer(line + "\r\n", StandardCharsets.ISO_8859_1);
         }
 
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedProxy.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedProxy.java
@@ -137,8 +137,8 @@
         queries.put(t, q);
         byId.put(q.id, q);
         long budget = t.until - timeline.now() - oneWay - world.deployment.tickNs();
-        policy.arrived(now(), q.id, new TrackId(world.track(t.ask.track)), new CustomerId(world.customer(t.ask.customer)),
-            world.key(t.ask.key), t.ask.track.write(), Math.max(0, budget), fresh());
+        policy.arrived(now(), q.id, new TrackId(world.track(t.request.track)), new CustomerId(world.customer(t.request.customer)),
+            world.key(t.request.key), t.request.track.write(), Math.max(0, budget), fresh());
         carryOut();
     }
 
@@ -264,7 +264,7 @@
     /** Its last byte comes to the server, also when the proxy has given it up since. */
     private void come(Execution e, boolean fresh) {
         Try t = e.query.t;
-        ServerRequest request = new ServerRequest(t.id, t.ask.key, t.ask.track, t.ask.mark, fresh);
+        ServerRequest request = new ServerRequest(t.id, t.request.key, t.request.track, t.request.mark, fresh);
         if (e.pool.node == null) {
             world.origin.offer(request, r -> timeline.after(oneWay, () -> replied(e, r)));
         } else if (e.pool.node.reach() == CacheNode.Reach.DOWN) {
--- a/rig/src/test/java/spurroad/rig/judge/JudgeTest.java
+++ b/rig/src/test/java/spurroad/rig/judge/JudgeTest.java
@@ -10,7 +10,7 @@
 import spurroad.model.Effect;
 import spurroad.rig.Worlds;
 import spurroad.rig.model.Answer;
-import spurroad.rig.model.Ask;
+import spurroad.rig.model.ClientRequest;
 import spurroad.rig.model.Population;
 import spurroad.rig.model.Reply;
 import spurroad.rig.model.ServerRequest;
@@ -55,11 +55,11 @@
     }
 
     private static Try of(List<Try> tries, Effect effect) {
-        return tries.stream().filter(t -> t.ask.track.effect() == effect).findFirst().orElseThrow();
+        return tries.stream().filter(t -> t.request.track.effect() == effect).findFirst().orElseThrow();
     }
 
     private static ServerRequest request(Try t) {
-        return new ServerRequest(t.id, t.ask.key, t.ask.track, t.ask.mark, false);
+        return new ServerRequest(t.id, t.request.key, t.request.track, t.request.mark, false);
     }
 
     private static Answer value(Try t) {
--- a/rig/src/test/java/spurroad/rig/model/PopulationTest.java
+++ b/rig/src/test/java/spurroad/rig/model/PopulationTest.java
@@ -65,9 +65,9 @@
     public void asMuchFallsDueWhateverBecomesOfIt() {
         Scenario s = clients("tries = 1\n");
         OutcomeStatistics quick = play(s, MS, PopulationTest::served);
-        List<Long> due = sent.stream().map(t -> t.ask.due).toList();
+        List<Long> due = sent.stream().map(t -> t.request.due).toList();
         OutcomeStatistics never = play(s, MS, t -> null);
-        assertEquals(sent.stream().map(t -> t.ask.due).toList(), due, "open loop: the same moments");
+        assertEquals(sent.stream().map(t -> t.request.due).toList(), due, "open loop: the same moments");
         assertEquals(quick.all().inTime, quick.all().due);
         assertEquals(never.all().unanswered, never.all().due);
         assertEquals(taken.size(), sent.size(), "each was taken back when its time was over");
@@ -92,7 +92,7 @@
             x -> new Answer(Answer.Kind.REJECTED, 300 * MS, "", 0));
         assertTrue(sent.stream().allMatch(x -> x.number <= 4));
         for (int i = 0; i < sent.size(); i++) {
-            assertTrue(times.get(i) - sent.get(i).ask.due < S, "nobody asks after its patience is over");
+            assertTrue(times.get(i) - sent.get(i).request.due < S, "nobody asks after its patience is over");
         }
     }
 
@@ -100,8 +100,8 @@
     @Test
     public void whatFailedIsAskedForAgainOnlyWhereThatDoesNoHarm() {
         play(clients("tries = 3\nretry = \"at-once\"\n"), MS, x -> new Answer(Answer.Kind.FAILED, 0, "", 0));
-        assertTrue(sent.stream().filter(x -> x.ask.track.write()).allMatch(x -> x.number == 1));
-        assertTrue(sent.stream().anyMatch(x -> !x.ask.track.write() && x.number == 3));
+        assertTrue(sent.stream().filter(x -> x.request.track.write()).allMatch(x -> x.number == 1));
+        assertTrue(sent.stream().anyMatch(x -> !x.request.track.write() && x.number == 3));
     }
 
     @Test
@@ -118,12 +118,12 @@
             drift = 10.0
             """);
         play(s, MS, PopulationTest::served);
-        long first = sent.stream().filter(t -> t.ask.due < S / 10).filter(t -> t.ask.key == 0).count();
-        long all = sent.stream().filter(t -> t.ask.due < S / 10).count();
+        long first = sent.stream().filter(t -> t.request.due < S / 10).filter(t -> t.request.key == 0).count();
+        long all = sent.stream().filter(t -> t.request.due < S / 10).count();
         assertTrue(first > all / 20, first + " of " + all + " for the first key: 0.13 are due to it");
-        long moved = sent.stream().filter(t -> t.ask.due > 39 * S).filter(t -> t.ask.key >= 390 && t.ask.key < 400)
+        long moved = sent.stream().filter(t -> t.request.due > 39 * S).filter(t -> t.request.key >= 390 && t.request.key < 400)
             .count();
-        long then = sent.stream().filter(t -> t.ask.due > 39 * S).count();
+        long then = sent.stream().filter(t -> t.request.due > 39 * S).count();
         assertTrue(moved > then / 5, moved + " of " + then + " for the first ten ranks, which have moved on by 390 keys");
     }
 }
