--- a/rig/src/main/java/spurroad/rig/judge/Judge.java
+++ b/rig/src/main/java/spurroad/rig/judge/Judge.java
@@ -14,7 +14,7 @@
 import spurroad.rig.model.ClientRequest;
 import spurroad.rig.model.Reply;
 import spurroad.rig.model.ServerRequest;
-import spurroad.rig.model.Try;
+import spurroad.rig.model.RequestAttempt;
 import spurroad.rig.model.RequestObserver;
 import spurroad.rig.scenario.Scenario.Rules;
 
@@ -42,7 +42,7 @@
 
     /** One try, from when a proxy has taken it. */
     private static final class Case {
-        private final Try t;
+        private final RequestAttempt attempt;
         private final Query query;
         private long takenAt = Long.MAX_VALUE;
         private int answers;
@@ -50,8 +50,8 @@
         private int mayHaveRun; // executions that came to a server, and were not turned away there
         private final Set<String> ran = new HashSet<>(2); // the servers that they came to
 
-        private Case(Try t, Query query) {
-            this.t = t;
+        private Case(RequestAttempt attempt, Query query) {
+            this.attempt = attempt;
             this.query = query;
         }
     }
@@ -76,18 +76,18 @@
     // ---- told by clients' side
 
     /** A try is about to be sent; told before its first byte goes out. */
-    public void sending(long at, Try t) {
-        Query q = queries.computeIfAbsent(t.request, Query::new);
-        Case c = new Case(t, q);
-        cases.put(t.id, c);
+    public void sending(long at, RequestAttempt attempt) {
+        Query q = queries.computeIfAbsent(attempt.request, Query::new);
+        Case c = new Case(attempt, q);
+        cases.put(attempt.id, c);
         q.open++;
         byEnd.add(c);
-        q.history.add(at, "try " + t + " is sent to p-" + t.proxy);
+        q.history.add(at, "try " + attempt + " is sent to p-" + attempt.proxy);
     }
 
     /** Its last byte was written to a connection that the proxy's machine has accepted. */
-    public void taken(long at, Try t) {
-        Case c = cases.get(t.id);
+    public void taken(long at, RequestAttempt attempt) {
+        Case c = cases.get(attempt.id);
         if (c != null) {
             c.takenAt = at;
             taken++;
@@ -95,21 +95,21 @@
     }
 
     /** A whole answer to it came. */
-    public void answered(long at, Try t, Answer answer) {
-        Case c = cases.get(t.id);
+    public void answered(long at, RequestAttempt attempt, Answer answer) {
+        Case c = cases.get(attempt.id);
         if (c == null) {
             return;
         }
         answered++;
-        c.query.history.add(at, "try " + t + " is answered " + answer.kind() + (answer.forId().isEmpty() ? ""
+        c.query.history.add(at, "try " + attempt + " is answered " + answer.kind() + (answer.forId().isEmpty() ? ""
             : " made for " + answer.forId()));
         if (++c.answers > 1) {
             breach(Rule.ONE_ANSWER, at, c, "a second final answer");
         }
-        if (answer.served() && !answer.forId().equals(t.id)) {
+        if (answer.served() && !answer.forId().equals(attempt.id)) {
             breach(Rule.ONE_ANSWER, at, c, "served with what was made for " + answer.forId());
         }
-        if (answer.kind() == Answer.Kind.REJECTED && t.request.track.effect() == Effect.NON_IDEMPOTENT
+        if (answer.kind() == Answer.Kind.REJECTED && attempt.request.track.effect() == Effect.NON_IDEMPOTENT
             && c.mayHaveRun > 0) {
             breach(Rule.NO_EFFECT_TWICE, at, c, "rejected, though it may have run");
         }
@@ -119,11 +119,11 @@
     }
 
     /** The client took it back: no answer is owed any more. */
-    public void left(long at, Try t) {
-        Case c = cases.get(t.id);
+    public void left(long at, RequestAttempt attempt) {
+        Case c = cases.get(attempt.id);
         if (c != null && !c.left) {
             c.left = true;
-            c.query.history.add(at, "try " + t + ": its client waits no longer");
+            c.query.history.add(at, "try " + attempt + ": its client waits no longer");
             if (c.answers == 0 && c.takenAt != Long.MAX_VALUE) {
                 unanswered(at, c, "no answer until its client's time was over");
             }
@@ -131,11 +131,11 @@
     }
 
     /** Its connection ended, or broke, with no whole answer. */
-    public void cutOff(long at, Try t) {
-        Case c = cases.get(t.id);
+    public void cutOff(long at, RequestAttempt attempt) {
+        Case c = cases.get(attempt.id);
         if (c != null && !c.left && c.answers == 0 && c.takenAt != Long.MAX_VALUE && !c.lost) {
             c.lost = true;
-            c.query.history.add(at, "try " + t + ": its connection ended");
+            c.query.history.add(at, "try " + attempt + ": its connection ended");
             if (isExcused(at, c)) {
                 excused++;
             } else {
@@ -165,10 +165,10 @@
             return; // long over for its client, and forgotten
         }
         c.query.history.add(at, "an execution of " + request.id() + " comes to " + uid);
-        Leaving l = leaving.getOrDefault(c.t.proxy, Map.of()).get(uid);
+        Leaving l = leaving.getOrDefault(c.attempt.proxy, Map.of()).get(uid);
         if (l != null && at - l.toldAt > rules.graceNs()) {
             breach(Rule.NOTHING_TO_LEAVING, at, c, "sent to " + uid + " " + (at - l.toldAt) / 1_000_000
-                + " ms after p-" + c.t.proxy + " was told that it is " + l.how);
+                + " ms after p-" + c.attempt.proxy + " was told that it is " + l.how);
         }
         boolean unsafe = request.track().effect() == Effect.NON_IDEMPOTENT;
         if (unsafe && c.mayHaveRun > 0) {
@@ -238,18 +238,18 @@
     }
 
     private boolean isExcused(long at, Case c) {
-        return heldSince.containsKey(c.t.proxy) || heldUntil.getOrDefault(c.t.proxy, Long.MIN_VALUE) >= c.takenAt;
+        return heldSince.containsKey(c.attempt.proxy) || heldUntil.getOrDefault(c.attempt.proxy, Long.MIN_VALUE) >= c.takenAt;
     }
 
     // ---- time
 
     /** To be called some times a second: looks for what was never answered, and forgets what is long over. */
     public void sweep(long at) {
-        for (Case c = byEnd.peek(); c != null && at - c.t.until > FORGET_NS; c = byEnd.peek()) {
+        for (Case c = byEnd.peek(); c != null && at - c.attempt.until > FORGET_NS; c = byEnd.peek()) {
             byEnd.remove();
-            cases.remove(c.t.id, c);
+            cases.remove(c.attempt.id, c);
             if (--c.query.open == 0) {
-                queries.remove(c.t.request);
+                queries.remove(c.attempt.request);
             }
             if (c.answers == 0 && !c.left && !c.lost && c.takenAt != Long.MAX_VALUE) {
                 unanswered(at, c, "never answered, its connection still open");
@@ -258,7 +258,7 @@
     }
 
     private void breach(Rule rule, long at, Case c, String what) {
-        breach(new Breach(rule, at, c.t.id, what, c.query.history.lines()));
+        breach(new Breach(rule, at, c.attempt.id, what, c.query.history.lines()));
     }
 
     private void breach(Breach b) {
--- a/rig/src/main/java/spurroad/rig/model/Population.java
+++ b/rig/src/main/java/spurroad/rig/model/Population.java
@@ -20,10 +20,10 @@
         int choose();
 
         /** Sends it, as soon as that can be. */
-        void send(Try t);
+        void send(RequestAttempt attempt);
 
         /** The client waits no longer: takes the try back, by closing its connection if it has been sent. */
-        void leave(Try t);
+        void leave(RequestAttempt attempt);
     }
 
     /** Who is told what becomes of queries. */
@@ -86,10 +86,10 @@
 
     private <T> T drawn(List<T> of, ToDoubleFunction<T> part) {
         double left = what.part();
-        for (T t : of) {
-            left -= part.applyAsDouble(t);
+        for (T candidate : of) {
+            left -= part.applyAsDouble(candidate);
             if (left < 0) {
-                return t;
+                return candidate;
             }
         }
         return of.get(of.size() - 1);
@@ -103,49 +103,49 @@
             return;
         }
         int n = ++request.tries;
-        Try t = new Try("q" + Long.toHexString(request.number) + "." + n, request, n, gateway.choose(),
+        RequestAttempt attempt = new RequestAttempt("q" + Long.toHexString(request.number) + "." + n, request, n, gateway.choose(),
             Math.min(patience, now + request.track.timeoutNs()));
-        t.timeOver = timeline.at(t.until, () -> timeOver(t));
-        gateway.send(t);
+        attempt.timeOver = timeline.at(attempt.until, () -> timeOver(attempt));
+        gateway.send(attempt);
     }
 
-    private void timeOver(Try t) {
-        if (!t.over) {
-            t.over = true;
-            gateway.leave(t);
-            again(t, ClientRequest.Outcome.UNANSWERED, t.request.track.effect() == Effect.IDEMPOTENT, 0);
+    private void timeOver(RequestAttempt attempt) {
+        if (!attempt.over) {
+            attempt.over = true;
+            gateway.leave(attempt);
+            again(attempt, ClientRequest.Outcome.UNANSWERED, attempt.request.track.effect() == Effect.IDEMPOTENT, 0);
         }
     }
 
-    private static void over(Try t) {
-        t.over = true;
-        t.timeOver.cancel();
+    private static void over(RequestAttempt attempt) {
+        attempt.over = true;
+        attempt.timeOver.cancel();
     }
 
     /** Told by the gateway: the one answer that counts. */
-    public void answered(Try t, Answer answer) {
-        if (t.over) {
+    public void answered(RequestAttempt attempt, Answer answer) {
+        if (attempt.over) {
             return;
         }
-        over(t);
+        over(attempt);
         long now = timeline.now();
         switch (answer.kind()) {
-            case VALUE, RECEIPT -> end(t.request, now - t.request.due <= t.request.track.sloNs() ? ClientRequest.Outcome.IN_TIME : ClientRequest.Outcome.LATE);
-            case REJECTED -> again(t, ClientRequest.Outcome.REJECTED, true, answer.comeBackNs());
-            case FAILED -> again(t, ClientRequest.Outcome.FAILED, t.request.track.effect() == Effect.IDEMPOTENT, 0);
+            case VALUE, RECEIPT -> end(attempt.request, now - attempt.request.due <= attempt.request.track.sloNs() ? ClientRequest.Outcome.IN_TIME : ClientRequest.Outcome.LATE);
+            case REJECTED -> again(attempt, ClientRequest.Outcome.REJECTED, true, answer.comeBackNs());
+            case FAILED -> again(attempt, ClientRequest.Outcome.FAILED, attempt.request.track.effect() == Effect.IDEMPOTENT, 0);
         }
     }
 
     /** Told by the gateway: the connection ended without an answer. Whether the proxy had taken it is not known. */
-    public void broken(Try t, boolean sent) {
-        if (!t.over) {
-            over(t);
-            again(t, ClientRequest.Outcome.FAILED, !sent || t.request.track.effect() == Effect.IDEMPOTENT, 0);
+    public void broken(RequestAttempt attempt, boolean sent) {
+        if (!attempt.over) {
+            over(attempt);
+            again(attempt, ClientRequest.Outcome.FAILED, !sent || attempt.request.track.effect() == Effect.IDEMPOTENT, 0);
         }
     }
 
-    private void again(Try t, ClientRequest.Outcome otherwise, boolean may, long comeBackNs) {
-        ClientRequest request = t.request;
+    private void again(RequestAttempt attempt, ClientRequest.Outcome otherwise, boolean may, long comeBackNs) {
+        ClientRequest request = attempt.request;
         if (!may || request.tries >= clients.tries() || timeline.now() >= request.due + clients.patienceNs()) {
             end(request, otherwise);
             return;
--- a/rig/src/main/java/spurroad/rig/model/Try.java
+++ b/rig/src/main/java/spurroad/rig/model/RequestAttempt.java
@@ -3,7 +3,7 @@
 import spurroad.rig.time.Timeline;
 
 /** One try of a query: what a proxy takes for a query, under an id of its own. */
-public final class Try {
+public final class RequestAttempt {
     public final String id;
     public final ClientRequest request;
     /** From 1 on. */
@@ -16,7 +16,7 @@
     boolean over;
     Timeline.Alarm timeOver;
 
-    Try(String id, ClientRequest request, int number, int proxy, long until) {
+    RequestAttempt(String id, ClientRequest request, int number, int proxy, long until) {
         this.id = id;
         this.request = request;
         this.number = number;
--- a/rig/src/main/java/spurroad/rig/net/ClientSide.java
+++ b/rig/src/main/java/spurroad/rig/net/ClientSide.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import spurroad.rig.model.Answer;
 import spurroad.rig.model.Population;
-import spurroad.rig.model.Try;
+import spurroad.rig.model.RequestAttempt;
 import spurroad.rig.world.Front;
 import spurroad.rig.world.World;
 
@@ -73,49 +73,49 @@
     }
 
     @Override
-    public void send(Try t) {
-        proxies.get(t.proxy).send(t);
+    public void send(RequestAttempt attempt) {
+        proxies.get(attempt.proxy).send(attempt);
     }
 
     @Override
-    public void leave(Try t) {
-        world.judge.left(world.timeline.now(), t);
-        proxies.get(t.proxy).leave(t);
+    public void leave(RequestAttempt attempt) {
+        world.judge.left(world.timeline.now(), attempt);
+        proxies.get(attempt.proxy).leave(attempt);
     }
 
     /** All connections to one proxy. */
     private final class ToProxy {
         private final int port;
         private final Deque<Link> idle = new ArrayDeque<>();
-        private final Deque<Try> waiting = new ArrayDeque<>();
+        private final Deque<RequestAttempt> waiting = new ArrayDeque<>();
         private final List<Link> links = new ArrayList<>();
 
         private ToProxy(int port) {
             this.port = port;
         }
 
-        private void send(Try t) {
+        private void send(RequestAttempt attempt) {
             Link link = idle.pollLast();
             while (link != null && !link.channel.isActive()) {
                 link = idle.pollLast();
             }
             if (link != null) {
-                link.send(t);
+                link.send(attempt);
             } else if (links.size() < world.scenario.load().connections()) {
-                new Link(this).open(t);
+                new Link(this).open(attempt);
             } else {
-                waiting.add(t);
+                waiting.add(attempt);
             }
         }
 
-        private void leave(Try t) {
-            if (!waiting.remove(t)) {
-                links.stream().filter(l -> l.at == t).findFirst().ifPresent(l -> l.channel.close());
+        private void leave(RequestAttempt attempt) {
+            if (!waiting.remove(attempt)) {
+                links.stream().filter(l -> l.at == attempt).findFirst().ifPresent(l -> l.channel.close());
             }
         }
 
         private void free(Link link) {
-            Try next = waiting.poll();
+            RequestAttempt next = waiting.poll();
             if (next != null) {
                 link.send(next);
             } else {
@@ -126,7 +126,7 @@
         private void ended(Link link) {
             links.remove(link);
             idle.remove(link);
-            Try next = waiting.poll();
+            RequestAttempt next = waiting.poll();
             if (next != null) {
                 send(next);
             }
@@ -141,14 +141,14 @@
     private final class Link extends SimpleChannelInboundHandler<MetaDecoder.Message> {
         private final ToProxy to;
         private Channel channel;
-        private Try at, last; // what is asked for now, and what was asked for and answered before
+        private RequestAttempt at, last; // what is asked for now, and what was asked for and answered before
         private boolean sent;
 
         private Link(ToProxy to) {
             this.to = to;
         }
 
-        private void open(Try first) {
+        private void open(RequestAttempt first) {
             to.links.add(this);
             opened++;
             at = first;
@@ -172,53 +172,53 @@
             channel.closeFuture().addListener(closed -> over());
         }
 
-        private void send(Try t) {
-            at = t;
+        private void send(RequestAttempt attempt) {
+            at = attempt;
             sent = false;
             long now = world.timeline.now();
-            world.judge.sending(now, t);
-            channel.writeAndFlush(command(t, Math.max(1, (t.until - now) / NS_PER_MS))).addListener(f -> {
-                if (f.isSuccess() && at == t) {
+            world.judge.sending(now, attempt);
+            channel.writeAndFlush(command(attempt, Math.max(1, (attempt.until - now) / NS_PER_MS))).addListener(f -> {
+                if (f.isSuccess() && at == attempt) {
                     sent = true;
-                    world.judge.taken(world.timeline.now(), t);
+                    world.judge.taken(world.timeline.now(), attempt);
                 }
             });
         }
 
-        private ByteBuf command(Try t, long waitMs) {
-            String list = "c=" + t.request.track.name() + ",t=" + t.request.customer.name() + ",d=" + waitMs
-                + (t.request.mark.isEmpty() ? "" : ",k=" + t.request.mark) + (t.number > 1 ? ",r=1" : "");
-            String line = t.request.track.write()
-                ? "ms k" + t.request.key + " " + VALUE_BYTES + " O" + t.id + " P" + list + "\r\n" + "w".repeat(VALUE_BYTES)
-                : "mg k" + t.request.key + " v O" + t.id + " P" + list;
+        private ByteBuf command(RequestAttempt attempt, long waitMs) {
+            String list = "c=" + attempt.request.track.name() + ",t=" + attempt.request.customer.name() + ",d=" + waitMs
+                + (attempt.request.mark.isEmpty() ? "" : ",k=" + attempt.request.mark) + (attempt.number > 1 ? ",r=1" : "");
+            String line = attempt.request.track.write()
+                ? "ms k" + attempt.request.key + " " + VALUE_BYTES + " O" + attempt.id + " P" + list + "\r\n" + "w".repeat(VALUE_BYTES)
+                : "mg k" + attempt.request.key + " v O" + attempt.id + " P" + list;
             return Unpooled.copiedBuffer(line + "\r\n", StandardCharsets.ISO_8859_1);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, MetaDecoder.Message m) {
-            Try t = at != null ? at : last;
-            if (t == null) {
+            RequestAttempt attempt = at != null ? at : last;
+            if (attempt == null) {
                 return; // a proxy that speaks first: nobody has asked anything here
             }
-            Answer answer = answer(t, m);
-            world.judge.answered(world.timeline.now(), t, answer); // one more to the last is for the judge to see
+            Answer answer = answer(attempt, m);
+            world.judge.answered(world.timeline.now(), attempt, answer); // one more to the last is for the judge to see
             if (at == null) {
                 return;
             }
             last = at;
             at = null;
             to.free(this);
-            population.answered(t, answer);
+            population.answered(attempt, answer);
         }
 
-        private Answer answer(Try t, MetaDecoder.Message m) {
+        private Answer answer(RequestAttempt attempt, MetaDecoder.Message m) {
             switch (m.words()[0]) {
                 case "VA":
                     String[] made = Values.read(m.value());
-                    boolean named = m.flag('O').equals(t.id);
+                    boolean named = m.flag('O').equals(attempt.id);
                     return new Answer(Answer.Kind.VALUE, 0, named ? made[0] : "O" + m.flag('O'), version(made[2]));
                 case "HD":
-                    return new Answer(Answer.Kind.RECEIPT, 0, m.flag('O').equals(t.id) ? m.flag('c')
+                    return new Answer(Answer.Kind.RECEIPT, 0, m.flag('O').equals(attempt.id) ? m.flag('c')
                         : "O" + m.flag('O'), 0);
                 case "SERVER_ERROR":
                     if (m.words().length > 1 && m.words()[1].equals("busy")) {
@@ -237,11 +237,11 @@
 
         /** The connection is gone; told once by its future and perhaps once more by a failed connect. */
         private void over() {
-            Try t = at;
+            RequestAttempt attempt = at;
             at = null;
-            if (t != null && !t.isOver()) {
-                world.judge.cutOff(world.timeline.now(), t);
-                population.broken(t, sent);
+            if (attempt != null && !attempt.isOver()) {
+                world.judge.cutOff(world.timeline.now(), attempt);
+                population.broken(attempt, sent);
             }
             to.ended(this);
         }
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedProxy.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedProxy.java
@@ -15,7 +15,7 @@
 import spurroad.rig.model.CacheNode;
 import spurroad.rig.model.Reply;
 import spurroad.rig.model.ServerRequest;
-import spurroad.rig.model.Try;
+import spurroad.rig.model.RequestAttempt;
 import spurroad.rig.policy.Policy;
 import spurroad.rig.time.Timeline;
 
@@ -31,14 +31,14 @@
     /** One query in the proxy. */
     private static final class Query {
         private final QueryId id;
-        private final Try t;
+        private final RequestAttempt attempt;
         private final List<Execution> executions = new ArrayList<>(2);
         private int out;
         private boolean over;
 
-        private Query(QueryId id, Try t) {
+        private Query(QueryId id, RequestAttempt attempt) {
             this.id = id;
-            this.t = t;
+            this.attempt = attempt;
         }
     }
 
@@ -76,7 +76,7 @@
     private final Policy policy;
     private final Decisions decisions = new Decisions();
     private final Map<NodeId, Pool> pools = new HashMap<>();
-    private final Map<Try, Query> queries = new HashMap<>();
+    private final Map<RequestAttempt, Query> queries = new HashMap<>();
     private final Map<QueryId, Query> byId = new HashMap<>();
     private final long oneWay;
     private Timeline.Alarm wake;
@@ -121,30 +121,30 @@
             close(p, p.idle);
         }
         for (Query q : List.copyOf(queries.values())) {
-            world.cutOff(q.t);
+            world.cutOff(q.attempt);
         }
     }
 
     // ---- clients
 
     /** The last byte of a try has come. */
-    void arrived(Try t) {
+    void arrived(RequestAttempt attempt) {
         if (dead) {
-            world.cutOff(t);
+            world.cutOff(attempt);
             return;
         }
-        Query q = new Query(new QueryId(ids++), t);
-        queries.put(t, q);
+        Query q = new Query(new QueryId(ids++), attempt);
+        queries.put(attempt, q);
         byId.put(q.id, q);
-        long budget = t.until - timeline.now() - oneWay - world.deployment.tickNs();
-        policy.arrived(now(), q.id, new TrackId(world.track(t.request.track)), new CustomerId(world.customer(t.request.customer)),
-            world.key(t.request.key), t.request.track.write(), Math.max(0, budget), fresh());
+        long budget = attempt.until - timeline.now() - oneWay - world.deployment.tickNs();
+        policy.arrived(now(), q.id, new TrackId(world.track(attempt.request.track)), new CustomerId(world.customer(attempt.request.customer)),
+            world.key(attempt.request.key), attempt.request.track.write(), Math.max(0, budget), fresh());
         carryOut();
     }
 
     /** Its client has closed the connection. */
-    void left(Try t) {
-        Query q = queries.remove(t);
+    void left(RequestAttempt attempt) {
+        Query q = queries.remove(attempt);
         if (q != null && !dead) {
             q.over = true;
             policy.left(now(), q.id, fresh());
@@ -162,8 +162,8 @@
     private void answer(Query q, Answer answer) {
         if (!q.over) {
             q.over = true;
-            queries.remove(q.t);
-            world.answered(q.t, answer);
+            queries.remove(q.attempt);
+            world.answered(q.attempt, answer);
             forget(q);
         }
     }
@@ -263,8 +263,8 @@
 
     /** Its last byte comes to the server, also when the proxy has given it up since. */
     private void come(Execution e, boolean fresh) {
-        Try t = e.query.t;
-        ServerRequest request = new ServerRequest(t.id, t.request.key, t.request.track, t.request.mark, fresh);
+        RequestAttempt attempt = e.query.attempt;
+        ServerRequest request = new ServerRequest(attempt.id, attempt.request.key, attempt.request.track, attempt.request.mark, fresh);
         if (e.pool.node == null) {
             world.origin.offer(request, r -> timeline.after(oneWay, () -> replied(e, r)));
         } else if (e.pool.node.reach() == CacheNode.Reach.DOWN) {
@@ -310,7 +310,7 @@
         finish(e, !outcome.answered());
         boolean last = outcome == Outcome.COMPLETED && !q.over;
         if (last) {
-            answer(q, new Answer(r.kind() == Reply.Kind.VALUE ? Answer.Kind.VALUE : Answer.Kind.RECEIPT, 0, q.t.id,
+            answer(q, new Answer(r.kind() == Reply.Kind.VALUE ? Answer.Kind.VALUE : Answer.Kind.RECEIPT, 0, q.attempt.id,
                 r.version()));
         }
         policy.ended(now(), q.id, e.number, outcome, new LoadReport(inFlight, Double.NaN), last, fresh());
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
@@ -18,7 +18,7 @@
 import spurroad.rig.model.CacheNode;
 import spurroad.rig.model.Origin;
 import spurroad.rig.model.Population;
-import spurroad.rig.model.Try;
+import spurroad.rig.model.RequestAttempt;
 import spurroad.rig.policy.Policy;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.time.SimulatedTimeline;
@@ -98,8 +98,8 @@
 
     // ---- what proxies ask for
 
-    int track(Scenario.Track t) {
-        return scenario.load().tracks().indexOf(t);
+    int track(Scenario.Track attempt) {
+        return scenario.load().tracks().indexOf(attempt);
     }
 
     int customer(Scenario.Customer c) {
@@ -158,35 +158,35 @@
     }
 
     @Override
-    public void send(Try t) {
-        SimulatedProxy p = proxies.get(t.proxy);
-        world.judge.sending(timeline.now(), t);
+    public void send(RequestAttempt attempt) {
+        SimulatedProxy p = proxies.get(attempt.proxy);
+        world.judge.sending(timeline.now(), attempt);
         timeline.after(scenario.world().oneWayNs(), () -> {
-            if (!t.isOver()) {
-                world.judge.taken(timeline.now(), t);
-                whenRunning(t.proxy, () -> p.arrived(t));
+            if (!attempt.isOver()) {
+                world.judge.taken(timeline.now(), attempt);
+                whenRunning(attempt.proxy, () -> p.arrived(attempt));
             }
         });
     }
 
     @Override
-    public void leave(Try t) {
-        world.judge.left(timeline.now(), t);
-        SimulatedProxy p = proxies.get(t.proxy);
-        timeline.after(scenario.world().oneWayNs(), () -> whenRunning(t.proxy, () -> p.left(t)));
+    public void leave(RequestAttempt attempt) {
+        world.judge.left(timeline.now(), attempt);
+        SimulatedProxy p = proxies.get(attempt.proxy);
+        timeline.after(scenario.world().oneWayNs(), () -> whenRunning(attempt.proxy, () -> p.left(attempt)));
     }
 
-    void answered(Try t, Answer answer) {
+    void answered(RequestAttempt attempt, Answer answer) {
         timeline.after(scenario.world().oneWayNs(), () -> {
-            world.judge.answered(timeline.now(), t, answer);
-            population.answered(t, answer);
+            world.judge.answered(timeline.now(), attempt, answer);
+            population.answered(attempt, answer);
         });
     }
 
-    void cutOff(Try t) {
+    void cutOff(RequestAttempt attempt) {
         timeline.after(scenario.world().oneWayNs(), () -> {
-            world.judge.cutOff(timeline.now(), t);
-            population.broken(t, true);
+            world.judge.cutOff(timeline.now(), attempt);
+            population.broken(attempt, true);
         });
     }
 
--- a/rig/src/test/java/spurroad/rig/judge/JudgeTest.java
+++ b/rig/src/test/java/spurroad/rig/judge/JudgeTest.java
@@ -14,7 +14,7 @@
 import spurroad.rig.model.Population;
 import spurroad.rig.model.Reply;
 import spurroad.rig.model.ServerRequest;
-import spurroad.rig.model.Try;
+import spurroad.rig.model.RequestAttempt;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.time.SimulatedTimeline;
 
@@ -26,13 +26,13 @@
 
     private final Scenario scenario = Worlds.small("2s", "[rules]\nunanswered = true\n");
     private Judge judge;
-    private Try read, put, once;
+    private RequestAttempt read, put, once;
 
     @BeforeMethod
     public void tries() {
         judge = new Judge(scenario.rules());
         SimulatedTimeline timeline = new SimulatedTimeline();
-        List<Try> tries = new ArrayList<>();
+        List<RequestAttempt> tries = new ArrayList<>();
         Population.Gateway gateway = new Population.Gateway() {
             @Override
             public int choose() {
@@ -40,12 +40,12 @@
             }
 
             @Override
-            public void send(Try t) {
+            public void send(RequestAttempt t) {
                 tries.add(t);
             }
 
             @Override
-            public void leave(Try t) { }
+            public void leave(RequestAttempt t) { }
         };
         new Population(scenario, 1, timeline, gateway, new OutcomeStatistics(scenario)).begin(S);
         timeline.runUntil(S);
@@ -54,19 +54,19 @@
         once = of(tries, Effect.NON_IDEMPOTENT);
     }
 
-    private static Try of(List<Try> tries, Effect effect) {
+    private static RequestAttempt of(List<RequestAttempt> tries, Effect effect) {
         return tries.stream().filter(t -> t.request.track.effect() == effect).findFirst().orElseThrow();
     }
 
-    private static ServerRequest request(Try t) {
+    private static ServerRequest request(RequestAttempt t) {
         return new ServerRequest(t.id, t.request.key, t.request.track, t.request.mark, false);
     }
 
-    private static Answer value(Try t) {
+    private static Answer value(RequestAttempt t) {
         return new Answer(Answer.Kind.VALUE, 0, t.id, 1);
     }
 
-    private void taken(Try t) {
+    private void taken(RequestAttempt t) {
         judge.sending(S, t);
         judge.taken(S, t);
     }
--- a/rig/src/test/java/spurroad/rig/model/PopulationTest.java
+++ b/rig/src/test/java/spurroad/rig/model/PopulationTest.java
@@ -15,12 +15,12 @@
 /** Clients against a proxy that answers by a rule, on simulated time. */
 public class PopulationTest {
     private static final long MS = 1_000_000L, S = 1000 * MS;
-    private final List<Try> sent = new ArrayList<>(), taken = new ArrayList<>();
+    private final List<RequestAttempt> sent = new ArrayList<>(), taken = new ArrayList<>();
     private final List<Long> times = new ArrayList<>();
     private SimulatedTimeline timeline;
 
     /** Plays with a proxy that answers after a time, or never where the rule gives null. */
-    private OutcomeStatistics play(Scenario scenario, long answerNs, Function<Try, Answer> rule) {
+    private OutcomeStatistics play(Scenario scenario, long answerNs, Function<RequestAttempt, Answer> rule) {
         timeline = new SimulatedTimeline();
         OutcomeStatistics outcomes = new OutcomeStatistics(scenario);
         Population[] of = new Population[1];
@@ -34,7 +34,7 @@
             }
 
             @Override
-            public void send(Try t) {
+            public void send(RequestAttempt t) {
                 sent.add(t);
                 times.add(timeline.now());
                 Answer answer = rule.apply(t);
@@ -44,7 +44,7 @@
             }
 
             @Override
-            public void leave(Try t) {
+            public void leave(RequestAttempt t) {
                 taken.add(t);
             }
         }, outcomes);
@@ -53,7 +53,7 @@
         return outcomes;
     }
 
-    private static Answer served(Try t) {
+    private static Answer served(RequestAttempt t) {
         return new Answer(Answer.Kind.VALUE, 0, t.id, 1);
     }
 
