--- a/rig/src/main/java/spurroad/rig/model/Population.java
+++ b/rig/src/main/java/spurroad/rig/model/LoadGenerator.java
@@ -13,7 +13,7 @@
  * is served, may not be asked again, or its client's patience is over. It knows nothing of how tries reach a proxy. One
  * thread only, that of its timeline.
  */
-public final class Population {
+public final class LoadGenerator {
     /** What carries tries to proxies. */
     public interface Gateway {
         /** The proxy that the next try goes to. */
@@ -27,7 +27,7 @@
     }
 
     /** Who is told what becomes of queries. */
-    public interface Book {
+    public interface RequestListener {
         void due(ClientRequest request);
 
         void ended(ClientRequest request, ClientRequest.Outcome end, long at);
@@ -42,18 +42,18 @@
     private final Clients clients;
     private final Timeline timeline;
     private final Gateway gateway;
-    private final Book book;
+    private final RequestListener listener;
     private final RandomStream arrivals, what;
     private final Popularity popularity;
     private double times = 1;
     private long number, nextAt, until;
 
-    public Population(Scenario scenario, long seed, Timeline timeline, Gateway gateway, Book book) {
+    public LoadGenerator(Scenario scenario, long seed, Timeline timeline, Gateway gateway, RequestListener listener) {
         load = scenario.load();
         clients = load.clients();
         this.timeline = timeline;
         this.gateway = gateway;
-        this.book = book;
+        this.listener = listener;
         arrivals = new RandomStream(seed, "arrivals");
         what = new RandomStream(seed, "queries");
         popularity = new Popularity(load, new RandomStream(seed, "keys"));
@@ -78,8 +78,8 @@
         Scenario.Customer customer = drawn(load.customers(), Scenario.Customer::part);
         String mark = track.effect() == Effect.DEDUPLICATED ? "m" + Long.toHexString(number) : "";
         ClientRequest request = new ClientRequest(number++, nextAt, track, customer, popularity.key(nextAt), mark);
-        book.due(request);
-        book.late(request, timeline.now() - nextAt);
+        listener.due(request);
+        listener.late(request, timeline.now() - nextAt);
         next();
         attempt(request);
     }
@@ -165,7 +165,7 @@
     private void end(ClientRequest request, ClientRequest.Outcome end) {
         if (!request.over) {
             request.over = true;
-            book.ended(request, end, timeline.now());
+            listener.ended(request, end, timeline.now());
         }
     }
 
--- a/rig/src/main/java/spurroad/rig/net/ClientSide.java
+++ b/rig/src/main/java/spurroad/rig/net/ClientSide.java
@@ -18,7 +18,7 @@
 import java.util.Deque;
 import java.util.List;
 import spurroad.rig.model.Answer;
-import spurroad.rig.model.Population;
+import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.model.RequestAttempt;
 import spurroad.rig.world.Front;
 import spurroad.rig.world.World;
@@ -27,7 +27,7 @@
  * Carries tries to proxies over connections that clients keep, one try on each at a time, and opens more up to a bound;
  * tries for which there is none wait. The loop's.
  */
-final class ClientSide implements Population.Gateway {
+final class ClientSide implements LoadGenerator.Gateway {
     private static final long NS_PER_MS = 1_000_000L;
     private static final int VALUE_BYTES = 32; // of a write
     private static final int CONNECT_MS = 1000; // ms; after which a client gives up an attempt to connect
@@ -36,7 +36,7 @@
     private final EventLoop loop;
     private final Front front;
     private final List<ToProxy> proxies = new ArrayList<>();
-    private Population population;
+    private LoadGenerator generator;
     private long opened;
 
     ClientSide(World world, EventLoop loop, int[] ports) {
@@ -49,8 +49,8 @@
     }
 
     /** To be called before anything is sent. */
-    void population(Population of) {
-        population = of;
+    void generator(LoadGenerator of) {
+        generator = of;
     }
 
     /** How many connections clients have opened. */
@@ -208,7 +208,7 @@
             last = at;
             at = null;
             to.free(this);
-            population.answered(attempt, answer);
+            generator.answered(attempt, answer);
         }
 
         private Answer answer(RequestAttempt attempt, MetaDecoder.Message m) {
@@ -241,7 +241,7 @@
             at = null;
             if (attempt != null && !attempt.isOver()) {
                 world.judge.cutOff(world.timeline.now(), attempt);
-                population.broken(attempt, sent);
+                generator.broken(attempt, sent);
             }
             to.ended(this);
         }
--- a/rig/src/main/java/spurroad/rig/net/SocketWorld.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketWorld.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import spurroad.rig.model.CacheNode;
-import spurroad.rig.model.Population;
+import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.world.FaultDriver;
 import spurroad.rig.world.Front;
@@ -108,7 +108,7 @@
         loop.execute(() -> {
             timeline.begin();
             epochMs = System.currentTimeMillis();
-            new FaultDriver(world, world.population(clients), this, log).begin();
+            new FaultDriver(world, world.generator(clients), this, log).begin();
         });
         List<String> where = new ArrayList<>();
         proxies.forEach(p -> where.add("proxy p-" + p.number + " 127.0.0.1:" + p.port));
@@ -144,10 +144,10 @@
     private void begin(CompletableFuture<Void> done) {
         timeline.begin();
         epochMs = System.currentTimeMillis();
-        Population population = world.population(clients);
-        clients.population(population);
-        new FaultDriver(world, population, this, log).begin();
-        world.begin(population);
+        LoadGenerator generator = world.generator(clients);
+        clients.generator(generator);
+        new FaultDriver(world, generator, this, log).begin();
+        world.begin(generator);
         timeline.at(world.endNs(), () -> {
             world.end();
             for (ProxyProcess p : proxies) {
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
@@ -17,7 +17,7 @@
 import spurroad.rig.model.Answer;
 import spurroad.rig.model.CacheNode;
 import spurroad.rig.model.Origin;
-import spurroad.rig.model.Population;
+import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.model.RequestAttempt;
 import spurroad.rig.policy.Policy;
 import spurroad.rig.scenario.Scenario;
@@ -34,7 +34,7 @@
  * A scenario in simulated time: the models of a world round what decides in each proxy, with messages that take a
  * fixed time. Deterministic: the same scenario and seed give the same run, in every process.
  */
-public final class SimulatedWorld implements Population.Gateway, ProxyControl {
+public final class SimulatedWorld implements LoadGenerator.Gateway, ProxyControl {
     final SimulatedTimeline timeline = new SimulatedTimeline();
     final Scenario scenario;
     final Policy.Maker policy;
@@ -42,7 +42,7 @@
     final Membership members;
     final Origin origin;
     private final World world;
-    private final Population population;
+    private final LoadGenerator generator;
     private final Front front;
     private final List<SimulatedProxy> proxies = new ArrayList<>();
     private final boolean[] stopped;
@@ -60,14 +60,14 @@
         front = new Front(scenario.world().proxies(), seed);
         deployment = new ProxyStart(new ProxyFile(world, place -> "127.0.0.1:1", () -> 0)
             .configuration(0, "127.0.0.1:1", "127.0.0.1:1")).figures.deployment;
-        population = world.population(this);
+        generator = world.generator(this);
         world.nodes.values().forEach(this::watch);
         world.onAppeared(this::watch);
         stopped = new boolean[scenario.world().proxies()];
         for (int i = 0; i < scenario.world().proxies(); i++) {
             proxies.add(start(i));
         }
-        new FaultDriver(world, population, this, log).begin();
+        new FaultDriver(world, generator, this, log).begin();
     }
 
     private SimulatedProxy start(int i) {
@@ -85,7 +85,7 @@
 
     /** Plays all of it and gives the world back, with its judge and its tally. */
     public World play() {
-        world.begin(population);
+        world.begin(generator);
         timeline.runUntil(world.endNs());
         world.end();
         return world;
@@ -179,14 +179,14 @@
     void answered(RequestAttempt attempt, Answer answer) {
         timeline.after(scenario.world().oneWayNs(), () -> {
             world.judge.answered(timeline.now(), attempt, answer);
-            population.answered(attempt, answer);
+            generator.answered(attempt, answer);
         });
     }
 
     void cutOff(RequestAttempt attempt) {
         timeline.after(scenario.world().oneWayNs(), () -> {
             world.judge.cutOff(timeline.now(), attempt);
-            population.broken(attempt, true);
+            generator.broken(attempt, true);
         });
     }
 
--- a/rig/src/main/java/spurroad/rig/world/FaultDriver.java
+++ b/rig/src/main/java/spurroad/rig/world/FaultDriver.java
@@ -4,7 +4,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import spurroad.rig.model.CacheNode;
-import spurroad.rig.model.Population;
+import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.scenario.Scenario.Fault;
 import spurroad.rig.world.Membership.State;
 
@@ -14,15 +14,15 @@
     private static final long FLAP_NS = 500_000_000L; // ns; down so long, then up as long
 
     private final World world;
-    private final Population population;
+    private final LoadGenerator generator;
     private final ProxyControl proxies;
     private final Consumer<String> log;
     private int replacements;
 
     /** The log is told a line for each thing that is done. */
-    public FaultDriver(World world, Population population, ProxyControl proxies, Consumer<String> log) {
+    public FaultDriver(World world, LoadGenerator generator, ProxyControl proxies, Consumer<String> log) {
         this.world = world;
-        this.population = population;
+        this.generator = generator;
         this.proxies = proxies;
         this.log = log;
     }
@@ -61,8 +61,8 @@
             case PROXY_STOPPED -> proxies(f, proxies::stopped, on);
             case PROXY_KILLED -> proxies(f, proxies::killed, on);
             case PROXY_SHARE -> proxies(f, (p, is) -> proxies.share(p, is ? f.factor() : 1), on);
-            case BURST -> population.times(on ? f.factor() : 1);
-            case HOT_KEY -> population.hot(on ? f.factor() : 0);
+            case BURST -> generator.times(on ? f.factor() : 1);
+            case HOT_KEY -> generator.hot(on ? f.factor() : 0);
             case ORIGIN_SLOW -> world.origin.speed(on ? f.factor() : 1);
         }
     }
--- a/rig/src/main/java/spurroad/rig/world/World.java
+++ b/rig/src/main/java/spurroad/rig/world/World.java
@@ -12,7 +12,7 @@
 import spurroad.rig.model.RandomStream;
 import spurroad.rig.model.Ledger;
 import spurroad.rig.model.Origin;
-import spurroad.rig.model.Population;
+import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.scenario.Scenario.NodeGroup;
 import spurroad.rig.time.Timeline;
@@ -81,10 +81,10 @@
     }
 
     /** Begins the load, and to look at queues and for what was never answered; at the timeline's zero. */
-    public void begin(Population population) {
+    public void begin(LoadGenerator generator) {
         sweepUntil(endNs());
         lookUntil(endNs());
-        population.begin(scenario.lengthNs());
+        generator.begin(scenario.lengthNs());
     }
 
     /** When all is over: the last client's patience, and a bit. */
@@ -135,7 +135,7 @@
     /** At one moment: of cache nodes the mean and the most, and the origin. */
     public record Queues(double mean, int most, int origin) { }
 
-    public Population population(Population.Gateway gateway) {
-        return new Population(scenario, seed, timeline, gateway, outcomes);
+    public LoadGenerator generator(LoadGenerator.Gateway gateway) {
+        return new LoadGenerator(scenario, seed, timeline, gateway, outcomes);
     }
 }
--- a/rig/src/test/java/spurroad/rig/judge/JudgeTest.java
+++ b/rig/src/test/java/spurroad/rig/judge/JudgeTest.java
@@ -11,7 +11,7 @@
 import spurroad.rig.Worlds;
 import spurroad.rig.model.Answer;
 import spurroad.rig.model.ClientRequest;
-import spurroad.rig.model.Population;
+import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.model.Reply;
 import spurroad.rig.model.ServerRequest;
 import spurroad.rig.model.RequestAttempt;
@@ -33,7 +33,7 @@
         judge = new Judge(scenario.rules());
         SimulatedTimeline timeline = new SimulatedTimeline();
         List<RequestAttempt> tries = new ArrayList<>();
-        Population.Gateway gateway = new Population.Gateway() {
+        LoadGenerator.Gateway gateway = new LoadGenerator.Gateway() {
             @Override
             public int choose() {
                 return 1;
@@ -47,7 +47,7 @@
             @Override
             public void leave(RequestAttempt t) { }
         };
-        new Population(scenario, 1, timeline, gateway, new OutcomeStatistics(scenario)).begin(S);
+        new LoadGenerator(scenario, 1, timeline, gateway, new OutcomeStatistics(scenario)).begin(S);
         timeline.runUntil(S);
         read = of(tries, Effect.IDEMPOTENT);
         put = of(tries, Effect.DEDUPLICATED);
--- a/rig/src/test/java/spurroad/rig/model/PopulationTest.java
+++ b/rig/src/test/java/spurroad/rig/model/LoadGeneratorTest.java
@@ -13,7 +13,7 @@
 import spurroad.rig.time.SimulatedTimeline;
 
 /** Clients against a proxy that answers by a rule, on simulated time. */
-public class PopulationTest {
+public class LoadGeneratorTest {
     private static final long MS = 1_000_000L, S = 1000 * MS;
     private final List<RequestAttempt> sent = new ArrayList<>(), taken = new ArrayList<>();
     private final List<Long> times = new ArrayList<>();
@@ -23,11 +23,11 @@
     private OutcomeStatistics play(Scenario scenario, long answerNs, Function<RequestAttempt, Answer> rule) {
         timeline = new SimulatedTimeline();
         OutcomeStatistics outcomes = new OutcomeStatistics(scenario);
-        Population[] of = new Population[1];
+        LoadGenerator[] of = new LoadGenerator[1];
         sent.clear();
         taken.clear();
         times.clear();
-        of[0] = new Population(scenario, 5, timeline, new Population.Gateway() {
+        of[0] = new LoadGenerator(scenario, 5, timeline, new LoadGenerator.Gateway() {
             @Override
             public int choose() {
                 return 0;
@@ -64,7 +64,7 @@
     @Test
     public void asMuchFallsDueWhateverBecomesOfIt() {
         Scenario s = clients("tries = 1\n");
-        OutcomeStatistics quick = play(s, MS, PopulationTest::served);
+        OutcomeStatistics quick = play(s, MS, LoadGeneratorTest::served);
         List<Long> due = sent.stream().map(t -> t.request.due).toList();
         OutcomeStatistics never = play(s, MS, t -> null);
         assertEquals(sent.stream().map(t -> t.request.due).toList(), due, "open loop: the same moments");
@@ -117,7 +117,7 @@
             zipf = 1.0
             drift = 10.0
             """);
-        play(s, MS, PopulationTest::served);
+        play(s, MS, LoadGeneratorTest::served);
         long first = sent.stream().filter(t -> t.request.due < S / 10).filter(t -> t.request.key == 0).count();
         long all = sent.stream().filter(t -> t.request.due < S / 10).count();
         assertTrue(first > all / 20, first + " of " + all + " for the first key: 0.13 are due to it");
--- a/rig/src/test/java/spurroad/rig/net/ClientSideTest.java
+++ b/rig/src/test/java/spurroad/rig/net/ClientSideTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.Test;
 import spurroad.rig.Worlds;
 import spurroad.rig.judge.Rule;
-import spurroad.rig.model.Population;
+import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.world.World;
 
 /** Clients on sockets before a scripted proxy with a planted fault: the judge sees it. */
@@ -47,9 +47,9 @@
             CompletableFuture<Void> done = new CompletableFuture<>();
             loop.execute(() -> {
                 timeline.begin();
-                Population population = world.population(clients);
-                clients.population(population);
-                population.begin(S);
+                LoadGenerator generator = world.generator(clients);
+                clients.generator(generator);
+                generator.begin(S);
                 timeline.at(2 * S + S / 2, () -> {
                     clients.close();
                     done.complete(null);
