--- a/cli/src/main/java/spurroad/cli/Tables.java
+++ b/cli/src/main/java/spurroad/cli/Tables.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
-import spurroad.rig.judge.Breach;
-import spurroad.rig.judge.Rule;
+import spurroad.rig.checker.Breach;
+import spurroad.rig.checker.Rule;
 import spurroad.rig.play.Comparison;
 import spurroad.rig.play.Result;
 
--- a/cli/src/test/java/spurroad/cli/ArchitectureTest.java
+++ b/cli/src/test/java/spurroad/cli/ArchitectureTest.java
@@ -41,7 +41,7 @@
 
     @Test
     public void modelsOfTheRigTouchNoInputOutputClockOrThread() {
-        noClasses().that().resideInAnyPackage("spurroad.rig.model", "spurroad.rig.judge", "spurroad.rig.time",
+        noClasses().that().resideInAnyPackage("spurroad.rig.model", "spurroad.rig.checker", "spurroad.rig.time",
             "spurroad.rig.sim", "spurroad.rig.policy").should().dependOnClassesThat()
             .resideInAnyPackage("java.io", "java.net", "java.nio..", "io.netty..").orShould()
             .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
@@ -78,10 +78,10 @@
                 "spurroad.wirehost..", "java..", "sun.misc").check(ALL);
     }
 
-    /** A judge that read with the proxy's parsers would not see their faults. */
+    /** A checker that read with the proxy's parsers would not see their faults. */
     @Test
     public void theJudgeIsNoPartOfTheProxy() {
-        noClasses().that().resideInAnyPackage("spurroad.rig.judge", "spurroad.rig.net").should().dependOnClassesThat()
+        noClasses().that().resideInAnyPackage("spurroad.rig.checker", "spurroad.rig.net").should().dependOnClassesThat()
             .resideInAnyPackage(PROXY).orShould().dependOnClassesThat().haveFullyQualifiedName("spurroad.Balance")
             .check(ALL);
     }
--- a/rig/src/main/java/spurroad/rig/judge/Breach.java
+++ b/rig/src/main/java/spurroad/rig/checker/Breach.java
@@ -1,4 +1,4 @@
-package spurroad.rig.judge;
+package spurroad.rig.checker;
 
 import java.util.List;
 
--- a/rig/src/main/java/spurroad/rig/judge/Judge.java
+++ b/rig/src/main/java/spurroad/rig/checker/RuleChecker.java
@@ -1,4 +1,4 @@
-package spurroad.rig.judge;
+package spurroad.rig.checker;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
  * <p>A query is remembered until {@link #FORGET_NS} after its client's last wait is over; what a server does for it
  * later than that is not seen. One thread only, that of the world's timeline.
  */
-public final class Judge implements RequestObserver {
+public final class RuleChecker implements RequestObserver {
     private static final long FORGET_NS = 5_000_000_000L; // ns; longer than any queue before a server
     private static final int MOST_TOLD = 1000; // breaches; more are counted, without their stories
 
@@ -69,7 +69,7 @@
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
     private long unanswered, excused, taken, answered, executions, wasted;
 
-    public Judge(Rules rules) {
+    public RuleChecker(Rules rules) {
         this.rules = rules;
     }
 
--- a/rig/src/main/java/spurroad/rig/model/RequestObserver.java
+++ b/rig/src/main/java/spurroad/rig/model/RequestObserver.java
@@ -1,6 +1,6 @@
 package spurroad.rig.model;
 
-/** Who is told what servers see and do; the judge. Times are those of the world's timeline. */
+/** Who is told what servers see and do; the rule checker. Times are those of the world's timeline. */
 public interface RequestObserver {
     /** The last byte of an execution has come to a server; before anything becomes of it. */
     void begun(long at, String uid, ServerRequest request);
--- a/rig/src/main/java/spurroad/rig/net/ClientSide.java
+++ b/rig/src/main/java/spurroad/rig/net/ClientSide.java
@@ -79,7 +79,7 @@
 
     @Override
     public void leave(RequestAttempt attempt) {
-        world.judge.left(world.timeline.now(), attempt);
+        world.checker.left(world.timeline.now(), attempt);
         proxies.get(attempt.proxy).leave(attempt);
     }
 
@@ -176,11 +176,11 @@
             at = attempt;
             sent = false;
             long now = world.timeline.now();
-            world.judge.sending(now, attempt);
+            world.checker.sending(now, attempt);
             channel.writeAndFlush(command(attempt, Math.max(1, (attempt.until - now) / NS_PER_MS))).addListener(f -> {
                 if (f.isSuccess() && at == attempt) {
                     sent = true;
-                    world.judge.taken(world.timeline.now(), attempt);
+                    world.checker.taken(world.timeline.now(), attempt);
                 }
             });
         }
@@ -201,7 +201,7 @@
                 return; // a proxy that speaks first: nobody has asked anything here
             }
             Answer answer = answer(attempt, m);
-            world.judge.answered(world.timeline.now(), attempt, answer); // one more to the last is for the judge to see
+            world.checker.answered(world.timeline.now(), attempt, answer); // one more to the last is for the rule checker to see
             if (at == null) {
                 return;
             }
@@ -240,7 +240,7 @@
             RequestAttempt attempt = at;
             at = null;
             if (attempt != null && !attempt.isOver()) {
-                world.judge.cutOff(world.timeline.now(), attempt);
+                world.checker.cutOff(world.timeline.now(), attempt);
                 generator.broken(attempt, sent);
             }
             to.ended(this);
--- a/rig/src/main/java/spurroad/rig/net/DiscoveryServer.java
+++ b/rig/src/main/java/spurroad/rig/net/DiscoveryServer.java
@@ -27,7 +27,7 @@
 import spurroad.rig.world.World;
 
 /**
- * Discovery as one proxy sees it, at an address of that proxy's own, so that the judge knows who was told what and
+ * Discovery as one proxy sees it, at an address of that proxy's own, so that the rule checker knows who was told what and
  * when: whole lists, and watches that say what changed. The loop's.
  */
 final class DiscoveryServer {
--- a/rig/src/main/java/spurroad/rig/net/SocketWorld.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketWorld.java
@@ -181,22 +181,22 @@
     public void stopped(int proxy, boolean on) {
         proxies.get(proxy).stopped(on);
         if (on) {
-            world.judge.held(timeline.now(), proxy);
+            world.checker.held(timeline.now(), proxy);
         } else {
-            world.judge.released(timeline.now(), proxy);
+            world.checker.released(timeline.now(), proxy);
         }
     }
 
     @Override
     public void killed(int proxy, boolean on) {
         if (on) {
-            world.judge.held(timeline.now(), proxy);
+            world.checker.held(timeline.now(), proxy);
             proxies.get(proxy).kill();
             timeline.after(Front.NOTICE_NS, () -> clients.offered(proxy, false));
             return;
         }
         try {
-            world.judge.forgets(proxy);
+            world.checker.forgets(proxy);
             proxies.get(proxy).start(configuration(proxy));
         } catch (IOException e) {
             throw new UncheckedIOException("p-" + proxy + " can't be started again", e);
@@ -205,7 +205,7 @@
             try {
                 proxies.get(proxy).awaitReady();
                 loop.execute(() -> {
-                    world.judge.released(timeline.now(), proxy);
+                    world.checker.released(timeline.now(), proxy);
                     clients.offered(proxy, true);
                 });
             } catch (IOException e) {
--- a/rig/src/main/java/spurroad/rig/play/Report.java
+++ b/rig/src/main/java/spurroad/rig/play/Report.java
@@ -18,7 +18,7 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
-import spurroad.rig.judge.Breach;
+import spurroad.rig.checker.Breach;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.scenario.Scenario.Fault;
 import spurroad.rig.scenario.ScenarioFile;
--- a/rig/src/main/java/spurroad/rig/play/Result.java
+++ b/rig/src/main/java/spurroad/rig/play/Result.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import spurroad.rig.judge.Breach;
-import spurroad.rig.judge.Judge;
-import spurroad.rig.judge.Rule;
-import spurroad.rig.judge.OutcomeStatistics;
+import spurroad.rig.checker.Breach;
+import spurroad.rig.checker.RuleChecker;
+import spurroad.rig.checker.Rule;
+import spurroad.rig.checker.OutcomeStatistics;
 import spurroad.rig.world.World;
 
 /**
@@ -56,7 +56,7 @@
     static Result of(World w, String clock, String build, String voidFor, List<Proxy> proxies, long connections,
                      double tookS) {
         OutcomeStatistics t = w.outcomes;
-        Judge j = w.judge;
+        RuleChecker j = w.checker;
         Map<String, Counts> tracks = new LinkedHashMap<>(), customers = new LinkedHashMap<>();
         t.tracks().forEach((name, c) -> tracks.put(name, Counts.of(c)));
         t.customers().forEach((name, c) -> customers.put(name, Counts.of(c)));
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
@@ -83,7 +83,7 @@
         });
     }
 
-    /** Plays all of it and gives the world back, with its judge and its tally. */
+    /** Plays all of it and gives the world back, with its rule checker and its outcomes. */
     public World play() {
         world.begin(generator);
         timeline.runUntil(world.endNs());
@@ -160,10 +160,10 @@
     @Override
     public void send(RequestAttempt attempt) {
         SimulatedProxy p = proxies.get(attempt.proxy);
-        world.judge.sending(timeline.now(), attempt);
+        world.checker.sending(timeline.now(), attempt);
         timeline.after(scenario.world().oneWayNs(), () -> {
             if (!attempt.isOver()) {
-                world.judge.taken(timeline.now(), attempt);
+                world.checker.taken(timeline.now(), attempt);
                 whenRunning(attempt.proxy, () -> p.arrived(attempt));
             }
         });
@@ -171,21 +171,21 @@
 
     @Override
     public void leave(RequestAttempt attempt) {
-        world.judge.left(timeline.now(), attempt);
+        world.checker.left(timeline.now(), attempt);
         SimulatedProxy p = proxies.get(attempt.proxy);
         timeline.after(scenario.world().oneWayNs(), () -> whenRunning(attempt.proxy, () -> p.left(attempt)));
     }
 
     void answered(RequestAttempt attempt, Answer answer) {
         timeline.after(scenario.world().oneWayNs(), () -> {
-            world.judge.answered(timeline.now(), attempt, answer);
+            world.checker.answered(timeline.now(), attempt, answer);
             generator.answered(attempt, answer);
         });
     }
 
     void cutOff(RequestAttempt attempt) {
         timeline.after(scenario.world().oneWayNs(), () -> {
-            world.judge.cutOff(timeline.now(), attempt);
+            world.checker.cutOff(timeline.now(), attempt);
             generator.broken(attempt, true);
         });
     }
@@ -204,9 +204,9 @@
     public void stopped(int proxy, boolean on) {
         stopped[proxy] = on;
         if (on) {
-            world.judge.held(timeline.now(), proxy);
+            world.checker.held(timeline.now(), proxy);
         } else {
-            world.judge.released(timeline.now(), proxy);
+            world.checker.released(timeline.now(), proxy);
             List<Runnable> work = held.remove(proxy);
             if (work != null) {
                 work.forEach(Runnable::run);
@@ -217,13 +217,13 @@
     @Override
     public void killed(int proxy, boolean on) {
         if (on) {
-            world.judge.held(timeline.now(), proxy);
+            world.checker.held(timeline.now(), proxy);
             proxies.get(proxy).die();
             timeline.after(Front.NOTICE_NS, () -> front.offer(proxy, false));
         } else {
-            world.judge.forgets(proxy);
+            world.checker.forgets(proxy);
             proxies.set(proxy, start(proxy));
-            world.judge.released(timeline.now(), proxy);
+            world.checker.released(timeline.now(), proxy);
             timeline.after(Front.NOTICE_NS, () -> front.offer(proxy, true));
         }
     }
--- a/rig/src/main/java/spurroad/rig/world/World.java
+++ b/rig/src/main/java/spurroad/rig/world/World.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import spurroad.rig.judge.Judge;
-import spurroad.rig.judge.OutcomeStatistics;
+import spurroad.rig.checker.RuleChecker;
+import spurroad.rig.checker.OutcomeStatistics;
 import spurroad.rig.model.CacheNode;
 import spurroad.rig.model.RandomStream;
 import spurroad.rig.model.Ledger;
@@ -20,15 +20,15 @@
 
 /** The models of a scenario put together on one timeline: all that there is but the proxies and the way to them. */
 public final class World {
-    private static final long SWEEP_NS = 100_000_000L; // ns; between looks of the judge
+    private static final long SWEEP_NS = 100_000_000L; // ns; between looks of the rule checker
     private static final long LOOK_NS = 1_000_000_000L; // ns; between looks at queues
     private static final long DRAIN_NS = 1_000_000_000L; // ns; after the last client's patience: late answers are seen
-    private static final long DONE_NS = 60_000_000_000L; // ns; by then the judge has forgotten all that is over
+    private static final long DONE_NS = 60_000_000_000L; // ns; by then the rule checker has forgotten all that is over
 
     public final Scenario scenario;
     public final long seed;
     public final Timeline timeline;
-    public final Judge judge;
+    public final RuleChecker checker;
     public final OutcomeStatistics outcomes;
     public final Ledger ledger = new Ledger();
     public final Origin origin;
@@ -42,9 +42,9 @@
         this.scenario = scenario;
         this.seed = seed;
         this.timeline = timeline;
-        judge = new Judge(scenario.rules());
+        checker = new RuleChecker(scenario.rules());
         outcomes = new OutcomeStatistics(scenario);
-        origin = new Origin(scenario.world().origin(), scenario.load(), timeline, ledger, judge,
+        origin = new Origin(scenario.world().origin(), scenario.load(), timeline, ledger, checker,
             new RandomStream(seed, Origin.UID));
         members = new Membership(timeline, scenario.world().listNs());
         int place = 0;
@@ -58,7 +58,7 @@
     }
 
     private CacheNode make(String uid, NodeGroup group) {
-        CacheNode node = new CacheNode(uid, group, scenario.load(), timeline, ledger, judge, new RandomStream(seed, uid));
+        CacheNode node = new CacheNode(uid, group, scenario.load(), timeline, ledger, checker, new RandomStream(seed, uid));
         nodes.put(uid, node);
         return node;
     }
@@ -94,13 +94,13 @@
 
     /** To be called then: what is not answered by now never is. */
     public void end() {
-        judge.sweep(endNs() + DONE_NS);
+        checker.sweep(endNs() + DONE_NS);
     }
 
     /** A proxy is told now what has changed in the list after a revision. */
     public void told(int proxy, long since) {
         for (Membership.Entry e : members.since(since)) {
-            judge.told(timeline.now(), proxy, e.uid(), switch (e.state()) {
+            checker.told(timeline.now(), proxy, e.uid(), switch (e.state()) {
                 case ACTIVE -> null;
                 case LEAVING -> "draining";
                 case LEFT -> "gone";
@@ -111,7 +111,7 @@
     private void sweepUntil(long ns) {
         if (timeline.now() < ns) {
             timeline.after(SWEEP_NS, () -> {
-                judge.sweep(timeline.now());
+                checker.sweep(timeline.now());
                 sweepUntil(ns);
             });
         }
--- a/rig/src/test/java/spurroad/rig/model/LoadGeneratorTest.java
+++ b/rig/src/test/java/spurroad/rig/model/LoadGeneratorTest.java
@@ -8,7 +8,7 @@
 import java.util.function.Function;
 import org.testng.annotations.Test;
 import spurroad.rig.Worlds;
-import spurroad.rig.judge.OutcomeStatistics;
+import spurroad.rig.checker.OutcomeStatistics;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.time.SimulatedTimeline;
 
--- a/rig/src/test/java/spurroad/rig/net/ClientSideTest.java
+++ b/rig/src/test/java/spurroad/rig/net/ClientSideTest.java
@@ -19,11 +19,11 @@
 import java.util.function.UnaryOperator;
 import org.testng.annotations.Test;
 import spurroad.rig.Worlds;
-import spurroad.rig.judge.Rule;
+import spurroad.rig.checker.Rule;
 import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.world.World;
 
-/** Clients on sockets before a scripted proxy with a planted fault: the judge sees it. */
+/** Clients on sockets before a scripted proxy with a planted fault: the rule checker sees it. */
 public class ClientSideTest {
     private static final long S = 1_000_000_000L;
 
@@ -102,27 +102,27 @@
     @Test
     public void aProxyThatAnswersAsItShouldBreaksNoRule() throws Exception {
         World w = play(id -> value(id, id));
-        assertEquals(w.judge.breaches(), List.of());
-        assertTrue(w.judge.answered() > 20 && w.judge.answered() == w.judge.taken());
+        assertEquals(w.checker.breaches(), List.of());
+        assertTrue(w.checker.answered() > 20 && w.checker.answered() == w.checker.taken());
     }
 
     @Test
     public void aDoubleAnswerIsSeenOnTheWire() throws Exception {
         World w = play(id -> value(id, id) + value(id, id));
-        assertTrue(w.judge.count(Rule.ONE_ANSWER) > 10, "" + w.judge.count(Rule.ONE_ANSWER));
-        assertTrue(w.judge.breaches().stream().anyMatch(b -> b.what().equals("a second final answer")));
+        assertTrue(w.checker.count(Rule.ONE_ANSWER) > 10, "" + w.checker.count(Rule.ONE_ANSWER));
+        assertTrue(w.checker.breaches().stream().anyMatch(b -> b.what().equals("a second final answer")));
     }
 
     @Test
     public void aValueThatWasMadeForAnotherIsSeen() throws Exception {
         World w = play(id -> value(id, "q999.1"));
-        assertEquals(w.judge.breaches().get(0).what(), "served with what was made for q999.1");
+        assertEquals(w.checker.breaches().get(0).what(), "served with what was made for q999.1");
     }
 
     @Test
     public void aConnectionThatEndsUnderAQueryIsSeen() throws Exception {
         World w = play(id -> null);
-        assertTrue(w.judge.count(Rule.ONE_ANSWER) > 10);
-        assertTrue(w.judge.breaches().get(0).what().startsWith("lost: "), w.judge.breaches().get(0).what());
+        assertTrue(w.checker.count(Rule.ONE_ANSWER) > 10);
+        assertTrue(w.checker.breaches().get(0).what().startsWith("lost: "), w.checker.breaches().get(0).what());
     }
 }
--- a/rig/src/test/java/spurroad/rig/sim/SimulatedWorldTest.java
+++ b/rig/src/test/java/spurroad/rig/sim/SimulatedWorldTest.java
@@ -25,7 +25,7 @@
 import spurroad.model.TrackId;
 import spurroad.protocol.Members;
 import spurroad.rig.Worlds;
-import spurroad.rig.judge.Rule;
+import spurroad.rig.checker.Rule;
 import spurroad.rig.model.Origin;
 import spurroad.rig.policy.Policy;
 import spurroad.rig.scenario.FaultKind;
@@ -40,7 +40,7 @@
 
     private static String print(World w) {
         return w.outcomes.all().inTime + " " + w.outcomes.all().due + " " + w.outcomes.latencyUs().getTotalCount() + " "
-            + w.outcomes.latencyUs().getMean() + " " + w.judge.executions() + " " + w.judge.taken();
+            + w.outcomes.latencyUs().getMean() + " " + w.checker.executions() + " " + w.checker.taken();
     }
 
     @Test
@@ -58,7 +58,7 @@
     @Test(dataProvider = "policies")
     public void aCalmWorldIsServedAndRulesAreKept(Policy.Kind policy) {
         World w = play(Worlds.small("8s", ""), 1, policy);
-        assertEquals(w.judge.breaches(), List.of());
+        assertEquals(w.checker.breaches(), List.of());
         assertTrue(w.outcomes.all().goodput() > 0.97, policy + " " + w.outcomes.all().goodput());
         assertTrue(w.outcomes.all().due > 1000);
     }
@@ -68,7 +68,7 @@
     public void theMechanismKeepsTheRulesUnderEachFault(FaultKind kind) {
         World w = play(Worlds.small("14s", Worlds.fault(Worlds.name(kind), "3s", "3s", Worlds.rest(kind))), 2,
             Policy.Kind.MECHANISM);
-        assertEquals(w.judge.breaches(), List.of());
+        assertEquals(w.checker.breaches(), List.of());
         assertTrue(w.outcomes.all().goodput() > 0.5, kind + " " + w.outcomes.all().goodput());
         double last = w.outcomes.seconds().get(12).goodput();
         assertTrue(last > 0.9, kind + ": " + last + " in the second before the last, long after its end");
@@ -165,9 +165,9 @@
                     .orElse(null));
             }
         });
-        assertTrue(w.judge.count(Rule.NOTHING_TO_LEAVING) > 10);
-        assertTrue(w.judge.breaches().get(0).what().contains("was told that it is draining"));
-        assertTrue(w.judge.breaches().get(0).atNs() > 4_000_000_000L, "not within the grace");
+        assertTrue(w.checker.count(Rule.NOTHING_TO_LEAVING) > 10);
+        assertTrue(w.checker.breaches().get(0).what().contains("was told that it is draining"));
+        assertTrue(w.checker.breaches().get(0).atNs() > 4_000_000_000L, "not within the grace");
     }
 
     @Test
@@ -186,7 +186,7 @@
             [load]
             rate = 400
             """ + Worlds.fault("lost", "2s", "3s", "targets = [\"a-1\"]"));
-        assertEquals(play(s, 1, Policy.Kind.MECHANISM).judge.count(Rule.NO_COLD_PUSHED_OVER), 0);
+        assertEquals(play(s, 1, Policy.Kind.MECHANISM).checker.count(Rule.NO_COLD_PUSHED_OVER), 0);
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
             public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
@@ -196,7 +196,7 @@
                     .orElse(null));
             }
         });
-        assertTrue(w.judge.count(Rule.NO_COLD_PUSHED_OVER) > 0);
+        assertTrue(w.checker.count(Rule.NO_COLD_PUSHED_OVER) > 0);
     }
 
     @Test
@@ -215,6 +215,6 @@
                 }
             }
         });
-        assertTrue(w.judge.count(Rule.NO_EFFECT_TWICE) > 10, "" + w.judge.count(Rule.NO_EFFECT_TWICE));
+        assertTrue(w.checker.count(Rule.NO_EFFECT_TWICE) > 10, "" + w.checker.count(Rule.NO_EFFECT_TWICE));
     }
 }
