--- a/rig/src/main/java/spurroad/rig/net/ClientSide.java
+++ b/rig/src/main/java/spurroad/rig/net/ClientSide.java
@@ -20,7 +20,7 @@
 import spurroad.rig.model.Answer;
 import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.model.RequestAttempt;
-import spurroad.rig.world.Front;
+import spurroad.rig.world.ProxySelector;
 import spurroad.rig.world.World;
 
 /**
@@ -34,7 +34,7 @@
 
     private final World world;
     private final EventLoop loop;
-    private final Front front;
+    private final ProxySelector selector;
     private final List<ToProxy> proxies = new ArrayList<>();
     private LoadGenerator generator;
     private long opened;
@@ -42,7 +42,7 @@
     ClientSide(World world, EventLoop loop, int[] ports) {
         this.world = world;
         this.loop = loop;
-        front = new Front(ports.length, world.seed);
+        selector = new ProxySelector(ports.length, world.seed);
         for (int port : ports) {
             proxies.add(new ToProxy(port));
         }
@@ -60,7 +60,7 @@
 
     /** Whether the front deals a proxy out. */
     void offered(int proxy, boolean on) {
-        front.offer(proxy, on);
+        selector.offer(proxy, on);
     }
 
     void close() {
@@ -69,7 +69,7 @@
 
     @Override
     public int choose() {
-        return front.choose();
+        return selector.choose();
     }
 
     @Override
--- a/rig/src/main/java/spurroad/rig/net/SocketWorld.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketWorld.java
@@ -17,7 +17,7 @@
 import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.world.FaultDriver;
-import spurroad.rig.world.Front;
+import spurroad.rig.world.ProxySelector;
 import spurroad.rig.world.ProxyControl;
 import spurroad.rig.world.ProxyFile;
 import spurroad.rig.world.World;
@@ -192,7 +192,7 @@
         if (on) {
             world.checker.held(timeline.now(), proxy);
             proxies.get(proxy).kill();
-            timeline.after(Front.NOTICE_NS, () -> clients.offered(proxy, false));
+            timeline.after(ProxySelector.NOTICE_NS, () -> clients.offered(proxy, false));
             return;
         }
         try {
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
@@ -23,7 +23,7 @@
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.time.SimulatedTimeline;
 import spurroad.rig.world.FaultDriver;
-import spurroad.rig.world.Front;
+import spurroad.rig.world.ProxySelector;
 import spurroad.rig.world.Membership;
 import spurroad.rig.world.ProxyControl;
 import spurroad.rig.world.ProxyFile;
@@ -43,7 +43,7 @@
     final Origin origin;
     private final World world;
     private final LoadGenerator generator;
-    private final Front front;
+    private final ProxySelector selector;
     private final List<SimulatedProxy> proxies = new ArrayList<>();
     private final boolean[] stopped;
     private final Map<Integer, List<Runnable>> held = new HashMap<>();
@@ -57,7 +57,7 @@
         world = new World(scenario, seed, timeline);
         members = world.members;
         origin = world.origin;
-        front = new Front(scenario.world().proxies(), seed);
+        selector = new ProxySelector(scenario.world().proxies(), seed);
         deployment = new ProxyStart(new ProxyFile(world, place -> "127.0.0.1:1", () -> 0)
             .configuration(0, "127.0.0.1:1", "127.0.0.1:1")).figures.deployment;
         generator = world.generator(this);
@@ -154,7 +154,7 @@
 
     @Override
     public int choose() {
-        return front.choose();
+        return selector.choose();
     }
 
     @Override
@@ -219,12 +219,12 @@
         if (on) {
             world.checker.held(timeline.now(), proxy);
             proxies.get(proxy).die();
-            timeline.after(Front.NOTICE_NS, () -> front.offer(proxy, false));
+            timeline.after(ProxySelector.NOTICE_NS, () -> selector.offer(proxy, false));
         } else {
             world.checker.forgets(proxy);
             proxies.set(proxy, start(proxy));
             world.checker.released(timeline.now(), proxy);
-            timeline.after(Front.NOTICE_NS, () -> front.offer(proxy, true));
+            timeline.after(ProxySelector.NOTICE_NS, () -> selector.offer(proxy, true));
         }
     }
 
--- a/rig/src/main/java/spurroad/rig/world/Front.java
+++ b/rig/src/main/java/spurroad/rig/world/ProxySelector.java
@@ -4,7 +4,7 @@
 import spurroad.rig.model.RandomStream;
 
 /** Deals proxies out to clients by chance, and learns late that one has gone or is back. */
-public final class Front {
+public final class ProxySelector {
     /** After which it knows what has become of a proxy, in nanoseconds. */
     public static final long NOTICE_NS = 1_000_000_000L;
 
@@ -12,7 +12,7 @@
     private final boolean[] offered;
 
     /** One that deals out all of so many proxies. */
-    public Front(int proxies, long seed) {
+    public ProxySelector(int proxies, long seed) {
         random = new RandomStream(seed, "front");
         offered = new boolean[proxies];
         Arrays.fill(offered, true);
