--- a/rig/src/main/java/spurroad/rig/net/ClientSide.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketGateway.java
@@ -27,7 +27,7 @@
  * Carries tries to proxies over connections that clients keep, one try on each at a time, and opens more up to a bound;
  * tries for which there is none wait. The loop's.
  */
-final class ClientSide implements LoadGenerator.Gateway {
+final class SocketGateway implements LoadGenerator.Gateway {
     private static final long NS_PER_MS = 1_000_000L;
     private static final int VALUE_BYTES = 32; // of a write
     private static final int CONNECT_MS = 1000; // ms; after which a client gives up an attempt to connect
@@ -35,16 +35,16 @@
     private final World world;
     private final EventLoop loop;
     private final ProxySelector selector;
-    private final List<ToProxy> proxies = new ArrayList<>();
+    private final List<ProxyConnections> proxies = new ArrayList<>();
     private LoadGenerator generator;
     private long opened;
 
-    ClientSide(World world, EventLoop loop, int[] ports) {
+    SocketGateway(World world, EventLoop loop, int[] ports) {
         this.world = world;
         this.loop = loop;
         selector = new ProxySelector(ports.length, world.seed);
         for (int port : ports) {
-            proxies.add(new ToProxy(port));
+            proxies.add(new ProxyConnections(port));
         }
     }
 
@@ -64,7 +64,7 @@
     }
 
     void close() {
-        proxies.forEach(ToProxy::close);
+        proxies.forEach(ProxyConnections::close);
     }
 
     @Override
@@ -84,25 +84,25 @@
     }
 
     /** All connections to one proxy. */
-    private final class ToProxy {
+    private final class ProxyConnections {
         private final int port;
-        private final Deque<Link> idle = new ArrayDeque<>();
+        private final Deque<ClientConnection> idle = new ArrayDeque<>();
         private final Deque<RequestAttempt> waiting = new ArrayDeque<>();
-        private final List<Link> links = new ArrayList<>();
+        private final List<ClientConnection> links = new ArrayList<>();
 
-        private ToProxy(int port) {
+        private ProxyConnections(int port) {
             this.port = port;
         }
 
         private void send(RequestAttempt attempt) {
-            Link link = idle.pollLast();
+            ClientConnection link = idle.pollLast();
             while (link != null && !link.channel.isActive()) {
                 link = idle.pollLast();
             }
             if (link != null) {
                 link.send(attempt);
             } else if (links.size() < world.scenario.load().connections()) {
-                new Link(this).open(attempt);
+                new ClientConnection(this).open(attempt);
             } else {
                 waiting.add(attempt);
             }
@@ -114,7 +114,7 @@
             }
         }
 
-        private void free(Link link) {
+        private void free(ClientConnection link) {
             RequestAttempt next = waiting.poll();
             if (next != null) {
                 link.send(next);
@@ -123,7 +123,7 @@
             }
         }
 
-        private void ended(Link link) {
+        private void ended(ClientConnection link) {
             links.remove(link);
             idle.remove(link);
             RequestAttempt next = waiting.poll();
@@ -138,13 +138,13 @@
     }
 
     /** One connection. */
-    private final class Link extends SimpleChannelInboundHandler<MetaDecoder.Message> {
-        private final ToProxy to;
+    private final class ClientConnection extends SimpleChannelInboundHandler<MetaDecoder.Message> {
+        private final ProxyConnections to;
         private Channel channel;
         private RequestAttempt at, last; // what is asked for now, and what was asked for and answered before
         private boolean sent;
 
-        private Link(ToProxy to) {
+        private ClientConnection(ProxyConnections to) {
             this.to = to;
         }
 
@@ -157,7 +157,7 @@
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel c) {
-                        c.pipeline().addLast(new MetaDecoder(), Link.this);
+                        c.pipeline().addLast(new MetaDecoder(), ClientConnection.this);
                     }
                 }).connect(InetAddress.getLoopbackAddress(), to.port).addListener(f -> {
                     if (!f.isSuccess()) {
--- a/rig/src/main/java/spurroad/rig/net/SocketWorld.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketWorld.java
@@ -44,7 +44,7 @@
     private final OriginServer origin;
     private final List<DiscoveryServer> discoveries = new ArrayList<>();
     private final List<ProxyProcess> proxies = new ArrayList<>();
-    private final ClientSide clients;
+    private final SocketGateway clients;
     private final Consumer<String> log;
     private volatile long epochMs;
     private volatile String failure;
@@ -75,7 +75,7 @@
             discoveries.add(new DiscoveryServer(loop, world, file, i));
             proxies.add(new ProxyProcess(i, ports[i], command, folder, signals));
         }
-        clients = new ClientSide(world, loop, ports);
+        clients = new SocketGateway(world, loop, ports);
     }
 
     private int place(String uid) {
--- a/rig/src/test/java/spurroad/rig/net/ClientSideTest.java
+++ b/rig/src/test/java/spurroad/rig/net/SocketGatewayTest.java
@@ -24,7 +24,7 @@
 import spurroad.rig.world.World;
 
 /** Clients on sockets before a scripted proxy with a planted fault: the rule checker sees it. */
-public class ClientSideTest {
+public class SocketGatewayTest {
     private static final long S = 1_000_000_000L;
 
     /** Plays for a second before a proxy that answers each read by a rule from its id; null ends the connection. */
@@ -43,7 +43,7 @@
                 [load]
                 rate = 50
                 """), 1, timeline);
-            ClientSide clients = new ClientSide(world, loop, new int[] {server.getLocalPort()});
+            SocketGateway clients = new SocketGateway(world, loop, new int[] {server.getLocalPort()});
             CompletableFuture<Void> done = new CompletableFuture<>();
             loop.execute(() -> {
                 timeline.begin();
