--- a/rig/src/main/java/spurroad/rig/net/DiscoveryServer.java
+++ b/rig/src/main/java/spurroad/rig/net/DiscoveryServer.java
@@ -37,22 +37,22 @@
     private final World world;
     private final ProxyFile file;
     private final int proxy;
-    private final Address address;
+    private final FaultyListener listener;
 
     DiscoveryServer(EventLoop loop, World world, ProxyFile file, int proxy) {
         this.world = world;
         this.file = file;
         this.proxy = proxy;
-        address = new Address(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
+        listener = new FaultyListener(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
             new HttpObjectAggregator(MOST_BODY), new Peer()});
     }
 
     int port() {
-        return address.port;
+        return listener.port;
     }
 
     void close() {
-        address.close();
+        listener.close();
     }
 
     private final class Peer extends SimpleChannelInboundHandler<FullHttpRequest> {
--- a/rig/src/main/java/spurroad/rig/net/Address.java
+++ b/rig/src/main/java/spurroad/rig/net/FaultyListener.java
@@ -24,7 +24,7 @@
  * One port on loopback at which something listens, or does not: it can refuse connections, or let them hang, and
  * come back at the same port. The loop's, but for opening it the first time.
  */
-final class Address {
+final class FaultyListener {
     private static final int BACKLOG = 512, HANGING_BACKLOG = 1; // connections
     private static final int FILLERS = 4; // connections; as many fill a backlog of one, so that no other comes up
 
@@ -36,7 +36,7 @@
     final int port;
 
     /** Listens at a free port, and gives each connection its handlers; none closes it at once. */
-    Address(EventLoop loop, Function<SocketChannel, ChannelHandler[]> handlers) {
+    FaultyListener(EventLoop loop, Function<SocketChannel, ChannelHandler[]> handlers) {
         this.loop = loop;
         this.handlers = handlers;
         open = new DefaultChannelGroup(loop);
@@ -82,7 +82,7 @@
 
     /** Resets what is up. */
     void resetAll() {
-        open.forEach(Address::reset);
+        open.forEach(FaultyListener::reset);
     }
 
     private static void reset(Channel channel) {
--- a/rig/src/main/java/spurroad/rig/net/NodeServer.java
+++ b/rig/src/main/java/spurroad/rig/net/NodeServer.java
@@ -13,14 +13,14 @@
 
 /** Carries the meta commands to a cache node at one address; another may take its place there. The loop's. */
 final class NodeServer {
-    private final Address address;
+    private final FaultyListener listener;
     private final Figures figures;
     private CacheNode node;
     private CacheNode.Reach reach = CacheNode.Reach.UP;
 
     NodeServer(EventLoop loop, Figures figures, CacheNode node) {
         this.figures = figures;
-        address = new Address(loop, channel -> {
+        listener = new FaultyListener(loop, channel -> {
             CacheNode at = this.node;
             if (!at.connect()) {
                 return null;
@@ -32,7 +32,7 @@
     }
 
     int port() {
-        return address.port;
+        return listener.port;
     }
 
     /** This node is at the address from now on. */
@@ -55,17 +55,17 @@
         switch (now) {
             case UP -> {
                 if (vanished) {
-                    address.resetAll(); // its machine is back, and knows nothing of them
+                    listener.resetAll(); // its machine is back, and knows nothing of them
                 }
-                address.accept();
+                listener.accept();
             }
-            case HALF_OPEN, VANISHED -> address.hang();
-            case DOWN -> address.refuse();
+            case HALF_OPEN, VANISHED -> listener.hang();
+            case DOWN -> listener.refuse();
         }
     }
 
     void close() {
-        address.close();
+        listener.close();
     }
 
     /** One connection of a proxy. */
--- a/rig/src/main/java/spurroad/rig/net/OriginServer.java
+++ b/rig/src/main/java/spurroad/rig/net/OriginServer.java
@@ -24,21 +24,21 @@
 
     private final Origin origin;
     private final Figures figures;
-    private final Address address;
+    private final FaultyListener listener;
 
     OriginServer(EventLoop loop, Figures figures, Origin origin) {
         this.origin = origin;
         this.figures = figures;
-        address = new Address(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
+        listener = new FaultyListener(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
             new HttpObjectAggregator(MOST_BODY), new Peer()});
     }
 
     int port() {
-        return address.port;
+        return listener.port;
     }
 
     void close() {
-        address.close();
+        listener.close();
     }
 
     private final class Peer extends SimpleChannelInboundHandler<FullHttpRequest> {
