--- a/rig/src/main/java/spurroad/rig/net/DiscoveryServer.java
+++ b/rig/src/main/java/spurroad/rig/net/DiscoveryServer.java
@@ -44,7 +44,7 @@
         this.file = file;
         this.proxy = proxy;
         listener = new FaultyListener(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
-            new HttpObjectAggregator(MOST_BODY), new Peer()});
+            new HttpObjectAggregator(MOST_BODY), new ConnectionHandler()});
     }
 
     int port() {
@@ -55,7 +55,7 @@
         listener.close();
     }
 
-    private final class Peer extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest r) {
             QueryStringDecoder query = new QueryStringDecoder(r.uri());
--- a/rig/src/main/java/spurroad/rig/net/NodeServer.java
+++ b/rig/src/main/java/spurroad/rig/net/NodeServer.java
@@ -26,7 +26,7 @@
                 return null;
             }
             channel.closeFuture().addListener(closed -> at.disconnected());
-            return new ChannelHandler[] {new MetaDecoder(), new Peer()};
+            return new ChannelHandler[] {new MetaDecoder(), new ConnectionHandler()};
         });
         serve(node);
     }
@@ -69,7 +69,7 @@
     }
 
     /** One connection of a proxy. */
-    private final class Peer extends SimpleChannelInboundHandler<MetaDecoder.Message> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<MetaDecoder.Message> {
         private boolean fresh = true;
 
         @Override
--- a/rig/src/main/java/spurroad/rig/net/OriginServer.java
+++ b/rig/src/main/java/spurroad/rig/net/OriginServer.java
@@ -30,7 +30,7 @@
         this.origin = origin;
         this.figures = figures;
         listener = new FaultyListener(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
-            new HttpObjectAggregator(MOST_BODY), new Peer()});
+            new HttpObjectAggregator(MOST_BODY), new ConnectionHandler()});
     }
 
     int port() {
@@ -41,7 +41,7 @@
         listener.close();
     }
 
-    private final class Peer extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest r) {
             if (r.uri().equals("/ping") || r.uri().equals("/_load")) {
