--- a/rig/src/main/java/spurroad/rig/net/Figures.java
+++ b/rig/src/main/java/spurroad/rig/net/CommandFields.java
@@ -6,10 +6,10 @@
 import spurroad.rig.scenario.Scenario;
 
 /** The list of names and values of a command, and the execution that a command asks for. */
-final class Figures {
+final class CommandFields {
     private final Map<String, Scenario.Track> tracks = new HashMap<>();
 
-    Figures(Scenario scenario) {
+    CommandFields(Scenario scenario) {
         scenario.load().tracks().forEach(t -> tracks.put(t.name(), t));
     }
 
--- a/rig/src/main/java/spurroad/rig/net/MetaDecoder.java
+++ b/rig/src/main/java/spurroad/rig/net/MetaDecoder.java
@@ -25,10 +25,10 @@
     }
 
     /** Something that is no message; the connection is of no further use. */
-    static final class Garbled extends RuntimeException {
+    static final class MalformedMessageException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        Garbled(String what) {
+        MalformedMessageException(String what) {
             super(what);
         }
     }
@@ -41,7 +41,7 @@
         int length = in.bytesBefore((byte) '\n');
         if (length < 0) {
             if (in.readableBytes() > MOST_LINE) {
-                throw new Garbled("a line without end");
+                throw new MalformedMessageException("a line without end");
             }
             return;
         }
@@ -62,7 +62,7 @@
         byte[] value = new byte[bytes];
         in.readBytes(value);
         if (in.readByte() != '\r' || in.readByte() != '\n') {
-            throw new Garbled("a value that is longer than told");
+            throw new MalformedMessageException("a value that is longer than told");
         }
         out.add(new Message(words, value));
     }
@@ -81,6 +81,6 @@
         } catch (NumberFormatException e) {
             // told below
         }
-        throw new Garbled("a length that is none: " + words[at]);
+        throw new MalformedMessageException("a length that is none: " + words[at]);
     }
 }
--- a/rig/src/main/java/spurroad/rig/net/NodeServer.java
+++ b/rig/src/main/java/spurroad/rig/net/NodeServer.java
@@ -14,11 +14,11 @@
 /** Carries the meta commands to a cache node at one address; another may take its place there. The loop's. */
 final class NodeServer {
     private final FaultyListener listener;
-    private final Figures figures;
+    private final CommandFields figures;
     private CacheNode node;
     private CacheNode.Reach reach = CacheNode.Reach.UP;
 
-    NodeServer(EventLoop loop, Figures figures, CacheNode node) {
+    NodeServer(EventLoop loop, CommandFields figures, CacheNode node) {
         this.figures = figures;
         listener = new FaultyListener(loop, channel -> {
             CacheNode at = this.node;
@@ -105,7 +105,7 @@
             }
             String load = " Linflight=" + reply.inFlight();
             switch (reply.kind()) {
-                case VALUE -> value(context, "VA %d O" + request.id() + load, Values.of(request, reply));
+                case VALUE -> value(context, "VA %d O" + request.id() + load, TaggedValue.of(request, reply));
                 case MISS -> write(context, "EN O" + request.id() + load);
                 case RECEIPT -> write(context, "HD O" + request.id() + " c" + request.id() + load);
                 case BUSY -> write(context, "SERVER_ERROR busy");
@@ -116,8 +116,8 @@
         private void spoilt(ChannelHandlerContext context, ServerRequest request, Reply reply) {
             switch (reply.spoilt()) {
                 case 1 -> write(context, "\u0001\u0002\u00ff noise");
-                case 2 -> value(context, "VA 3 O" + request.id(), Values.of(request, reply));
-                case 3 -> value(context, "VA %d Oq0.0", Values.of(request, reply));
+                case 2 -> value(context, "VA 3 O" + request.id(), TaggedValue.of(request, reply));
+                case 3 -> value(context, "VA %d Oq0.0", TaggedValue.of(request, reply));
                 default -> write(context, "VA 3000000000 O" + request.id());
             }
         }
--- a/rig/src/main/java/spurroad/rig/net/OriginServer.java
+++ b/rig/src/main/java/spurroad/rig/net/OriginServer.java
@@ -23,10 +23,10 @@
     private static final byte[] NOTHING = {};
 
     private final Origin origin;
-    private final Figures figures;
+    private final CommandFields figures;
     private final FaultyListener listener;
 
-    OriginServer(EventLoop loop, Figures figures, Origin origin) {
+    OriginServer(EventLoop loop, CommandFields figures, Origin origin) {
         this.origin = origin;
         this.figures = figures;
         listener = new FaultyListener(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
@@ -64,7 +64,7 @@
 
         private void answer(ChannelHandlerContext context, ServerRequest request, Reply reply) {
             switch (reply.kind()) {
-                case VALUE -> write(context, HttpResponseStatus.OK, Values.of(request, reply), false);
+                case VALUE -> write(context, HttpResponseStatus.OK, TaggedValue.of(request, reply), false);
                 case RECEIPT -> write(context, HttpResponseStatus.OK,
                     request.id().getBytes(StandardCharsets.ISO_8859_1), false);
                 case BUSY -> write(context, HttpResponseStatus.SERVICE_UNAVAILABLE, NOTHING, true);
--- a/rig/src/main/java/spurroad/rig/net/ProcessFigures.java
+++ b/rig/src/main/java/spurroad/rig/net/ProcessUsage.java
@@ -6,12 +6,12 @@
 import java.nio.file.Path;
 
 /** What Linux tells of a process; a figure is -1 where it has gone. */
-final class ProcessFigures {
+final class ProcessUsage {
     private static final double TICKS = 100; // a second in /proc, on all machines that Java 17 runs on
     private static final int USER_AT = 11, SYSTEM_AT = 12; // fields behind the name
     private static final int PAGE_KB = 4;
 
-    private ProcessFigures() { }
+    private ProcessUsage() { }
 
     /** Processor time that it has used, in seconds; in steps of 10 ms. */
     static double cpuSeconds(long pid) {
--- a/rig/src/main/java/spurroad/rig/net/ProxyProcess.java
+++ b/rig/src/main/java/spurroad/rig/net/ProxyProcess.java
@@ -76,7 +76,7 @@
     }
 
     void kill() {
-        usedBefore += Math.max(0, ProcessFigures.cpuSeconds(process.pid()));
+        usedBefore += Math.max(0, ProcessUsage.cpuSeconds(process.pid()));
         process.destroyForcibly();
     }
 
@@ -93,7 +93,7 @@
 
     private void keep() {
         long at = System.nanoTime();
-        double spent = ProcessFigures.cpuSeconds(process.pid()), credit = 0;
+        double spent = ProcessUsage.cpuSeconds(process.pid()), credit = 0;
         boolean off = false;
         while (share < 1 && process.isAlive()) {
             try {
@@ -102,7 +102,7 @@
                 break;
             }
             long now = System.nanoTime();
-            double used = ProcessFigures.cpuSeconds(process.pid());
+            double used = ProcessUsage.cpuSeconds(process.pid());
             credit = Math.min(BURST_S, credit + (now - at) / 1e9 * share - (used - spent));
             at = now;
             spent = used;
@@ -119,8 +119,8 @@
     /** Looks at what it holds now; to be called once a second or so. */
     void look() {
         if (isAlive()) {
-            mostMemoryMb = Math.max(mostMemoryMb, ProcessFigures.memoryMb(process.pid()));
-            mostDescriptors = Math.max(mostDescriptors, ProcessFigures.descriptors(process.pid()));
+            mostMemoryMb = Math.max(mostMemoryMb, ProcessUsage.memoryMb(process.pid()));
+            mostDescriptors = Math.max(mostDescriptors, ProcessUsage.descriptors(process.pid()));
         }
     }
 
@@ -134,7 +134,7 @@
 
     /** Processor time of all its processes so far, in seconds. */
     double cpuSeconds() {
-        return usedBefore + (isAlive() ? Math.max(0, ProcessFigures.cpuSeconds(process.pid())) : 0);
+        return usedBefore + (isAlive() ? Math.max(0, ProcessUsage.cpuSeconds(process.pid())) : 0);
     }
 
     /** Ends it in order, or by force where that takes too long. */
--- a/rig/src/main/java/spurroad/rig/net/SocketGateway.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketGateway.java
@@ -214,7 +214,7 @@
         private Answer answer(RequestAttempt attempt, MetaDecoder.Message m) {
             switch (m.words()[0]) {
                 case "VA":
-                    String[] made = Values.read(m.value());
+                    String[] made = TaggedValue.read(m.value());
                     boolean named = m.flag('O').equals(attempt.id);
                     return new Answer(Answer.Kind.VALUE, 0, named ? made[0] : "O" + m.flag('O'), version(made[2]));
                 case "HD":
--- a/rig/src/main/java/spurroad/rig/net/SocketWorld.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketWorld.java
@@ -61,7 +61,7 @@
         this.log = log;
         signals = new Signals();
         world = new World(scenario, seed, timeline);
-        Figures figures = new Figures(scenario);
+        CommandFields figures = new CommandFields(scenario);
         origin = new OriginServer(loop, figures, world.origin);
         for (CacheNode n : world.nodes.values()) {
             nodes.add(new NodeServer(loop, figures, n));
