--- a/rig/src/main/java/spurroad/rig/model/CacheNode.java
+++ b/rig/src/main/java/spurroad/rig/model/CacheNode.java
@@ -37,7 +37,7 @@
     private final Ledger ledger;
     private final RequestObserver observer;
     private final RandomStream random;
-    private final Servers servers;
+    private final ServiceQueue servers;
     private final Map<Integer, Copy> copies;
     private Runnable reachChanged = () -> { };
     private Reach reach = Reach.UP;
@@ -57,7 +57,7 @@
         this.ledger = ledger;
         this.observer = observer;
         this.random = random;
-        servers = new Servers(timeline, group.service());
+        servers = new ServiceQueue(timeline, group.service());
         copies = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
@@ -80,7 +80,7 @@
         if (silent) {
             return;
         }
-        boolean taken = servers.offer(new Servers.Work() {
+        boolean taken = servers.offer(new ServiceQueue.Job() {
             @Override
             public long begins() {
                 double cost = group.service().meanNs() / (group.speed() * speed * warmth());
--- a/rig/src/main/java/spurroad/rig/model/Origin.java
+++ b/rig/src/main/java/spurroad/rig/model/Origin.java
@@ -22,7 +22,7 @@
     private final Ledger ledger;
     private final RequestObserver observer;
     private final RandomStream random;
-    private final Servers servers;
+    private final ServiceQueue servers;
     private final Map<String, Long> marks = new HashMap<>(); // until when each is remembered
     private long sweptAt;
     private double speed = 1;
@@ -34,13 +34,13 @@
         this.ledger = ledger;
         this.observer = observer;
         this.random = random;
-        servers = new Servers(timeline, service);
+        servers = new ServiceQueue(timeline, service);
     }
 
     /** Takes an execution whose last byte has come; a write has its effect when it is done. */
     public void offer(ServerRequest request, Consumer<Reply> answer) {
         observer.begun(timeline.now(), UID, request);
-        boolean taken = servers.offer(new Servers.Work() {
+        boolean taken = servers.offer(new ServiceQueue.Job() {
             @Override
             public long begins() {
                 return random.time(service.meanNs() / speed, service.spread());
--- a/rig/src/main/java/spurroad/rig/model/Servers.java
+++ b/rig/src/main/java/spurroad/rig/model/ServiceQueue.java
@@ -6,9 +6,9 @@
 import spurroad.rig.time.Timeline;
 
 /** So many at once, each for its time, and a bounded queue in order before them. */
-final class Servers {
+final class ServiceQueue {
     /** Work and what becomes of it; either method is called once, or none when everything is dropped. */
-    interface Work {
+    interface Job {
         /** How long it takes, in nanoseconds, now that it begins. */
         long begins();
 
@@ -17,17 +17,17 @@
 
     private final Timeline timeline;
     private final Service service;
-    private final Deque<Work> queue = new ArrayDeque<>();
+    private final Deque<Job> queue = new ArrayDeque<>();
     private int working;
     private long life; // what was begun in an earlier one is dropped
 
-    Servers(Timeline timeline, Service service) {
+    ServiceQueue(Timeline timeline, Service service) {
         this.timeline = timeline;
         this.service = service;
     }
 
     /** Takes the work, unless the queue is full. */
-    boolean offer(Work work) {
+    boolean offer(Job work) {
         if (working >= service.slots()) {
             return queue.size() < service.queue() && queue.add(work);
         }
@@ -35,13 +35,13 @@
         return true;
     }
 
-    private void begin(Work work) {
+    private void begin(Job work) {
         long of = life;
         working++;
         timeline.after(work.begins(), () -> {
             if (of == life) {
                 working--;
-                Work next = queue.poll();
+                Job next = queue.poll();
                 if (next != null) {
                     begin(next);
                 }
