--- a/cli/src/main/java/spurroad/cli/PlayedWith.java
+++ b/cli/src/main/java/spurroad/cli/PlayedWith.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.List;
 import picocli.CommandLine.Option;
-import spurroad.rig.play.Player;
+import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.policy.Policy;
 
 /** What an experiment is played with: real proxies of a jar on sockets, or a policy in simulated time. */
@@ -25,24 +25,24 @@
         description = "The cores that all proxies run on, such as 3 or 2-3 (Linux); any where none are given.")
     private String cores = "";
 
-    Player player() throws IOException {
-        return simulated ? new Player.Simulated(policy) : sockets(jar == null ? builtJar() : jar);
+    ScenarioRunner runner() throws IOException {
+        return simulated ? new ScenarioRunner.Simulated(policy) : sockets(jar == null ? builtJar() : jar);
     }
 
     /** Real proxies, of the jar that was named or of this build's. */
-    Player.Sockets sockets() throws IOException {
+    ScenarioRunner.Sockets sockets() throws IOException {
         if (simulated) {
             throw new IOException("nobody can speak to simulated proxies; expected no --simulated");
         }
         return sockets(jar == null ? builtJar() : jar);
     }
 
-    Player.Sockets sockets(Path of) throws IOException {
+    ScenarioRunner.Sockets sockets(Path of) throws IOException {
         if (!Files.isRegularFile(of)) {
             throw new IOException(of + " is no file; expected a proxy's jar, as the build leaves it");
         }
-        List<String> all = flags == null ? Player.Sockets.FLAGS : Arrays.asList(flags.strip().split("\\s+"));
-        return new Player.Sockets(of, all, cores);
+        List<String> all = flags == null ? ScenarioRunner.Sockets.FLAGS : Arrays.asList(flags.strip().split("\\s+"));
+        return new ScenarioRunner.Sockets(of, all, cores);
     }
 
     /** Where the build of this repository leaves the proxy. */
--- a/cli/src/main/java/spurroad/cli/RigCompare.java
+++ b/cli/src/main/java/spurroad/cli/RigCompare.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import spurroad.rig.play.Comparison;
-import spurroad.rig.play.Player;
+import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.play.Result;
 import spurroad.rig.play.ResultFolder;
 import spurroad.rig.policy.Policy;
@@ -44,7 +44,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Player a = player(first), b = player(second);
+        ScenarioRunner a = runner(first), b = runner(second);
         List<Result> of1 = new ArrayList<>(), of2 = new ArrayList<>();
         Runs runs = kept.runs();
         try (Progress progress = new Progress().begin("")) {
@@ -64,12 +64,12 @@
         return c.pairs().isEmpty() ? Spurroad.VOID : 0;
     }
 
-    private Player player(String name) throws IOException {
+    private ScenarioRunner runner(String name) throws IOException {
         if (name.endsWith(".jar")) {
             return with.sockets(Path.of(name));
         }
         try {
-            return new Player.Simulated(Policy.Kind.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_')));
+            return new ScenarioRunner.Simulated(Policy.Kind.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_')));
         } catch (IllegalArgumentException e) {
             throw new CommandLine.ParameterException(spec.commandLine(), name + " is neither a jar nor a policy");
         }
--- a/cli/src/main/java/spurroad/cli/RigRun.java
+++ b/cli/src/main/java/spurroad/cli/RigRun.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import spurroad.rig.play.Player;
+import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.play.Result;
 import spurroad.rig.play.ResultFolder;
 
@@ -38,13 +38,13 @@
 
     @Override
     public Integer call() throws Exception {
-        Player player = with.player();
+        ScenarioRunner runner = with.runner();
         List<Result> all = new ArrayList<>();
         PrintWriter out = spec.commandLine().getOut();
         try (Progress progress = new Progress().begin("")) {
             for (Path file : files) {
                 for (Map<String, String> set : matrix(sets)) {
-                    all.addAll(kept.runs().play(file, set, seeds, player, progress));
+                    all.addAll(kept.runs().play(file, set, seeds, runner, progress));
                 }
             }
         }
--- a/cli/src/main/java/spurroad/cli/Runs.java
+++ b/cli/src/main/java/spurroad/cli/Runs.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import spurroad.rig.play.Player;
+import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.play.Result;
 import spurroad.rig.play.ResultFolder;
 import spurroad.rig.scenario.Scenario;
@@ -29,13 +29,13 @@
     }
 
     /** All results of a scenario, in the order of its seeds, or of those that are given instead. */
-    List<Result> play(Path file, List<Long> seeds, Player player, Progress progress)
+    List<Result> play(Path file, List<Long> seeds, ScenarioRunner runner, Progress progress)
         throws FaultyFileException, IOException, InterruptedException {
-        return play(file, Map.of(), seeds, player, progress);
+        return play(file, Map.of(), seeds, runner, progress);
     }
 
     /** The same with other values in the place of some keys. */
-    List<Result> play(Path file, Map<String, String> set, List<Long> seeds, Player player, Progress progress)
+    List<Result> play(Path file, Map<String, String> set, List<Long> seeds, ScenarioRunner runner, Progress progress)
         throws FaultyFileException, IOException, InterruptedException {
         if (!Files.exists(file)) {
             ScenarioFile.read(file); // says so
@@ -46,14 +46,14 @@
         List<Result> results = new ArrayList<>();
         for (long seed : seeds.isEmpty() ? scenario.seeds() : seeds) {
             Optional<Result> kept = again ? Optional.empty()
-                : folder.find(scenario.name(), player.build(), seed, text);
+                : folder.find(scenario.name(), runner.build(), seed, text);
             if (kept.isPresent()) {
                 results.add(kept.get());
                 continue;
             }
-            progress.at(scenario.name() + ", " + player.build() + ", seed " + seed);
-            Path at = folder.begin(scenario.name(), player.build(), seed, text);
-            Result result = player.play(scenario, seed, at, line -> LOG.info("{} seed {}: {}", scenario.name(), seed,
+            progress.at(scenario.name() + ", " + runner.build() + ", seed " + seed);
+            Path at = folder.begin(scenario.name(), runner.build(), seed, text);
+            Result result = runner.play(scenario, seed, at, line -> LOG.info("{} seed {}: {}", scenario.name(), seed,
                 line));
             folder.done(at, result);
             results.add(result);
--- a/rig/src/main/java/spurroad/rig/play/Player.java
+++ b/rig/src/main/java/spurroad/rig/play/ScenarioRunner.java
@@ -17,7 +17,7 @@
 import spurroad.rig.world.World;
 
 /** Plays one scenario with one seed: on sockets round real proxies, or in simulated time. */
-public interface Player {
+public interface ScenarioRunner {
     /** What it plays, as results name it: the same for the same build. */
     String build();
 
@@ -31,7 +31,7 @@
         throws IOException, InterruptedException;
 
     /** In simulated time, with a policy in each proxy. */
-    record Simulated(Policy.Kind policy) implements Player {
+    record Simulated(Policy.Kind policy) implements ScenarioRunner {
         @Override
         public String build() {
             return "simulated " + policy;
@@ -46,7 +46,7 @@
     }
 
     /** On sockets, with a proxy's jar and the flags of its virtual machine. */
-    final class Sockets implements Player {
+    final class Sockets implements ScenarioRunner {
         /** As operators start it on a small machine; the archive of classes is left out, which not every jar has. */
         public static final List<String> FLAGS = List.of("-XX:-UsePerfData", "-Xms64m", "-Xmx64m", "-Xmn40m",
             "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xbatch", "-Xss256k", "-XX:StackShadowPages=10");
--- a/rig/src/main/java/spurroad/rig/play/Search.java
+++ b/rig/src/main/java/spurroad/rig/play/Search.java
@@ -122,7 +122,7 @@
     /** Plays one script. */
     public Found play(Scenario scenario, long seed) {
         played++;
-        Result r = new Player.Simulated(policy).play(scenario, seed, null, line -> { });
+        Result r = new ScenarioRunner.Simulated(policy).play(scenario, seed, null, line -> { });
         return new Found(scenario, seed, r.goodput() - r.broken(), r);
     }
 }
--- a/rig/src/test/java/spurroad/rig/net/SocketWorldTest.java
+++ b/rig/src/test/java/spurroad/rig/net/SocketWorldTest.java
@@ -11,19 +11,19 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 import spurroad.rig.Worlds;
-import spurroad.rig.play.Player;
+import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.play.Result;
 import spurroad.rig.scenario.Scenario;
 
 /** Whole worlds on sockets, round the real proxy of this build. */
 public class SocketWorldTest {
     private static final Path JAR = Path.of("..", "proxy", "target", "spurroad.jar");
-    private Player player;
+    private ScenarioRunner runner;
 
     @BeforeClass
     public void built() throws IOException {
         assertTrue(Files.exists(JAR), "the module proxy is built before this one");
-        player = new Player.Sockets(JAR, Player.Sockets.FLAGS);
+        runner = new ScenarioRunner.Sockets(JAR, ScenarioRunner.Sockets.FLAGS);
     }
 
     /** A run on which the machine was too busy says nothing: it is played again, as whoever uses the rig would. */
@@ -36,7 +36,7 @@
     }
 
     private Result once(Scenario scenario) throws IOException, InterruptedException {
-        return player.play(scenario, 1, Files.createTempDirectory("rig-test"), line -> { });
+        return runner.play(scenario, 1, Files.createTempDirectory("rig-test"), line -> { });
     }
 
     private static long children() {
@@ -101,7 +101,7 @@
     @Test
     public void aProxyThatEndsByItselfVoidsTheRun() throws IOException, InterruptedException {
         Scenario s = Worlds.small("2s", "");
-        Player none = new Player.Sockets(JAR, List.of("-Xmx1m")); // no such machine starts
+        ScenarioRunner none = new ScenarioRunner.Sockets(JAR, List.of("-Xmx1m")); // no such machine starts
         try {
             Result r = none.play(s, 1, Files.createTempDirectory("rig-test"), line -> { });
             assertFalse(r.voidFor().isEmpty());
