--- a/rig/src/main/java/spurroad/rig/play/Search.java
+++ b/rig/src/main/java/spurroad/rig/play/ScenarioSearch.java
@@ -13,7 +13,7 @@
  * Looks, in simulated time, for the seed and the times of faults on which a policy does worst, then makes the script as
  * short as it can be and still do as badly. A broken rule is worse than any goodput.
  */
-public final class Search {
+public final class ScenarioSearch {
     private static final double NEAR = 0.25; // of the loss found: a shorter script may lose so much less
     private static final long LEAST_NS = 100_000_000L; // ns; a fault is not made shorter than that
 
@@ -24,7 +24,7 @@
     private final Consumer<String> log;
     private int played;
 
-    public Search(Policy.Kind policy, Consumer<String> log) {
+    public ScenarioSearch(Policy.Kind policy, Consumer<String> log) {
         this.policy = policy;
         this.log = log;
     }
--- a/rig/src/main/java/spurroad/rig/policy/Baseline.java
+++ b/rig/src/main/java/spurroad/rig/policy/BaselinePolicy.java
@@ -26,7 +26,7 @@
  * times where that is allowed, and knows of no load but its own queries out. It keeps the first three rules, as a
  * baseline that breaks them would say nothing; nothing is turned away but what failed three times.
  */
-final class Baseline implements Policy {
+final class BaselinePolicy implements Policy {
     private static final int TRIES = 3; // executions at cache nodes; as many as the mechanism has candidates
     private static final int POINTS = 96; // ring points of a node, as the mechanism has them
     private static final double BOUND = 1.25; // times the mean of queries out, of the bounded ring
@@ -58,7 +58,7 @@
     private NodeId origin;
     private boolean following;
 
-    Baseline(Kind kind, Deployment given, long seed) {
+    BaselinePolicy(Kind kind, Deployment given, long seed) {
         this.kind = kind;
         this.given = given;
         random = new Random(seed);
--- a/rig/src/main/java/spurroad/rig/policy/Policy.java
+++ b/rig/src/main/java/spurroad/rig/policy/Policy.java
@@ -32,13 +32,13 @@
     void reached(long at, Decisions into);
 
     /** Makes the policy of each simulated proxy. */
-    interface Maker {
+    interface Factory {
         /** One for a proxy. */
         Policy make(Deployment deployment, long seed);
     }
 
     /** Which policies there are. */
-    enum Kind implements Maker {
+    enum Kind implements Factory {
         /** The decision module of this build. */
         MECHANISM,
         /** Any ready cache node, by chance. */
@@ -53,7 +53,7 @@
         @Override
         public Policy make(Deployment deployment, long seed) {
             return this == MECHANISM ? new Mechanism(new Balance(deployment, seed))
-                : new Baseline(this, deployment, seed);
+                : new BaselinePolicy(this, deployment, seed);
         }
     }
 
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
@@ -37,7 +37,7 @@
 public final class SimulatedWorld implements LoadGenerator.Gateway, ProxyControl {
     final SimulatedTimeline timeline = new SimulatedTimeline();
     final Scenario scenario;
-    final Policy.Maker policy;
+    final Policy.Factory policy;
     final Deployment deployment;
     final Membership members;
     final Origin origin;
@@ -51,7 +51,7 @@
     private final Map<Integer, Long> toldRevision = new HashMap<>();
     private long starts;
 
-    public SimulatedWorld(Scenario scenario, long seed, Policy.Maker policy, Consumer<String> log) {
+    public SimulatedWorld(Scenario scenario, long seed, Policy.Factory policy, Consumer<String> log) {
         this.scenario = scenario;
         this.policy = policy;
         world = new World(scenario, seed, timeline);
--- a/rig/src/test/java/spurroad/rig/Worlds.java
+++ b/rig/src/test/java/spurroad/rig/TestScenarios.java
@@ -7,8 +7,8 @@
 import spurroad.toml.Table;
 
 /** Scenarios for tests, as texts with what a test changes. */
-public final class Worlds {
-    private Worlds() { }
+public final class TestScenarios {
+    private TestScenarios() { }
 
     /** Four cache nodes in two data centres, two proxies, 200 queries a second, a fifth of them marked writes. */
     public static Scenario small(String length, String more) {
--- a/rig/src/test/java/spurroad/rig/checker/RuleCheckerTest.java
+++ b/rig/src/test/java/spurroad/rig/checker/RuleCheckerTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import spurroad.model.Effect;
-import spurroad.rig.Worlds;
+import spurroad.rig.TestScenarios;
 import spurroad.rig.model.Answer;
 import spurroad.rig.model.ClientRequest;
 import spurroad.rig.model.LoadGenerator;
@@ -24,7 +24,7 @@
     private static final Reply DONE = new Reply(Reply.Kind.RECEIPT, 1, 0, 0, 0);
     private static final Reply BUSY = new Reply(Reply.Kind.BUSY, 0, 0, 0, 0);
 
-    private final Scenario scenario = Worlds.small("2s", "[rules]\nunanswered = true\n");
+    private final Scenario scenario = TestScenarios.small("2s", "[rules]\nunanswered = true\n");
     private RuleChecker checker;
     private RequestAttempt read, put, once;
 
--- a/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
+++ b/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import spurroad.rig.Worlds;
+import spurroad.rig.TestScenarios;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.time.SimulatedTimeline;
 
@@ -16,7 +16,7 @@
 public class CacheNodeTest {
     private static final long MS = 1_000_000L, S = 1000 * MS;
 
-    private final Scenario scenario = Worlds.of("""
+    private final Scenario scenario = TestScenarios.of("""
         name = "n"
         length = "2s"
         warm = "1s"
--- a/rig/src/test/java/spurroad/rig/model/LoadGeneratorTest.java
+++ b/rig/src/test/java/spurroad/rig/model/LoadGeneratorTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Function;
 import org.testng.annotations.Test;
-import spurroad.rig.Worlds;
+import spurroad.rig.TestScenarios;
 import spurroad.rig.checker.OutcomeStatistics;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.time.SimulatedTimeline;
@@ -58,7 +58,7 @@
     }
 
     private static Scenario clients(String more) {
-        return Worlds.small("11s", "[load.clients]\n" + more);
+        return TestScenarios.small("11s", "[load.clients]\n" + more);
     }
 
     @Test
@@ -106,7 +106,7 @@
 
     @Test
     public void popularityFollowsZipfAndDrifts() {
-        Scenario s = Worlds.of("""
+        Scenario s = TestScenarios.of("""
             name = "z"
             length = "40s"
             [[world.nodes]]
--- a/rig/src/test/java/spurroad/rig/net/SocketGatewayTest.java
+++ b/rig/src/test/java/spurroad/rig/net/SocketGatewayTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 import org.testng.annotations.Test;
-import spurroad.rig.Worlds;
+import spurroad.rig.TestScenarios;
 import spurroad.rig.checker.Rule;
 import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.world.World;
@@ -34,7 +34,7 @@
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             daemon(() -> accept(server, rule));
             SocketTimeline timeline = new SocketTimeline(loop);
-            World world = new World(Worlds.of("""
+            World world = new World(TestScenarios.of("""
                 name = "c"
                 length = "2s"
                 warm = "1s"
--- a/rig/src/test/java/spurroad/rig/net/SocketWorldTest.java
+++ b/rig/src/test/java/spurroad/rig/net/SocketWorldTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import spurroad.rig.Worlds;
+import spurroad.rig.TestScenarios;
 import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.play.Result;
 import spurroad.rig.scenario.Scenario;
@@ -45,10 +45,10 @@
 
     @Test
     public void aRealProxyServesUnderFaultsAndKeepsTheRules() throws IOException, InterruptedException {
-        Result r = play(Worlds.small("8s", Worlds.fault("silent", "2s", "1s", "targets = [\"a-0\"]")
-            + Worlds.fault("drain", "3s", "3500ms", "targets = [\"b-1\"]")
-            + Worlds.fault("replaced", "4s", "1s", "targets = [\"a-1\"]")
-            + Worlds.fault("half-open", "5s", "1s", "targets = [\"b-0\"]")));
+        Result r = play(TestScenarios.small("8s", TestScenarios.fault("silent", "2s", "1s", "targets = [\"a-0\"]")
+            + TestScenarios.fault("drain", "3s", "3500ms", "targets = [\"b-1\"]")
+            + TestScenarios.fault("replaced", "4s", "1s", "targets = [\"a-1\"]")
+            + TestScenarios.fault("half-open", "5s", "1s", "targets = [\"b-0\"]")));
         assertEquals(r.voidFor(), "");
         assertEquals(r.stories(), List.of());
         assertTrue(r.goodput() > 0.8, "" + r.goodput());
@@ -61,7 +61,7 @@
     /** Open loop: queries that fall due while the proxies are stopped count from then. */
     @Test
     public void aStalledProxyShowsInLatencyFromDueTimes() throws IOException, InterruptedException {
-        Result r = play(Worlds.of("""
+        Result r = play(TestScenarios.of("""
             name = "stall"
             length = "6s"
             warm = "1s"
@@ -77,7 +77,7 @@
             [load.clients]
             patience = "5s"
             tries = 1
-            """ + Worlds.fault("proxy-stopped", "2s", "2s", "targets = [\"p-0\"]")));
+            """ + TestScenarios.fault("proxy-stopped", "2s", "2s", "targets = [\"p-0\"]")));
         assertEquals(r.voidFor(), "");
         assertTrue(r.latencyMs().most() > 1500, r.latencyMs().toString());
         assertTrue(r.all().due() > 400, "as much falls due as without the stall");
@@ -86,7 +86,7 @@
 
     @Test
     public void aProxyThatIsKilledIsStartedAgainAndWhatItHadTakenIsExcused() throws IOException, InterruptedException {
-        Result r = play(Worlds.small("8s", Worlds.fault("proxy-killed", "2s", "2s", "targets = [\"p-1\"]")));
+        Result r = play(TestScenarios.small("8s", TestScenarios.fault("proxy-killed", "2s", "2s", "targets = [\"p-1\"]")));
         assertEquals(r.voidFor(), "");
         assertEquals(r.broken(), 0, r.stories().toString());
         assertTrue(r.seconds().get(7).goodput() > 0.9, r.seconds().toString());
@@ -94,13 +94,13 @@
 
     @Test
     public void aRigThatRunsLateSaysSoAndVoidsTheRun() throws IOException, InterruptedException {
-        Result r = once(Worlds.small("2s", "[rules]\nrig-late = \"1us\"\n"));
+        Result r = once(TestScenarios.small("2s", "[rules]\nrig-late = \"1us\"\n"));
         assertTrue(r.voidFor().startsWith("the rig ran late: "), r.voidFor());
     }
 
     @Test
     public void aProxyThatEndsByItselfVoidsTheRun() throws IOException, InterruptedException {
-        Scenario s = Worlds.small("2s", "");
+        Scenario s = TestScenarios.small("2s", "");
         ScenarioRunner none = new ScenarioRunner.Sockets(JAR, List.of("-Xmx1m")); // no such machine starts
         try {
             Result r = none.play(s, 1, Files.createTempDirectory("rig-test"), line -> { });
--- a/rig/src/test/java/spurroad/rig/scenario/ScenarioFileTest.java
+++ b/rig/src/test/java/spurroad/rig/scenario/ScenarioFileTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
-import spurroad.rig.Worlds;
+import spurroad.rig.TestScenarios;
 import spurroad.rig.play.ScenarioText;
 import spurroad.toml.Fault;
 import spurroad.toml.FaultyFileException;
@@ -91,7 +91,7 @@
             [load]
             rate = 100
             """;
-        Scenario s = Worlds.of(text);
+        Scenario s = TestScenarios.of(text);
         Scenario.Fault f = new Scenario.Fault(FaultKind.SLOW, 1_500_000_000L, 250_000_000L, List.of("a-0"), 0.25);
         Scenario other = ScenarioFile.of("y.toml", ScenarioText.with(text, "y", List.of(f), List.of(9L)));
         assertEquals(other, new Scenario("y", "", s.warmNs(), s.lengthNs(), s.world(), s.load(), List.of(f),
--- a/rig/src/test/java/spurroad/rig/sim/SimulatedWorldTest.java
+++ b/rig/src/test/java/spurroad/rig/sim/SimulatedWorldTest.java
@@ -24,7 +24,7 @@
 import spurroad.model.QueryId;
 import spurroad.model.TrackId;
 import spurroad.protocol.Members;
-import spurroad.rig.Worlds;
+import spurroad.rig.TestScenarios;
 import spurroad.rig.checker.Rule;
 import spurroad.rig.model.Origin;
 import spurroad.rig.policy.Policy;
@@ -34,7 +34,7 @@
 
 /** Whole worlds in simulated time: what they keep to, and that planted faults of a proxy are seen. */
 public class SimulatedWorldTest {
-    private static World play(Scenario scenario, long seed, Policy.Maker policy) {
+    private static World play(Scenario scenario, long seed, Policy.Factory policy) {
         return new SimulatedWorld(scenario, seed, policy, line -> { }).play();
     }
 
@@ -45,7 +45,7 @@
 
     @Test
     public void theSameSeedIsTheSameRunAndAnotherIsNot() {
-        Scenario s = Worlds.small("6s", Worlds.fault("silent", "2s", "2s", "targets = [\"a-0\"]"));
+        Scenario s = TestScenarios.small("6s", TestScenarios.fault("silent", "2s", "2s", "targets = [\"a-0\"]"));
         assertEquals(print(play(s, 3, Policy.Kind.MECHANISM)), print(play(s, 3, Policy.Kind.MECHANISM)));
         assertNotEquals(print(play(s, 3, Policy.Kind.MECHANISM)), print(play(s, 4, Policy.Kind.MECHANISM)));
     }
@@ -57,7 +57,7 @@
 
     @Test(dataProvider = "policies")
     public void aCalmWorldIsServedAndRulesAreKept(Policy.Kind policy) {
-        World w = play(Worlds.small("8s", ""), 1, policy);
+        World w = play(TestScenarios.small("8s", ""), 1, policy);
         assertEquals(w.checker.breaches(), List.of());
         assertTrue(w.outcomes.all().goodput() > 0.97, policy + " " + w.outcomes.all().goodput());
         assertTrue(w.outcomes.all().due > 1000);
@@ -66,7 +66,7 @@
     /** Each kind of fault is played alone, begins and ends, and breaks no rule of the mechanism's. */
     @Test(dataProvider = "faults")
     public void theMechanismKeepsTheRulesUnderEachFault(FaultKind kind) {
-        World w = play(Worlds.small("14s", Worlds.fault(Worlds.name(kind), "3s", "3s", Worlds.rest(kind))), 2,
+        World w = play(TestScenarios.small("14s", TestScenarios.fault(TestScenarios.name(kind), "3s", "3s", TestScenarios.rest(kind))), 2,
             Policy.Kind.MECHANISM);
         assertEquals(w.checker.breaches(), List.of());
         assertTrue(w.outcomes.all().goodput() > 0.5, kind + " " + w.outcomes.all().goodput());
@@ -82,8 +82,8 @@
     /** A proxy that is stopped for two seconds shows in latency that counts from when queries were due. */
     @Test
     public void aStalledProxyShowsInLatencyFromDueTimes() {
-        Scenario s = Worlds.small("8s", "[load.clients]\ntries = 1\npatience = \"5s\"\n"
-            + Worlds.fault("proxy-stopped", "3s", "2s", "targets = [\"p-0\"]"));
+        Scenario s = TestScenarios.small("8s", "[load.clients]\ntries = 1\npatience = \"5s\"\n"
+            + TestScenarios.fault("proxy-stopped", "3s", "2s", "targets = [\"p-0\"]"));
         Scenario patient = new Scenario(s.name(), s.about(), s.warmNs(), s.lengthNs(), s.world(),
             new Scenario.Load(s.load().perSecond(), s.load().keys(), s.load().zipf(), 0, s.load().connections(), 200, 0,
                 200, s.load().customers(), List.of(new Scenario.Track("read", 1, Effect.IDEMPOTENT,
@@ -155,7 +155,7 @@
 
     @Test
     public void aSendToADrainingNodeIsSeen() {
-        Scenario s = Worlds.small("9s", Worlds.fault("drain", "2s", "6s", "targets = [\"a-1\"]"));
+        Scenario s = TestScenarios.small("9s", TestScenarios.fault("drain", "2s", "6s", "targets = [\"a-1\"]"));
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
             public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
@@ -172,7 +172,7 @@
 
     @Test
     public void aColdNodePushedOverIsSeen() {
-        Scenario s = Worlds.of("""
+        Scenario s = TestScenarios.of("""
             name = "cold"
             length = "9s"
             [world]
@@ -185,7 +185,7 @@
             start-share = 0.1
             [load]
             rate = 400
-            """ + Worlds.fault("lost", "2s", "3s", "targets = [\"a-1\"]"));
+            """ + TestScenarios.fault("lost", "2s", "3s", "targets = [\"a-1\"]"));
         assertEquals(play(s, 1, Policy.Kind.MECHANISM).checker.count(Rule.NO_COLD_PUSHED_OVER), 0);
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
@@ -201,7 +201,7 @@
 
     @Test
     public void aRepeatOfAnUnsafeWriteIsSeen() {
-        Scenario s = Worlds.small("8s", "");
+        Scenario s = TestScenarios.small("8s", "");
         Map<QueryId, Boolean> unsafe = new HashMap<>();
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
