--- a/cli/src/main/java/spurroad/cli/ResultOptions.java
+++ b/cli/src/main/java/spurroad/cli/ResultOptions.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Option;
 
 /** Where results are kept and how they are told; the same for all that plays. */
-final class Kept {
+final class ResultOptions {
     @Option(names = "--results", paramLabel = "FOLDER", description = "Where results are kept (${DEFAULT-VALUE}).")
     private Path results = Path.of("results");
     @Option(names = "--again", description = "Play also what is done.")
@@ -12,8 +12,8 @@
     @Option(names = "--json", description = "Tell it as JSON.")
     private boolean json;
 
-    Runs runs() {
-        return new Runs(results, again);
+    ScenarioRuns runs() {
+        return new ScenarioRuns(results, again);
     }
 
     boolean json() {
--- a/cli/src/main/java/spurroad/cli/ResultTables.java
+++ b/cli/src/main/java/spurroad/cli/ResultTables.java
@@ -11,10 +11,10 @@
 import spurroad.rig.play.Result;
 
 /** Results as text for people. */
-final class Tables {
+final class ResultTables {
     private static final int MOST_STORIES = 3; // breaches told in full; all of them stand in the result's file
 
-    private Tables() { }
+    private ResultTables() { }
 
     static void result(PrintWriter out, Result r) {
         out.printf(Locale.ROOT, "%s, seed %d, %s: goodput %.4f in %.1f s%s%n", r.scenario(), r.seed(), r.build(),
--- a/cli/src/main/java/spurroad/cli/RigCompare.java
+++ b/cli/src/main/java/spurroad/cli/RigCompare.java
@@ -33,12 +33,12 @@
     @Parameters(index = "2", paramLabel = "SECOND", description = "The same.")
     private String second;
     @Mixin
-    private PlayedWith with;
+    private RunnerOptions runnerOptions;
     @Option(names = "--pairs", paramLabel = "N",
         description = "How many seeds, from 1 on, instead of the scenario's own.")
     private int pairs;
     @Mixin
-    private Kept kept;
+    private ResultOptions resultOptions;
     @Spec
     private CommandSpec spec;
 
@@ -46,7 +46,7 @@
     public Integer call() throws Exception {
         ScenarioRunner a = runner(first), b = runner(second);
         List<Result> of1 = new ArrayList<>(), of2 = new ArrayList<>();
-        Runs runs = kept.runs();
+        ScenarioRuns runs = resultOptions.runs();
         try (Progress progress = new Progress().begin("")) {
             List<Long> seeds = pairs > 0 ? LongStream.rangeClosed(1, pairs).boxed().toList()
                 : ScenarioFile.read(file).seeds();
@@ -56,17 +56,17 @@
             }
         }
         Comparison c = Comparison.of(of1, of2);
-        if (kept.json()) {
+        if (resultOptions.json()) {
             spec.commandLine().getOut().println(ResultFolder.json(c));
         } else {
-            Tables.comparison(spec.commandLine().getOut(), c);
+            ResultTables.comparison(spec.commandLine().getOut(), c);
         }
         return c.pairs().isEmpty() ? Spurroad.VOID : 0;
     }
 
     private ScenarioRunner runner(String name) throws IOException {
         if (name.endsWith(".jar")) {
-            return with.sockets(Path.of(name));
+            return runnerOptions.sockets(Path.of(name));
         }
         try {
             return new ScenarioRunner.Simulated(Policy.Kind.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_')));
--- a/cli/src/main/java/spurroad/cli/RigRun.java
+++ b/cli/src/main/java/spurroad/cli/RigRun.java
@@ -25,35 +25,35 @@
     @Parameters(paramLabel = "SCENARIO", arity = "1..*")
     private List<Path> files;
     @Mixin
-    private PlayedWith with;
+    private RunnerOptions runnerOptions;
     @Option(names = "--seeds", split = ",", paramLabel = "N", description = "Instead of the scenario's own.")
     private List<Long> seeds = List.of();
     @Option(names = "--set", paramLabel = "KEY=V1,V2", description = {"Plays the scenarios once with each of these values "
         + "instead of the one in the file,", "and with each combination where it is given more than once."})
     private Map<String, String> sets = Map.of();
     @Mixin
-    private Kept kept;
+    private ResultOptions resultOptions;
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
-        ScenarioRunner runner = with.runner();
+        ScenarioRunner runner = runnerOptions.runner();
         List<Result> all = new ArrayList<>();
         PrintWriter out = spec.commandLine().getOut();
         try (Progress progress = new Progress().begin("")) {
             for (Path file : files) {
                 for (Map<String, String> set : matrix(sets)) {
-                    all.addAll(kept.runs().play(file, set, seeds, runner, progress));
+                    all.addAll(resultOptions.runs().play(file, set, seeds, runner, progress));
                 }
             }
         }
-        if (kept.json()) {
+        if (resultOptions.json()) {
             out.println(ResultFolder.json(all));
         } else {
-            all.forEach(r -> Tables.result(out, r));
+            all.forEach(r -> ResultTables.result(out, r));
         }
-        return Tables.code(all);
+        return ResultTables.code(all);
     }
 
     /** Every combination of the values of each key, in order; one empty one where there is no key. */
--- a/cli/src/main/java/spurroad/cli/RigSearch.java
+++ b/cli/src/main/java/spurroad/cli/RigSearch.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import spurroad.rig.play.ScenarioText;
-import spurroad.rig.play.Search;
+import spurroad.rig.play.ScenarioSearch;
 import spurroad.rig.policy.Policy;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.scenario.ScenarioFile;
@@ -40,12 +40,12 @@
         Scenario scenario = ScenarioFile.read(file);
         PrintWriter out = spec.commandLine().getOut();
         try (Progress progress = new Progress().begin("searching")) {
-            Search search = new Search(policy, progress::at);
+            ScenarioSearch search = new ScenarioSearch(policy, progress::at);
             Scenario calm = new Scenario(scenario.name(), scenario.about(), scenario.warmNs(), scenario.lengthNs(),
                 scenario.world(), scenario.load(), List.of(), scenario.rules(), scenario.seeds());
             double untouched = search.play(calm, scenario.seeds().get(0)).score();
-            Search.Found worst = search.worst(scenario, scripts, seed);
-            Search.Found shortest = search.shrink(worst, untouched);
+            ScenarioSearch.Found worst = search.worst(scenario, scripts, seed);
+            ScenarioSearch.Found shortest = search.shrink(worst, untouched);
             Files.writeString(found, ScenarioText.with(Files.readString(file), scenario.name() + "-found",
                 shortest.scenario(), shortest.seed()));
             out.printf(Locale.ROOT, "without faults %.4f; worst of %d scripts %.4f with %d faults; shortened %.4f with "
--- a/cli/src/main/java/spurroad/cli/RigWorld.java
+++ b/cli/src/main/java/spurroad/cli/RigWorld.java
@@ -25,7 +25,7 @@
     @Option(names = "--seconds", paramLabel = "N", description = "For how long (${DEFAULT-VALUE}).")
     private int seconds = 60;
     @Mixin
-    private PlayedWith with;
+    private RunnerOptions runnerOptions;
     @Spec
     private CommandSpec spec;
 
@@ -34,7 +34,7 @@
         Scenario scenario = ScenarioFile.read(file);
         PrintWriter out = spec.commandLine().getOut();
         Path folder = Files.createTempDirectory("spurroad-world");
-        List<String> command = with.sockets().command();
+        List<String> command = runnerOptions.sockets().command();
         try (SocketWorld world = new SocketWorld(scenario, scenario.seeds().get(0), command, folder, out::println)) {
             Runtime.getRuntime().addShutdownHook(new Thread(world::endNow));
             world.open().forEach(out::println);
--- a/cli/src/main/java/spurroad/cli/RunnerOptions.java
+++ b/cli/src/main/java/spurroad/cli/RunnerOptions.java
@@ -10,7 +10,7 @@
 import spurroad.rig.policy.Policy;
 
 /** What an experiment is played with: real proxies of a jar on sockets, or a policy in simulated time. */
-final class PlayedWith {
+final class RunnerOptions {
     @Option(names = "--simulated", description = "In simulated time, against the decisions alone.")
     private boolean simulated;
     @Option(names = "--policy", paramLabel = "NAME",
--- a/cli/src/main/java/spurroad/cli/ScenarioRuns.java
+++ b/cli/src/main/java/spurroad/cli/ScenarioRuns.java
@@ -17,13 +17,13 @@
 import spurroad.toml.FaultyFileException;
 
 /** Plays a scenario with all its seeds and keeps the results; what is done already is not played again. */
-final class Runs {
+final class ScenarioRuns {
     private static final Logger LOG = LoggerFactory.getLogger("spurroad.rig");
 
     private final ResultFolder folder;
     private final boolean again;
 
-    Runs(Path results, boolean again) {
+    ScenarioRuns(Path results, boolean again) {
         folder = new ResultFolder(results);
         this.again = again;
     }
--- a/cli/src/test/java/spurroad/cli/SpurroadTest.java
+++ b/cli/src/test/java/spurroad/cli/SpurroadTest.java
@@ -28,18 +28,18 @@
     private static final Path JAR = Path.of("..", "proxy", "target", "spurroad.jar");
     private Path folder;
 
-    private record Said(int code, String out, String err) { }
+    private record CommandOutput(int code, String out, String err) { }
 
     @BeforeMethod
     public void folder() throws IOException {
         folder = Files.createTempDirectory("cli-test");
     }
 
-    private static Said say(Object... words) {
+    private static CommandOutput say(Object... words) {
         StringWriter out = new StringWriter(), err = new StringWriter();
         CommandLine line = Spurroad.line().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
         int code = line.execute(Arrays.stream(words).map(Object::toString).toArray(String[]::new));
-        return new Said(code, out.toString(), err.toString());
+        return new CommandOutput(code, out.toString(), err.toString());
     }
 
     private Path file(String name, String text) throws IOException {
@@ -48,7 +48,7 @@
 
     @Test
     public void helpNamesAllCommandsAndExitCodes() {
-        Said s = say("--help");
+        CommandOutput s = say("--help");
         assertEquals(s.code, 0);
         for (String word : List.of("serve", "check", "explain", "rig", "version", "generate-completion", "Exit codes")) {
             assertTrue(s.out.contains(word), s.out);
@@ -57,7 +57,7 @@
 
     @Test
     public void versionTellsThisBuild() {
-        Said s = say("version");
+        CommandOutput s = say("version");
         assertTrue(s.out.matches("(?s)spurroad \\d+\\.\\d+.*Java 1.*"), s.out);
     }
 
@@ -65,7 +65,7 @@
     public void wrongUseIsToldWithCodeTwo() {
         assertEquals(say().code, 2);
         assertEquals(say("rig").code, 2);
-        Said s = say("chekc", "x");
+        CommandOutput s = say("chekc", "x");
         assertEquals(s.code, 2);
         assertTrue(s.err.contains("check"), "the nearest command is named: " + s.err);
         assertEquals(say("rig", "compare", FIRST, "randon", "ring").code, 2);
@@ -74,7 +74,7 @@
     @Test
     public void checkTellsAllFaultsByLineAndKey() throws IOException {
         Path f = file("o.toml", "[log]\nformat = \"xml\"\nlevle = 3\n[lgo]\n");
-        Said s = say("check", f);
+        CommandOutput s = say("check", f);
         assertEquals(s.code, 2);
         assertEquals(s.out.lines().map(l -> l.replace(folder + "/", "")).toList(), List.of(
             "o.toml:2: log.format: is \"xml\"; expected one of plain, json",
@@ -88,7 +88,7 @@
         assertEquals(say("check", CONFIG).code, 0);
         assertEquals(say("check", FIRST).code, 0);
         assertEquals(say("check", file("o.toml", "[log]\nformat = \"json\"\n")).code, 0);
-        Said s = say("check", file("c.json", "{\"name\":\"n\"}"));
+        CommandOutput s = say("check", file("c.json", "{\"name\":\"n\"}"));
         assertEquals(s.code, 2);
         assertTrue(s.out.contains("listen is missing"), s.out);
     }
@@ -102,11 +102,11 @@
                 .append(i == 5 ? "leaving" : "active").append("\"}");
         }
         Path f = file("list.json", list.append("]}").toString());
-        Said s = say("explain", "7f3a", "--config", CONFIG, "--list", f);
+        CommandOutput s = say("explain", "7f3a", "--config", CONFIG, "--list", f);
         assertEquals(s.code, 0, s.err);
         assertEquals(s.out.lines().filter(l -> l.matches("[123]\\. s-[0-4] at 127.*")).count(), 3, s.out);
         assertTrue(s.out.contains("left out: s-5 at 127.0.0.1:115, DRAINING"), s.out);
-        Said one = say("explain", "7f3a", "--config", CONFIG);
+        CommandOutput one = say("explain", "7f3a", "--config", CONFIG);
         assertTrue(one.out.contains("1. cache-1 at 127.0.0.1:11301"), one.out);
         assertFalse(one.out.contains("2. "), "the origin is no candidate");
     }
@@ -128,7 +128,7 @@
     @Test
     public void whatIsDoneIsNotPlayedAgain() throws IOException {
         Path s = scenario("3s");
-        Said first = say("rig", "run", s, "--simulated", "--results", folder.resolve("results"));
+        CommandOutput first = say("rig", "run", s, "--simulated", "--results", folder.resolve("results"));
         assertEquals(first.code, 0, first.err);
         assertTrue(first.out.contains("rules kept"), first.out);
         assertEquals(results().size(), 2);
@@ -190,7 +190,7 @@
         try (Stream<Path> all = Files.walk(folder.resolve("results"))) {
             assertEquals(all.filter(f -> f.endsWith("PARTIAL")).count(), 1);
         }
-        Said report = say("rig", "report", folder.resolve("page.html"), "--results", folder.resolve("results"));
+        CommandOutput report = say("rig", "report", folder.resolve("page.html"), "--results", folder.resolve("results"));
         assertTrue(report.out.startsWith("0 results, 1 cut off"), report.out);
         assertTrue(Files.readString(folder.resolve("page.html")).contains("cut off: "));
     }
@@ -198,7 +198,7 @@
     @Test
     public void compareTellsPairedDifferencesWithTheirInterval() throws IOException {
         Path s = scenario("3s");
-        Said c = say("rig", "compare", s, "random", "mechanism", "--pairs", "3", "--results",
+        CommandOutput c = say("rig", "compare", s, "random", "mechanism", "--pairs", "3", "--results",
             folder.resolve("results"));
         assertEquals(c.code, 0, c.err);
         assertTrue(c.out.matches("(?s).*second \\(simulated MECHANISM\\) less first \\(simulated RANDOM\\): "
@@ -208,10 +208,10 @@
     @Test
     public void searchWritesAScenarioThatDoesAsBadlyAsItSays() throws IOException {
         Path s = scenario("4s"), found = folder.resolve("found.toml");
-        Said said = say("rig", "search", s, found, "--scripts", "5");
+        CommandOutput said = say("rig", "search", s, found, "--scripts", "5");
         assertEquals(said.code, 0, said.err);
         double score = Double.parseDouble(said.out.replaceAll("(?s).*shortened ([0-9.]+).*", "$1"));
-        Said again = say("rig", "run", found, "--simulated", "--results", folder.resolve("results"));
+        CommandOutput again = say("rig", "run", found, "--simulated", "--results", folder.resolve("results"));
         assertTrue(again.out.contains(String.format(Locale.ROOT, "goodput %.4f", score)), again.out);
     }
 
@@ -221,7 +221,7 @@
         Path s = scenario("3s");
         Object[] words = {"rig", "run", s, "--simulated", "--seeds", "4", "--set", "load.rate=100,200,400", "--set",
             "world.proxies=1,2", "--results", folder.resolve("results")};
-        Said first = say(words);
+        CommandOutput first = say(words);
         assertEquals(first.code, 0, first.err);
         assertEquals(results().size(), 6);
         Files.delete(results().get(2));
@@ -237,7 +237,7 @@
     public void reportIsOnePageWithPlotsAndTables() throws IOException {
         say("rig", "run", scenario("3s"), "--simulated", "--results", folder.resolve("results"));
         Path page = folder.resolve("page.html");
-        Said r = say("rig", "report", page, "--results", folder.resolve("results"));
+        CommandOutput r = say("rig", "report", page, "--results", folder.resolve("results"));
         assertEquals(r.code, 0, r.err);
         String text = Files.readString(page);
         assertEquals(text.split("<svg", -1).length - 1, 4, "four plots");
--- a/toml/src/main/java/spurroad/toml/KeyLocations.java
+++ b/toml/src/main/java/spurroad/toml/KeyLocations.java
@@ -8,14 +8,14 @@
  * more and notes tables and keys; what stands inside an inline table or an array is told as standing where that begins.
  * Only for texts that the parser has taken.
  */
-final class Lines {
+final class KeyLocations {
     private final Map<String, Integer> lines = new HashMap<>();
     private final Map<String, Integer> lastOfArray = new HashMap<>();
     private String table = "";
     private String untilQuote; // inside a text of several lines: what ends it
     private int open; // brackets of a value that goes on
 
-    Lines(String text) {
+    KeyLocations(String text) {
         int number = 0;
         for (String line : text.split("\n", -1)) {
             take(++number, line.strip());
--- a/toml/src/main/java/spurroad/toml/TomlFile.java
+++ b/toml/src/main/java/spurroad/toml/TomlFile.java
@@ -19,13 +19,13 @@
  */
 public final class TomlFile {
     private final String name;
-    private final Lines lines;
+    private final KeyLocations lines;
     private final List<Fault> faults = new ArrayList<>();
     private final Table root;
 
     private TomlFile(String name, String text, JsonNode json) {
         this.name = name;
-        lines = new Lines(text);
+        lines = new KeyLocations(text);
         root = new Table(this, "", (ObjectNode) json);
     }
 
