--- a/cli/src/main/java/spurroad/cli/RigRun.java
+++ b/cli/src/main/java/spurroad/cli/RigRun.java
@@ -13,9 +13,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.play.Result;
 import spurroad.rig.play.ResultFolder;
+import spurroad.rig.play.ScenarioRunner;
 
 /** Plays scenarios and tells what became of the queries and which rules were kept. */
 @Command(name = "run", mixinStandardHelpOptions = true, description = {
@@ -28,8 +28,10 @@
     private RunnerOptions runnerOptions;
     @Option(names = "--seeds", split = ",", paramLabel = "N", description = "Instead of the scenario's own.")
     private List<Long> seeds = List.of();
-    @Option(names = "--set", paramLabel = "KEY=V1,V2", description = {"Plays the scenarios once with each of these values "
-        + "instead of the one in the file,", "and with each combination where it is given more than once."})
+    @Option(names = "--set", paramLabel = "KEY=V1,V2",
+        description = {"Plays the scenarios once with each of these values "
+            + "instead of the one in the file,",
+            "and with each combination where it is given more than once."})
     private Map<String, String> sets = Map.of();
     @Mixin
     private ResultOptions resultOptions;
--- a/cli/src/main/java/spurroad/cli/RunnerOptions.java
+++ b/cli/src/main/java/spurroad/cli/RunnerOptions.java
@@ -16,7 +16,8 @@
     @Option(names = "--policy", paramLabel = "NAME",
         description = "What decides in simulated proxies: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE}).")
     private Policy.Kind policy = Policy.Kind.MECHANISM;
-    @Option(names = "--jar", paramLabel = "FILE", description = "The proxy's jar; this build's where it is not given.")
+    @Option(names = "--jar", paramLabel = "FILE",
+        description = "The proxy's jar; this build's where it is not given.")
     private Path jar;
     @Option(names = "--flags", paramLabel = "FLAGS",
         description = "Of the proxies' virtual machines, instead of those for a small machine.")
@@ -41,7 +42,8 @@
         if (!Files.isRegularFile(of)) {
             throw new IOException(of + " is no file; expected a proxy's jar, as the build leaves it");
         }
-        List<String> all = flags == null ? ScenarioRunner.Sockets.FLAGS : Arrays.asList(flags.strip().split("\\s+"));
+        List<String> all = flags == null ? ScenarioRunner.Sockets.FLAGS
+            : Arrays.asList(flags.strip().split("\\s+"));
         return new ScenarioRunner.Sockets(of, all, cores);
     }
 
--- a/cli/src/main/java/spurroad/cli/ScenarioRuns.java
+++ b/cli/src/main/java/spurroad/cli/ScenarioRuns.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.play.Result;
 import spurroad.rig.play.ResultFolder;
+import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.scenario.ScenarioFile;
 import spurroad.toml.FaultyFileException;
@@ -35,7 +35,8 @@
     }
 
     /** The same with other values in the place of some keys. */
-    List<Result> play(Path file, Map<String, String> set, List<Long> seeds, ScenarioRunner runner, Progress progress)
+    List<Result> play(Path file, Map<String, String> set, List<Long> seeds, ScenarioRunner runner,
+                      Progress progress)
         throws FaultyFileException, IOException, InterruptedException {
         if (!Files.exists(file)) {
             ScenarioFile.read(file); // says so
@@ -53,8 +54,9 @@
             }
             progress.at(scenario.name() + ", " + runner.build() + ", seed " + seed);
             Path at = folder.begin(scenario.name(), runner.build(), seed, text);
-            Result result = runner.play(scenario, seed, at, line -> LOG.info("{} seed {}: {}", scenario.name(), seed,
-                line));
+            Result result = runner.play(scenario, seed, at,
+                line -> LOG.info("{} seed {}: {}", scenario.name(), seed,
+                    line));
             folder.done(at, result);
             results.add(result);
         }
--- a/rig/src/main/java/spurroad/rig/checker/RuleChecker.java
+++ b/rig/src/main/java/spurroad/rig/checker/RuleChecker.java
@@ -13,17 +13,18 @@
 import spurroad.rig.model.Answer;
 import spurroad.rig.model.ClientRequest;
 import spurroad.rig.model.Reply;
-import spurroad.rig.model.ServerRequest;
 import spurroad.rig.model.RequestAttempt;
 import spurroad.rig.model.RequestObserver;
+import spurroad.rig.model.ServerRequest;
 import spurroad.rig.scenario.Scenario.Rules;
 
 /**
- * Holds proxies to the four rules by what crossed the sockets, and by nothing that they say of themselves: it is told
- * what clients sent and were answered, what came to servers and had its effect, and what proxies were told of nodes.
+ * Holds proxies to the four rules by what crossed the sockets, and by nothing that they say of themselves: it
+ * is told what clients sent and were answered, what came to servers and had its effect, and what proxies were
+ * told of nodes.
  *
- * <p>A query is remembered until {@link #FORGET_NS} after its client's last wait is over; what a server does for it
- * later than that is not seen. One thread only, that of the world's timeline.
+ * <p>A query is remembered until {@link #FORGET_NS} after its client's last wait is over; what a server does
+ * for it later than that is not seen. One thread only, that of the world's timeline.
  */
 public final class RuleChecker implements RequestObserver {
     private static final long FORGET_NS = 5_000_000_000L; // ns; longer than any queue before a server
@@ -56,7 +57,7 @@
         }
     }
 
-    private record Leaving(long toldAt, String how) { }
+    private record Leaving(long toldAt, String how) {}
 
     private final Rules rules;
     private final Map<String, Case> cases = new HashMap<>();
@@ -101,8 +102,9 @@
             return;
         }
         answered++;
-        c.query.history.add(at, "try " + attempt + " is answered " + answer.kind() + (answer.forId().isEmpty() ? ""
-            : " made for " + answer.forId()));
+        c.query.history.add(at,
+            "try " + attempt + " is answered " + answer.kind() + (answer.forId().isEmpty() ? ""
+                : " made for " + answer.forId()));
         if (++c.answers > 1) {
             breach(Rule.ONE_ANSWER, at, c, "a second final answer");
         }
@@ -185,7 +187,8 @@
     public void ended(long at, String uid, ServerRequest request, Reply reply) {
         Case c = cases.get(request.id());
         if (c != null) {
-            c.query.history.add(at, uid + " answers " + reply.kind() + (reply.spoilt() > 0 ? ", spoilt" : ""));
+            c.query.history.add(at,
+                uid + " answers " + reply.kind() + (reply.spoilt() > 0 ? ", spoilt" : ""));
             if (reply.kind() == Reply.Kind.BUSY || reply.kind() == Reply.Kind.MISS) {
                 c.mayHaveRun--;
                 c.ran.remove(uid);
@@ -238,7 +241,8 @@
     }
 
     private boolean isExcused(long at, Case c) {
-        return heldSince.containsKey(c.attempt.proxy) || heldUntil.getOrDefault(c.attempt.proxy, Long.MIN_VALUE) >= c.takenAt;
+        return heldSince.containsKey(c.attempt.proxy)
+            || heldUntil.getOrDefault(c.attempt.proxy, Long.MIN_VALUE) >= c.takenAt;
     }
 
     // ---- time
--- a/rig/src/main/java/spurroad/rig/model/LoadGenerator.java
+++ b/rig/src/main/java/spurroad/rig/model/LoadGenerator.java
@@ -9,9 +9,9 @@
 import spurroad.rig.time.Timeline;
 
 /**
- * All clients: queries fall due at a rate, whatever became of those before (open loop), and each is asked for until it
- * is served, may not be asked again, or its client's patience is over. It knows nothing of how tries reach a proxy. One
- * thread only, that of its timeline.
+ * All clients: queries fall due at a rate, whatever became of those before (open loop), and each is asked for
+ * until it is served, may not be asked again, or its client's patience is over. It knows nothing of how tries
+ * reach a proxy. One thread only, that of its timeline.
  */
 public final class LoadGenerator {
     /** What carries tries to proxies. */
@@ -48,7 +48,8 @@
     private double times = 1;
     private long number, nextAt, until;
 
-    public LoadGenerator(Scenario scenario, long seed, Timeline timeline, Gateway gateway, RequestListener listener) {
+    public LoadGenerator(Scenario scenario, long seed, Timeline timeline, Gateway gateway,
+                         RequestListener listener) {
         load = scenario.load();
         clients = load.clients();
         this.timeline = timeline;
@@ -77,7 +78,8 @@
         Scenario.Track track = drawn(load.tracks(), Scenario.Track::part);
         Scenario.Customer customer = drawn(load.customers(), Scenario.Customer::part);
         String mark = track.effect() == Effect.DEDUPLICATED ? "m" + Long.toHexString(number) : "";
-        ClientRequest request = new ClientRequest(number++, nextAt, track, customer, popularity.key(nextAt), mark);
+        ClientRequest request = new ClientRequest(number++, nextAt, track, customer, popularity.key(nextAt),
+            mark);
         listener.due(request);
         listener.late(request, timeline.now() - nextAt);
         next();
@@ -103,7 +105,8 @@
             return;
         }
         int n = ++request.tries;
-        RequestAttempt attempt = new RequestAttempt("q" + Long.toHexString(request.number) + "." + n, request, n, gateway.choose(),
+        RequestAttempt attempt = new RequestAttempt("q" + Long.toHexString(request.number) + "." + n, request,
+            n, gateway.choose(),
             Math.min(patience, now + request.track.timeoutNs()));
         attempt.timeOver = timeline.at(attempt.until, () -> timeOver(attempt));
         gateway.send(attempt);
@@ -113,7 +116,8 @@
         if (!attempt.over) {
             attempt.over = true;
             gateway.leave(attempt);
-            again(attempt, ClientRequest.Outcome.UNANSWERED, attempt.request.track.effect() == Effect.IDEMPOTENT, 0);
+            again(attempt, ClientRequest.Outcome.UNANSWERED,
+                attempt.request.track.effect() == Effect.IDEMPOTENT, 0);
         }
     }
 
@@ -130,23 +134,32 @@
         over(attempt);
         long now = timeline.now();
         switch (answer.kind()) {
-            case VALUE, RECEIPT -> end(attempt.request, now - attempt.request.due <= attempt.request.track.sloNs() ? ClientRequest.Outcome.IN_TIME : ClientRequest.Outcome.LATE);
+            case VALUE, RECEIPT ->
+                end(attempt.request, now - attempt.request.due <= attempt.request.track.sloNs()
+                    ? ClientRequest.Outcome.IN_TIME : ClientRequest.Outcome.LATE);
             case REJECTED -> again(attempt, ClientRequest.Outcome.REJECTED, true, answer.comeBackNs());
-            case FAILED -> again(attempt, ClientRequest.Outcome.FAILED, attempt.request.track.effect() == Effect.IDEMPOTENT, 0);
+            case FAILED -> again(attempt, ClientRequest.Outcome.FAILED,
+                attempt.request.track.effect() == Effect.IDEMPOTENT, 0);
         }
     }
 
-    /** Told by the gateway: the connection ended without an answer. Whether the proxy had taken it is not known. */
+    /**
+     * Told by the gateway: the connection ended without an answer. Whether the proxy had taken it is not
+     * known.
+     */
     public void broken(RequestAttempt attempt, boolean sent) {
         if (!attempt.over) {
             over(attempt);
-            again(attempt, ClientRequest.Outcome.FAILED, !sent || attempt.request.track.effect() == Effect.IDEMPOTENT, 0);
+            again(attempt, ClientRequest.Outcome.FAILED,
+                !sent || attempt.request.track.effect() == Effect.IDEMPOTENT, 0);
         }
     }
 
-    private void again(RequestAttempt attempt, ClientRequest.Outcome otherwise, boolean may, long comeBackNs) {
+    private void again(RequestAttempt attempt, ClientRequest.Outcome otherwise, boolean may,
+                       long comeBackNs) {
         ClientRequest request = attempt.request;
-        if (!may || request.tries >= clients.tries() || timeline.now() >= request.due + clients.patienceNs()) {
+        if (!may || request.tries >= clients.tries()
+            || timeline.now() >= request.due + clients.patienceNs()) {
             end(request, otherwise);
             return;
         }
--- a/rig/src/main/java/spurroad/rig/net/SocketGateway.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketGateway.java
@@ -24,8 +24,8 @@
 import spurroad.rig.world.World;
 
 /**
- * Carries tries to proxies over connections that clients keep, one try on each at a time, and opens more up to a bound;
- * tries for which there is none wait. The loop's.
+ * Carries tries to proxies over connections that clients keep, one try on each at a time, and opens more up
+ * to a bound; tries for which there is none wait. The loop's.
  */
 final class SocketGateway implements LoadGenerator.Gateway {
     private static final long NS_PER_MS = 1_000_000L;
@@ -153,7 +153,8 @@
             opened++;
             at = first;
             channel = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel c) {
@@ -177,19 +178,23 @@
             sent = false;
             long now = world.timeline.now();
             world.checker.sending(now, attempt);
-            channel.writeAndFlush(command(attempt, Math.max(1, (attempt.until - now) / NS_PER_MS))).addListener(f -> {
-                if (f.isSuccess() && at == attempt) {
-                    sent = true;
-                    world.checker.taken(world.timeline.now(), attempt);
-                }
-            });
+            channel.writeAndFlush(command(attempt, Math.max(1, (attempt.until - now) / NS_PER_MS)))
+                .addListener(f -> {
+                    if (f.isSuccess() && at == attempt) {
+                        sent = true;
+                        world.checker.taken(world.timeline.now(), attempt);
+                    }
+                });
         }
 
         private ByteBuf command(RequestAttempt attempt, long waitMs) {
-            String list = "c=" + attempt.request.track.name() + ",t=" + attempt.request.customer.name() + ",d=" + waitMs
-                + (attempt.request.mark.isEmpty() ? "" : ",k=" + attempt.request.mark) + (attempt.number > 1 ? ",r=1" : "");
+            String list = "c=" + attempt.request.track.name() + ",t=" + attempt.request.customer.name()
+                + ",d=" + waitMs
+                + (attempt.request.mark.isEmpty() ? "" : ",k=" + attempt.request.mark)
+                + (attempt.number > 1 ? ",r=1" : "");
             String line = attempt.request.track.write()
-                ? "ms k" + attempt.request.key + " " + VALUE_BYTES + " O" + attempt.id + " P" + list + "\r\n" + "w".repeat(VALUE_BYTES)
+                ? "ms k" + attempt.request.key + " " + VALUE_BYTES + " O" + attempt.id + " P" + list + "\r\n"
+                    + "w".repeat(VALUE_BYTES)
                 : "mg k" + attempt.request.key + " v O" + attempt.id + " P" + list;
             return Unpooled.copiedBuffer(line + "\r\n", StandardCharsets.ISO_8859_1);
         }
@@ -213,20 +218,21 @@
 
         private Answer answer(RequestAttempt attempt, MetaDecoder.Message m) {
             switch (m.words()[0]) {
-                case "VA":
+                case "VA" :
                     String[] made = TaggedValue.read(m.value());
                     boolean named = m.flag('O').equals(attempt.id);
-                    return new Answer(Answer.Kind.VALUE, 0, named ? made[0] : "O" + m.flag('O'), version(made[2]));
-                case "HD":
+                    return new Answer(Answer.Kind.VALUE, 0, named ? made[0] : "O" + m.flag('O'),
+                        version(made[2]));
+                case "HD" :
                     return new Answer(Answer.Kind.RECEIPT, 0, m.flag('O').equals(attempt.id) ? m.flag('c')
                         : "O" + m.flag('O'), 0);
-                case "SERVER_ERROR":
+                case "SERVER_ERROR" :
                     if (m.words().length > 1 && m.words()[1].equals("busy")) {
                         long ms = m.words().length > 2 ? Long.parseLong(m.words()[2]) : 0;
                         return new Answer(Answer.Kind.REJECTED, ms * NS_PER_MS, "", 0);
                     }
                     return new Answer(Answer.Kind.FAILED, 0, "", 0);
-                default:
+                default :
                     return new Answer(Answer.Kind.FAILED, 0, "", 0);
             }
         }
--- a/rig/src/main/java/spurroad/rig/net/TaggedValue.java
+++ b/rig/src/main/java/spurroad/rig/net/TaggedValue.java
@@ -5,9 +5,11 @@
 import spurroad.rig.model.Reply;
 import spurroad.rig.model.ServerRequest;
 
-/** Values say for which try and in which version they were made, so that whoever is served with one can tell. */
+/**
+ * Values say for which try and in which version they were made, so that whoever is served with one can tell.
+ */
 final class TaggedValue {
-    private TaggedValue() { }
+    private TaggedValue() {}
 
     static byte[] of(ServerRequest request, Reply reply) {
         byte[] head = (request.id() + " k" + request.key() + " " + reply.version() + " ")
--- a/rig/src/test/java/spurroad/rig/checker/RuleCheckerTest.java
+++ b/rig/src/test/java/spurroad/rig/checker/RuleCheckerTest.java
@@ -13,8 +13,8 @@
 import spurroad.rig.model.ClientRequest;
 import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.model.Reply;
-import spurroad.rig.model.ServerRequest;
 import spurroad.rig.model.RequestAttempt;
+import spurroad.rig.model.ServerRequest;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.time.SimulatedTimeline;
 
@@ -45,7 +45,7 @@
             }
 
             @Override
-            public void leave(RequestAttempt t) { }
+            public void leave(RequestAttempt t) {}
         };
         new LoadGenerator(scenario, 1, timeline, gateway, new OutcomeStatistics(scenario)).begin(S);
         timeline.runUntil(S);
--- a/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
+++ b/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
@@ -50,7 +50,8 @@
         effect = "deduplicated"
         dedup-window = "1s"
         """);
-    private final Scenario.Track read = scenario.load().tracks().get(0), put = scenario.load().tracks().get(1);
+    private final Scenario.Track read = scenario.load().tracks().get(0),
+        put = scenario.load().tracks().get(1);
     private SimulatedTimeline timeline;
     private CacheNode a, b;
     private Origin origin;
@@ -66,7 +67,7 @@
         fell = new ArrayList<>();
         RequestObserver observer = new RequestObserver() {
             @Override
-            public void begun(long at, String uid, ServerRequest request) { }
+            public void begun(long at, String uid, ServerRequest request) {}
 
             @Override
             public void ended(long at, String uid, ServerRequest request, Reply reply) {
@@ -84,8 +85,10 @@
             }
         };
         Scenario.NodeGroup group = scenario.world().nodes().get(0);
-        a = new CacheNode("a-0", group, scenario.load(), timeline, ledger, observer, new RandomStream(1, "a-0"));
-        b = new CacheNode("a-1", group, scenario.load(), timeline, ledger, observer, new RandomStream(1, "a-1"));
+        a = new CacheNode("a-0", group, scenario.load(), timeline, ledger, observer,
+            new RandomStream(1, "a-0"));
+        b = new CacheNode("a-1", group, scenario.load(), timeline, ledger, observer,
+            new RandomStream(1, "a-1"));
         origin = new Origin(scenario.world().origin(), scenario.load(), timeline, ledger, observer,
             new RandomStream(1, "origin"));
     }
@@ -141,17 +144,18 @@
         fetch(b, 7);
         ServerRequest write = new ServerRequest("w1", 7, put, "m1", false);
         seen.clear();
-        origin.offer(write, r -> { });
+        origin.offer(write, r -> {});
         timeline.runUntil(timeline.now() + 100 * MS);
-        origin.offer(write, r -> { });
+        origin.offer(write, r -> {});
         timeline.runUntil(timeline.now() + 100 * MS);
         assertEquals(seen.stream().filter(s -> s.equals("effect m1")).count(), 1);
         assertEquals(ask(a, 7).kind(), Reply.Kind.MISS);
         assertEquals(ask(b, 7).kind(), Reply.Kind.MISS);
         timeline.runUntil(timeline.now() + S);
-        origin.offer(write, r -> { });
+        origin.offer(write, r -> {});
         timeline.runUntil(timeline.now() + 100 * MS);
-        assertEquals(seen.stream().filter(s -> s.equals("effect m1")).count(), 2, "past the window it is another");
+        assertEquals(seen.stream().filter(s -> s.equals("effect m1")).count(), 2,
+            "past the window it is another");
     }
 
     @Test
@@ -187,7 +191,7 @@
     public void theLoadThatItTellsIsAsOldAsItMayBe() {
         assertEquals(a.report(), 0);
         for (int i = 0; i < 4; i++) {
-            a.offer(request("r" + i, i, false), r -> { });
+            a.offer(request("r" + i, i, false), r -> {});
         }
         assertEquals(a.report(), 0, "told a moment ago");
         timeline.runUntil(timeline.now() + 5 * MS);
@@ -205,7 +209,7 @@
         timeline.runUntil(from + S);
         assertEquals(done[0], 40 * MS, "a quarter of its speed");
         for (int i = 0; i < 40; i++) {
-            a.offer(request("p" + i, i, false), r -> { });
+            a.offer(request("p" + i, i, false), r -> {});
         }
         assertEquals(fell, List.of("a-0"));
         assertEquals(a.reach(), CacheNode.Reach.DOWN);
@@ -213,7 +217,7 @@
         assertEquals(a.reach(), CacheNode.Reach.UP);
         timeline.runUntil(timeline.now() + 5 * S);
         for (int i = 0; i < 40; i++) {
-            a.offer(request("w" + i, i, false), r -> { });
+            a.offer(request("w" + i, i, false), r -> {});
         }
         assertEquals(fell.size(), 1, "a warm one only turns away");
     }
--- a/rig/src/test/java/spurroad/rig/net/SocketWorldTest.java
+++ b/rig/src/test/java/spurroad/rig/net/SocketWorldTest.java
@@ -11,8 +11,8 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 import spurroad.rig.TestScenarios;
-import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.play.Result;
+import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.scenario.Scenario;
 
 /** Whole worlds on sockets, round the real proxy of this build. */
@@ -26,7 +26,10 @@
         runner = new ScenarioRunner.Sockets(JAR, ScenarioRunner.Sockets.FLAGS);
     }
 
-    /** A run on which the machine was too busy says nothing: it is played again, as whoever uses the rig would. */
+    /**
+     * A run on which the machine was too busy says nothing: it is played again, as whoever uses the rig
+     * would.
+     */
     private Result play(Scenario scenario) throws IOException, InterruptedException {
         Result r = once(scenario);
         for (int more = 0; more < 2 && r.voidFor().startsWith("the rig ran late"); more++) {
@@ -36,7 +39,7 @@
     }
 
     private Result once(Scenario scenario) throws IOException, InterruptedException {
-        return runner.play(scenario, 1, Files.createTempDirectory("rig-test"), line -> { });
+        return runner.play(scenario, 1, Files.createTempDirectory("rig-test"), line -> {});
     }
 
     private static long children() {
@@ -45,10 +48,11 @@
 
     @Test
     public void aRealProxyServesUnderFaultsAndKeepsTheRules() throws IOException, InterruptedException {
-        Result r = play(TestScenarios.small("8s", TestScenarios.fault("silent", "2s", "1s", "targets = [\"a-0\"]")
-            + TestScenarios.fault("drain", "3s", "3500ms", "targets = [\"b-1\"]")
-            + TestScenarios.fault("replaced", "4s", "1s", "targets = [\"a-1\"]")
-            + TestScenarios.fault("half-open", "5s", "1s", "targets = [\"b-0\"]")));
+        Result r = play(TestScenarios.small("8s",
+            TestScenarios.fault("silent", "2s", "1s", "targets = [\"a-0\"]")
+                + TestScenarios.fault("drain", "3s", "3500ms", "targets = [\"b-1\"]")
+                + TestScenarios.fault("replaced", "4s", "1s", "targets = [\"a-1\"]")
+                + TestScenarios.fault("half-open", "5s", "1s", "targets = [\"b-0\"]")));
         assertEquals(r.voidFor(), "");
         assertEquals(r.stories(), List.of());
         assertTrue(r.goodput() > 0.8, "" + r.goodput());
@@ -85,8 +89,10 @@
     }
 
     @Test
-    public void aProxyThatIsKilledIsStartedAgainAndWhatItHadTakenIsExcused() throws IOException, InterruptedException {
-        Result r = play(TestScenarios.small("8s", TestScenarios.fault("proxy-killed", "2s", "2s", "targets = [\"p-1\"]")));
+    public void aProxyThatIsKilledIsStartedAgainAndWhatItHadTakenIsExcused()
+        throws IOException, InterruptedException {
+        Result r = play(TestScenarios.small("8s",
+            TestScenarios.fault("proxy-killed", "2s", "2s", "targets = [\"p-1\"]")));
         assertEquals(r.voidFor(), "");
         assertEquals(r.broken(), 0, r.stories().toString());
         assertTrue(r.seconds().get(7).goodput() > 0.9, r.seconds().toString());
@@ -103,7 +109,7 @@
         Scenario s = TestScenarios.small("2s", "");
         ScenarioRunner none = new ScenarioRunner.Sockets(JAR, List.of("-Xmx1m")); // no such machine starts
         try {
-            Result r = none.play(s, 1, Files.createTempDirectory("rig-test"), line -> { });
+            Result r = none.play(s, 1, Files.createTempDirectory("rig-test"), line -> {});
             assertFalse(r.voidFor().isEmpty());
         } catch (IOException e) {
             assertTrue(e.getMessage().contains("was not ready"), e.getMessage());
--- a/rig/src/test/java/spurroad/rig/sim/SimulatedWorldTest.java
+++ b/rig/src/test/java/spurroad/rig/sim/SimulatedWorldTest.java
@@ -35,17 +35,19 @@
 /** Whole worlds in simulated time: what they keep to, and that planted faults of a proxy are seen. */
 public class SimulatedWorldTest {
     private static World play(Scenario scenario, long seed, Policy.Factory policy) {
-        return new SimulatedWorld(scenario, seed, policy, line -> { }).play();
+        return new SimulatedWorld(scenario, seed, policy, line -> {}).play();
     }
 
     private static String print(World w) {
-        return w.outcomes.all().inTime + " " + w.outcomes.all().due + " " + w.outcomes.latencyUs().getTotalCount() + " "
+        return w.outcomes.all().inTime + " " + w.outcomes.all().due + " "
+            + w.outcomes.latencyUs().getTotalCount() + " "
             + w.outcomes.latencyUs().getMean() + " " + w.checker.executions() + " " + w.checker.taken();
     }
 
     @Test
     public void theSameSeedIsTheSameRunAndAnotherIsNot() {
-        Scenario s = TestScenarios.small("6s", TestScenarios.fault("silent", "2s", "2s", "targets = [\"a-0\"]"));
+        Scenario s = TestScenarios.small("6s",
+            TestScenarios.fault("silent", "2s", "2s", "targets = [\"a-0\"]"));
         assertEquals(print(play(s, 3, Policy.Kind.MECHANISM)), print(play(s, 3, Policy.Kind.MECHANISM)));
         assertNotEquals(print(play(s, 3, Policy.Kind.MECHANISM)), print(play(s, 4, Policy.Kind.MECHANISM)));
     }
@@ -66,7 +68,10 @@
     /** Each kind of fault is played alone, begins and ends, and breaks no rule of the mechanism's. */
     @Test(dataProvider = "faults")
     public void theMechanismKeepsTheRulesUnderEachFault(FaultKind kind) {
-        World w = play(TestScenarios.small("14s", TestScenarios.fault(TestScenarios.name(kind), "3s", "3s", TestScenarios.rest(kind))), 2,
+        World w = play(
+            TestScenarios.small("14s",
+                TestScenarios.fault(TestScenarios.name(kind), "3s", "3s", TestScenarios.rest(kind))),
+            2,
             Policy.Kind.MECHANISM);
         assertEquals(w.checker.breaches(), List.of());
         assertTrue(w.outcomes.all().goodput() > 0.5, kind + " " + w.outcomes.all().goodput());
@@ -85,9 +90,12 @@
         Scenario s = TestScenarios.small("8s", "[load.clients]\ntries = 1\npatience = \"5s\"\n"
             + TestScenarios.fault("proxy-stopped", "3s", "2s", "targets = [\"p-0\"]"));
         Scenario patient = new Scenario(s.name(), s.about(), s.warmNs(), s.lengthNs(), s.world(),
-            new Scenario.Load(s.load().perSecond(), s.load().keys(), s.load().zipf(), 0, s.load().connections(), 200, 0,
+            new Scenario.Load(s.load().perSecond(), s.load().keys(), s.load().zipf(), 0,
+                s.load().connections(), 200, 0,
                 200, s.load().customers(), List.of(new Scenario.Track("read", 1, Effect.IDEMPOTENT,
-                false, 300_000_000L, 4_000_000_000L, 0, 1, 0.3)), s.load().clients()), s.faults(), s.rules(), s.seeds());
+                    false, 300_000_000L, 4_000_000_000L, 0, 1, 0.3)),
+                s.load().clients()),
+            s.faults(), s.rules(), s.seeds());
         World w = play(patient, 1, Policy.Kind.RANDOM);
         double most = w.outcomes.latencyUs().getMaxValue() / 1e6;
         assertTrue(most > 1.8 && most < 2.3, most + " s at most");
@@ -114,7 +122,8 @@
         }
 
         @Override
-        public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
+        public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
+                            boolean write,
                             long budgetNs, Decisions into) {
             right.arrived(at, id, track, customer, key, write, budgetNs, into);
         }
@@ -155,14 +164,17 @@
 
     @Test
     public void aSendToADrainingNodeIsSeen() {
-        Scenario s = TestScenarios.small("9s", TestScenarios.fault("drain", "2s", "6s", "targets = [\"a-1\"]"));
+        Scenario s = TestScenarios.small("9s",
+            TestScenarios.fault("drain", "2s", "6s", "targets = [\"a-1\"]"));
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
-            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
+            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
+                                boolean write,
                                 long budgetNs, Decisions into) {
                 super.arrived(at, id, track, customer, key, write, budgetNs, into);
-                divert(into, entries.stream().filter(e -> e.phase() == Phase.DRAINING).map(NodeEntry::id).findFirst()
-                    .orElse(null));
+                divert(into,
+                    entries.stream().filter(e -> e.phase() == Phase.DRAINING).map(NodeEntry::id).findFirst()
+                        .orElse(null));
             }
         });
         assertTrue(w.checker.count(Rule.NOTHING_TO_LEAVING) > 10);
@@ -189,7 +201,8 @@
         assertEquals(play(s, 1, Policy.Kind.MECHANISM).checker.count(Rule.NO_COLD_PUSHED_OVER), 0);
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
-            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
+            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
+                                boolean write,
                                 long budgetNs, Decisions into) {
                 super.arrived(at, id, track, customer, key, write, budgetNs, into);
                 divert(into, entries.stream().filter(e -> e.startedNs() > 0).map(NodeEntry::id).findFirst()
@@ -205,7 +218,8 @@
         Map<QueryId, Boolean> unsafe = new HashMap<>();
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
-            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
+            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
+                                boolean write,
                                 long budgetNs, Decisions into) {
                 super.arrived(at, id, track, customer, key, write, budgetNs, into);
                 for (Decisions.Start start : List.copyOf(into.starts)) {
