--- a/cli/src/test/java/spurroad/cli/ArchitectureTest.java
+++ b/cli/src/test/java/spurroad/cli/ArchitectureTest.java
@@ -48,11 +48,14 @@
     @Test
     public void distributionDecidesWithoutInputOutputClockOrThread() {
         classes().that().resideInAPackage("spurroad.control.distribution").should().onlyDependOnClassesThat()
-            .resideInAnyPackage("spurroad.control.distribution", "java.lang", "java.lang.runtime", "java.lang.invoke",
-                "java.util", "java.util.function", "java.util.stream", "java.util.zip", "java.nio", "java.nio.charset")
+            .resideInAnyPackage("spurroad.control.distribution", "java.lang", "java.lang.runtime",
+                "java.lang.invoke",
+                "java.util", "java.util.function", "java.util.stream", "java.util.zip", "java.nio",
+                "java.nio.charset")
             .check(ALL);
         noClasses().that().resideInAPackage("spurroad.control.distribution").should()
-            .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis").check(ALL);
+            .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
+            .check(ALL);
     }
 
     @Test
--- a/control/src/main/java/spurroad/control/distribution/Admission.java
+++ b/control/src/main/java/spurroad/control/distribution/Admission.java
@@ -3,8 +3,8 @@
 import java.util.Random;
 
 /**
- * Bounds how many new children a publisher takes in a second. Those it turns away are told when to come again, spread
- * over the time that as many as came lately need.
+ * Bounds how many new children a publisher takes in a second. Those it turns away are told when to come
+ * again, spread over the time that as many as came lately need.
  */
 final class Admission {
     private static final long FORGET = DistributionSettings.SECOND;
--- a/control/src/main/java/spurroad/control/distribution/ConfigurationState.java
+++ b/control/src/main/java/spurroad/control/distribution/ConfigurationState.java
@@ -17,8 +17,8 @@
 import spurroad.control.distribution.ConfigurationUpdate.Snapshot;
 
 /**
- * The configuration as one process knows it, and a bounded log of the latest changes from which others catch up. It
- * only goes forward: what is older than it is ignored, what leaves a gap is refused.
+ * The configuration as one process knows it, and a bounded log of the latest changes from which others catch
+ * up. It only goes forward: what is older than it is ignored, what leaves a gap is refused.
  */
 public final class ConfigurationState {
     /** What became of an update. */
@@ -78,8 +78,8 @@
     /**
      * Applies an update, whole or not at all.
      *
-     * @param applied is told each entry that takes effect, in order, each sequence number once; what a snapshot leaves
-     *                out is told as removed at the snapshot's number
+     * @param applied is told each entry that takes effect, in order, each sequence number once; what a
+     *     snapshot leaves out is told as removed at the snapshot's number
      */
     public Result apply(ConfigurationUpdate update, Consumer<Entry> applied) {
         if (update instanceof Snapshot snapshot) {
@@ -149,8 +149,8 @@
     }
 
     /**
-     * What brings a subscriber of a scope from a number to the present one: a delta where the log reaches back far
-     * enough, else the whole state. Empty where it has all.
+     * What brings a subscriber of a scope from a number to the present one: a delta where the log reaches
+     * back far enough, else the whole state. Empty where it has all.
      */
     public Optional<ConfigurationUpdate> since(long from, boolean hasState, Scope scope) {
         if (!complete || hasState && from >= sequence) {
--- a/control/src/main/java/spurroad/control/distribution/ConfigurationUpdate.java
+++ b/control/src/main/java/spurroad/control/distribution/ConfigurationUpdate.java
@@ -40,8 +40,9 @@
         long previous = after;
         for (Entry entry : entries) {
             if (entry.sequence() <= previous || entry.sequence() > last) {
-                throw new IllegalArgumentException("sequence " + entry.sequence() + " after " + previous + " up to "
-                    + last);
+                throw new IllegalArgumentException(
+                    "sequence " + entry.sequence() + " after " + previous + " up to "
+                        + last);
             }
             previous = entry.sequence();
         }
--- /dev/null
+++ b/control/src/main/java/spurroad/control/distribution/CoreReplica.java
@@ -0,0 +1,507 @@
+package spurroad.control.distribution;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.OptionalLong;
+import java.util.Random;
+import java.util.Set;
+import spurroad.control.distribution.Message.Append;
+import spurroad.control.distribution.Message.AppendReply;
+import spurroad.control.distribution.Message.InstallState;
+import spurroad.control.distribution.Message.Vote;
+import spurroad.control.distribution.Message.VoteRequest;
+
+/**
+ * One replica of the core. The primary of an epoch is elected by a majority; a command is accepted once a
+ * majority has it in its log, and then applied by all in the same order. Raft (Ongaro and Ousterhout, 2014)
+ * without changes of membership; an election is tried before it changes an epoch (Ongaro's thesis, 9.6), so a
+ * replica that comes back from a cut deposes nobody.
+ */
+public final class CoreReplica {
+    /** Is told when a command of the log is accepted, at each replica. */
+    @FunctionalInterface
+    public interface AcceptedListener {
+        void accepted(long index, CoreCommand command);
+    }
+
+    private enum Role { FOLLOWER, CANDIDATE, PRIMARY }
+
+    private static final class Follower {
+        private long nextIndex;
+        private long matchIndex;
+        private long roundMillis = Long.MIN_VALUE; // the latest round that it answered
+        private long heardMillis; // by its own clock
+        private long sentAt = Long.MIN_VALUE;
+        private boolean isAwaited;
+    }
+
+    private final DistributionSettings settings;
+    private final ProcessId self;
+    private final List<ProcessId> others;
+    private final StableState stable;
+    private final ConfigurationState configuration;
+    private final PurgeLog purges;
+    private final AcceptedListener accepted;
+    private final Freshness freshness;
+    private final Random random;
+
+    private Role role = Role.FOLLOWER;
+    private ProcessId primary;
+    private long commitIndex;
+    private long appliedEpoch;
+    private long primaryHeardAt = Long.MIN_VALUE;
+    private long electionAt;
+    private long nextRoundAt = Long.MAX_VALUE;
+    private boolean isTrial; // a candidate that has not entered its epoch yet
+    private final Set<ProcessId> votes = new HashSet<>();
+    private final Map<ProcessId, Follower> followers = new HashMap<>();
+
+    /**
+     * Starts a replica.
+     *
+     * @param members of the core, this one among them
+     * @param stable what it had when it ended, or an empty one
+     */
+    public CoreReplica(long now, DistributionSettings settings, ProcessId self, List<ProcessId> members,
+                       StableState stable, AcceptedListener accepted, long seed) {
+        this.settings = settings;
+        this.self = self;
+        this.stable = stable;
+        this.accepted = accepted;
+        others = members.stream().filter(member -> !member.equals(self)).toList();
+        random = new Random(seed);
+        configuration = new ConfigurationState(settings.configurationLog);
+        purges = new PurgeLog(settings.largestPurgeLog, settings.largestPurgeLog);
+        freshness = new Freshness(settings.freshnessLease);
+        install(stable.base());
+        awaitPrimary(now);
+    }
+
+    private void install(CoreSnapshot snapshot) {
+        if (snapshot.index() > 0) {
+            configuration.apply(snapshot.configuration(), entry -> {});
+            if (snapshot.purgeNumber() > purges.number()) {
+                purges.reset(snapshot.purgeNumber());
+            }
+        }
+        commitIndex = snapshot.index();
+        appliedEpoch = snapshot.epoch();
+    }
+
+    private void awaitPrimary(long now) {
+        electionAt = now + settings.electionTimeout + (long) (random.nextDouble() * settings.electionTimeout);
+    }
+
+    /** Takes a message of another replica. */
+    public void receive(long now, ProcessId from, Message message, Outbox outbox) {
+        if (message instanceof VoteRequest request) {
+            voteRequested(now, from, request, outbox);
+        } else if (message instanceof Vote vote) {
+            voted(now, from, vote, outbox);
+        } else if (message instanceof Append append) {
+            append(now, from, append, outbox);
+        } else if (message instanceof AppendReply reply) {
+            replied(now, from, reply, outbox);
+        } else if (message instanceof InstallState installation) {
+            installed(now, from, installation, outbox);
+        }
+    }
+
+    /** Does what is due: an election, or the primary's next round. */
+    public void wake(long now, Outbox outbox) {
+        if (role == Role.PRIMARY) {
+            if (now >= nextRoundAt) {
+                round(now, outbox);
+            }
+        } else if (now >= electionAt) {
+            standForElection(now, outbox);
+        }
+    }
+
+    /** When to wake it next. */
+    public long nextWakeAt() {
+        return role == Role.PRIMARY ? nextRoundAt : electionAt;
+    }
+
+    // ---- election
+
+    private void standForElection(long now, Outbox outbox) {
+        role = Role.CANDIDATE;
+        primary = null;
+        awaitPrimary(now);
+        askForVotes(now, true, outbox);
+    }
+
+    private void askForVotes(long now, boolean trial, Outbox outbox) {
+        isTrial = trial;
+        if (!trial) {
+            stable.enter(stable.epoch() + 1);
+            stable.voteFor(self);
+        }
+        votes.clear();
+        votes.add(self);
+        VoteRequest request = new VoteRequest(candidateEpoch(), stable.lastIndex(), stable.lastEpoch(),
+            trial);
+        others.forEach(other -> outbox.send(other, request));
+        countVotes(now, outbox);
+    }
+
+    private long candidateEpoch() {
+        return isTrial ? stable.epoch() + 1 : stable.epoch();
+    }
+
+    private void voteRequested(long now, ProcessId from, VoteRequest request, Outbox outbox) {
+        boolean hearsPrimary = role == Role.PRIMARY && isHeardByMajority(now)
+            || primary != null && now - primaryHeardAt < settings.electionTimeout;
+        if (hearsPrimary) {
+            return;
+        }
+        boolean isUpToDate = request.lastEpoch() > stable.lastEpoch()
+            || request.lastEpoch() == stable.lastEpoch() && request.lastIndex() >= stable.lastIndex();
+        if (request.trial()) {
+            boolean would = isUpToDate && request.epoch() > stable.epoch();
+            outbox.send(from, new Vote(would ? request.epoch() : stable.epoch(), would, true));
+            return;
+        }
+        follow(now, request.epoch());
+        boolean mayVote = stable.votedFor() == null || stable.votedFor().equals(from);
+        boolean grants = request.epoch() == stable.epoch() && role != Role.PRIMARY && mayVote && isUpToDate;
+        if (grants) {
+            stable.voteFor(from);
+            awaitPrimary(now);
+        }
+        outbox.send(from, new Vote(stable.epoch(), grants, false));
+    }
+
+    private boolean isHeardByMajority(long now) {
+        long heard = majorityRoundMillis(now) * DistributionSettings.MILLISECOND;
+        return now - heard < settings.electionTimeout;
+    }
+
+    private void voted(long now, ProcessId from, Vote vote, Outbox outbox) {
+        if (!vote.granted()) {
+            follow(now, vote.epoch());
+            return;
+        }
+        if (role != Role.CANDIDATE || vote.trial() != isTrial || vote.epoch() != candidateEpoch()) {
+            return;
+        }
+        votes.add(from);
+        countVotes(now, outbox);
+    }
+
+    private void countVotes(long now, Outbox outbox) {
+        if (!isMajority(votes.size())) {
+            return;
+        }
+        if (isTrial) {
+            askForVotes(now, false, outbox);
+        } else {
+            becomePrimary(now, outbox);
+        }
+    }
+
+    private void becomePrimary(long now, Outbox outbox) {
+        role = Role.PRIMARY;
+        primary = self;
+        followers.clear();
+        for (ProcessId other : others) {
+            Follower follower = new Follower();
+            follower.nextIndex = stable.lastIndex() + 1;
+            followers.put(other, follower);
+        }
+        stable.append(new CoreEntry(stable.epoch(), new CoreCommand.NoOperation()));
+        round(now, outbox);
+    }
+
+    /** Enters a later epoch as a follower; in the present one nothing changes. */
+    private void follow(long now, long epoch) {
+        if (epoch <= stable.epoch()) {
+            return;
+        }
+        stable.enter(epoch);
+        if (role != Role.FOLLOWER) {
+            awaitPrimary(now);
+        }
+        role = Role.FOLLOWER;
+        primary = null;
+        nextRoundAt = Long.MAX_VALUE;
+    }
+
+    private boolean isMajority(int count) {
+        return count > (others.size() + 1) / 2;
+    }
+
+    // ---- the primary
+
+    /**
+     * Proposes a command; its index, or empty where this replica is not the primary. Accepted it is only
+     * later.
+     */
+    public OptionalLong propose(CoreCommand command) {
+        if (role != Role.PRIMARY) {
+            return OptionalLong.empty();
+        }
+        stable.append(new CoreEntry(stable.epoch(), command));
+        return OptionalLong.of(stable.lastIndex());
+    }
+
+    private void round(long now, Outbox outbox) {
+        nextRoundAt = now + settings.coreInterval;
+        followers.forEach((id, follower) -> {
+            if (follower.isAwaited && now - follower.sentAt < settings.requestTimeout) {
+                sendHeartbeat(now, id, follower, outbox);
+            } else {
+                sendEntries(now, id, follower, outbox);
+            }
+        });
+        commit(now);
+    }
+
+    /** Says only that the primary lives: entries, or the state, are on the way and not answered yet. */
+    private void sendHeartbeat(long now, ProcessId to, Follower follower, Outbox outbox) {
+        if (stable.has(follower.nextIndex - 1)) {
+            sendAppend(now, to, follower, List.of(), outbox);
+        }
+    }
+
+    private void sendEntries(long now, ProcessId to, Follower follower, Outbox outbox) {
+        if (!stable.has(follower.nextIndex - 1)) {
+            follower.isAwaited = true;
+            follower.sentAt = now;
+            outbox.send(to,
+                new InstallState(stable.epoch(), stable.base(), now / DistributionSettings.MILLISECOND));
+            return;
+        }
+        List<CoreEntry> entries = stable.after(follower.nextIndex - 1, settings.mostCoreEntriesPerMessage);
+        if (!entries.isEmpty()) {
+            follower.isAwaited = true;
+            follower.sentAt = now;
+        }
+        sendAppend(now, to, follower, entries, outbox);
+    }
+
+    private void sendAppend(long now, ProcessId to, Follower follower, List<CoreEntry> entries,
+                            Outbox outbox) {
+        long previous = follower.nextIndex - 1;
+        outbox.send(to, new Append(stable.epoch(), previous, stable.epochAt(previous), entries, commitIndex,
+            now / DistributionSettings.MILLISECOND, freshness.ageMillis(now), follower.heardMillis));
+    }
+
+    private void replied(long now, ProcessId from, AppendReply reply, Outbox outbox) {
+        if (reply.epoch() > stable.epoch()) {
+            follow(now, reply.epoch());
+            return;
+        }
+        Follower follower = followers.get(from);
+        if (role != Role.PRIMARY || follower == null || reply.epoch() != stable.epoch()) {
+            return;
+        }
+        follower.roundMillis = Math.max(follower.roundMillis, reply.roundMillis());
+        follower.heardMillis = Math.max(follower.heardMillis, reply.sentAtMillis());
+        if (reply.matched()) {
+            if (reply.index() >= follower.nextIndex) {
+                follower.isAwaited = false;
+            }
+            follower.matchIndex = Math.max(follower.matchIndex, reply.index());
+            follower.nextIndex = Math.max(follower.nextIndex, follower.matchIndex + 1);
+        } else {
+            follower.nextIndex = Math.max(follower.matchIndex,
+                Math.min(follower.nextIndex - 1, reply.index())) + 1;
+            follower.isAwaited = false;
+        }
+        commit(now);
+        if (!follower.isAwaited && follower.nextIndex <= stable.lastIndex()) {
+            sendEntries(now, from, follower, outbox);
+        }
+    }
+
+    /**
+     * Commits what a majority has, once that contains an entry of this epoch; notes up to when that is all
+     * there is.
+     */
+    private void commit(long now) {
+        long[] matched = new long[others.size() + 1];
+        int i = 0;
+        for (Follower follower : followers.values()) {
+            matched[i++] = follower.matchIndex;
+        }
+        matched[i] = stable.lastIndex();
+        Arrays.sort(matched);
+        long majority = matched[(matched.length - 1) / 2];
+        if (majority > commitIndex && stable.epochAt(majority) == stable.epoch()) {
+            apply(majority);
+        }
+        if (appliedEpoch == stable.epoch()) {
+            long round = majorityRoundMillis(now);
+            if (round != Long.MIN_VALUE) {
+                freshness.knownAsOf(round * DistributionSettings.MILLISECOND);
+            }
+        }
+    }
+
+    /**
+     * When the latest round began that a majority has answered: then no other primary had accepted anything.
+     */
+    private long majorityRoundMillis(long now) {
+        long[] rounds = new long[others.size() + 1];
+        int i = 0;
+        for (Follower follower : followers.values()) {
+            rounds[i++] = follower.roundMillis;
+        }
+        rounds[i] = now / DistributionSettings.MILLISECOND;
+        Arrays.sort(rounds);
+        return rounds[(rounds.length - 1) / 2];
+    }
+
+    // ---- a follower
+
+    private void append(long now, ProcessId from, Append append, Outbox outbox) {
+        if (append.epoch() < stable.epoch()) {
+            outbox.send(from, new AppendReply(stable.epoch(), false, 0, append.roundMillis(), millis(now)));
+            return;
+        }
+        hear(now, from, append.epoch());
+        long previous = append.previousIndex();
+        if (previous < stable.startIndex()) {
+            acceptAfterStart(now, from, append, outbox);
+            return;
+        }
+        if (!stable.has(previous) || stable.epochAt(previous) != append.previousEpoch()) {
+            long hint = Math.min(stable.lastIndex(), Math.max(commitIndex, previous - 1));
+            outbox.send(from,
+                new AppendReply(stable.epoch(), false, hint, append.roundMillis(), millis(now)));
+            return;
+        }
+        long index = previous;
+        for (CoreEntry entry : append.entries()) {
+            index++;
+            store(index, entry);
+        }
+        apply(Math.min(append.commitIndex(), index));
+        if (commitIndex >= append.commitIndex()) {
+            freshness.heard(now, append.echoMillis(), append.ageMillis());
+        }
+        outbox.send(from, new AppendReply(stable.epoch(), true, index, append.roundMillis(), millis(now)));
+    }
+
+    /** The entries that are no longer kept were accepted, so they agree. */
+    private void acceptAfterStart(long now, ProcessId from, Append append, Outbox outbox) {
+        outbox.send(from, new AppendReply(stable.epoch(), true, stable.startIndex(), append.roundMillis(),
+            millis(now)));
+    }
+
+    private void store(long index, CoreEntry entry) {
+        if (stable.has(index)) {
+            if (stable.epochAt(index) == entry.epoch()) {
+                return;
+            }
+            stable.truncateFrom(index);
+        }
+        stable.append(entry);
+    }
+
+    private void installed(long now, ProcessId from, InstallState installation, Outbox outbox) {
+        if (installation.epoch() < stable.epoch()) {
+            return;
+        }
+        hear(now, from, installation.epoch());
+        CoreSnapshot snapshot = installation.snapshot();
+        if (snapshot.index() > commitIndex) {
+            stable.rebase(snapshot, settings.coreLog);
+            install(snapshot);
+        }
+        outbox.send(from, new AppendReply(stable.epoch(), true, commitIndex, installation.roundMillis(),
+            millis(now)));
+    }
+
+    private void hear(long now, ProcessId from, long epoch) {
+        follow(now, epoch);
+        role = Role.FOLLOWER;
+        primary = from;
+        primaryHeardAt = now;
+        awaitPrimary(now);
+    }
+
+    // ---- what was accepted
+
+    private void apply(long index) {
+        while (commitIndex < index) {
+            commitIndex++;
+            CoreEntry entry = stable.entry(commitIndex);
+            appliedEpoch = entry.epoch();
+            apply(entry.command());
+            accepted.accepted(commitIndex, entry.command());
+        }
+        if (commitIndex - stable.base().index() >= settings.coreLog) {
+            compact();
+        }
+    }
+
+    private void apply(CoreCommand command) {
+        if (command instanceof CoreCommand.Change change) {
+            configuration.append(change.key(), change.value());
+        } else if (command instanceof CoreCommand.Purges purge) {
+            for (long hash : purge.hashes()) {
+                purges.append(hash);
+            }
+        }
+    }
+
+    /**
+     * The state at the present index takes the place of the entries; those behind by more are sent it whole.
+     */
+    private void compact() {
+        stable.rebase(new CoreSnapshot(commitIndex, appliedEpoch, configuration.snapshot(Scope.ALL),
+            purges.number()), settings.coreLog);
+    }
+
+    private static long millis(long now) {
+        return now / DistributionSettings.MILLISECOND;
+    }
+
+    /** Whether it is the primary, as far as it knows. */
+    public boolean isPrimary() {
+        return role == Role.PRIMARY;
+    }
+
+    /** Whom it takes for the primary; null for nobody. */
+    public ProcessId primary() {
+        return primary;
+    }
+
+    /** Whether it is, or lately heard, a primary. */
+    public boolean isConnected(long now) {
+        return role == Role.PRIMARY ? isHeardByMajority(now)
+            : primary != null && now - primaryHeardAt < settings.parentTimeout;
+    }
+
+    /** The epoch of the latest accepted entry. */
+    public long acceptedEpoch() {
+        return appliedEpoch;
+    }
+
+    /** The index of the latest accepted entry. */
+    public long acceptedIndex() {
+        return commitIndex;
+    }
+
+    /** The accepted configuration. */
+    public ConfigurationState configuration() {
+        return configuration;
+    }
+
+    /** The accepted purges. */
+    public PurgeLog purges() {
+        return purges;
+    }
+
+    /** Up to when it knows everything that was accepted. */
+    public Freshness freshness() {
+        return freshness;
+    }
+}
--- a/control/src/main/java/spurroad/control/distribution/DistributionSettings.java
+++ b/control/src/main/java/spurroad/control/distribution/DistributionSettings.java
@@ -9,7 +9,10 @@
     public final long flushInterval = 250 * MILLISECOND;
     /** A parent is lost when nothing was heard of it for so long: six heartbeats. */
     public final long parentTimeout = 1_500 * MILLISECOND;
-    /** How long an answer to a subscription or a lease request is waited for; above a round trip round the world. */
+    /**
+     * How long an answer to a subscription or a lease request is waited for; above a round trip round the
+     * world.
+     */
     public final long requestTimeout = 600 * MILLISECOND;
     /** A parent that has no parent itself is left after so long: it may find one first. */
     public final long detachedTimeout = 700 * MILLISECOND;
@@ -27,19 +30,27 @@
     public final int admissionsPerSecond = 200;
     /** New children that are taken at once. */
     public final int admissionBurst = 40;
-    /** Changes of configuration that are kept for those who are behind: an hour and a half at 54,000 a day. */
+    /**
+     * Changes of configuration that are kept for those who are behind: an hour and a half at 54,000 a day.
+     */
     public final int configurationLog = 4_096;
     /** Purges that a relay keeps in any case: 18 s at 450 a second. */
     public final int usualPurgeLog = 8_192;
     /** Purges that are kept while somebody needs them: more than an hour at 450 a second; 16 MiB. */
     public final int largestPurgeLog = 1 << 21;
-    /** Without news for longer nothing is served as fresh; under the 7 s for a purge by the time to carry it out. */
+    /**
+     * Without news for longer nothing is served as fresh; under the 7 s for a purge by the time to carry it
+     * out.
+     */
     public final long freshnessLease = 6_500 * MILLISECOND;
     /** How long a relay lease lasts. */
     public final long leaseDuration = 3 * SECOND;
     /** How often a relay lease is asked for or renewed. */
     public final long leaseInterval = SECOND;
-    /** After so long away from its preferred parents a subscriber looks for them again; spread up to twice that. */
+    /**
+     * After so long away from its preferred parents a subscriber looks for them again; spread up to twice
+     * that.
+     */
     public final long returnInterval = 10 * SECOND;
     /** The primary of the core sends at least so often. */
     public final long coreInterval = 100 * MILLISECOND;
--- a/control/src/main/java/spurroad/control/distribution/Entry.java
+++ b/control/src/main/java/spurroad/control/distribution/Entry.java
@@ -7,8 +7,8 @@
  * One accepted change of one resource. The value is not copied; nobody may write to it.
  *
  * @param sequence number of the change, from 1 on, the same at every process
- * @param key      what changed
- * @param value    the new value; null where the resource was removed
+ * @param key what changed
+ * @param value the new value; null where the resource was removed
  */
 public record Entry(long sequence, ResourceKey key, byte[] value) {
     public Entry {
--- a/control/src/main/java/spurroad/control/distribution/Freshness.java
+++ b/control/src/main/java/spurroad/control/distribution/Freshness.java
@@ -1,10 +1,10 @@
 package spurroad.control.distribution;
 
 /**
- * Up to when a process knows everything that the core had accepted. Times are the process's own: a publisher tells how
- * old its knowledge is and echoes the latest time that it heard from the subscriber, so it sent its word after that.
- * The age is counted from there, which makes it larger than it is by at most a round trip and the time between two
- * updates, never smaller. Clocks need not agree, only go at the same rate.
+ * Up to when a process knows everything that the core had accepted. Times are the process's own: a publisher
+ * tells how old its knowledge is and echoes the latest time that it heard from the subscriber, so it sent its
+ * word after that. The age is counted from there, which makes it larger than it is by at most a round trip
+ * and the time between two updates, never smaller. Clocks need not agree, only go at the same rate.
  *
  * <p>Source: Gray and Cheriton, "Leases" (1989), for counting from the time of the request.
  */
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Takes a publisher's word, in milliseconds. It is of no use where the publisher can't say, and not believed where
-     * it echoes a time that has not come yet.
+     * Takes a publisher's word, in milliseconds. It is of no use where the publisher can't say, and not
+     * believed where it echoes a time that has not come yet.
      */
     public void heard(long now, long echoMillis, long ageMillis) {
         boolean isKnown = ageMillis >= 0 && ageMillis <= OLDEST_MILLIS;
@@ -36,7 +36,9 @@
         }
     }
 
-    /** Whether what was stored may be served as fresh: every purge accepted a lease ago or earlier is known. */
+    /**
+     * Whether what was stored may be served as fresh: every purge accepted a lease ago or earlier is known.
+     */
     public boolean isFresh(long now) {
         return asOf != NEVER && now - asOf < lease;
     }
--- /dev/null
+++ b/control/src/main/java/spurroad/control/distribution/LeaseGrantor.java
@@ -0,0 +1,53 @@
+package spurroad.control.distribution;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import spurroad.control.distribution.Message.LeaseReply;
+import spurroad.control.distribution.Message.LeaseRequest;
+
+/**
+ * Grants a bounded number of relay leases a group. After its start it grants none for one duration, as it
+ * does not know what it granted before. Two grantors may grant to different processes; a lease bounds the
+ * cost of relaying, it is not what keeps the data right.
+ */
+public final class LeaseGrantor {
+    private record Grant(ProcessId holder, long until) {}
+
+    private final DistributionSettings settings;
+    private final int leasesPerGroup;
+    private final long readyAt;
+    private final Map<String, List<Grant>> grants = new HashMap<>();
+
+    /** Creates one that starts now. */
+    public LeaseGrantor(long now, DistributionSettings settings, int leasesPerGroup) {
+        this.settings = settings;
+        this.leasesPerGroup = leasesPerGroup;
+        readyAt = now + settings.leaseDuration;
+    }
+
+    /** Answers a request; the holder's own lease is renewed. */
+    public void requested(long now, ProcessId from, LeaseRequest request, Outbox outbox) {
+        boolean granted = now >= readyAt && grant(now, request.group(), from);
+        long duration = granted ? settings.leaseDuration / DistributionSettings.MILLISECOND : 0;
+        outbox.send(from, new LeaseReply(request.group(), granted, duration, request.sentAtMillis()));
+    }
+
+    private boolean grant(long now, String group, ProcessId candidate) {
+        List<Grant> held = grants.computeIfAbsent(group, unused -> new ArrayList<>(leasesPerGroup));
+        held.removeIf(grant -> now >= grant.until() || grant.holder().equals(candidate));
+        if (held.size() >= leasesPerGroup) {
+            return false;
+        }
+        held.add(new Grant(candidate, now + settings.leaseDuration));
+        return true;
+    }
+
+    /** Who holds the leases of a group at a time. */
+    public List<ProcessId> holders(long now, String group) {
+        return grants.getOrDefault(group, List.of()).stream().filter(grant -> now < grant.until())
+            .map(Grant::holder)
+            .toList();
+    }
+}
--- a/control/src/main/java/spurroad/control/distribution/Message.java
+++ b/control/src/main/java/spurroad/control/distribution/Message.java
@@ -3,12 +3,20 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What processes of the fleet send each other. Times are milliseconds of the clock of the process that they name. */
+/**
+ * What processes of the fleet send each other. Times are milliseconds of the clock of the process that they
+ * name.
+ */
 public sealed interface Message {
     /** Asks to become a child, and says what is known already. */
     record Subscribe(Scope scope, boolean hasState, long sequence, long purgeNumber, int purgeHistory,
-                     boolean acceptsReset, long sentAtMillis) implements Message {
-        /** The purge number of a subscriber that has heard of none and holds nothing that a purge could concern. */
+                     boolean acceptsReset, long sentAtMillis)
+        implements
+            Message {
+        /**
+         * The purge number of a subscriber that has heard of none and holds nothing that a purge could
+         * concern.
+         */
         public static final long NO_PURGES = -1;
     }
 
@@ -25,56 +33,73 @@
     }
 
     /** The answer to a subscription that is not taken. */
-    record Refused(RefusalReason reason, long retryAfterMillis) implements Message { }
+    record Refused(RefusalReason reason, long retryAfterMillis) implements Message {}
 
     /**
-     * Says that the publisher lives, and what its subscriber has reached when it has applied everything up to this
-     * update.
+     * Says that the publisher lives, and what its subscriber has reached when it has applied everything up to
+     * this update.
      *
-     * @param epoch                 of the core that accepted the publisher's latest state
+     * @param epoch of the core that accepted the publisher's latest state
      * @param configurationSequence that the subscriber has reached then
-     * @param purgeNumber           that the subscriber has reached then
-     * @param ageMillis             how long ago, at most, nothing was accepted by the core that the publisher had not
-     *                              sent; {@link #UNKNOWN_AGE} where it can't say
-     * @param echoMillis            the latest time that the subscriber sent, by the subscriber's clock
-     * @param connected             whether the publisher has a parent, or a primary, of its own
+     * @param purgeNumber that the subscriber has reached then
+     * @param ageMillis how long ago, at most, nothing was accepted by the core that the publisher had not
+     *     sent; {@link #UNKNOWN_AGE} where it can't say
+     * @param echoMillis the latest time that the subscriber sent, by the subscriber's clock
+     * @param connected whether the publisher has a parent, or a primary, of its own
      */
-    record Heartbeat(long epoch, long configurationSequence, long purgeNumber, long ageMillis, long echoMillis,
+    record Heartbeat(long epoch, long configurationSequence, long purgeNumber, long ageMillis,
+                     long echoMillis,
                      boolean connected) {
         public static final long UNKNOWN_AGE = -1;
     }
 
     /** A heartbeat together with what is new; numbered within the subscription from 1 on. */
     record Update(long number, Heartbeat heartbeat, Optional<ConfigurationUpdate> configuration,
-                  Optional<PurgeUpdate> purges) implements Message { }
+                  Optional<PurgeUpdate> purges)
+        implements
+            Message {}
 
     /** Answers an update with what the subscriber has applied by now. */
     record Acknowledge(long updateNumber, long sequence, long purgeNumber, boolean missed, long sentAtMillis)
-        implements Message { }
+        implements
+            Message {}
 
     /** Asks for, or renews, the lease to be one of a group's relays. */
-    record LeaseRequest(String group, long sentAtMillis) implements Message { }
+    record LeaseRequest(String group, long sentAtMillis) implements Message {}
 
     /** The answer: granted for a duration that counts from when it was asked for, or not for now. */
-    record LeaseReply(String group, boolean granted, long durationMillis, long echoMillis) implements Message {
+    record LeaseReply(String group, boolean granted, long durationMillis,
+                      long echoMillis)
+        implements
+            Message {
         /** In place of a duration: this process grants no leases at present, another one may. */
         public static final long ASK_ANOTHER = -1;
     }
 
-    /** A candidate of the core asks for a vote; in a trial only whether it would get one, which changes nothing. */
-    record VoteRequest(long epoch, long lastIndex, long lastEpoch, boolean trial) implements Message { }
+    /**
+     * A candidate of the core asks for a vote; in a trial only whether it would get one, which changes
+     * nothing.
+     */
+    record VoteRequest(long epoch, long lastIndex, long lastEpoch, boolean trial) implements Message {}
 
     /** The answer to a vote request: the epoch that was asked for, or where it is refused the voter's own. */
-    record Vote(long epoch, boolean granted, boolean trial) implements Message { }
+    record Vote(long epoch, boolean granted, boolean trial) implements Message {}
 
-    /** The primary's log after an index, and how far it is committed; without entries it is the primary's heartbeat. */
-    record Append(long epoch, long previousIndex, long previousEpoch, List<CoreEntry> entries, long commitIndex,
-                  long roundMillis, long ageMillis, long echoMillis) implements Message { }
+    /**
+     * The primary's log after an index, and how far it is committed; without entries it is the primary's
+     * heartbeat.
+     */
+    record Append(long epoch, long previousIndex, long previousEpoch, List<CoreEntry> entries,
+                  long commitIndex,
+                  long roundMillis, long ageMillis, long echoMillis)
+        implements
+            Message {}
 
     /** The answer: the last index that is known to agree with the primary's log. */
     record AppendReply(long epoch, boolean matched, long index, long roundMillis, long sentAtMillis)
-        implements Message { }
+        implements
+            Message {}
 
     /** The primary's whole state at an index, for a replica whose missing entries are no longer kept. */
-    record InstallState(long epoch, CoreSnapshot snapshot, long roundMillis) implements Message { }
+    record InstallState(long epoch, CoreSnapshot snapshot, long roundMillis) implements Message {}
 }
--- a/control/src/main/java/spurroad/control/distribution/MessageCodec.java
+++ b/control/src/main/java/spurroad/control/distribution/MessageCodec.java
@@ -20,8 +20,8 @@
 import spurroad.control.distribution.Message.VoteRequest;
 
 /**
- * Messages as bytes: a kind, its fields in the order of the record, a CRC32C. A message is read whole before anything
- * of it is believed. Framing and lengths are the carrier's.
+ * Messages as bytes: a kind, its fields in the order of the record, a CRC32C. A message is read whole before
+ * anything of it is believed. Framing and lengths are the carrier's.
  */
 public final class MessageCodec {
     private static final int SUBSCRIBE = 1;
@@ -49,7 +49,7 @@
     private static final int LEAST_ENTRY = 4; // bytes: number, region, name, value, one each
     private static final int LEAST_CORE_ENTRY = 2;
 
-    private MessageCodec() { }
+    private MessageCodec() {}
 
     /** The bytes of a message. */
     public static byte[] encode(Message message) {
@@ -249,14 +249,16 @@
             case SUBSCRIBE -> readSubscribe(in);
             case REFUSED -> new Refused(readReason(in), in.number());
             case UPDATE -> new Update(in.number(), readHeartbeat(in), readConfiguration(in), readPurges(in));
-            case ACKNOWLEDGE -> new Acknowledge(in.number(), in.number(), in.number(), in.flag(), in.number());
+            case ACKNOWLEDGE ->
+                new Acknowledge(in.number(), in.number(), in.number(), in.flag(), in.number());
             case LEASE_REQUEST -> new LeaseRequest(in.text(), in.number());
             case LEASE_REPLY -> new LeaseReply(in.text(), in.flag(), in.numberOrNone(), in.number());
             case VOTE_REQUEST -> new VoteRequest(in.number(), in.number(), in.number(), in.flag());
             case VOTE -> new Vote(in.number(), in.flag(), in.flag());
             case APPEND -> new Append(in.number(), in.number(), in.number(), readCoreEntries(in), in.number(),
                 in.number(), in.numberOrNone(), in.number());
-            case APPEND_REPLY -> new AppendReply(in.number(), in.flag(), in.number(), in.number(), in.number());
+            case APPEND_REPLY ->
+                new AppendReply(in.number(), in.flag(), in.number(), in.number(), in.number());
             case INSTALL_STATE -> new InstallState(in.number(),
                 new CoreSnapshot(in.number(), in.number(), readSnapshot(in), in.number()), in.number());
             default -> throw new MalformedMessageException("kind " + kind);
@@ -273,7 +275,8 @@
         long sequence = in.number();
         long purgeNumber = in.numberOrNone();
         int history = (int) Math.min(Integer.MAX_VALUE, in.number());
-        return new Subscribe(all ? Scope.ALL : new Scope(region), hasState, sequence, purgeNumber, history, in.flag(),
+        return new Subscribe(all ? Scope.ALL : new Scope(region), hasState, sequence, purgeNumber, history,
+            in.flag(),
             in.number());
     }
 
@@ -286,7 +289,8 @@
     }
 
     private static Heartbeat readHeartbeat(MessageReader in) throws MalformedMessageException {
-        return new Heartbeat(in.number(), in.number(), in.number(), in.numberOrNone(), in.number(), in.flag());
+        return new Heartbeat(in.number(), in.number(), in.number(), in.numberOrNone(), in.number(),
+            in.flag());
     }
 
     private static Optional<ConfigurationUpdate> readConfiguration(MessageReader in)
--- a/control/src/main/java/spurroad/control/distribution/MessageReader.java
+++ b/control/src/main/java/spurroad/control/distribution/MessageReader.java
@@ -64,7 +64,8 @@
     int count(int leastBytesEach) throws MalformedMessageException {
         long count = number();
         if (count > (end - at) / leastBytesEach) {
-            throw new MalformedMessageException("a count of " + count + " with " + (end - at) + " bytes left");
+            throw new MalformedMessageException(
+                "a count of " + count + " with " + (end - at) + " bytes left");
         }
         return (int) count;
     }
--- a/control/src/main/java/spurroad/control/distribution/ParentSelector.java
+++ b/control/src/main/java/spurroad/control/distribution/ParentSelector.java
@@ -8,8 +8,8 @@
 import java.util.Random;
 
 /**
- * Chooses whom to ask to become the parent: the preferred ones first, in an order of chance that spreads children over
- * them, then the others. Whoever failed or refused is left alone for a time.
+ * Chooses whom to ask to become the parent: the preferred ones first, in an order of chance that spreads
+ * children over them, then the others. Whoever failed or refused is left alone for a time.
  */
 final class ParentSelector {
     private static final long SHORTEST_PAUSE = DistributionSettings.SECOND;
--- a/control/src/main/java/spurroad/control/distribution/Publisher.java
+++ b/control/src/main/java/spurroad/control/distribution/Publisher.java
@@ -13,13 +13,13 @@
 import spurroad.control.distribution.Message.Update;
 
 /**
- * The sending end of the links to all children of one process. It keeps a position a child and no queue: what a child
- * is sent next is made from the state, joined, when there is room for it. All children are served once in a flush
- * interval; publishers that started apart do so apart.
+ * The sending end of the links to all children of one process. It keeps a position a child and no queue: what
+ * a child is sent next is made from the state, joined, when there is room for it. All children are served
+ * once in a flush interval; publishers that started apart do so apart.
  */
 public final class Publisher {
     /** What the owner knows of its own standing at the time. */
-    public record Standing(long epoch, long ageMillis, boolean connected) { }
+    public record Standing(long epoch, long ageMillis, boolean connected) {}
 
     private static final class Child {
         private final Scope scope;
@@ -48,7 +48,7 @@
         }
     }
 
-    private record SinceKey(long from, boolean hasState, Scope scope) { }
+    private record SinceKey(long from, boolean hasState, Scope scope) {}
 
     private final DistributionSettings settings;
     private final Scope scope;
@@ -65,7 +65,8 @@
     private long nextFlush = Long.MAX_VALUE;
 
     /** Creates one for a state that its owner brings forward. */
-    public Publisher(DistributionSettings settings, Scope scope, ConfigurationState configuration, PurgeLog purges,
+    public Publisher(DistributionSettings settings, Scope scope, ConfigurationState configuration,
+                     PurgeLog purges,
                      long seed) {
         this.settings = settings;
         this.scope = scope;
@@ -107,7 +108,8 @@
         if (!configuration.isComplete() || !scope.covers(request.scope()) || !standing.connected()) {
             return Optional.of(RefusalReason.NOT_READY);
         }
-        boolean reaches = request.purgeNumber() == Subscribe.NO_PURGES || purges.reaches(request.purgeNumber());
+        boolean reaches = request.purgeNumber() == Subscribe.NO_PURGES
+            || purges.reaches(request.purgeNumber());
         if (!reaches && !request.acceptsReset()) {
             return Optional.of(RefusalReason.LOG_TOO_SHORT);
         }
@@ -118,11 +120,16 @@
         return Optional.empty();
     }
 
-    /** A child that knows no purges holds nothing that they concern; it starts as far back as it wishes to keep. */
-    private void startPurges(long now, ProcessId to, Child child, int history, Standing standing, Outbox outbox) {
+    /**
+     * A child that knows no purges holds nothing that they concern; it starts as far back as it wishes to
+     * keep.
+     */
+    private void startPurges(long now, ProcessId to, Child child, int history, Standing standing,
+                             Outbox outbox) {
         long start = Math.max(purges.oldest(), purges.number() - history);
         child.purgeSent = start;
-        send(now, to, child, configurationFor(child), Optional.of(new PurgeUpdate.Reset(start)), standing, outbox);
+        send(now, to, child, configurationFor(child), Optional.of(new PurgeUpdate.Reset(start)), standing,
+            outbox);
     }
 
     /** Takes note of what a child has applied. */
@@ -143,7 +150,10 @@
         child.purgeSent = Math.max(child.purgeSent, child.purgeAcknowledged);
     }
 
-    /** Where it is time, sends to each child what is new to it, or a heartbeat; drops those that have fallen silent. */
+    /**
+     * Where it is time, sends to each child what is new to it, or a heartbeat; drops those that have fallen
+     * silent.
+     */
     public void flush(long now, Standing standing, Outbox outbox) {
         if (now < nextFlush) {
             return;
@@ -191,7 +201,8 @@
         boolean isComplete = child.purgeSent >= purges.number();
         child.updatesSent++;
         Heartbeat heartbeat = new Heartbeat(standing.epoch(), child.sequenceSent, child.purgeSent,
-            isComplete ? standing.ageMillis() : Heartbeat.UNKNOWN_AGE, child.heardMillis, standing.connected());
+            isComplete ? standing.ageMillis() : Heartbeat.UNKNOWN_AGE, child.heardMillis,
+            standing.connected());
         outbox.send(to, new Update(child.updatesSent, heartbeat, update, purgeUpdate));
     }
 
--- a/control/src/main/java/spurroad/control/distribution/PurgeBatch.java
+++ b/control/src/main/java/spurroad/control/distribution/PurgeBatch.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * Purges with the numbers {@code (fromNumber, fromNumber + hashes.length]}. The array is not copied; nobody may write
- * to it.
+ * Purges with the numbers {@code (fromNumber, fromNumber + hashes.length]}. The array is not copied; nobody
+ * may write to it.
  *
  * @param fromNumber number of the last purge before these
- * @param hashes     64-bit hashes of the keys that are no longer valid
+ * @param hashes 64-bit hashes of the keys that are no longer valid
  */
 public record PurgeBatch(long fromNumber, long[] hashes) implements PurgeUpdate {
     public PurgeBatch {
--- a/control/src/main/java/spurroad/control/distribution/PurgeLog.java
+++ b/control/src/main/java/spurroad/control/distribution/PurgeLog.java
@@ -3,8 +3,9 @@
 import java.util.Optional;
 
 /**
- * The latest purges, a bounded number of them, eight bytes each. A purge is idempotent, so only its number tells
- * whether it is known. Usually so many are kept; more, up to a second bound, only while somebody still needs them.
+ * The latest purges, a bounded number of them, eight bytes each. A purge is idempotent, so only its number
+ * tells whether it is known. Usually so many are kept; more, up to a second bound, only while somebody still
+ * needs them.
  */
 public final class PurgeLog {
     private static final int SMALLEST = 1024;
@@ -19,7 +20,7 @@
     /**
      * Creates one without purges.
      *
-     * @param usualCapacity   how many are kept for others to catch up from; 0 where there are none
+     * @param usualCapacity how many are kept for others to catch up from; 0 where there are none
      * @param largestCapacity how many are kept at most for those who need them
      */
     public PurgeLog(int usualCapacity, int largestCapacity) {
@@ -42,7 +43,10 @@
         return number - kept;
     }
 
-    /** Adds purges; what is known already is left out. Returns how many were new, or -1 where some are missing. */
+    /**
+     * Adds purges; what is known already is left out. Returns how many were new, or -1 where some are
+     * missing.
+     */
     public int append(PurgeBatch batch) {
         if (batch.fromNumber() > number) {
             return -1;
--- a/control/src/main/java/spurroad/control/distribution/ResourceKey.java
+++ b/control/src/main/java/spurroad/control/distribution/ResourceKey.java
@@ -6,7 +6,7 @@
  * Names one piece of configuration, such as a cache node or a setting.
  *
  * @param region whose proxies use it; {@link #EVERYWHERE} for all of them
- * @param name   unique within the region
+ * @param name unique within the region
  */
 public record ResourceKey(String region, String name) {
     /** The region of what every proxy uses. */
--- a/control/src/main/java/spurroad/control/distribution/Scope.java
+++ b/control/src/main/java/spurroad/control/distribution/Scope.java
@@ -1,7 +1,8 @@
 package spurroad.control.distribution;
 
 /**
- * The part of the configuration that a subscriber can use: what is meant for everywhere, and one region's own.
+ * The part of the configuration that a subscriber can use: what is meant for everywhere, and one region's
+ * own.
  *
  * @param region the region; null for all regions
  */
--- a/control/src/main/java/spurroad/control/distribution/Subscriber.java
+++ b/control/src/main/java/spurroad/control/distribution/Subscriber.java
@@ -10,8 +10,8 @@
 import spurroad.control.distribution.Message.Update;
 
 /**
- * The receiving end of a link: finds a parent, applies what it sends, and finds another when it is lost. Keeps the last
- * good state without a parent. What a former parent still sends is ignored.
+ * The receiving end of a link: finds a parent, applies what it sends, and finds another when it is lost.
+ * Keeps the last good state without a parent. What a former parent still sends is ignored.
  */
 public final class Subscriber implements Participant {
     private enum Link { SEARCHING, SUBSCRIBING, ATTACHED }
@@ -46,9 +46,10 @@
      * Creates one without state or parent.
      *
      * @param purgeHistory how many earlier purges it wants when it knows none yet: for a relay's children
-     * @param seed         of its chance: the spread of retries
+     * @param seed of its chance: the spread of retries
      */
-    public Subscriber(DistributionSettings settings, Scope scope, ConfigurationState configuration, PurgeLog purges,
+    public Subscriber(DistributionSettings settings, Scope scope, ConfigurationState configuration,
+                      PurgeLog purges,
                       int purgeHistory, AppliedListener listener, long seed) {
         this.settings = settings;
         this.scope = scope;
@@ -61,7 +62,9 @@
         freshness = new Freshness(settings.freshnessLease);
     }
 
-    /** Takes other candidates for its parent; the present one is left unless it is among the preferred ones. */
+    /**
+     * Takes other candidates for its parent; the present one is left unless it is among the preferred ones.
+     */
     public void candidates(long now, List<ProcessId> preferred, List<ProcessId> others) {
         selector.use(preferred, others);
         if (parent == null || !preferred.contains(parent)) {
@@ -99,8 +102,9 @@
             freshness.heard(now, heartbeat.echoMillis(), heartbeat.ageMillis());
         }
         detached(now, heartbeat.connected());
-        outbox.send(parent, new Acknowledge(update.number(), configuration.sequence(), purges.number(), missed,
-            sendTime(now)));
+        outbox.send(parent,
+            new Acknowledge(update.number(), configuration.sequence(), purges.number(), missed,
+                sendTime(now)));
     }
 
     private void attached(long now) {
@@ -209,7 +213,8 @@
         return switch (link) {
             case SEARCHING -> searchAt;
             case SUBSCRIBING -> lastHeard + settings.requestTimeout;
-            case ATTACHED -> Math.min(Math.min(lastHeard + settings.parentTimeout, detachedUntil()), returnAt);
+            case ATTACHED ->
+                Math.min(Math.min(lastHeard + settings.parentTimeout, detachedUntil()), returnAt);
         };
     }
 
--- a/control/src/test/java/spurroad/control/distribution/Applied.java
+++ b/control/src/test/java/spurroad/control/distribution/Applied.java
@@ -15,13 +15,15 @@
     @Override
     public void changed(Entry entry) {
         Long before = sequences.put(entry.key(), entry.sequence());
-        assertTrue(before == null || before < entry.sequence(), entry.key() + ": " + entry.sequence() + " after "
-            + before);
+        assertTrue(before == null || before < entry.sequence(),
+            entry.key() + ": " + entry.sequence() + " after "
+                + before);
     }
 
     @Override
     public void purged(PurgeBatch batch, long fromNumber) {
-        assertTrue(fromNumber == purgeNumber, "purges after " + fromNumber + " where " + purgeNumber + " are known");
+        assertTrue(fromNumber == purgeNumber,
+            "purges after " + fromNumber + " where " + purgeNumber + " are known");
         assertTrue(batch.fromNumber() <= fromNumber && batch.toNumber() > fromNumber);
         purges += batch.toNumber() - fromNumber;
         purgeNumber = batch.toNumber();
--- a/control/src/test/java/spurroad/control/distribution/ConfigurationStateTest.java
+++ b/control/src/test/java/spurroad/control/distribution/ConfigurationStateTest.java
@@ -42,7 +42,8 @@
     public void aDeltaJoinsChangesOfOneResourceAndLeavesOutOtherScopes() {
         ConfigurationState state = with(100, 20);
         Delta delta = (Delta) state.since(8, true, EAST).orElseThrow();
-        assertEquals(sequences(delta), List.of(16L, 18L, 20L), "10, 12 and 14 are overtaken; odd ones are in the west");
+        assertEquals(sequences(delta), List.of(16L, 18L, 20L),
+            "10, 12 and 14 are overtaken; odd ones are in the west");
         assertEquals(delta.fromSequence(), 8);
         assertEquals(delta.toSequence(), 20);
     }
@@ -64,7 +65,8 @@
             {"next", new Delta(2, 3, List.of(third)), Result.APPLIED, 3L, 1},
             {"overlapping", new Delta(0, 4, List.of(new Entry(1, key("east", 1), value(9)), third, fourth)),
                 Result.APPLIED, 4L, 2},
-            {"doubled", new Delta(1, 2, List.of(new Entry(2, key("east", 2), value(9)))), Result.ALREADY_KNOWN, 2L, 0},
+            {"doubled", new Delta(1, 2, List.of(new Entry(2, key("east", 2), value(9)))),
+                Result.ALREADY_KNOWN, 2L, 0},
             {"one is lost", new Delta(3, 4, List.of(fourth)), Result.GAP, 2L, 0},
             {"nothing in scope", new Delta(2, 9, List.of()), Result.APPLIED, 9L, 0},
             {"older snapshot", new Snapshot(1, List.of()), Result.ALREADY_KNOWN, 2L, 0},
@@ -72,7 +74,8 @@
     }
 
     @Test(dataProvider = "deltas")
-    public void anUpdateIsAppliedOnceAndOnlyWhereItFits(String what, ConfigurationUpdate update, Result expected,
+    public void anUpdateIsAppliedOnceAndOnlyWhereItFits(String what, ConfigurationUpdate update,
+                                                        Result expected,
                                                         long sequence, int told) {
         ConfigurationState state = new ConfigurationState(10);
         state.append(key("east", 1), value(1));
@@ -95,7 +98,10 @@
             () -> new Snapshot(4, List.of(new Entry(2, key("east", 2), null))));
     }
 
-    /** However updates are cut, joined, lost and doubled, whoever has reached a number has the state of that number. */
+    /**
+     * However updates are cut, joined, lost and doubled, whoever has reached a number has the state of that
+     * number.
+     */
     @Test
     public void whoeverReachesANumberHasItsState() {
         for (int seed = 0; seed < 200; seed++) {
@@ -122,10 +128,11 @@
     private static void pass(ConfigurationState from, ConfigurationState to, Random random) {
         long base = Math.max(0, to.sequence() - random.nextInt(3));
         from.since(base, to.isComplete(), EAST).ifPresent(update -> {
-            to.apply(update, entry -> { });
-            assertFalse(to.apply(update, entry -> { }) == Result.APPLIED, "twice");
+            to.apply(update, entry -> {});
+            assertFalse(to.apply(update, entry -> {}) == Result.APPLIED, "twice");
         });
-        to.apply(from.since(to.sequence(), to.isComplete(), EAST).orElse(new Snapshot(0, List.of())), entry -> { });
+        to.apply(from.since(to.sequence(), to.isComplete(), EAST).orElse(new Snapshot(0, List.of())),
+            entry -> {});
     }
 
     @Test
--- /dev/null
+++ b/control/src/test/java/spurroad/control/distribution/LeaseTest.java
@@ -0,0 +1,89 @@
+package spurroad.control.distribution;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import org.testng.annotations.Test;
+import spurroad.control.distribution.Message.LeaseReply;
+import spurroad.control.distribution.Message.LeaseRequest;
+
+public class LeaseTest {
+    private static final long SECOND = DistributionSettings.SECOND;
+    private static final ProcessId GRANTOR = new ProcessId(1);
+    private static final ProcessId SECOND_GRANTOR = new ProcessId(2);
+    private final DistributionSettings settings = new DistributionSettings();
+
+    private boolean requests(LeaseGrantor grantor, long now, int candidate) {
+        List<LeaseReply> replies = new ArrayList<>();
+        grantor.requested(now, new ProcessId(candidate),
+            new LeaseRequest("site", now / DistributionSettings.MILLISECOND),
+            (to, message) -> replies.add((LeaseReply) message));
+        assertEquals(replies.size(), 1);
+        return replies.get(0).granted();
+    }
+
+    @Test
+    public void soManyAsThereAreLeasesHoldOneUntilItEnds() {
+        LeaseGrantor grantor = new LeaseGrantor(0, settings, 2);
+        long now = settings.leaseDuration;
+        assertTrue(requests(grantor, now, 1));
+        assertTrue(requests(grantor, now, 2));
+        assertFalse(requests(grantor, now, 3));
+        assertTrue(requests(grantor, now + SECOND, 1), "renewed");
+        assertFalse(requests(grantor, now + settings.leaseDuration - 1, 3));
+        assertTrue(requests(grantor, now + settings.leaseDuration, 3), "the second one's has ended");
+        assertEquals(grantor.holders(now + settings.leaseDuration, "site"), List.of(new ProcessId(1),
+            new ProcessId(3)));
+    }
+
+    @Test
+    public void aGrantorThatHasJustStartedDoesNotKnowWhatItGrantedAndWaits() {
+        LeaseGrantor grantor = new LeaseGrantor(10 * SECOND, settings, 1);
+        assertFalse(requests(grantor, 10 * SECOND + settings.leaseDuration - 1, 1));
+        assertTrue(requests(grantor, 10 * SECOND + settings.leaseDuration, 1));
+    }
+
+    @Test
+    public void theHolderCountsFromWhenItAskedAndEndsFirst() {
+        Lease lease = new Lease(0, settings, "site", List.of(GRANTOR), new Random(1));
+        List<LeaseRequest> asked = new ArrayList<>();
+        long now = lease.nextWakeAt();
+        lease.wake(now, true, (to, message) -> asked.add((LeaseRequest) message));
+        lease.replied(now + SECOND, GRANTOR,
+            new LeaseReply("site", true, 3_000, asked.get(0).sentAtMillis()));
+        long granted = asked.get(0).sentAtMillis() * DistributionSettings.MILLISECOND
+            + settings.leaseDuration;
+        assertTrue(lease.isHeld(granted - 1));
+        assertFalse(lease.isHeld(granted));
+    }
+
+    @Test
+    public void anotherGrantorIsAskedWhereOneIsSilentOrCannotGrant() {
+        Lease lease = new Lease(0, settings, "site", List.of(GRANTOR, SECOND_GRANTOR), new Random(1));
+        List<ProcessId> asked = new ArrayList<>();
+        Outbox outbox = (to, message) -> asked.add(to);
+        long now = lease.nextWakeAt();
+        lease.wake(now, true, outbox);
+        now = lease.nextWakeAt();
+        lease.wake(now, true, outbox);
+        lease.notGranting(now, SECOND_GRANTOR);
+        lease.wake(now, true, outbox);
+        assertEquals(asked, List.of(GRANTOR, SECOND_GRANTOR, GRANTOR));
+    }
+
+    @Test
+    public void noLeaseIsBelievedThatIsLongerOrAnswersWhatWasNotAsked() {
+        Lease lease = new Lease(0, settings, "site", List.of(GRANTOR), new Random(1));
+        lease.replied(SECOND, GRANTOR, new LeaseReply("site", true, 3_000, 5_000));
+        assertFalse(lease.isHeld(SECOND));
+        lease.replied(SECOND, GRANTOR, new LeaseReply("other", true, 3_000, 1_000));
+        assertFalse(lease.isHeld(SECOND));
+        lease.replied(SECOND, GRANTOR, new LeaseReply("site", true, Long.MAX_VALUE / 2, 1_000));
+        assertTrue(lease.isHeld(SECOND));
+        assertFalse(lease.isHeld(12 * SECOND));
+    }
+}
--- a/control/src/test/java/spurroad/control/distribution/LinkTest.java
+++ b/control/src/test/java/spurroad/control/distribution/LinkTest.java
@@ -45,7 +45,8 @@
         publisher = new Publisher(settings, Scope.ALL, source, sourcePurges, 1);
         standing = new Publisher.Standing(1, 0, true);
         applied = new Applied();
-        subscriber = new Subscriber(settings, EAST, new ConfigurationState(0), new PurgeLog(0, 0), 0, applied, 7);
+        subscriber = new Subscriber(settings, EAST, new ConfigurationState(0), new PurgeLog(0, 0), 0, applied,
+            7);
         subscriber.candidates(START, List.of(PARENT, OTHER_PARENT), List.of());
         toChild.clear();
         toParent.clear();
@@ -75,7 +76,8 @@
     /** Lets the child ask; whoever it asks is played by the one publisher. */
     private void attach(long now) {
         subscriber.wake(now, this::fromChild);
-        publisher.subscribed(now, CHILD, (Subscribe) takeFirst(toParent), standing, (to, m) -> toChild.add(m));
+        publisher.subscribed(now, CHILD, (Subscribe) takeFirst(toParent), standing,
+            (to, m) -> toChild.add(m));
         deliver(now);
     }
 
@@ -164,8 +166,10 @@
         attach(START);
         Delta delta = new Delta(1, 2, List.of(new Entry(2, new ResourceKey("east", "x"), null)));
         ProcessId former = subscriber.parent().equals(PARENT) ? OTHER_PARENT : PARENT;
-        subscriber.receive(START, former, new Update(1, new Heartbeat(9, 2, 0, 0, 0, true), Optional.of(delta),
-            Optional.empty()), this::fromChild);
+        subscriber.receive(START, former,
+            new Update(1, new Heartbeat(9, 2, 0, 0, 0, true), Optional.of(delta),
+                Optional.empty()),
+            this::fromChild);
         assertEquals(subscriber.configuration().sequence(), 1);
         assertTrue(toParent.isEmpty());
     }
@@ -178,7 +182,8 @@
         for (int i = 0; i < 200; i++) { // its acknowledgements do not come for 50 s, but it is not silent
             change(2);
             now += settings.flushInterval;
-            publisher.acknowledged(now, CHILD, new Acknowledge(0, 1, 0, false, now / DistributionSettings.MILLISECOND));
+            publisher.acknowledged(now, CHILD,
+                new Acknowledge(0, 1, 0, false, now / DistributionSettings.MILLISECOND));
             updates += flush(now).size();
         }
         assertTrue(updates <= settings.mostUnacknowledged, updates + " updates on the way");
@@ -187,7 +192,8 @@
         assertTrue(flush(now + SECOND / 2).isEmpty(), "an update that was never sent can't be acknowledged");
         publisher.acknowledged(now, CHILD, new Acknowledge(updates + 1L, 1, 0, true, 0));
         Update joined = flushed(now + 2 * SECOND);
-        assertTrue(joined.configuration().orElseThrow() instanceof Snapshot, "the log of 8 no longer reaches back");
+        assertTrue(joined.configuration().orElseThrow() instanceof Snapshot,
+            "the log of 8 no longer reaches back");
         assertEquals(joined.configuration().orElseThrow().entries().size(), 2);
         deliver(now + 2 * SECOND);
         assertEquals(subscriber.configuration().sequence(), 201);
@@ -196,9 +202,9 @@
     @Test
     public void aSilentChildIsDroppedAndItsPositionForgotten() {
         attach(START);
-        publisher.flush(START + 4 * SECOND, standing, (to, m) -> { });
+        publisher.flush(START + 4 * SECOND, standing, (to, m) -> {});
         assertEquals(publisher.children(), 1);
-        publisher.flush(START + 6 * SECOND, standing, (to, m) -> { });
+        publisher.flush(START + 6 * SECOND, standing, (to, m) -> {});
         assertEquals(publisher.children(), 0);
         assertEquals(publisher.nextFlushAt(), Long.MAX_VALUE);
     }
@@ -283,7 +289,7 @@
     public void aChildThatSawNoneOfItsFirstUpdatesIsResetAndDoesNotHang() {
         purge(100);
         subscriber.wake(START, this::fromChild);
-        publisher.subscribed(START, CHILD, (Subscribe) takeFirst(toParent), standing, (to, m) -> { }); // lost
+        publisher.subscribed(START, CHILD, (Subscribe) takeFirst(toParent), standing, (to, m) -> {}); // lost
         purge(5);
         for (int i = 1; i < 5; i++) {
             flush(START + i * SECOND / 4);
@@ -309,7 +315,8 @@
         standing = new Publisher.Standing(1, 2_000, true);
         flush(START + 4 * SECOND);
         deliver(START + 5 * SECOND); // a second on its way
-        assertEquals(subscriber.freshness().ageMillis(START + 5 * SECOND), 5_000, "what came first is the better word");
+        assertEquals(subscriber.freshness().ageMillis(START + 5 * SECOND), 5_000,
+            "what came first is the better word");
         flush(START + 6 * SECOND);
         deliver(START + 6 * SECOND);
         assertEquals(subscriber.freshness().ageMillis(START + 6 * SECOND), 3_000,
@@ -322,12 +329,16 @@
         attach(START);
         assertFalse(subscriber.freshness().isFresh(START));
         for (long echo : new long[] {START / DistributionSettings.MILLISECOND + 1, Long.MAX_VALUE}) {
-            subscriber.receive(START, subscriber.parent(), new Update(9, new Heartbeat(1, 1, 0, 0, echo, true),
-                Optional.empty(), Optional.empty()), this::fromChild);
+            subscriber.receive(START, subscriber.parent(),
+                new Update(9, new Heartbeat(1, 1, 0, 0, echo, true),
+                    Optional.empty(), Optional.empty()),
+                this::fromChild);
             assertFalse(subscriber.freshness().isFresh(START), "echo " + echo);
         }
-        subscriber.receive(START, subscriber.parent(), new Update(9, new Heartbeat(1, 1, 0, Long.MAX_VALUE, 5, true),
-            Optional.empty(), Optional.empty()), this::fromChild);
+        subscriber.receive(START, subscriber.parent(),
+            new Update(9, new Heartbeat(1, 1, 0, Long.MAX_VALUE, 5, true),
+                Optional.empty(), Optional.empty()),
+            this::fromChild);
         assertFalse(subscriber.freshness().isFresh(START));
     }
 
--- a/control/src/test/java/spurroad/control/distribution/MessageCodecTest.java
+++ b/control/src/test/java/spurroad/control/distribution/MessageCodecTest.java
@@ -17,7 +17,8 @@
 public class MessageCodecTest {
     private static final Entry ENTRY = new Entry(7, new ResourceKey("östlich", "node-7"), new byte[] {1, 2});
     private static final Entry REMOVAL = new Entry(9, new ResourceKey("", "limit"), null);
-    private static final Message.Heartbeat HEARTBEAT = new Message.Heartbeat(3, 1L << 40, 5, -1, 1L << 41, true);
+    private static final Message.Heartbeat HEARTBEAT = new Message.Heartbeat(3, 1L << 40, 5, -1, 1L << 41,
+        true);
 
     @DataProvider
     public Object[][] messages() {
@@ -50,9 +51,11 @@
 
     @Test
     public void commandsWithArraysAreReadAgain() throws MalformedMessageException {
-        Message.Append read = (Message.Append) MessageCodec.decode(MessageCodec.encode(new Message.Append(1, 0, 0,
-            List.of(new CoreEntry(1, new CoreCommand.Purges(new long[] {5, -6})),
-                new CoreEntry(1, new CoreCommand.Change(ENTRY.key(), new byte[] {9}))), 0, 0, 0, 0)));
+        Message.Append read = (Message.Append) MessageCodec
+            .decode(MessageCodec.encode(new Message.Append(1, 0, 0,
+                List.of(new CoreEntry(1, new CoreCommand.Purges(new long[] {5, -6})),
+                    new CoreEntry(1, new CoreCommand.Change(ENTRY.key(), new byte[] {9}))),
+                0, 0, 0, 0)));
         assertEquals(((CoreCommand.Purges) read.entries().get(0).command()).hashes(), new long[] {5, -6});
         assertEquals(((CoreCommand.Change) read.entries().get(1).command()).value(), new byte[] {9});
     }
@@ -71,7 +74,10 @@
         }
     }
 
-    /** With a right checksum the rest is checked all the same: nothing but the one exception, and no large memory. */
+    /**
+     * With a right checksum the rest is checked all the same: nothing but the one exception, and no large
+     * memory.
+     */
     @Test(dataProvider = "messages")
     public void noGarbageBreaksTheReader(Message message) {
         byte[] bytes = MessageCodec.encode(message);
--- a/control/src/test/java/spurroad/control/distribution/Network.java
+++ b/control/src/test/java/spurroad/control/distribution/Network.java
@@ -8,7 +8,10 @@
 import java.util.Set;
 import java.util.function.BiPredicate;
 
-/** Carries messages as bytes in simulated time, and loses, doubles, delays and reorders them by a seeded chance. */
+/**
+ * Carries messages as bytes in simulated time, and loses, doubles, delays and reorders them by a seeded
+ * chance.
+ */
 final class Network {
     static final long MS = DistributionSettings.MILLISECOND;
     static final long SECOND = DistributionSettings.SECOND;
