--- /dev/null
+++ b/cli/src/main/java/spurroad/cli/ScaleCommand.java
@@ -0,0 +1,51 @@
+package spurroad.cli;
+
+import java.io.PrintWriter;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.Callable;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
+import spurroad.rig.scale.Effort;
+import spurroad.rig.scale.Measure;
+import spurroad.rig.scale.Measures;
+import spurroad.rig.scale.Series;
+import spurroad.rig.scale.SeriesReport;
+
+/** Measures how each role's state, messages, processor time and memory grow; prints Markdown. */
+@Command(name = "scale", mixinStandardHelpOptions = true, description = {
+    "Measures how state, messages, processor time and memory grow with nodes and proxies; prints Markdown.",
+    "Without a name all measurements are taken (some minutes)."})
+final class ScaleCommand implements Callable<Integer> {
+    @Parameters(arity = "0..*", paramLabel = "NAME",
+        description = "One of requests, changes, list, peers, control, subscribers, watches.")
+    private List<String> names = new ArrayList<>();
+    @Option(names = "--short", description = "Small sizes, one run each: shapes only.")
+    private boolean brief;
+    @Spec
+    private CommandSpec spec;
+
+    @Override
+    public Integer call() throws Exception {
+        PrintWriter out = spec.commandLine().getOut();
+        for (Measure measure : chosen()) {
+            Series series = Series.of(measure, brief ? Effort.SHORT : Effort.FULL);
+            out.println(SeriesReport.markdown(series));
+            out.flush();
+        }
+        return 0;
+    }
+
+    private List<Measure> chosen() {
+        return names.isEmpty() ? Measures.all() : names.stream().map(this::named).toList();
+    }
+
+    private Measure named(String name) {
+        return Measures.named(name).orElseThrow(
+            () -> new CommandLine.ParameterException(spec.commandLine(), "there is no measurement " + name));
+    }
+}
--- /dev/null
+++ b/rig/src/main/java/spurroad/rig/scale/DiscoveryWatches.java
@@ -0,0 +1,77 @@
+package spurroad.rig.scale;
+
+import java.util.List;
+
+/** What watches cost the discovery that serves them, by how many there are, on loopback sockets. */
+final class DiscoveryWatches implements Measure {
+    static final int EMPTY_CPU = 0, EMPTY_BYTES = 1, CHANGE_CPU = 2, CHANGE_BYTES = 3, RETURN_CPU = 4,
+        RETURN_BYTES = 5; // columns
+    static final int NODES = 151; // those of a region in the mean
+    private static final int EMPTY_LINES = 5; // of which the mean is taken
+    private static final double BEAT_SECONDS = 2; // between empty lines of a watch
+    private static final int HEADER_BYTES = 52; // of TCP with timestamps and IPv4 in front of each segment
+
+    @Override
+    public String name() {
+        return "watches";
+    }
+
+    @Override
+    public String title() {
+        return "Watches on a discovery on loopback (a stand-in; lists of 151 nodes)";
+    }
+
+    @Override
+    public String sizeName() {
+        return "watches";
+    }
+
+    @Override
+    public List<Column> columns() {
+        return List.of(new Column("processor time, an empty line to all", "ms"),
+            new Column("empty lines, with headers", "KB/s"), new Column("processor time, a change to all", "ms"),
+            new Column("a change to all", "KB"), new Column("processor time, all return at once", "ms"),
+            new Column("all return at once", "KB"));
+    }
+
+    @Override
+    public List<Integer> sizes(Effort effort) {
+        return effort == Effort.FULL ? List.of(250, 500, 1_000, 2_000, 4_000) : List.of(20, 40, 80, 160, 320);
+    }
+
+    @Override
+    public List<Double> run(int count, Effort effort) throws Exception {
+        try (WatchServer discovery = new WatchServer(SyntheticFleet.listLine(0, NODES, 1, true));
+             HollowWatches watches = new HollowWatches()) {
+            watches.open(discovery.address(), count);
+            Sent empty = say(discovery, watches, "", count, EMPTY_LINES);
+            Sent change = say(discovery, watches, SyntheticFleet.listLine(0, 1, 2, false), count, 1);
+            watches.drop();
+            discovery.dropAll();
+            Sent returned = allReturn(discovery, watches, count);
+            return List.of(empty.cpuMillis, (empty.bytes + (double) count * HEADER_BYTES) / BEAT_SECONDS / 1e3,
+                change.cpuMillis, change.bytes / 1e3, returned.cpuMillis, returned.bytes / 1e3);
+        }
+    }
+
+    private record Sent(double cpuMillis, double bytes) { }
+
+    private static Sent say(WatchServer discovery, HollowWatches watches, String text, int count, int times)
+        throws Exception {
+        long cpu = discovery.cpuNanos();
+        long bytes = watches.bytes();
+        for (int i = 0; i < times; i++) {
+            long expected = watches.lines() + count;
+            discovery.say(text);
+            watches.awaitLines(expected);
+        }
+        return new Sent((discovery.cpuNanos() - cpu) / 1e6 / times, (double) (watches.bytes() - bytes) / times);
+    }
+
+    private static Sent allReturn(WatchServer discovery, HollowWatches watches, int count) throws Exception {
+        long cpu = discovery.cpuNanos();
+        long bytes = watches.bytes();
+        watches.open(discovery.address(), count);
+        return new Sent((discovery.cpuNanos() - cpu) / 1e6, watches.bytes() - bytes);
+    }
+}
--- /dev/null
+++ b/rig/src/main/java/spurroad/rig/scale/HollowProxy.java
@@ -0,0 +1,123 @@
+package spurroad.rig.scale;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Random;
+import java.util.Set;
+import java.util.function.Consumer;
+import spurroad.Balance;
+import spurroad.model.CacheKey;
+import spurroad.model.CustomerId;
+import spurroad.model.Decisions;
+import spurroad.model.Fleet;
+import spurroad.model.LoadReport;
+import spurroad.model.NodeEntry;
+import spurroad.model.NodeId;
+import spurroad.model.Outcome;
+import spurroad.model.QueryId;
+import spurroad.model.TrackId;
+import spurroad.model.Word;
+
+/**
+ * The decisions of one proxy, driven in simulated time without sockets: requests for keys drawn evenly come in, and each
+ * attempt succeeds after the same time. Not for several threads.
+ */
+final class HollowProxy {
+    private static final TrackId READS = new TrackId(0);
+    private static final CustomerId TENANT = new CustomerId(0);
+    private static final LoadReport QUIET = new LoadReport(1, 0);
+    private static final long PATIENCE_NANOS = 4 * SyntheticFleet.SECOND_NANOS;
+
+    private record Attempt(QueryId request, int number, long endsAt) { }
+
+    private final Balance decisions;
+    private final Decisions decided = new Decisions();
+    private final Random keys;
+    private final long serviceNanos;
+    private final Consumer<Decisions.Tell> peers;
+    private final Deque<Attempt> attempts = new ArrayDeque<>(); // all take as long, so the first one ends first
+    private final Set<NodeId> connected = new HashSet<>();
+    private long requests;
+    private long probes;
+
+    /**
+     * A proxy that knows some nodes.
+     *
+     * @param serviceNanos that an attempt takes
+     * @param peers        takes what it says to other proxies
+     */
+    HollowProxy(Fleet fleet, List<NodeEntry> nodes, long serviceNanos, Consumer<Decisions.Tell> peers) {
+        decisions = new Balance(SyntheticFleet.deployment(fleet), fleet.index() + 1);
+        keys = new Random(fleet.index());
+        this.serviceNanos = serviceNanos;
+        this.peers = peers;
+        listed(0, nodes, true);
+    }
+
+    /** The list came, whole or as changes. */
+    void listed(long now, List<NodeEntry> nodes, boolean whole) {
+        decided.clear();
+        decisions.listed(now, nodes, whole, decided);
+        carryOut(now);
+    }
+
+    /** A request comes in; attempts that are over by now end before it. */
+    void request(long now) {
+        endAttempts(now);
+        decided.clear();
+        decisions.arrived(now, new QueryId(++requests), READS, TENANT, new CacheKey(keys.nextLong() | 1), false, 0,
+            PATIENCE_NANOS, decided);
+        carryOut(now);
+    }
+
+    /** Another proxy's message comes in. */
+    void told(long now, Word word) {
+        decided.clear();
+        decisions.told(now, word, decided);
+        carryOut(now);
+    }
+
+    private void endAttempts(long now) {
+        while (!attempts.isEmpty() && attempts.peek().endsAt <= now) {
+            Attempt attempt = attempts.remove();
+            decided.clear();
+            decisions.ended(attempt.endsAt, attempt.request, attempt.number, Outcome.COMPLETED, LoadReport.NONE, true, 0,
+                decided);
+            carryOut(attempt.endsAt);
+        }
+    }
+
+    private void carryOut(long now) {
+        for (Decisions.Start start : decided.starts) {
+            attempts.add(new Attempt(start.query(), 0, now + serviceNanos));
+            connected.add(start.node());
+        }
+        connected.removeAll(decided.closes);
+        List<Decisions.Tell> tells = decided.tells.isEmpty() ? List.of() : List.copyOf(decided.tells);
+        List<NodeId> probed = decided.probes.isEmpty() ? List.of() : List.copyOf(decided.probes);
+        tells.forEach(peers);
+        for (NodeId node : probed) {
+            probes++;
+            decided.clear();
+            decisions.probed(now, node, Outcome.COMPLETED, QUIET, decided);
+            carryOut(now);
+        }
+    }
+
+    /** Requests so far. */
+    long requests() {
+        return requests;
+    }
+
+    /** Probes so far. */
+    long probes() {
+        return probes;
+    }
+
+    /** Nodes to which a connection is open. */
+    int connections() {
+        return connected.size();
+    }
+}
--- /dev/null
+++ b/rig/src/main/java/spurroad/rig/scale/Subscribers.java
@@ -0,0 +1,76 @@
+package spurroad.rig.scale;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.stream.IntStream;
+import spurroad.control.decide.Rollout;
+import spurroad.control.decide.Subscription;
+
+/** What a new version costs the control service's decisions, by how many proxies subscribe to one machine. */
+final class Subscribers implements Measure {
+    static final int TOLD = 0, ROLLOUT = 1, ALLOCATED = 2, STATE = 3; // columns
+    private static final double[] STAGES = {0.01, 0.1, 1};
+    private static final long LEAST_REQUESTS = 1_000;
+    private static final double MARGIN = 0.01;
+
+    /** Proxies that accept each version as soon as it is sent. */
+    private static final class Subscribed {
+        private final List<Subscription> proxies = new ArrayList<>();
+        private long versions;
+
+        private Subscribed(int count) {
+            for (int i = 0; i < count; i++) {
+                Subscription proxy = new Subscription();
+                proxy.request("", "", null, true);
+                proxies.add(proxy);
+            }
+            newVersion();
+        }
+
+        private void newVersion() {
+            String version = String.format("%016x", ++versions);
+            for (Subscription proxy : proxies) {
+                Optional<Subscription.Send> send = proxy.newer(version);
+                send.ifPresent(s -> proxy.request(s.version(), s.nonce(), null, false));
+            }
+        }
+    }
+
+    @Override
+    public String name() {
+        return "subscribers";
+    }
+
+    @Override
+    public String title() {
+        return "The control service's decisions on one new version, without sending";
+    }
+
+    @Override
+    public String sizeName() {
+        return "proxies";
+    }
+
+    @Override
+    public List<Column> columns() {
+        return List.of(new Column("told to all, and accepted", "ms"), new Column("all reports of a roll-out", "ms"),
+            new Column("allocated", "KB"), new Column("state", "KB"));
+    }
+
+    @Override
+    public List<Integer> sizes(Effort effort) {
+        return effort == Effort.FULL ? List.of(100, 400, 1_600, 6_400, 16_000, 32_000)
+            : List.of(100, 400, 800, 1_600, 3_200);
+    }
+
+    @Override
+    public List<Double> run(int proxies, Effort effort) {
+        Meter.Kept<Subscribed> kept = Meter.keep(NodeCounts.copies(proxies), () -> new Subscribed(proxies));
+        Rollout rollout = new Rollout(0, "version", STAGES, SyntheticFleet.SECOND_NANOS, LEAST_REQUESTS, MARGIN);
+        List<String> names = IntStream.range(0, proxies).mapToObj(i -> "proxy-" + i).toList();
+        Meter.Cost told = Meter.perCall(effort, kept.value()::newVersion);
+        Meter.Cost reported = Meter.perCall(effort, () -> names.forEach(name -> rollout.reported(name, 1, 1)));
+        return List.of(told.cpuMillis(), reported.cpuMillis(), told.kilobytes(), kept.kilobytes());
+    }
+}
--- /dev/null
+++ b/rig/src/main/java/spurroad/rig/scale/SyntheticFleet.java
@@ -0,0 +1,122 @@
+package spurroad.rig.scale;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.IntStream;
+import spurroad.control.decide.Member;
+import spurroad.control.decide.Standing;
+import spurroad.control.decide.State;
+import spurroad.model.CellId;
+import spurroad.model.DedupScope;
+import spurroad.model.Deployment;
+import spurroad.model.Effect;
+import spurroad.model.Fleet;
+import spurroad.model.KindId;
+import spurroad.model.NodeEntry;
+import spurroad.model.NodeId;
+import spurroad.model.Phase;
+import spurroad.model.Track;
+import spurroad.model.ZoneId;
+import spurroad.protocol.Members;
+
+/** Cache nodes made up for measurements, as proxies, discovery and the control service each know them. */
+final class SyntheticFleet {
+    static final int ZONES = 173; // of the fleet that is planned for
+    static final long SECOND_NANOS = 1_000_000_000L;
+    private static final KindId CACHE = new KindId(0);
+    private static final String CACHE_KIND = "cache-large";
+    private static final long STARTED_MS = 1_764_547_200_000L; // Unix time, long before any measurement's clock
+    private static final long LATENCY_OBJECTIVE_NANOS = SECOND_NANOS;
+    private static final long IDLE_NANOS = 60 * SECOND_NANOS; // after which nodes close an idle connection
+    private static final long TICK_NANOS = 5_000_000L;
+    private static final long COLD_NANOS = 8 * SECOND_NANOS;
+    private static final double START_CAPACITY = 0.3;
+    private static final double WITHIN_SHARE = 1e6; // requests a second and proxy: nothing is beyond its share
+    private static final int MOST_ATTEMPTS = 4;
+    private static final int NODES_PER_CELL = 4;
+    private static final int PORT = 11_211;
+    private static final ObjectMapper JSON = new ObjectMapper();
+
+    private SyntheticFleet() { }
+
+    /** The figures by which a proxy decides; reads only, all of one tenant. */
+    static Deployment deployment(Fleet fleet) {
+        Track reads = new Track(Effect.IDEMPOTENT, DedupScope.ALL, 0, LATENCY_OBJECTIVE_NANOS, 0, 1, 0);
+        return new Deployment(List.of(reads), List.of(WITHIN_SHARE), null, false, true, true, 2 * SECOND_NANOS,
+            MOST_ATTEMPTS, START_CAPACITY, COLD_NANOS, TICK_NANOS, IDLE_NANOS, fleet);
+    }
+
+    /** Nodes as the decision module knows them. */
+    static List<NodeEntry> entries(int count) {
+        return IntStream.range(0, count).mapToObj(i -> entry(i, Phase.READY)).toList();
+    }
+
+    static NodeEntry entry(int number, Phase phase) {
+        return new NodeEntry(id(number), CACHE, new ZoneId(number % ZONES), new CellId(number / NODES_PER_CELL), 0, 1,
+            phase);
+    }
+
+    static NodeId id(int number) {
+        return new NodeId(Members.hash(uid(number)));
+    }
+
+    /** The names that discovery's list is read with. */
+    static Members.Names names() {
+        return new Members.Names(List.of(CACHE_KIND), IntStream.range(0, ZONES).mapToObj(SyntheticFleet::zone).toList(),
+            true);
+    }
+
+    /** Discovery's list as a line: nodes in a range of numbers. */
+    static String listLine(int from, int count, long revision, boolean whole) {
+        Map<String, Object> list = new LinkedHashMap<>();
+        list.put("rev", revision);
+        list.put("all", whole);
+        List<Map<String, Object>> targets = new ArrayList<>();
+        IntStream.range(from, from + count).forEach(i -> targets.add(target(i)));
+        list.put("targets", targets);
+        try {
+            return JSON.writeValueAsString(list);
+        } catch (JsonProcessingException e) {
+            throw new IllegalStateException("plain maps can always be written", e);
+        }
+    }
+
+    private static Map<String, Object> target(int number) {
+        Map<String, Object> target = new LinkedHashMap<>();
+        target.put("uid", uid(number));
+        target.put("endpoint", endpoint(number));
+        target.put("az", zone(number % ZONES));
+        target.put("model", CACHE_KIND);
+        target.put("pod_group", number / NODES_PER_CELL);
+        target.put("state", "active");
+        target.put("capacity_hint", 1.0);
+        target.put("boot_ms", STARTED_MS);
+        return target;
+    }
+
+    /** Nodes as the control service knows them. */
+    static List<Member> members(int count) {
+        return IntStream.range(0, count).mapToObj(i -> member(i, State.ACTIVE)).toList();
+    }
+
+    static Member member(int number, State state) {
+        return new Member(uid(number), endpoint(number), zone(number % ZONES), CACHE_KIND, 1,
+            new Standing(STARTED_MS, state));
+    }
+
+    private static String uid(int number) {
+        return String.format("node-%06d", number);
+    }
+
+    private static String zone(int number) {
+        return String.format("zone-%03d", number);
+    }
+
+    private static String endpoint(int number) {
+        return "10." + (number >>> 16 & 0xff) + "." + (number >>> 8 & 0xff) + "." + (number & 0xff) + ":" + PORT;
+    }
+}
