--- a/core/src/main/java/spurroad/Balance.java
+++ b/core/src/main/java/spurroad/Balance.java
@@ -770,7 +770,7 @@
         double carried = given.startCapacity() + (1 - given.startCapacity()) * warmth;
         return warmth >= 1 || q.execs.isEmpty()
             && q.luck * Math.max(1, (n.asked.at(now).top - 1) / (arrivals.at(now).top * n.part))
-            < carried * (1 - pressed.ratio(now, PRIOR, 0));
+                < carried * (1 - pressed.ratio(now, PRIOR, 0));
     }
 
     /** The first distinct nodes clockwise from the key; where none is ready, those that may be sent to. */
--- a/proxy/src/main/java/spurroad/routing/ListWatch.java
+++ b/proxy/src/main/java/spurroad/routing/ListWatch.java
@@ -15,9 +15,9 @@
 import spurroad.transport.Threads;
 
 /**
- * The list, worked on the loop: keeps its revision and one watch, or two while discovery moves or a watch is silent.
- * Where lists are pushed, whoever pushes them is close and not asked by others: there it is followed from the start and
- * asked again soon. Elsewhere it is followed when the module says so.
+ * The list, worked on the loop: keeps its revision and one watch, or two while discovery moves or a watch is
+ * silent. Where lists are pushed, whoever pushes them is close and not asked by others: there it is followed
+ * from the start and asked again soon. Elsewhere it is followed when the module says so.
  */
 public final class ListWatch implements Decider.Follow {
     // A watch says something every 2 s, and what a silent one misses counts as told 6 s after it fell silent. By these
@@ -31,7 +31,7 @@
     private static final int CONNECT_MS = 2_000; // ms; one beat
     private static final int THREAD_MS = 10_000; // ms; longer than any alarm: no thread outlives a socket for long
     private static final int OK = 200;
-    private static final Runnable NOTHING = () -> { };
+    private static final Runnable NOTHING = () -> {};
 
     private final Members.Names names;
     private final Threads threads;
@@ -46,7 +46,7 @@
     private long revision;
     private Watch current, former;
     private Runnable firstList = NOTHING;
-    private Loop.Alarm again = () -> { }; // the next call at the latest
+    private Loop.Alarm again = () -> {}; // the next call at the latest
 
     public ListWatch(ProxyStart start, Threads threads, Loop loop, EventLog log, Decider decider) {
         this.threads = threads;
@@ -81,7 +81,10 @@
         });
     }
 
-    /** Discovery is reached elsewhere from now on; the watch that there is goes on until the new one has spoken. */
+    /**
+     * Discovery is reached elsewhere from now on; the watch that there is goes on until the new one has
+     * spoken.
+     */
     public void moved(InetSocketAddress to) {
         loop.tell(() -> {
             discovery = to;
@@ -172,7 +175,7 @@
         private final long since;
         // the loop's
         private boolean spoke;
-        private Loop.Alarm alarm = () -> { };
+        private Loop.Alarm alarm = () -> {};
 
         private Watch(InetSocketAddress at, long since) {
             this.at = at;
--- a/rig/src/main/java/spurroad/rig/scale/DiscoveryWatches.java
+++ b/rig/src/main/java/spurroad/rig/scale/DiscoveryWatches.java
@@ -29,7 +29,8 @@
     @Override
     public List<Column> columns() {
         return List.of(new Column("processor time, an empty line to all", "ms"),
-            new Column("empty lines, with headers", "KB/s"), new Column("processor time, a change to all", "ms"),
+            new Column("empty lines, with headers", "KB/s"),
+            new Column("processor time, a change to all", "ms"),
             new Column("a change to all", "KB"), new Column("processor time, all return at once", "ms"),
             new Column("all return at once", "KB"));
     }
@@ -42,19 +43,20 @@
     @Override
     public List<Double> run(int count, Effort effort) throws Exception {
         try (WatchServer discovery = new WatchServer(SyntheticFleet.listLine(0, NODES, 1, true));
-             HollowWatches watches = new HollowWatches()) {
+            HollowWatches watches = new HollowWatches()) {
             watches.open(discovery.address(), count);
             Sent empty = say(discovery, watches, "", count, EMPTY_LINES);
             Sent change = say(discovery, watches, SyntheticFleet.listLine(0, 1, 2, false), count, 1);
             watches.drop();
             discovery.dropAll();
             Sent returned = allReturn(discovery, watches, count);
-            return List.of(empty.cpuMillis, (empty.bytes + (double) count * HEADER_BYTES) / BEAT_SECONDS / 1e3,
+            return List.of(empty.cpuMillis,
+                (empty.bytes + (double) count * HEADER_BYTES) / BEAT_SECONDS / 1e3,
                 change.cpuMillis, change.bytes / 1e3, returned.cpuMillis, returned.bytes / 1e3);
         }
     }
 
-    private record Sent(double cpuMillis, double bytes) { }
+    private record Sent(double cpuMillis, double bytes) {}
 
     private static Sent say(WatchServer discovery, HollowWatches watches, String text, int count, int times)
         throws Exception {
@@ -65,7 +67,8 @@
             discovery.say(text);
             watches.awaitLines(expected);
         }
-        return new Sent((discovery.cpuNanos() - cpu) / 1e6 / times, (double) (watches.bytes() - bytes) / times);
+        return new Sent((discovery.cpuNanos() - cpu) / 1e6 / times,
+            (double) (watches.bytes() - bytes) / times);
     }
 
     private static Sent allReturn(WatchServer discovery, HollowWatches watches, int count) throws Exception {
--- a/rig/src/main/java/spurroad/rig/scale/HollowProxy.java
+++ b/rig/src/main/java/spurroad/rig/scale/HollowProxy.java
@@ -21,8 +21,8 @@
 import spurroad.model.Word;
 
 /**
- * The decisions of one proxy, driven in simulated time without sockets: requests for keys drawn evenly come in, and each
- * attempt succeeds after the same time. Not for several threads.
+ * The decisions of one proxy, driven in simulated time without sockets: requests for keys drawn evenly come
+ * in, and each attempt succeeds after the same time. Not for several threads.
  */
 final class HollowProxy {
     private static final TrackId READS = new TrackId(0);
@@ -30,7 +30,7 @@
     private static final LoadReport QUIET = new LoadReport(1, 0);
     private static final long PATIENCE_NANOS = 4 * SyntheticFleet.SECOND_NANOS;
 
-    private record Attempt(QueryId request, int number, long endsAt) { }
+    private record Attempt(QueryId request, int number, long endsAt) {}
 
     private final Balance decisions;
     private final Decisions decided = new Decisions();
@@ -46,7 +46,7 @@
      * A proxy that knows some nodes.
      *
      * @param serviceNanos that an attempt takes
-     * @param peers        takes what it says to other proxies
+     * @param peers takes what it says to other proxies
      */
     HollowProxy(Fleet fleet, List<NodeEntry> nodes, long serviceNanos, Consumer<Decisions.Tell> peers) {
         decisions = new Balance(SyntheticFleet.deployment(fleet), fleet.index() + 1);
@@ -67,7 +67,8 @@
     void request(long now) {
         endAttempts(now);
         decided.clear();
-        decisions.arrived(now, new QueryId(++requests), READS, TENANT, new CacheKey(keys.nextLong() | 1), false, 0,
+        decisions.arrived(now, new QueryId(++requests), READS, TENANT, new CacheKey(keys.nextLong() | 1),
+            false, 0,
             PATIENCE_NANOS, decided);
         carryOut(now);
     }
@@ -83,7 +84,8 @@
         while (!attempts.isEmpty() && attempts.peek().endsAt <= now) {
             Attempt attempt = attempts.remove();
             decided.clear();
-            decisions.ended(attempt.endsAt, attempt.request, attempt.number, Outcome.COMPLETED, LoadReport.NONE, true, 0,
+            decisions.ended(attempt.endsAt, attempt.request, attempt.number, Outcome.COMPLETED,
+                LoadReport.NONE, true, 0,
                 decided);
             carryOut(attempt.endsAt);
         }
--- a/rig/src/main/java/spurroad/rig/scale/HollowWatches.java
+++ b/rig/src/main/java/spurroad/rig/scale/HollowWatches.java
@@ -2,6 +2,7 @@
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -13,7 +14,6 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponseDecoder;
--- a/rig/src/main/java/spurroad/rig/scale/ListChanges.java
+++ b/rig/src/main/java/spurroad/rig/scale/ListChanges.java
@@ -5,7 +5,10 @@
 import spurroad.model.NodeEntry;
 import spurroad.model.Phase;
 
-/** What a change of the list costs a proxy's decisions: taking it up, and the ring that the next request rebuilds. */
+/**
+ * What a change of the list costs a proxy's decisions: taking it up, and the ring that the next request
+ * rebuilds.
+ */
 final class ListChanges implements Measure {
     static final int TAKEN_UP = 0, REBUILT = 1, ALLOCATED = 2, BURST = 3, WHOLE = 4; // columns
     private static final int IN_BURST = 100;
@@ -21,7 +24,7 @@
 
         private Changing(int count) {
             nodes = SyntheticFleet.entries(count);
-            proxy = new HollowProxy(Fleet.ALONE, nodes, SERVICE_NANOS, tell -> { });
+            proxy = new HollowProxy(Fleet.ALONE, nodes, SERVICE_NANOS, tell -> {});
         }
 
         private void change() {
@@ -71,7 +74,8 @@
     public List<Column> columns() {
         return List.of(new Column("a change taken up", "us"),
             new Column("a change and the next request (ring rebuilt)", "ms"),
-            new Column("allocated by that", "KB"), new Column("a burst of 100 changes and the next request", "ms"),
+            new Column("allocated by that", "KB"),
+            new Column("a burst of 100 changes and the next request", "ms"),
             new Column("a whole list taken up", "ms"));
     }
 
--- a/rig/src/main/java/spurroad/rig/scale/ListReading.java
+++ b/rig/src/main/java/spurroad/rig/scale/ListReading.java
@@ -34,7 +34,8 @@
     public List<Column> columns() {
         return List.of(new Column("whole list", "KB"), new Column("read and parsed", "ms"),
             new Column("allocated by that", "KB"), new Column("list of one change", "bytes"),
-            new Column("read and parsed, one change", "us"), new Column("line is taken (1) or too long (0)", ""));
+            new Column("read and parsed, one change", "us"),
+            new Column("line is taken (1) or too long (0)", ""));
     }
 
     @Override
@@ -50,7 +51,8 @@
         boolean taken = isTaken(whole);
         Meter.Cost wholeCost = Meter.perCall(effort, () -> parse(whole, taken, names));
         Meter.Cost changeCost = Meter.perCall(effort, () -> parse(change, true, names));
-        return List.of(whole.length / 1e3, wholeCost.cpuMillis(), wholeCost.kilobytes(), (double) change.length,
+        return List.of(whole.length / 1e3, wholeCost.cpuMillis(), wholeCost.kilobytes(),
+            (double) change.length,
             changeCost.cpuMicros(), taken ? 1.0 : 0.0);
     }
 
@@ -69,7 +71,10 @@
         }
     }
 
-    /** As the proxy's watch does it; a line that it refuses is parsed all the same, to show what it would cost. */
+    /**
+     * As the proxy's watch does it; a line that it refuses is parsed all the same, to show what it would
+     * cost.
+     */
     private static void parse(byte[] line, boolean taken, Members.Names names) {
         try {
             String text = taken ? Http.listText(source(line)) : new String(line, StandardCharsets.ISO_8859_1);
--- a/rig/src/main/java/spurroad/rig/scale/Measures.java
+++ b/rig/src/main/java/spurroad/rig/scale/Measures.java
@@ -5,11 +5,12 @@
 
 /** All measurements, in the order in which they are told. */
 public final class Measures {
-    private static final List<Measure> ALL = List.of(new RequestDecisions(), new ListChanges(), new ListReading(),
+    private static final List<Measure> ALL = List.of(new RequestDecisions(), new ListChanges(),
+        new ListReading(),
         new PeerMessages(), new ControlDecisions(), new Subscribers(),
         new DiscoveryWatches());
 
-    private Measures() { }
+    private Measures() {}
 
     /** Each of them. */
     public static List<Measure> all() {
--- a/rig/src/main/java/spurroad/rig/scale/Meter.java
+++ b/rig/src/main/java/spurroad/rig/scale/Meter.java
@@ -7,8 +7,8 @@
 import java.util.function.Supplier;
 
 /**
- * Processor time and memory of the calling thread. The time of the collector and of the compiler is not in it, as they
- * run on threads of their own; what is allocated is told beside it for that reason.
+ * Processor time and memory of the calling thread. The time of the collector and of the compiler is not in
+ * it, as they run on threads of their own; what is allocated is told beside it for that reason.
  */
 final class Meter {
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -16,13 +16,13 @@
     private static final int COLLECTIONS = 4; // the serial collector leaves some garbage in place but for each fourth time
     private static final int LARGEST_BATCH = 1_024; // calls between two looks at the clock
 
-    private Meter() { }
+    private Meter() {}
 
     /**
      * What was spent.
      *
      * @param cpuNanos processor time in nanoseconds
-     * @param bytes    allocated
+     * @param bytes allocated
      */
     record Cost(double cpuNanos, double bytes) {
         Cost each(double count) {
@@ -47,7 +47,8 @@
         long bytes = THREADS.getCurrentThreadAllocatedBytes();
         long cpu = THREADS.getCurrentThreadCpuTime();
         work.run();
-        return new Cost(THREADS.getCurrentThreadCpuTime() - cpu, THREADS.getCurrentThreadAllocatedBytes() - bytes);
+        return new Cost(THREADS.getCurrentThreadCpuTime() - cpu,
+            THREADS.getCurrentThreadAllocatedBytes() - bytes);
     }
 
     /** What a call spends in the mean of as many as the effort asks for, after half as many to warm up. */
@@ -61,7 +62,8 @@
         long cpu = THREADS.getCurrentThreadCpuTime();
         long spent = 0;
         int calls = 0;
-        for (int batch = 1; spent < leastCpuNanos && calls < MOST_CALLS; batch = Math.min(LARGEST_BATCH, 2 * batch)) {
+        for (int batch = 1; spent < leastCpuNanos
+            && calls < MOST_CALLS; batch = Math.min(LARGEST_BATCH, 2 * batch)) {
             for (int i = 0; i < batch; i++) {
                 call.run();
             }
@@ -83,7 +85,10 @@
         }
     }
 
-    /** Makes some alike, as what one small object keeps is less than what the virtual machine itself moves meanwhile. */
+    /**
+     * Makes some alike, as what one small object keeps is less than what the virtual machine itself moves
+     * meanwhile.
+     */
     static <T> Kept<T> keep(int copies, Supplier<T> made) {
         made.get(); // what is set up once, such as caches of the library, is not counted
         List<T> kept = new ArrayList<>(copies);
--- a/rig/src/main/java/spurroad/rig/scale/NodeCounts.java
+++ b/rig/src/main/java/spurroad/rig/scale/NodeCounts.java
@@ -2,12 +2,15 @@
 
 import java.util.List;
 
-/** The numbers of cache nodes at which roles that know nodes are measured: up to the fleet planned for, and twice that. */
+/**
+ * The numbers of cache nodes at which roles that know nodes are measured: up to the fleet planned for, and
+ * twice that.
+ */
 final class NodeCounts {
     private static final List<Integer> SHORT = List.of(16, 64, 256, 512, 1_024);
     private static final List<Integer> FULL = List.of(16, 64, 256, 1_024, 4_096, 6_800, 13_600);
 
-    private NodeCounts() { }
+    private NodeCounts() {}
 
     static List<Integer> of(Effort effort) {
         return effort == Effort.FULL ? FULL : SHORT;
--- a/rig/src/main/java/spurroad/rig/scale/PeerMessages.java
+++ b/rig/src/main/java/spurroad/rig/scale/PeerMessages.java
@@ -10,8 +10,8 @@
 import spurroad.protocol.PeerMessage;
 
 /**
- * Messages among proxies that may talk, by how many they are. Nodes and load grow with them as in the fleet that is
- * planned for, so each proxy sends requests at the same rate and each node gets as many.
+ * Messages among proxies that may talk, by how many they are. Nodes and load grow with them as in the fleet
+ * that is planned for, so each proxy sends requests at the same rate and each node gets as many.
  */
 final class PeerMessages implements Measure {
     static final int TO_ONE = 0, TO_ONE_BYTES = 1, CPU = 2, TO_ALL = 3, TO_ALL_BYTES = 4, FULL_CPU = 5,
@@ -31,7 +31,7 @@
         private Sent toOne = Sent.NOTHING;
         private Sent toAll = Sent.NOTHING;
 
-        private record Message(int from, Decisions.Tell tell) { }
+        private record Message(int from, Decisions.Tell tell) {}
 
         private Talking(int count, long serviceNanos) {
             List<NodeEntry> nodes = SyntheticFleet.entries(Math.max(1, (int) (count * NODES_PER_PROXY)));
@@ -96,7 +96,7 @@
     }
 
     /** What a request costs. */
-    private record PerRequest(Sent toOne, Sent toAll, double cpuMicros) { }
+    private record PerRequest(Sent toOne, Sent toAll, double cpuMicros) {}
 
     @Override
     public String name() {
@@ -115,7 +115,8 @@
 
     @Override
     public List<Column> columns() {
-        return List.of(new Column("messages to one proxy a request", ""), new Column("bytes of them", "bytes"),
+        return List.of(new Column("messages to one proxy a request", ""),
+            new Column("bytes of them", "bytes"),
             new Column("processor time a request", "us"),
             new Column("messages to all a request, nodes full", ""), new Column("bytes of them", "bytes"),
             new Column("processor time a request, nodes full", "us"), new Column("state of a proxy", "KB"));
@@ -131,7 +132,8 @@
         Meter.Kept<Talking> kept = Meter.keep(1, () -> begun(proxies, QUIET_SERVICE_NANOS, effort));
         PerRequest whenQuiet = measured(kept.value(), effort);
         PerRequest whenFull = measured(begun(proxies, FULL_SERVICE_NANOS, effort), effort);
-        return List.of(whenQuiet.toOne.messages, whenQuiet.toOne.bytes, whenQuiet.cpuMicros, whenFull.toAll.messages,
+        return List.of(whenQuiet.toOne.messages, whenQuiet.toOne.bytes, whenQuiet.cpuMicros,
+            whenFull.toAll.messages,
             whenFull.toAll.bytes, whenFull.cpuMicros, kept.kilobytes() / proxies);
     }
 
--- a/rig/src/main/java/spurroad/rig/scale/PowerLaw.java
+++ b/rig/src/main/java/spurroad/rig/scale/PowerLaw.java
@@ -1,9 +1,10 @@
 package spurroad.rig.scale;
 
 /**
- * A value that grows as a power of a size: {@code factor * size^exponent}, fitted by least squares of the logarithms.
+ * A value that grows as a power of a size: {@code factor * size^exponent}, fitted by least squares of the
+ * logarithms.
  *
- * @param factor   the value at size one
+ * @param factor the value at size one
  * @param exponent 0 for what does not grow, 1 for what grows in proportion, 2 for what grows as the square
  */
 public record PowerLaw(double factor, double exponent) {
@@ -51,6 +52,7 @@
         if (exponent <= 1 + LOGARITHM) {
             return "n log n";
         }
-        return exponent < 2 - NEAR ? "between linear and square" : exponent <= 2 + NEAR ? "square" : "over square";
+        return exponent < 2 - NEAR ? "between linear and square"
+            : exponent <= 2 + NEAR ? "square" : "over square";
     }
 }
--- a/rig/src/main/java/spurroad/rig/scale/RequestDecisions.java
+++ b/rig/src/main/java/spurroad/rig/scale/RequestDecisions.java
@@ -28,7 +28,8 @@
 
     @Override
     public List<Column> columns() {
-        return List.of(new Column("processor time a request", "us"), new Column("allocated a request", "bytes"),
+        return List.of(new Column("processor time a request", "us"),
+            new Column("allocated a request", "bytes"),
             new Column("state", "KB"), new Column("connections open", ""),
             new Column("requests seen of a node", "1/s"), new Column("probes", "1/s"));
     }
@@ -53,7 +54,7 @@
     }
 
     private static HollowProxy proxy(int nodes) {
-        return new HollowProxy(Fleet.ALONE, SyntheticFleet.entries(nodes), SERVICE_NANOS, tell -> { });
+        return new HollowProxy(Fleet.ALONE, SyntheticFleet.entries(nodes), SERVICE_NANOS, tell -> {});
     }
 
     private static void play(HollowProxy proxy, long requests) {
--- a/rig/src/main/java/spurroad/rig/scale/Series.java
+++ b/rig/src/main/java/spurroad/rig/scale/Series.java
@@ -9,14 +9,17 @@
  * The results of a measurement.
  *
  * @param measure that gave them
- * @param sizes   measured, rising
- * @param runs    values by size, then run, then column
+ * @param sizes measured, rising
+ * @param runs values by size, then run, then column
  */
 public record Series(Measure measure, List<Integer> sizes, List<List<List<Double>>> runs) {
     /** The sizes at the upper end by which a slope is told: small ones are ruled by what does not grow. */
     private static final int END = 3;
 
-    /** Measures all sizes. Runs go through all sizes in turn, so a burst of other work meets not one size alone. */
+    /**
+     * Measures all sizes. Runs go through all sizes in turn, so a burst of other work meets not one size
+     * alone.
+     */
     public static Series of(Measure measure, Effort effort) throws Exception {
         List<Integer> sizes = measure.sizes(effort);
         List<List<List<Double>>> runs = new ArrayList<>();
@@ -87,8 +90,8 @@
     }
 
     /**
-     * A column at a size. Between measured sizes it is taken on the power law through the two neighbours, beyond the
-     * largest one on the law through the last three, from the largest one on.
+     * A column at a size. Between measured sizes it is taken on the power law through the two neighbours,
+     * beyond the largest one on the law through the last three, from the largest one on.
      */
     public double at(double size, int column) {
         int last = sizes.size() - 1;
@@ -105,11 +108,14 @@
         }
         double low = median(above - 1, column);
         double high = median(above, column);
-        double part = Math.log(size / sizes.get(above - 1)) / Math.log((double) sizes.get(above) / sizes.get(above - 1));
+        double part = Math.log(size / sizes.get(above - 1))
+            / Math.log((double) sizes.get(above) / sizes.get(above - 1));
         return low <= 0 || high <= 0 ? low + (high - low) * part : low * Math.pow(high / low, part);
     }
 
-    /** How many times the largest measured size a size is; 1 at most where it was measured or lies between. */
+    /**
+     * How many times the largest measured size a size is; 1 at most where it was measured or lies between.
+     */
     public double beyond(double size) {
         return Math.max(1, size / largest());
     }
--- a/rig/src/main/java/spurroad/rig/scale/SeriesReport.java
+++ b/rig/src/main/java/spurroad/rig/scale/SeriesReport.java
@@ -7,7 +7,7 @@
 
 /** A series as a Markdown section: medians with their spread by size, then the slopes. */
 public final class SeriesReport {
-    private SeriesReport() { }
+    private SeriesReport() {}
 
     /** The section; its heading is of the third level. */
     public static String markdown(Series series) {
@@ -21,10 +21,12 @@
                 column -> MarkdownTable.figure(series.median(place, column))
                     + " ±" + MarkdownTable.percent(series.spread(place, column) / 2)));
         }
-        table.row(cells(series, "exponent, all sizes", c -> series.slope(c).map(SeriesReport::exponent).orElse("-")));
+        table.row(cells(series, "exponent, all sizes",
+            c -> series.slope(c).map(SeriesReport::exponent).orElse("-")));
         table.row(cells(series, "exponent, last three",
             c -> series.slopeAtEnd(c).map(SeriesReport::exponent).orElse("-")));
-        table.row(cells(series, "shape at the end", c -> series.slopeAtEnd(c).map(PowerLaw::shape).orElse("-")));
+        table.row(
+            cells(series, "shape at the end", c -> series.slopeAtEnd(c).map(PowerLaw::shape).orElse("-")));
         return "### " + measure.title() + "\n\n`bin/spurroad scale " + measure.name() + "`; median of "
             + series.runs().get(0).size() + " runs, ± half of the range.\n\n" + table;
     }
--- a/rig/src/main/java/spurroad/rig/scale/Subscribers.java
+++ b/rig/src/main/java/spurroad/rig/scale/Subscribers.java
@@ -54,7 +54,8 @@
 
     @Override
     public List<Column> columns() {
-        return List.of(new Column("told to all, and accepted", "ms"), new Column("all reports of a roll-out", "ms"),
+        return List.of(new Column("told to all, and accepted", "ms"),
+            new Column("all reports of a roll-out", "ms"),
             new Column("allocated", "KB"), new Column("state", "KB"));
     }
 
@@ -67,10 +68,12 @@
     @Override
     public List<Double> run(int proxies, Effort effort) {
         Meter.Kept<Subscribed> kept = Meter.keep(NodeCounts.copies(proxies), () -> new Subscribed(proxies));
-        Rollout rollout = new Rollout(0, "version", STAGES, SyntheticFleet.SECOND_NANOS, LEAST_REQUESTS, MARGIN);
+        Rollout rollout = new Rollout(0, "version", STAGES, SyntheticFleet.SECOND_NANOS, LEAST_REQUESTS,
+            MARGIN);
         List<String> names = IntStream.range(0, proxies).mapToObj(i -> "proxy-" + i).toList();
         Meter.Cost told = Meter.perCall(effort, kept.value()::newVersion);
-        Meter.Cost reported = Meter.perCall(effort, () -> names.forEach(name -> rollout.reported(name, 1, 1)));
+        Meter.Cost reported = Meter.perCall(effort,
+            () -> names.forEach(name -> rollout.reported(name, 1, 1)));
         return List.of(told.cpuMillis(), reported.cpuMillis(), told.kilobytes(), kept.kilobytes());
     }
 }
--- a/rig/src/main/java/spurroad/rig/scale/SyntheticFleet.java
+++ b/rig/src/main/java/spurroad/rig/scale/SyntheticFleet.java
@@ -41,12 +41,13 @@
     private static final int PORT = 11_211;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private SyntheticFleet() { }
+    private SyntheticFleet() {}
 
     /** The figures by which a proxy decides; reads only, all of one tenant. */
     static Deployment deployment(Fleet fleet) {
         Track reads = new Track(Effect.IDEMPOTENT, DedupScope.ALL, 0, LATENCY_OBJECTIVE_NANOS, 0, 1, 0);
-        return new Deployment(List.of(reads), List.of(WITHIN_SHARE), null, false, true, true, 2 * SECOND_NANOS,
+        return new Deployment(List.of(reads), List.of(WITHIN_SHARE), null, false, true, true,
+            2 * SECOND_NANOS,
             MOST_ATTEMPTS, START_CAPACITY, COLD_NANOS, TICK_NANOS, IDLE_NANOS, fleet);
     }
 
@@ -56,7 +57,8 @@
     }
 
     static NodeEntry entry(int number, Phase phase) {
-        return new NodeEntry(id(number), CACHE, new ZoneId(number % ZONES), new CellId(number / NODES_PER_CELL), 0, 1,
+        return new NodeEntry(id(number), CACHE, new ZoneId(number % ZONES),
+            new CellId(number / NODES_PER_CELL), 0, 1,
             phase);
     }
 
@@ -66,7 +68,8 @@
 
     /** The names that discovery's list is read with. */
     static Members.Names names() {
-        return new Members.Names(List.of(CACHE_KIND), IntStream.range(0, ZONES).mapToObj(SyntheticFleet::zone).toList(),
+        return new Members.Names(List.of(CACHE_KIND),
+            IntStream.range(0, ZONES).mapToObj(SyntheticFleet::zone).toList(),
             true);
     }
 
@@ -117,6 +120,7 @@
     }
 
     private static String endpoint(int number) {
-        return "10." + (number >>> 16 & 0xff) + "." + (number >>> 8 & 0xff) + "." + (number & 0xff) + ":" + PORT;
+        return "10." + (number >>> 16 & 0xff) + "." + (number >>> 8 & 0xff) + "." + (number & 0xff) + ":"
+            + PORT;
     }
 }
--- a/rig/src/main/java/spurroad/rig/scale/WatchServer.java
+++ b/rig/src/main/java/spurroad/rig/scale/WatchServer.java
@@ -31,8 +31,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery's watches on loopback, served by one thread: whoever asks is sent a whole list, and afterwards each line that
- * is said to all. It stands in for a discovery, which is no part of this project; the lines are those that proxies read.
+ * Discovery's watches on loopback, served by one thread: whoever asks is sent a whole list, and afterwards
+ * each line that is said to all. It stands in for a discovery, which is no part of this project; the lines
+ * are those that proxies read.
  */
 final class WatchServer implements AutoCloseable {
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -53,7 +54,8 @@
             .option(ChannelOption.SO_BACKLOG, BACKLOG).childHandler(new ChannelInitializer<SocketChannel>() {
                 @Override
                 protected void initChannel(SocketChannel channel) {
-                    channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_REQUEST_BYTES),
+                    channel.pipeline().addLast(new HttpServerCodec(),
+                        new HttpObjectAggregator(MOST_REQUEST_BYTES),
                         new Requests());
                 }
             }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
--- a/rig/src/test/java/spurroad/rig/scale/ScaleTest.java
+++ b/rig/src/test/java/spurroad/rig/scale/ScaleTest.java
@@ -7,8 +7,9 @@
 import org.testng.annotations.Test;
 
 /**
- * The short form of the scale measurements: shapes and bounds of what does not depend on how busy the machine is. Where
- * processor time is looked at, only a growth that is nearly square fails, which noise of a few times can't feign.
+ * The short form of the scale measurements: shapes and bounds of what does not depend on how busy the machine
+ * is. Where processor time is looked at, only a growth that is nearly square fails, which noise of a few
+ * times can't feign.
  */
 public class ScaleTest {
     private static final double ALIKE = 0.15; // of an exponent, of what is counted
@@ -22,14 +23,16 @@
                 {RequestDecisions.ALLOCATED, -ALIKE, ALIKE}, {RequestDecisions.STATE, 1 - ALIKE, 1 + ALIKE},
                 {RequestDecisions.CONNECTIONS, 1 - ALIKE, 1 + ALIKE}}},
             {new ListChanges(), new double[][] {{ListChanges.TAKEN_UP, -NEARLY_SQUARE, NEARLY_SQUARE},
-                {ListChanges.REBUILT, -NEARLY_SQUARE, NEARLY_SQUARE}, {ListChanges.ALLOCATED, 0.8, 1 + ALIKE}}},
+                {ListChanges.REBUILT, -NEARLY_SQUARE, NEARLY_SQUARE},
+                {ListChanges.ALLOCATED, 0.8, 1 + ALIKE}}},
             {new ListReading(), new double[][] {{ListReading.BYTES, 0.98, 1.02},
                 {ListReading.ALLOCATED, 1 - ALIKE, 1 + ALIKE}, {ListReading.CHANGE_BYTES, -0.02, 0.02},
                 {ListReading.CPU, -NEARLY_SQUARE, NEARLY_SQUARE}}},
             {new PeerMessages(), new double[][] {{PeerMessages.TO_ONE, -ALIKE, ALIKE},
                 {PeerMessages.TO_ALL, 1 - 2 * ALIKE, 1 + 2 * ALIKE}}},
             {new ControlDecisions(), new double[][] {{ControlDecisions.ALLOCATED, 0.8, 1 + ALIKE},
-                {ControlDecisions.STATE, 0.8, 1 + ALIKE}, {ControlDecisions.VIEWS, -NEARLY_SQUARE, NEARLY_SQUARE},
+                {ControlDecisions.STATE, 0.8, 1 + ALIKE},
+                {ControlDecisions.VIEWS, -NEARLY_SQUARE, NEARLY_SQUARE},
                 {ControlDecisions.GUARD, -NEARLY_SQUARE, NEARLY_SQUARE}}},
             {new Subscribers(), new double[][] {{Subscribers.ALLOCATED, 1 - ALIKE, 1 + ALIKE},
                 {Subscribers.STATE, 0.8, 1 + ALIKE}, {Subscribers.TOLD, -NEARLY_SQUARE, NEARLY_SQUARE}}},
@@ -46,7 +49,8 @@
             int column = (int) bound[0];
             double exponent = series.slope(column).orElseThrow().exponent();
             assertTrue(exponent >= bound[1] && exponent <= bound[2], measure.name() + ", "
-                + measure.columns().get(column).heading() + ": exponent " + exponent + ", expected " + bound[1] + " to "
+                + measure.columns().get(column).heading() + ": exponent " + exponent + ", expected "
+                + bound[1] + " to "
                 + bound[2] + "\n" + SeriesReport.markdown(series));
         }
     }
@@ -80,7 +84,8 @@
                 assertTrue(measure.sizes(effort).size() >= 5, measure.name());
             }
             int smallest = measure.sizes(Effort.SHORT).get(0);
-            assertEquals(measure.run(smallest, Effort.SHORT).size(), measure.columns().size(), measure.name());
+            assertEquals(measure.run(smallest, Effort.SHORT).size(), measure.columns().size(),
+                measure.name());
             assertEquals(Measures.named(measure.name()).orElseThrow(), measure);
         }
     }
--- a/rig/src/test/java/spurroad/rig/scale/SeriesTest.java
+++ b/rig/src/test/java/spurroad/rig/scale/SeriesTest.java
@@ -62,7 +62,8 @@
     }
 
     @Test(dataProvider = "shapes")
-    public void findsTheExponentAndItsName(DoubleUnaryOperator value, double exponent, String shape) throws Exception {
+    public void findsTheExponentAndItsName(DoubleUnaryOperator value, double exponent, String shape)
+        throws Exception {
         PowerLaw law = Series.of(new Known(value), Effort.FULL).slope(0).orElseThrow();
         assertEquals(law.exponent(), exponent, 0.02);
         assertEquals(law.shape(), shape);
@@ -92,7 +93,8 @@
             List.of(List.of(List.of(4.0), List.of(2.0), List.of(3.0))));
         assertEquals(series.median(0, 0), 3, EXACT);
         assertEquals(series.spread(0, 0), 2.0 / 3, EXACT);
-        assertTrue(SeriesReport.markdown(series).contains("| 16 | 3.00 ±33% |"), SeriesReport.markdown(series));
+        assertTrue(SeriesReport.markdown(series).contains("| 16 | 3.00 ±33% |"),
+            SeriesReport.markdown(series));
     }
 
     @DataProvider
