--- a/rig/src/main/java/spurroad/rig/scale/ControlDecisions.java
+++ b/rig/src/main/java/spurroad/rig/scale/ControlDecisions.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import spurroad.control.decide.Guard;
 import spurroad.control.decide.History;
 import spurroad.control.decide.Member;
+import spurroad.control.decide.MemberState;
+import spurroad.control.decide.ShrinkGuard;
 import spurroad.control.decide.Snapshot;
-import spurroad.control.decide.State;
-import spurroad.control.decide.Views;
+import spurroad.control.decide.SourceViews;
 
 /** What one change of membership costs the control service's decisions, by how many nodes it knows. */
 final class ControlDecisions implements Measure {
@@ -22,8 +22,8 @@
 
     /** A fleet that two sources tell of, one of whose nodes changes with each call. */
     private static final class Changing {
-        private final Views views = new Views();
-        private final Guard guard = new Guard(MOST_LOST, HOLD_NANOS);
+        private final SourceViews views = new SourceViews();
+        private final ShrinkGuard guard = new ShrinkGuard(MOST_LOST, HOLD_NANOS);
         private final History history = new History(KEPT_SNAPSHOTS);
         private final int nodes;
         private SortedMap<String, Member> fleet = new TreeMap<>();
@@ -40,7 +40,7 @@
         }
 
         private void change() {
-            State state = changes % 2 == 0 ? State.DRAINING : State.ACTIVE;
+            MemberState state = changes % 2 == 0 ? MemberState.DRAINING : MemberState.ACTIVE;
             Member changed = SyntheticFleet.member((int) (changes / 2 % nodes), state);
             SOURCES.forEach(source -> views.changed(source, List.of(changed)));
             changes++;
@@ -74,7 +74,8 @@
 
         private void changeAndSnapshot() {
             fleet.compute(fleet.firstKey(), (uid, m) -> m.with(SyntheticFleet.member(0,
-                m.standing().state() == State.ACTIVE ? State.DRAINING : State.ACTIVE).standing()));
+                m.status().state() == MemberState.ACTIVE ? MemberState.DRAINING : MemberState.ACTIVE)
+                .status()));
             snapshot();
         }
     }
--- a/rig/src/main/java/spurroad/rig/scale/SyntheticFleet.java
+++ b/rig/src/main/java/spurroad/rig/scale/SyntheticFleet.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import spurroad.control.decide.Member;
-import spurroad.control.decide.Standing;
-import spurroad.control.decide.State;
+import spurroad.control.decide.MemberState;
+import spurroad.control.decide.MemberStatus;
 import spurroad.model.CellId;
 import spurroad.model.DedupScope;
 import spurroad.model.Deployment;
@@ -103,12 +103,12 @@
 
     /** Nodes as the control service knows them. */
     static List<Member> members(int count) {
-        return IntStream.range(0, count).mapToObj(i -> member(i, State.ACTIVE)).toList();
+        return IntStream.range(0, count).mapToObj(i -> member(i, MemberState.ACTIVE)).toList();
     }
 
-    static Member member(int number, State state) {
+    static Member member(int number, MemberState state) {
         return new Member(uid(number), endpoint(number), zone(number % ZONES), CACHE_KIND, 1,
-            new Standing(STARTED_MS, state));
+            new MemberStatus(STARTED_MS, state));
     }
 
     private static String uid(int number) {
