--- a/core/src/main/java/spurroad/Balance.java
+++ b/core/src/main/java/spurroad/Balance.java
@@ -72,7 +72,7 @@
     private Node origin;
     private List<Node> caches = List.of();
     private final Map<QueryId, Qry> queries = new HashMap<>();
-    private final Recent turnedAway = new Recent(1_000);
+    private final RecentKeySet turnedAway = new RecentKeySet(1_000);
     private final Agenda agenda = new Agenda();
     private final TreeSet<Qry> waiting = new TreeSet<>(Comparator.comparing((Qry q) -> q.beyondShare)
         .thenComparing(q -> -q.track.importance()).thenComparing(q -> !q.write).thenComparing(q -> q.order));
--- a/core/src/main/java/spurroad/Node.java
+++ b/core/src/main/java/spurroad/Node.java
@@ -30,7 +30,7 @@
     final Fading held = new Fading(Balance.HELD_NS); // as its keeper: executions out over all proxies
     final Fading heldPace = new Fading(Balance.MEMORY_NS);
     private long heardSince = Long.MAX_VALUE;
-    private final Recent keys = new Recent(KEYS); // where we are its keeper: what it keeps, as far as heard
+    private final RecentKeySet keys = new RecentKeySet(KEYS); // where we are its keeper: what it keeps, as far as heard
     final List<Exec> out = new ArrayList<>();
     // times of completed queries over the figures they met, by whether those were the stand-in or reported
     final Fading[] pace;
--- a/core/src/main/java/spurroad/Recent.java
+++ b/core/src/main/java/spurroad/RecentKeySet.java
@@ -5,11 +5,11 @@
 import spurroad.model.CacheKey;
 
 /** Keys and when each was added last, so many at most; the one added first goes first. */
-final class Recent {
+final class RecentKeySet {
     private final int most;
     private final Map<CacheKey, Long> since = new LinkedHashMap<>();
 
-    Recent(int most) {
+    RecentKeySet(int most) {
         this.most = most;
     }
 
