--- a/cli/src/main/java/spurroad/cli/ScaleCommand.java
+++ b/cli/src/main/java/spurroad/cli/ScaleCommand.java
@@ -10,9 +10,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import spurroad.rig.scale.CapacityReport;
 import spurroad.rig.scale.Effort;
+import spurroad.rig.scale.FleetPlan;
 import spurroad.rig.scale.Measure;
 import spurroad.rig.scale.Measures;
+import spurroad.rig.scale.Results;
 import spurroad.rig.scale.Series;
 import spurroad.rig.scale.SeriesReport;
 
@@ -24,6 +27,9 @@
     @Parameters(arity = "0..*", paramLabel = "NAME",
         description = "One of requests, changes, list, peers, control, subscribers, watches.")
     private List<String> names = new ArrayList<>();
+    @Option(names = "--capacity",
+        description = "Works out afterwards what the expected fleet costs; takes all.")
+    private boolean capacity;
     @Option(names = "--short", description = "Small sizes, one run each: shapes only.")
     private boolean brief;
     @Spec
@@ -32,15 +38,23 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter out = spec.commandLine().getOut();
+        Results results = new Results();
         for (Measure measure : chosen()) {
             Series series = Series.of(measure, brief ? Effort.SHORT : Effort.FULL);
+            results.add(series);
             out.println(SeriesReport.markdown(series));
             out.flush();
         }
+        if (capacity) {
+            out.println(CapacityReport.markdown(FleetPlan.expected(), results));
+        }
         return 0;
     }
 
     private List<Measure> chosen() {
+        if (capacity && !names.isEmpty()) {
+            throw new CommandLine.ParameterException(spec.commandLine(), "--capacity takes all measurements");
+        }
         return names.isEmpty() ? Measures.all() : names.stream().map(this::named).toList();
     }
 
--- a/rig/src/main/java/spurroad/rig/scale/MarkdownTable.java
+++ b/rig/src/main/java/spurroad/rig/scale/MarkdownTable.java
@@ -36,6 +36,12 @@
         return String.format(Locale.ROOT, "%." + Math.min(9, DIGITS - before) + "f", value);
     }
 
+    /** A number of things, rounded to a whole one where there are many. */
+    static String count(double value) {
+        return value < 100 && value != Math.rint(value) ? figure(value)
+            : String.format(Locale.ROOT, "%,d", Math.round(value));
+    }
+
     /** A part as a percentage. */
     static String percent(double part) {
         return String.format(Locale.ROOT, "%.0f%%", 100 * part);
