--- a/cli/src/main/java/spurroad/cli/Runs.java
+++ b/cli/src/main/java/spurroad/cli/ScenarioRuns.java
@@ -9,33 +9,34 @@
 import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import spurroad.rig.play.Player;
 import spurroad.rig.play.Result;
 import spurroad.rig.play.ResultFolder;
+import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.scenario.ScenarioFile;
 import spurroad.toml.FaultyFileException;
 
 /** Plays a scenario with all its seeds and keeps the results; what is done already is not played again. */
-final class Runs {
+final class ScenarioRuns {
     private static final Logger LOG = LoggerFactory.getLogger("spurroad.rig");
 
     private final ResultFolder folder;
     private final boolean again;
 
-    Runs(Path results, boolean again) {
+    ScenarioRuns(Path results, boolean again) {
         folder = new ResultFolder(results);
         this.again = again;
     }
 
     /** All results of a scenario, in the order of its seeds, or of those that are given instead. */
-    List<Result> play(Path file, List<Long> seeds, Player player, Progress progress)
+    List<Result> play(Path file, List<Long> seeds, ScenarioRunner runner, Progress progress)
         throws FaultyFileException, IOException, InterruptedException {
-        return play(file, Map.of(), seeds, player, progress);
+        return play(file, Map.of(), seeds, runner, progress);
     }
 
     /** The same with other values in the place of some keys. */
-    List<Result> play(Path file, Map<String, String> set, List<Long> seeds, Player player, Progress progress)
+    List<Result> play(Path file, Map<String, String> set, List<Long> seeds, ScenarioRunner runner,
+                      Progress progress)
         throws FaultyFileException, IOException, InterruptedException {
         if (!Files.exists(file)) {
             ScenarioFile.read(file); // says so
@@ -46,14 +47,14 @@
         List<Result> results = new ArrayList<>();
         for (long seed : seeds.isEmpty() ? scenario.seeds() : seeds) {
             Optional<Result> kept = again ? Optional.empty()
-                : folder.find(scenario.name(), player.build(), seed, text);
+                : folder.find(scenario.name(), runner.build(), seed, text);
             if (kept.isPresent()) {
                 results.add(kept.get());
                 continue;
             }
-            progress.at(scenario.name() + ", " + player.build() + ", seed " + seed);
-            Path at = folder.begin(scenario.name(), player.build(), seed, text);
-            Result result = player.play(scenario, seed, at,
+            progress.at(scenario.name() + ", " + runner.build() + ", seed " + seed);
+            Path at = folder.begin(scenario.name(), runner.build(), seed, text);
+            Result result = runner.play(scenario, seed, at,
                 line -> LOG.info("{} seed {}: {}", scenario.name(), seed,
                     line));
             folder.done(at, result);
--- a/rig/src/main/java/spurroad/rig/judge/Judge.java
+++ b/rig/src/main/java/spurroad/rig/checker/RuleChecker.java
@@ -1,4 +1,4 @@
-package spurroad.rig.judge;
+package spurroad.rig.checker;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,11 +11,11 @@
 import java.util.Set;
 import spurroad.model.Effect;
 import spurroad.rig.model.Answer;
-import spurroad.rig.model.Ask;
+import spurroad.rig.model.ClientRequest;
 import spurroad.rig.model.Reply;
-import spurroad.rig.model.Request;
-import spurroad.rig.model.Try;
-import spurroad.rig.model.Witness;
+import spurroad.rig.model.RequestAttempt;
+import spurroad.rig.model.RequestObserver;
+import spurroad.rig.model.ServerRequest;
 import spurroad.rig.scenario.Scenario.Rules;
 
 /**
@@ -26,24 +26,24 @@
  * <p>A query is remembered until {@link #FORGET_NS} after its client's last wait is over; what a server does
  * for it later than that is not seen. One thread only, that of the world's timeline.
  */
-public final class Judge implements Witness {
+public final class RuleChecker implements RequestObserver {
     private static final long FORGET_NS = 5_000_000_000L; // ns; longer than any queue before a server
     private static final int MOST_TOLD = 1000; // breaches; more are counted, without their stories
 
     /** A query and all that was seen of its tries. */
     private static final class Query {
-        private final Ask ask;
-        private final Story story = new Story();
+        private final ClientRequest request;
+        private final EventHistory history = new EventHistory();
         private int effects, open; // tries that are remembered
 
-        private Query(Ask ask) {
-            this.ask = ask;
+        private Query(ClientRequest request) {
+            this.request = request;
         }
     }
 
     /** One try, from when a proxy has taken it. */
     private static final class Case {
-        private final Try t;
+        private final RequestAttempt attempt;
         private final Query query;
         private long takenAt = Long.MAX_VALUE;
         private int answers;
@@ -51,8 +51,8 @@
         private int mayHaveRun; // executions that came to a server, and were not turned away there
         private final Set<String> ran = new HashSet<>(2); // the servers that they came to
 
-        private Case(Try t, Query query) {
-            this.t = t;
+        private Case(RequestAttempt attempt, Query query) {
+            this.attempt = attempt;
             this.query = query;
         }
     }
@@ -61,7 +61,7 @@
 
     private final Rules rules;
     private final Map<String, Case> cases = new HashMap<>();
-    private final Map<Ask, Query> queries = new HashMap<>();
+    private final Map<ClientRequest, Query> queries = new HashMap<>();
     private final Deque<Case> byEnd = new ArrayDeque<>();
     private final Map<Integer, Map<String, Leaving>> leaving = new HashMap<>(); // by proxy and node
     private final Map<Integer, Long> heldSince = new HashMap<>(); // proxies that can't answer, by the rig's own doing
@@ -70,25 +70,25 @@
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
     private long unanswered, excused, taken, answered, executions, wasted;
 
-    public Judge(Rules rules) {
+    public RuleChecker(Rules rules) {
         this.rules = rules;
     }
 
     // ---- told by clients' side
 
     /** A try is about to be sent; told before its first byte goes out. */
-    public void sending(long at, Try t) {
-        Query q = queries.computeIfAbsent(t.ask, Query::new);
-        Case c = new Case(t, q);
-        cases.put(t.id, c);
+    public void sending(long at, RequestAttempt attempt) {
+        Query q = queries.computeIfAbsent(attempt.request, Query::new);
+        Case c = new Case(attempt, q);
+        cases.put(attempt.id, c);
         q.open++;
         byEnd.add(c);
-        q.story.add(at, "try " + t + " is sent to p-" + t.proxy);
+        q.history.add(at, "try " + attempt + " is sent to p-" + attempt.proxy);
     }
 
     /** Its last byte was written to a connection that the proxy's machine has accepted. */
-    public void taken(long at, Try t) {
-        Case c = cases.get(t.id);
+    public void taken(long at, RequestAttempt attempt) {
+        Case c = cases.get(attempt.id);
         if (c != null) {
             c.takenAt = at;
             taken++;
@@ -96,21 +96,22 @@
     }
 
     /** A whole answer to it came. */
-    public void answered(long at, Try t, Answer answer) {
-        Case c = cases.get(t.id);
+    public void answered(long at, RequestAttempt attempt, Answer answer) {
+        Case c = cases.get(attempt.id);
         if (c == null) {
             return;
         }
         answered++;
-        c.query.story.add(at, "try " + t + " is answered " + answer.kind() + (answer.forId().isEmpty() ? ""
-            : " made for " + answer.forId()));
+        c.query.history.add(at,
+            "try " + attempt + " is answered " + answer.kind() + (answer.forId().isEmpty() ? ""
+                : " made for " + answer.forId()));
         if (++c.answers > 1) {
             breach(Rule.ONE_ANSWER, at, c, "a second final answer");
         }
-        if (answer.served() && !answer.forId().equals(t.id)) {
+        if (answer.served() && !answer.forId().equals(attempt.id)) {
             breach(Rule.ONE_ANSWER, at, c, "served with what was made for " + answer.forId());
         }
-        if (answer.kind() == Answer.Kind.REJECTED && t.ask.track.effect() == Effect.NON_IDEMPOTENT
+        if (answer.kind() == Answer.Kind.REJECTED && attempt.request.track.effect() == Effect.NON_IDEMPOTENT
             && c.mayHaveRun > 0) {
             breach(Rule.NO_EFFECT_TWICE, at, c, "rejected, though it may have run");
         }
@@ -120,11 +121,11 @@
     }
 
     /** The client took it back: no answer is owed any more. */
-    public void left(long at, Try t) {
-        Case c = cases.get(t.id);
+    public void left(long at, RequestAttempt attempt) {
+        Case c = cases.get(attempt.id);
         if (c != null && !c.left) {
             c.left = true;
-            c.query.story.add(at, "try " + t + ": its client waits no longer");
+            c.query.history.add(at, "try " + attempt + ": its client waits no longer");
             if (c.answers == 0 && c.takenAt != Long.MAX_VALUE) {
                 unanswered(at, c, "no answer until its client's time was over");
             }
@@ -132,11 +133,11 @@
     }
 
     /** Its connection ended, or broke, with no whole answer. */
-    public void cutOff(long at, Try t) {
-        Case c = cases.get(t.id);
+    public void cutOff(long at, RequestAttempt attempt) {
+        Case c = cases.get(attempt.id);
         if (c != null && !c.left && c.answers == 0 && c.takenAt != Long.MAX_VALUE && !c.lost) {
             c.lost = true;
-            c.query.story.add(at, "try " + t + ": its connection ended");
+            c.query.history.add(at, "try " + attempt + ": its connection ended");
             if (isExcused(at, c)) {
                 excused++;
             } else {
@@ -159,17 +160,17 @@
     // ---- told by servers' side
 
     @Override
-    public void begun(long at, String uid, Request request) {
+    public void begun(long at, String uid, ServerRequest request) {
         executions++;
         Case c = cases.get(request.id());
         if (c == null) {
             return; // long over for its client, and forgotten
         }
-        c.query.story.add(at, "an execution of " + request.id() + " comes to " + uid);
-        Leaving l = leaving.getOrDefault(c.t.proxy, Map.of()).get(uid);
+        c.query.history.add(at, "an execution of " + request.id() + " comes to " + uid);
+        Leaving l = leaving.getOrDefault(c.attempt.proxy, Map.of()).get(uid);
         if (l != null && at - l.toldAt > rules.graceNs()) {
             breach(Rule.NOTHING_TO_LEAVING, at, c, "sent to " + uid + " " + (at - l.toldAt) / 1_000_000
-                + " ms after p-" + c.t.proxy + " was told that it is " + l.how);
+                + " ms after p-" + c.attempt.proxy + " was told that it is " + l.how);
         }
         boolean unsafe = request.track().effect() == Effect.NON_IDEMPOTENT;
         if (unsafe && c.mayHaveRun > 0) {
@@ -183,10 +184,11 @@
     }
 
     @Override
-    public void ended(long at, String uid, Request request, Reply reply) {
+    public void ended(long at, String uid, ServerRequest request, Reply reply) {
         Case c = cases.get(request.id());
         if (c != null) {
-            c.query.story.add(at, uid + " answers " + reply.kind() + (reply.spoilt() > 0 ? ", spoilt" : ""));
+            c.query.history.add(at,
+                uid + " answers " + reply.kind() + (reply.spoilt() > 0 ? ", spoilt" : ""));
             if (reply.kind() == Reply.Kind.BUSY || reply.kind() == Reply.Kind.MISS) {
                 c.mayHaveRun--;
                 c.ran.remove(uid);
@@ -195,10 +197,10 @@
     }
 
     @Override
-    public void effect(long at, Request request) {
+    public void effect(long at, ServerRequest request) {
         Case c = cases.get(request.id());
         if (c != null) {
-            c.query.story.add(at, "the write of " + request.id() + " has its effect");
+            c.query.history.add(at, "the write of " + request.id() + " has its effect");
             if (++c.query.effects > 1) {
                 breach(Rule.NO_EFFECT_TWICE, at, c, "its effect was had " + c.query.effects + " times");
             }
@@ -239,19 +241,19 @@
     }
 
     private boolean isExcused(long at, Case c) {
-        return heldSince.containsKey(c.t.proxy)
-            || heldUntil.getOrDefault(c.t.proxy, Long.MIN_VALUE) >= c.takenAt;
+        return heldSince.containsKey(c.attempt.proxy)
+            || heldUntil.getOrDefault(c.attempt.proxy, Long.MIN_VALUE) >= c.takenAt;
     }
 
     // ---- time
 
     /** To be called some times a second: looks for what was never answered, and forgets what is long over. */
     public void sweep(long at) {
-        for (Case c = byEnd.peek(); c != null && at - c.t.until > FORGET_NS; c = byEnd.peek()) {
+        for (Case c = byEnd.peek(); c != null && at - c.attempt.until > FORGET_NS; c = byEnd.peek()) {
             byEnd.remove();
-            cases.remove(c.t.id, c);
+            cases.remove(c.attempt.id, c);
             if (--c.query.open == 0) {
-                queries.remove(c.t.ask);
+                queries.remove(c.attempt.request);
             }
             if (c.answers == 0 && !c.left && !c.lost && c.takenAt != Long.MAX_VALUE) {
                 unanswered(at, c, "never answered, its connection still open");
@@ -260,7 +262,7 @@
     }
 
     private void breach(Rule rule, long at, Case c, String what) {
-        breach(new Breach(rule, at, c.t.id, what, c.query.story.lines()));
+        breach(new Breach(rule, at, c.attempt.id, what, c.query.history.lines()));
     }
 
     private void breach(Breach b) {
