--- a/cli/src/main/java/spurroad/cli/RigCompare.java
+++ b/cli/src/main/java/spurroad/cli/RigCompare.java
@@ -15,9 +15,9 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import spurroad.rig.play.Comparison;
-import spurroad.rig.play.Player;
 import spurroad.rig.play.Result;
 import spurroad.rig.play.ResultFolder;
+import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.policy.Policy;
 import spurroad.rig.scenario.ScenarioFile;
 
@@ -34,20 +34,20 @@
     @Parameters(index = "2", paramLabel = "SECOND", description = "The same.")
     private String second;
     @Mixin
-    private PlayedWith with;
+    private RunnerOptions runnerOptions;
     @Option(names = "--pairs", paramLabel = "N",
         description = "How many seeds, from 1 on, instead of the scenario's own.")
     private int pairs;
     @Mixin
-    private Kept kept;
+    private ResultOptions resultOptions;
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
-        Player a = player(first), b = player(second);
+        ScenarioRunner a = runner(first), b = runner(second);
         List<Result> of1 = new ArrayList<>(), of2 = new ArrayList<>();
-        Runs runs = kept.runs();
+        ScenarioRuns runs = resultOptions.runs();
         try (Progress progress = new Progress().begin("")) {
             List<Long> seeds = pairs > 0 ? LongStream.rangeClosed(1, pairs).boxed().toList()
                 : ScenarioFile.read(file).seeds();
@@ -57,20 +57,21 @@
             }
         }
         Comparison c = Comparison.of(of1, of2);
-        if (kept.json()) {
+        if (resultOptions.json()) {
             spec.commandLine().getOut().println(ResultFolder.json(c));
         } else {
-            Tables.comparison(spec.commandLine().getOut(), c);
+            ResultTables.comparison(spec.commandLine().getOut(), c);
         }
         return c.pairs().isEmpty() ? Spurroad.VOID : 0;
     }
 
-    private Player player(String name) throws IOException {
+    private ScenarioRunner runner(String name) throws IOException {
         if (name.endsWith(".jar")) {
-            return with.sockets(Path.of(name));
+            return runnerOptions.sockets(Path.of(name));
         }
         try {
-            return new Player.Simulated(Policy.Kind.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_')));
+            return new ScenarioRunner.Simulated(
+                Policy.Kind.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_')));
         } catch (IllegalArgumentException e) {
             throw new CommandLine.ParameterException(spec.commandLine(),
                 name + " is neither a jar nor a policy");
--- a/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
+++ b/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import spurroad.rig.Worlds;
+import spurroad.rig.TestScenarios;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.time.SimulatedTimeline;
 
@@ -16,7 +16,7 @@
 public class CacheNodeTest {
     private static final long MS = 1_000_000L, S = 1000 * MS;
 
-    private final Scenario scenario = Worlds.of("""
+    private final Scenario scenario = TestScenarios.of("""
         name = "n"
         length = "2s"
         warm = "1s"
@@ -65,17 +65,17 @@
         Ledger ledger = new Ledger();
         seen = new ArrayList<>();
         fell = new ArrayList<>();
-        Witness witness = new Witness() {
+        RequestObserver observer = new RequestObserver() {
             @Override
-            public void begun(long at, String uid, Request request) {}
+            public void begun(long at, String uid, ServerRequest request) {}
 
             @Override
-            public void ended(long at, String uid, Request request, Reply reply) {
+            public void ended(long at, String uid, ServerRequest request, Reply reply) {
                 seen.add(uid + " " + request.id() + " " + reply.kind());
             }
 
             @Override
-            public void effect(long at, Request request) {
+            public void effect(long at, ServerRequest request) {
                 seen.add("effect " + request.mark());
             }
 
@@ -85,14 +85,16 @@
             }
         };
         Scenario.NodeGroup group = scenario.world().nodes().get(0);
-        a = new CacheNode("a-0", group, scenario.load(), timeline, ledger, witness, new Chance(1, "a-0"));
-        b = new CacheNode("a-1", group, scenario.load(), timeline, ledger, witness, new Chance(1, "a-1"));
-        origin = new Origin(scenario.world().origin(), scenario.load(), timeline, ledger, witness,
-            new Chance(1, "origin"));
+        a = new CacheNode("a-0", group, scenario.load(), timeline, ledger, observer,
+            new RandomStream(1, "a-0"));
+        b = new CacheNode("a-1", group, scenario.load(), timeline, ledger, observer,
+            new RandomStream(1, "a-1"));
+        origin = new Origin(scenario.world().origin(), scenario.load(), timeline, ledger, observer,
+            new RandomStream(1, "origin"));
     }
 
-    private Request request(String id, int key, boolean fresh) {
-        return new Request(id, key, read, "", fresh);
+    private ServerRequest request(String id, int key, boolean fresh) {
+        return new ServerRequest(id, key, read, "", fresh);
     }
 
     /** Asks a node and waits for what it says. */
@@ -100,7 +102,7 @@
         return ask(n, request("q" + ids++, key, false));
     }
 
-    private Reply ask(CacheNode n, Request r) {
+    private Reply ask(CacheNode n, ServerRequest r) {
         List<Reply> replies = new ArrayList<>();
         n.offer(r, replies::add);
         timeline.runUntil(timeline.now() + 100 * MS);
@@ -108,7 +110,7 @@
     }
 
     private Reply.Kind fetch(CacheNode n, int key) {
-        Request r = request("q" + ids++, key, false);
+        ServerRequest r = request("q" + ids++, key, false);
         assertEquals(ask(n, r).kind(), Reply.Kind.MISS);
         List<Reply> replies = new ArrayList<>();
         origin.offer(r, replies::add);
@@ -140,7 +142,7 @@
     public void aWriteVoidsEveryCopyAndARepeatWithinTheWindowHasNoEffect() {
         fetch(a, 7);
         fetch(b, 7);
-        Request write = new Request("w1", 7, put, "m1", false);
+        ServerRequest write = new ServerRequest("w1", 7, put, "m1", false);
         seen.clear();
         origin.offer(write, r -> {});
         timeline.runUntil(timeline.now() + 100 * MS);
