--- a/core/src/main/java/spurroad/Balance.java
+++ b/core/src/main/java/spurroad/Balance.java
@@ -82,8 +82,8 @@
     private final List<Qry> probingQueries = new ArrayList<>();
     private final Fading arrivals = new Fading(LONG_MEMORY_NS), unconnected = new Fading(LONG_MEMORY_NS);
     private final Set<Node> watched = new LinkedHashSet<>(); // with executions out, or owing a probe
-    private final Borne borne = new Borne();
-    private final Behind behind = new Behind();
+    private final ConcurrencyLimit borne = new ConcurrencyLimit();
+    private final OriginBacklog behind = new OriginBacklog();
     private final Idle idle = new Idle();
     private double mostImportance, further;
     private long order, now, own, followGap = FOLLOW_NS, followAt = Long.MAX_VALUE, sweepAt = Long.MAX_VALUE;
--- a/core/src/main/java/spurroad/Borne.java
+++ b/core/src/main/java/spurroad/ConcurrencyLimit.java
@@ -3,7 +3,7 @@
 import spurroad.model.Outcome;
 
 /** What an origin that the proxy itself asks has lately borne. */
-final class Borne {
+final class ConcurrencyLimit {
     private static final double BACK_OFF = 0.9; // of the executions borne: for each late one
     private final Fading reads = new Fading(Balance.LONG_MEMORY_NS);
     private final Fading writes = new Fading(Balance.LONG_MEMORY_NS);
--- a/core/src/main/java/spurroad/Behind.java
+++ b/core/src/main/java/spurroad/OriginBacklog.java
@@ -1,7 +1,7 @@
 package spurroad;
 
 /** An origin behind the nodes: which share of what goes there is to go, as its keeper has it. */
-final class Behind {
+final class OriginBacklog {
     private final Fading late = new Fading(Balance.HELD_NS); // where we are its keeper: writes of all proxies
     private final Words words = new Words(0, Balance.SAY_NS);
     private double share = 1, said = 1;
