--- a/core/src/main/java/spurroad/admission/Admission.java
+++ b/core/src/main/java/spurroad/admission/Admission.java
@@ -140,8 +140,8 @@
      *
      * @param cold whether nodes are still warming up
      */
-    public boolean measured(long now, Means means, boolean cold) {
-        double used = means.used(mostAgeNs);
+    public boolean measured(long now, ResourceUsage usage, boolean cold) {
+        double used = usage.used(mostAgeNs);
         usedLately = Math.max(used, (usedLately + used) / 2); // a cut at once, a rise only after some quiet
         if (used > AIM) {
             part = Math.max(LEAST, part * Math.max(LEAST_CUT, Math.min(CUT, AIM / used)));
--- a/core/src/main/java/spurroad/admission/Claim.java
+++ b/core/src/main/java/spurroad/admission/EvictionPriority.java
@@ -5,7 +5,7 @@
  * have a query; of the others, those go first that have been quiet the longest beside what their kind may
  * take.
  */
-public enum Claim {
+public enum EvictionPriority {
     /** Waits for an answer, or may still be taking one: never asked to go. */
     QUERY(Long.MAX_VALUE),
     /** Has had its answers and has asked nothing since; who goes on at once has done so by then. */
@@ -17,7 +17,7 @@
 
     private final long patienceNs; // ns; so long nobody of the kind is asked to go
 
-    Claim(long patienceNs) {
+    EvictionPriority(long patienceNs) {
         this.patienceNs = patienceNs;
     }
 
--- a/core/src/main/java/spurroad/admission/Means.java
+++ b/core/src/main/java/spurroad/admission/ResourceUsage.java
@@ -8,7 +8,7 @@
  * @param ageNs how long queries waited here for the module, on average, in nanoseconds
  * @param room used part of the memory for queries and answers under way, from 0 to 1
  */
-public record Means(double processor, long ageNs, double room) {
+public record ResourceUsage(double processor, long ageNs, double room) {
     /** How much of the scarcest of the three is used; 1 is all that can be had. */
     double used(long mostAgeNs) {
         double known = Double.isNaN(processor) ? 0 : processor;
--- a/core/src/test/java/spurroad/admission/AdmissionProperties.java
+++ b/core/src/test/java/spurroad/admission/AdmissionProperties.java
@@ -30,7 +30,7 @@
                 came[track] += i >= 100 ? 1 : 0;
                 in[track] += may && i >= 100 ? 1 : 0;
             }
-            a.measured(now, new Means(Math.min(1, work / perInterval), 0, 0), false);
+            a.measured(now, new ResourceUsage(Math.min(1, work / perInterval), 0, 0), false);
         }
         for (int t = 0; t < in.length; t++) {
             in[t] = came[t] == 0 ? 1 : in[t] / came[t];
@@ -86,7 +86,7 @@
             for (int n = 0; n < 20; n++) {
                 a.admits(n % 2, -1);
             }
-            a.measured(now += STEP, new Means(u, 0, 0), false);
+            a.measured(now += STEP, new ResourceUsage(u, 0, 0), false);
             check(a.part() >= 0.01 && a.part() <= 1, "part " + a.part());
             long back = a.comeBackNs();
             check(back >= 0 && back <= 2 * S, "come back after " + back);
--- a/core/src/test/java/spurroad/admission/AdmissionTest.java
+++ b/core/src/test/java/spurroad/admission/AdmissionTest.java
@@ -44,7 +44,8 @@
             }
             backlog = Math.max(0, work - room);
             now += STEP;
-            admission.measured(now, new Means(Math.min(1, work / room), (long) (backlog / capacity * S), 0.1),
+            admission.measured(now,
+                new ResourceUsage(Math.min(1, work / room), (long) (backlog / capacity * S), 0.1),
                 cold);
         }
         return (served - backlog) / seconds;
@@ -85,14 +86,14 @@
             for (int n = 0; n < 60; n++) {
                 admission.admits(READ, 0);
             }
-            admission.measured(now, new Means(1, 0, 0), false);
+            admission.measured(now, new ResourceUsage(1, 0, 0), false);
         }
         assertTrue(admission.level().atLeast(Level.WITHIN_SHARES));
         for (int i = 0; i < 60; i++, now += STEP) {
             for (int n = 0; n < 60; n++) {
                 admission.admits(READ, 0);
             }
-            admission.measured(now, new Means(0.12, 0, 0), false);
+            admission.measured(now, new ResourceUsage(0.12, 0, 0), false);
         }
         assertEquals(admission.level(), Level.ORDINARY);
         assertEquals(admission.part(), 1.0);
@@ -129,7 +130,7 @@
             play(5, 800, 0, 1000, false);
             for (int i = 0; i < 3; i++) {
                 now += STEP;
-                admission.measured(now, new Means(1, seconds * S, 0.9), false);
+                admission.measured(now, new ResourceUsage(1, seconds * S, 0.9), false);
             }
             now += seconds * S;
             play(3, 800, 0, 1000, false);
@@ -156,8 +157,9 @@
 
     @Test
     public void scarceRoomOrLongWaitsCutAsWellAsTheProcessor() {
-        for (Means means : new Means[] {new Means(0.1, 0, 1.2), new Means(0.1, 3 * AGE, 0),
-            new Means(Double.NaN, 3 * AGE, 0), new Means(1.3, 0, 0)}) {
+        for (ResourceUsage means : new ResourceUsage[] {new ResourceUsage(0.1, 0, 1.2),
+            new ResourceUsage(0.1, 3 * AGE, 0),
+            new ResourceUsage(Double.NaN, 3 * AGE, 0), new ResourceUsage(1.3, 0, 0)}) {
             admission = fresh();
             admission.admits(READ, 1);
             admission.measured(now, means, false);
--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import spurroad.admission.Claim;
+import spurroad.admission.EvictionPriority;
 import spurroad.model.CustomerId;
 import spurroad.model.TrackId;
 import spurroad.protocol.ByteSource;
@@ -530,16 +530,17 @@
         }
     }
 
-    private Claim claim() {
+    private EvictionPriority evictionPriority() {
         if (!slots.isEmpty() || writing != null || lost || noRoom || clients.now() <= takingUntil) {
-            return Claim.QUERY;
+            return EvictionPriority.QUERY;
         }
-        return in.available() > 0 || upload != null ? Claim.HALF : answered ? Claim.ANSWERED : Claim.SILENT;
+        return in.available() > 0 || upload != null ? EvictionPriority.HALF
+            : answered ? EvictionPriority.ANSWERED : EvictionPriority.SILENT;
     }
 
-    /** How overdue it is to give up its place, as {@link Claim} has it. */
+    /** How overdue it is to give up its place, as {@link EvictionPriority} has it. */
     double overdue() {
-        return claim().overdue(clients.now() - quietSince());
+        return evictionPriority().overdue(clients.now() - quietSince());
     }
 
     /** Closes it by a reset, unless something has just come. */
--- a/proxy/src/main/java/spurroad/routing/Gate.java
+++ b/proxy/src/main/java/spurroad/routing/Gate.java
@@ -2,7 +2,7 @@
 
 import spurroad.admission.Admission;
 import spurroad.admission.Level;
-import spurroad.admission.Means;
+import spurroad.admission.ResourceUsage;
 import spurroad.model.Deployment;
 import spurroad.model.Track;
 import spurroad.protocol.MetaReply;
@@ -13,8 +13,8 @@
 import spurroad.transport.Room;
 
 /**
- * Measures the proxy's own means for {@link Admission} and has queries turned away on its word, before they
- * take anything. The loop's.
+ * Measures what the proxy itself uses for {@link Admission} and has queries turned away on its word, before
+ * they take anything. The loop's.
  */
 final class Gate {
     private static final long NS_PER_MS = 1_000_000L;
@@ -89,15 +89,15 @@
 
     private void interval() {
         long now = loop.now();
-        Means means = new Means(processor(now), aged == 0 ? 0 : ageNs / aged, room.used());
+        ResourceUsage usage = new ResourceUsage(processor(now), aged == 0 ? 0 : ageNs / aged, room.used());
         ageNs = aged = 0;
         Level before = admission.level();
-        if (admission.measured(now, means, decider.nodesAreCold(now))) {
+        if (admission.measured(now, usage, decider.nodesAreCold(now))) {
             log.event("level of service", admission.level() + " after " + before + ", demand "
                 + Math.round(100 * admission.pressure()) + "% of what can be borne, processor "
-                + Math.round(100 * means.processor()) + "%, waiting " + means.ageNs() / NS_PER_MS
+                + Math.round(100 * usage.processor()) + "%, waiting " + usage.ageNs() / NS_PER_MS
                 + " ms, room "
-                + Math.round(100 * means.room()) + "%");
+                + Math.round(100 * usage.room()) + "%");
         }
         decider.serves(admission.level(), admission.part(), turnedAway);
         turnedAway = 0;
--- a/proxy/src/test/java/spurroad/bench/CommandBench.java
+++ b/proxy/src/test/java/spurroad/bench/CommandBench.java
@@ -17,7 +17,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import spurroad.admission.Admission;
-import spurroad.admission.Means;
+import spurroad.admission.ResourceUsage;
 import spurroad.protocol.ByteSource;
 import spurroad.protocol.MetaCommand;
 import spurroad.protocol.MetaReply;
@@ -57,7 +57,7 @@
             for (int q = 0; q < 20; q++) {
                 admission.admits(0, 2);
             }
-            admission.measured(now += Admission.INTERVAL_NS, new Means(1.2, 0, 0), false);
+            admission.measured(now += Admission.INTERVAL_NS, new ResourceUsage(1.2, 0, 0), false);
         }
         whole = read();
     }
