--- a/cli/src/main/java/spurroad/cli/CheckCommand.java
+++ b/cli/src/main/java/spurroad/cli/CheckCommand.java
@@ -20,7 +20,8 @@
 /** Reads a file as whoever uses it would, and tells all that is wrong. */
 @Command(name = "check", mixinStandardHelpOptions = true, description = {
     "Checks a file and tells all that is wrong with it, by line and key.",
-    "What it is goes by its name: *.json is the platform's configuration, *.toml an operators' file, or a scenario "
+    "What it is goes by its name: *.json is the platform's configuration, *.toml an operators' file, or a "
+        + "scenario "
         + "where it has a [load]."})
 final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
--- a/cli/src/main/java/spurroad/cli/ExplainCommand.java
+++ b/cli/src/main/java/spurroad/cli/ExplainCommand.java
@@ -25,7 +25,8 @@
 
 /** Tells where a key belongs, and why. */
 @Command(name = "explain", mixinStandardHelpOptions = true, description = {
-    "Tells the candidates of a key: the first three ready cache nodes clockwise on the ring, and how far they lie.",
+    "Tells the candidates of a key: the first three ready cache nodes clockwise on the ring, and how far "
+        + "they lie.",
     "All proxies with the same list have the same."})
 final class ExplainCommand implements Callable<Integer> {
     @Parameters(paramLabel = "KEY")
@@ -92,7 +93,8 @@
                 100 * (double) found.get(i).get("part"));
         }
         out.println(found.isEmpty() ? "no cache node is ready: it goes to nobody"
-            : "The first takes the query while its queue is under its limit; else the others are asked for theirs.");
+            : "The first takes the query while its queue is under its limit; else the others are asked "
+                + "for theirs.");
         left.forEach(l -> out.println("left out: " + l));
     }
 }
--- a/cli/src/main/java/spurroad/cli/ResultTables.java
+++ b/cli/src/main/java/spurroad/cli/ResultTables.java
@@ -12,7 +12,8 @@
 
 /** Results as text for people. */
 final class ResultTables {
-    private static final int MOST_STORIES = 3; // breaches told in full; all of them stand in the result's file
+    // breaches told in full; all of them stand in the result's file
+    private static final int MOST_STORIES = 3;
 
     private ResultTables() {}
 
--- a/cli/src/main/java/spurroad/cli/RigCommand.java
+++ b/cli/src/main/java/spurroad/cli/RigCommand.java
@@ -7,7 +7,8 @@
 
 /** Experiments: a world of the rig's own round real or simulated proxies. */
 @Command(name = "rig", mixinStandardHelpOptions = true,
-    description = "Plays experiments on a world of its own: clients, cache nodes, origin, discovery, and faults.",
+    description = "Plays experiments on a world of its own: clients, cache nodes, origin, discovery, and "
+        + "faults.",
     subcommands = {RigWorld.class, RigRun.class, RigCompare.class, RigSearch.class, RigReport.class})
 final class RigCommand implements Runnable {
     @Spec
--- a/cli/src/main/java/spurroad/cli/RigCompare.java
+++ b/cli/src/main/java/spurroad/cli/RigCompare.java
@@ -23,7 +23,8 @@
 
 /** Plays two builds or policies on the same scenario and seeds, in turn. */
 @Command(name = "compare", mixinStandardHelpOptions = true, description = {
-    "Plays two builds (jars, on sockets) or policies (in simulated time) with the same seeds, in turn, and tells the "
+    "Plays two builds (jars, on sockets) or policies (in simulated time) with the same seeds, in turn, "
+        + "and tells the "
         + "differences.",
     "A policy is one of mechanism, random, ring, two_choices, bounded_ring."})
 final class RigCompare implements Callable<Integer> {
@@ -45,8 +46,10 @@
 
     @Override
     public Integer call() throws Exception {
-        ScenarioRunner a = runner(first), b = runner(second);
-        List<Result> of1 = new ArrayList<>(), of2 = new ArrayList<>();
+        ScenarioRunner a = runner(first);
+        ScenarioRunner b = runner(second);
+        List<Result> of1 = new ArrayList<>();
+        List<Result> of2 = new ArrayList<>();
         ScenarioRuns runs = resultOptions.runs();
         try (Progress progress = new Progress().begin("")) {
             List<Long> seeds = pairs > 0 ? LongStream.rangeClosed(1, pairs).boxed().toList()
--- a/cli/src/main/java/spurroad/cli/RunnerOptions.java
+++ b/cli/src/main/java/spurroad/cli/RunnerOptions.java
@@ -23,7 +23,8 @@
         description = "Of the proxies' virtual machines, instead of those for a small machine.")
     private String flags;
     @Option(names = "--cores", paramLabel = "LIST",
-        description = "The cores that all proxies run on, such as 3 or 2-3 (Linux); any where none are given.")
+        description = "The cores that all proxies run on, such as 3 or 2-3 (Linux); any where none are "
+            + "given.")
     private String cores = "";
 
     ScenarioRunner runner() throws IOException {
--- a/cli/src/main/java/spurroad/cli/Spurroad.java
+++ b/cli/src/main/java/spurroad/cli/Spurroad.java
@@ -18,7 +18,10 @@
     exitCodeList = {" 0:done; all rules kept", " 1:it failed, or a rule was broken",
         " 2:wrong use, or a file that is not as it should be", " 3:a run that is worth nothing, as it says"})
 public final class Spurroad implements Runnable {
-    static final int FAILED = 1, MISUSED = 2, VOID = 3; // exit codes
+    // exit codes
+    static final int FAILED = 1;
+    static final int MISUSED = 2;
+    static final int VOID = 3;
 
     @Spec
     private CommandSpec spec;
--- a/cli/src/test/java/spurroad/cli/SpurroadTest.java
+++ b/cli/src/test/java/spurroad/cli/SpurroadTest.java
@@ -24,7 +24,8 @@
 
 /** The command line as a user has it: what is said, what is left behind, and with which code it ends. */
 public class SpurroadTest {
-    private static final String CONFIG = "../deploy/example.json", FIRST = "../scenarios/first.toml";
+    private static final String CONFIG = "../deploy/example.json";
+    private static final String FIRST = "../scenarios/first.toml";
     private static final Path JAR = Path.of("..", "proxy", "target", "spurroad.jar");
     private Path folder;
 
@@ -36,7 +37,8 @@
     }
 
     private static CommandOutput say(Object... words) {
-        StringWriter out = new StringWriter(), err = new StringWriter();
+        StringWriter out = new StringWriter();
+        StringWriter err = new StringWriter();
         CommandLine line = Spurroad.line().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
         int code = line.execute(Arrays.stream(words).map(Object::toString).toArray(String[]::new));
         return new CommandOutput(code, out.toString(), err.toString());
@@ -118,7 +120,8 @@
     private Path scenario(String length) throws IOException {
         return file("s.toml", "name = \"s\"\nlength = \"" + length
             + "\"\nwarm = \"500ms\"\nseeds = [4, 5]\n[world]\n"
-            + "[[world.nodes]]\nname = \"a\"\ncount = 3\n[load]\nrate = 150\n[[faults]]\nkind = \"slow\"\nat = \"1s\"\n"
+            + "[[world.nodes]]\nname = \"a\"\ncount = 3\n[load]\nrate = 150\n[[faults]]\nkind = \"slow\"\n"
+            + "at = \"1s\"\n"
             + "for = \"1s\"\ntargets = [\"a-0\"]\nfactor = 0.1\n");
     }
 
@@ -216,7 +219,8 @@
 
     @Test
     public void searchWritesAScenarioThatDoesAsBadlyAsItSays() throws IOException {
-        Path s = scenario("4s"), found = folder.resolve("found.toml");
+        Path s = scenario("4s");
+        Path found = folder.resolve("found.toml");
         CommandOutput said = say("rig", "search", s, found, "--scripts", "5");
         assertEquals(said.code, 0, said.err);
         double score = Double.parseDouble(said.out.replaceAll("(?s).*shortened ([0-9.]+).*", "$1"));
--- a/control/src/main/java/spurroad/control/decide/Rollout.java
+++ b/control/src/main/java/spurroad/control/decide/Rollout.java
@@ -25,7 +25,11 @@
     private final double margin;
     private int stage;
     private long since;
-    private long firstServed, firstAll, restServed, restAll; // in this stage
+    // in this stage
+    private long firstServed;
+    private long firstAll;
+    private long restServed;
+    private long restAll;
     private Step step = Step.GOES_ON;
 
     /**
@@ -58,7 +62,8 @@
 
     /** From 0 up to 1, the same wherever it is asked. */
     private double place(String proxy) {
-        long z = 0xcbf29ce484222325L; // FNV-1a, then the finisher of SplitMix64: names that differ little lie apart
+        // FNV-1a, then the finisher of SplitMix64: names that differ little lie apart
+        long z = 0xcbf29ce484222325L;
         for (char c : (version + '/' + proxy).toCharArray()) {
             z = (z ^ c) * 0x100000001b3L;
         }
@@ -102,7 +107,8 @@
         if (restAll == 0) {
             return false;
         }
-        double first = 1 - (double) firstServed / firstAll, rest = 1 - (double) restServed / restAll;
+        double first = 1 - (double) firstServed / firstAll;
+        double rest = 1 - (double) restServed / restAll;
         double pooled = (firstAll + restAll - firstServed - restServed) / (double) (firstAll + restAll);
         double deviation = Math.sqrt(pooled * (1 - pooled) * (1.0 / firstAll + 1.0 / restAll));
         return first - rest > margin + DEVIATIONS * deviation;
--- a/control/src/main/java/spurroad/control/decide/ShrinkGuard.java
+++ b/control/src/main/java/spurroad/control/decide/ShrinkGuard.java
@@ -29,7 +29,8 @@
 
     private final double mostLost;
     private final long holdNs;
-    private final Map<String, Missing> missing = new LinkedHashMap<>(); // in the order in which they went missing
+    // in the order in which they went missing
+    private final Map<String, Missing> missing = new LinkedHashMap<>();
     private SortedMap<String, Member> last = new TreeMap<>();
     private double before; // weight that was active when nothing was missing
 
--- a/control/src/main/java/spurroad/control/decide/SnapshotDelta.java
+++ b/control/src/main/java/spurroad/control/decide/SnapshotDelta.java
@@ -25,7 +25,8 @@
         SortedSet<String> keys = new TreeSet<>(before.keySet());
         keys.addAll(after.keySet());
         for (String key : keys) {
-            T was = before.get(key), is = after.get(key);
+            T was = before.get(key);
+            T is = after.get(key);
             if (was == null) {
                 lines.add("+ " + whole.apply(key, is));
             } else if (is == null) {
--- a/control/src/main/java/spurroad/control/decide/SourceViews.java
+++ b/control/src/main/java/spurroad/control/decide/SourceViews.java
@@ -19,7 +19,8 @@
 public final class SourceViews {
     private static final class View {
         private final Map<String, Member> members = new HashMap<>();
-        private boolean live, whole;
+        private boolean live;
+        private boolean whole;
     }
 
     private final Map<String, View> views = new LinkedHashMap<>();
--- a/control/src/main/java/spurroad/control/decide/Subscription.java
+++ b/control/src/main/java/spurroad/control/decide/Subscription.java
@@ -12,9 +12,14 @@
  * threads.
  */
 public final class Subscription {
-    private String newest = "", out = "", outNonce = "", accepted = "", refused = "";
+    private String newest = "";
+    private String out = "";
+    private String outNonce = "";
+    private String accepted = "";
+    private String refused = "";
     private long nonces;
-    private boolean asked, again;
+    private boolean asked;
+    private boolean again;
 
     /** What is to be sent now: a version, and the nonce that its answer will bear. */
     public record Send(String version, String nonce) {}
--- a/control/src/main/java/spurroad/control/distribution/CoreReplica.java
+++ b/control/src/main/java/spurroad/control/distribution/CoreReplica.java
@@ -1,6 +1,5 @@
 package spurroad.control.distribution;
 
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/control/src/main/java/spurroad/control/distribution/Subscriber.java
+++ b/control/src/main/java/spurroad/control/distribution/Subscriber.java
@@ -16,7 +16,8 @@
 public final class Subscriber implements Participant {
     private enum Link { SEARCHING, SUBSCRIBING, ATTACHED }
 
-    private static final long SPREAD = 200 * DistributionSettings.MILLISECOND; // of those who lose one parent together
+    // of those who lose one parent together
+    private static final long SPREAD = 200 * DistributionSettings.MILLISECOND;
     private static final long REFUSAL_PAUSE = 500 * DistributionSettings.MILLISECOND;
 
     private static final long LONGEST_PAUSE_MILLIS = 10_000; // whatever a publisher says
--- a/control/src/test/java/spurroad/control/decide/RolloutTest.java
+++ b/control/src/test/java/spurroad/control/decide/RolloutTest.java
@@ -35,7 +35,9 @@
 
     @Test
     public void whoIsFirstIsTheSameEverywhereAndNotAlwaysTheSame() {
-        Rollout a = rollout("v1"), b = rollout("v1"), c = rollout("v2");
+        Rollout a = rollout("v1");
+        Rollout b = rollout("v1");
+        Rollout c = rollout("v2");
         List<String> of1 = proxies.stream().filter(a::has).toList();
         assertEquals(proxies.stream().filter(b::has).toList(), of1);
         assertNotEquals(proxies.stream().filter(c::has).toList(), of1);
--- a/rig/src/main/java/spurroad/rig/checker/EventHistory.java
+++ b/rig/src/main/java/spurroad/rig/checker/EventHistory.java
@@ -7,7 +7,8 @@
 
 /** What happened to one query, over all its tries, as lines with their times; bounded. */
 final class EventHistory {
-    private static final int MOST = 100; // lines; a query that has more is in a loop that its first ones tell of
+    // lines; a query that has more is in a loop that its first ones tell of
+    private static final int MOST = 100;
 
     private final List<String> lines = new ArrayList<>(6);
     private long[] times = new long[6];
--- a/rig/src/main/java/spurroad/rig/checker/OutcomeStatistics.java
+++ b/rig/src/main/java/spurroad/rig/checker/OutcomeStatistics.java
@@ -19,9 +19,15 @@
 
     /** Queries of one kind, and their worth. */
     public static final class Count {
-        public long due, inTime, late, rejected, failed, unanswered;
+        public long due;
+        public long inTime;
+        public long late;
+        public long rejected;
+        public long failed;
+        public long unanswered;
         /** By the importance of their tracks. */
-        public double worthDue, worthGot;
+        public double worthDue;
+        public double worthGot;
 
         private void due(ClientRequest a) {
             due++;
@@ -49,7 +55,8 @@
     private final long warmNs;
     private final List<Count> seconds = new ArrayList<>();
     private final List<Histogram> latencies = new ArrayList<>(); // by second
-    private final Map<String, Count> tracks = new LinkedHashMap<>(), customers = new LinkedHashMap<>();
+    private final Map<String, Count> tracks = new LinkedHashMap<>();
+    private final Map<String, Count> customers = new LinkedHashMap<>();
     private final Count all = new Count();
     private final Histogram latencyUs = new Histogram(MOST_US, DIGITS);
     private final Histogram lateUs = new Histogram(MOST_US, DIGITS);
--- a/rig/src/main/java/spurroad/rig/checker/RuleChecker.java
+++ b/rig/src/main/java/spurroad/rig/checker/RuleChecker.java
@@ -34,7 +34,9 @@
     private static final class Query {
         private final ClientRequest request;
         private final EventHistory history = new EventHistory();
-        private int effects, open; // tries that are remembered
+        // tries that are remembered
+        private int effects;
+        private int open;
 
         private Query(ClientRequest request) {
             this.request = request;
@@ -47,7 +49,8 @@
         private final Query query;
         private long takenAt = Long.MAX_VALUE;
         private int answers;
-        private boolean left, lost;
+        private boolean left;
+        private boolean lost;
         private int mayHaveRun; // executions that came to a server, and were not turned away there
         private final Set<String> ran = new HashSet<>(2); // the servers that they came to
 
@@ -64,11 +67,17 @@
     private final Map<ClientRequest, Query> queries = new HashMap<>();
     private final Deque<Case> byEnd = new ArrayDeque<>();
     private final Map<Integer, Map<String, Leaving>> leaving = new HashMap<>(); // by proxy and node
-    private final Map<Integer, Long> heldSince = new HashMap<>(); // proxies that can't answer, by the rig's own doing
+    // proxies that can't answer, by the rig's own doing
+    private final Map<Integer, Long> heldSince = new HashMap<>();
     private final Map<Integer, Long> heldUntil = new HashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
-    private long unanswered, excused, taken, answered, executions, wasted;
+    private long unanswered;
+    private long excused;
+    private long taken;
+    private long answered;
+    private long executions;
+    private long wasted;
 
     public RuleChecker(Rules rules) {
         this.rules = rules;
--- a/rig/src/main/java/spurroad/rig/model/CacheNode.java
+++ b/rig/src/main/java/spurroad/rig/model/CacheNode.java
@@ -25,9 +25,12 @@
         VANISHED
     }
 
-    private static final long STRIKES_NS = 1_000_000_000L; // ns; over which turned away queries of a cold one count
-    private static final int LEAST_STRIKES = 16; // queries; turned away by a cold one, so many at least push it over
-    private static final long FALLEN_NS = 3_000_000_000L; // ns; one that fell over is up again after that, cold
+    // ns; over which turned away queries of a cold one count
+    private static final long STRIKES_NS = 1_000_000_000L;
+    // queries; turned away by a cold one, so many at least push it over
+    private static final int LEAST_STRIKES = 16;
+    // ns; one that fell over is up again after that, cold
+    private static final long FALLEN_NS = 3_000_000_000L;
 
     private record Copy(int version, long until) {}
 
@@ -42,11 +45,19 @@
     private final Map<Integer, Copy> copies;
     private Runnable reachChanged = () -> {};
     private Reach reach = Reach.UP;
-    private boolean silent, cutBack;
-    private double speed = 1, failing, spoilt;
-    private long startedAt = Long.MIN_VALUE / 2, reportedAt = Long.MIN_VALUE / 2, strikesSince;
-    private int connections, reported, strikes;
-    private long hits, reads;
+    private boolean silent;
+    private boolean cutBack;
+    private double speed = 1;
+    private double failing;
+    private double spoilt;
+    private long startedAt = Long.MIN_VALUE / 2;
+    private long reportedAt = Long.MIN_VALUE / 2;
+    private long strikesSince;
+    private int connections;
+    private int reported;
+    private int strikes;
+    private long hits;
+    private long reads;
 
     /** One that has been up for long, and holds nothing yet. */
     public CacheNode(String uid, NodeGroup group, Load load, Timeline timeline, Ledger ledger,
--- a/rig/src/main/java/spurroad/rig/model/Ledger.java
+++ b/rig/src/main/java/spurroad/rig/model/Ledger.java
@@ -11,7 +11,8 @@
  * (they are given the value when the origin has answered it), and that a write voids every copy.
  */
 public final class Ledger {
-    private static final int MOST_MISSED = 1 << 16; // queries; more are never under way, the oldest are forgotten
+    // queries; more are never under way, the oldest are forgotten
+    private static final int MOST_MISSED = 1 << 16;
 
     private final Map<Integer, Integer> versions = new HashMap<>();
     private final List<CacheNode> nodes = new ArrayList<>();
--- a/rig/src/main/java/spurroad/rig/model/LoadGenerator.java
+++ b/rig/src/main/java/spurroad/rig/model/LoadGenerator.java
@@ -43,10 +43,13 @@
     private final Timeline timeline;
     private final Gateway gateway;
     private final RequestListener listener;
-    private final RandomStream arrivals, what;
+    private final RandomStream arrivals;
+    private final RandomStream what;
     private final Popularity popularity;
     private double times = 1;
-    private long number, nextAt, until;
+    private long number;
+    private long nextAt;
+    private long until;
 
     public LoadGenerator(Scenario scenario, long seed, Timeline timeline, Gateway gateway,
                          RequestListener listener) {
--- a/rig/src/main/java/spurroad/rig/net/FaultyListener.java
+++ b/rig/src/main/java/spurroad/rig/net/FaultyListener.java
@@ -25,8 +25,11 @@
  * and come back at the same port. The loop's, but for opening it the first time.
  */
 final class FaultyListener {
-    private static final int BACKLOG = 512, HANGING_BACKLOG = 1; // connections
-    private static final int FILLERS = 4; // connections; as many fill a backlog of one, so that no other comes up
+    // connections
+    private static final int BACKLOG = 512;
+    private static final int HANGING_BACKLOG = 1;
+    // connections; as many fill a backlog of one, so that no other comes up
+    private static final int FILLERS = 4;
 
     private final EventLoop loop;
     private final Function<SocketChannel, ChannelHandler[]> handlers;
--- a/rig/src/main/java/spurroad/rig/net/MetaDecoder.java
+++ b/rig/src/main/java/spurroad/rig/net/MetaDecoder.java
@@ -33,7 +33,9 @@
         }
     }
 
-    private static final int MOST_LINE = 4096, MOST_VALUE = 4 << 20; // bytes
+    // bytes
+    private static final int MOST_LINE = 4096;
+    private static final int MOST_VALUE = 4 << 20;
     private static final byte[] NOTHING = {};
 
     @Override
--- a/rig/src/main/java/spurroad/rig/net/ProcessUsage.java
+++ b/rig/src/main/java/spurroad/rig/net/ProcessUsage.java
@@ -8,7 +8,9 @@
 /** What Linux tells of a process; a figure is -1 where it has gone. */
 final class ProcessUsage {
     private static final double TICKS = 100; // a second in /proc, on all machines that Java 17 runs on
-    private static final int USER_AT = 11, SYSTEM_AT = 12; // fields behind the name
+    // fields behind the name
+    private static final int USER_AT = 11;
+    private static final int SYSTEM_AT = 12;
     private static final int PAGE_KB = 4;
 
     private ProcessUsage() {}
--- a/rig/src/main/java/spurroad/rig/net/ProxyProcess.java
+++ b/rig/src/main/java/spurroad/rig/net/ProxyProcess.java
@@ -23,12 +23,15 @@
     final int number;
     final int port;
     private final List<String> command;
-    private final Path configuration, log;
+    private final Path configuration;
+    private final Path log;
     private final Signals signals;
     private volatile Process process;
     private volatile double share = 1;
     private volatile boolean stopped;
-    private double mostMemoryMb, mostDescriptors, usedBefore;
+    private double mostMemoryMb;
+    private double mostDescriptors;
+    private double usedBefore;
 
     ProxyProcess(int number, int port, List<String> command, Path folder, Signals signals) {
         this.number = number;
@@ -96,7 +99,8 @@
 
     private void keep() {
         long at = System.nanoTime();
-        double spent = ProcessUsage.cpuSeconds(process.pid()), credit = 0;
+        double spent = ProcessUsage.cpuSeconds(process.pid());
+        double credit = 0;
         boolean off = false;
         while (share < 1 && process.isAlive()) {
             try {
--- a/rig/src/main/java/spurroad/rig/net/SocketGateway.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketGateway.java
@@ -141,7 +141,9 @@
     private final class ClientConnection extends SimpleChannelInboundHandler<MetaDecoder.Message> {
         private final ProxyConnections to;
         private Channel channel;
-        private RequestAttempt at, last; // what is asked for now, and what was asked for and answered before
+        // what is asked for now, and what was asked for and answered before
+        private RequestAttempt at;
+        private RequestAttempt last;
         private boolean sent;
 
         private ClientConnection(ProxyConnections to) {
@@ -206,7 +208,8 @@
                 return; // a proxy that speaks first: nobody has asked anything here
             }
             Answer answer = answer(attempt, m);
-            world.checker.answered(world.timeline.now(), attempt, answer); // one more to the last is for the rule checker to see
+            // one more to the last is for the rule checker to see
+            world.checker.answered(world.timeline.now(), attempt, answer);
             if (at == null) {
                 return;
             }
--- a/rig/src/main/java/spurroad/rig/play/Comparison.java
+++ b/rig/src/main/java/spurroad/rig/play/Comparison.java
@@ -27,7 +27,8 @@
     public static Comparison of(List<Result> first, List<Result> second) {
         List<Pair> pairs = new ArrayList<>();
         for (int i = 0; i < first.size(); i++) {
-            Result a = first.get(i), b = second.get(i);
+            Result a = first.get(i);
+            Result b = second.get(i);
             if (a.seed() != b.seed() || !a.scenario().equals(b.scenario())) {
                 throw new IllegalArgumentException("results of different runs can't be paired");
             }
--- a/rig/src/main/java/spurroad/rig/play/Report.java
+++ b/rig/src/main/java/spurroad/rig/play/Report.java
@@ -29,11 +29,15 @@
  * stories.
  */
 public final class Report {
-    private static final int WIDTH = 900, HEIGHT = 260; // of a plot, in pixels
+    // of a plot, in pixels
+    private static final int WIDTH = 900;
+    private static final int HEIGHT = 260;
     private static final double SPREAD = 1.2; // times; loads that differ by less are one load
     private static final int MOST_BREACHES = 50; // on the page, for a run; all stand in its file
-    private static final String STYLE = "body{font:15px sans-serif;max-width:70em;margin:2em auto;padding:0 1em}"
-        + "table{border-collapse:collapse}td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ccc}"
+    private static final String STYLE = "body{font:15px sans-serif;max-width:70em;margin:2em auto;"
+        + "padding:0 1em}"
+        + "table{border-collapse:collapse}td,th{padding:.2em .7em;text-align:right;border-bottom:1px "
+        + "solid #ccc}"
         + "td:first-child,th:first-child{text-align:left}.bad{color:#b00}pre{background:#f4f4f4;padding:.6em;"
         + "overflow:auto}";
 
@@ -141,7 +145,8 @@
         XYChart chart = chart(title, "s");
         double most = 0;
         for (Result r : results) {
-            double[] x = new double[r.seconds().size()], y = new double[x.length];
+            double[] x = new double[r.seconds().size()];
+            double[] y = new double[x.length];
             for (int i = 0; i < x.length; i++) {
                 x[i] = i;
                 y[i] = value.applyAsDouble(r.seconds().get(i));
@@ -153,8 +158,9 @@
         }
         for (int i = 0; i < faults.size(); i++) {
             Fault f = faults.get(i);
-            double at = f.atNs() / 1e9, to = at + f.forNs() / 1e9,
-                level = -0.03 * (i + 1) * Math.max(1e-9, most);
+            double at = f.atNs() / 1e9;
+            double to = at + f.forNs() / 1e9;
+            double level = -0.03 * (i + 1) * Math.max(1e-9, most);
             chart.addSeries((i + 1) + ": " + f.kind(), new double[] {at, to}, new double[] {level, level})
                 .setMarker(SeriesMarkers.NONE).setLineWidth(5);
         }
--- a/rig/src/main/java/spurroad/rig/play/Result.java
+++ b/rig/src/main/java/spurroad/rig/play/Result.java
@@ -64,7 +64,8 @@
                      double tookS) {
         OutcomeStatistics t = w.outcomes;
         RuleChecker j = w.checker;
-        Map<String, Counts> tracks = new LinkedHashMap<>(), customers = new LinkedHashMap<>();
+        Map<String, Counts> tracks = new LinkedHashMap<>();
+        Map<String, Counts> customers = new LinkedHashMap<>();
         t.tracks().forEach((name, c) -> tracks.put(name, Counts.of(c)));
         t.customers().forEach((name, c) -> customers.put(name, Counts.of(c)));
         Map<Rule, Integer> breaches = new LinkedHashMap<>();
--- a/rig/src/main/java/spurroad/rig/play/ResultFolder.java
+++ b/rig/src/main/java/spurroad/rig/play/ResultFolder.java
@@ -18,7 +18,9 @@
  * cut off, and is played again.
  */
 public final class ResultFolder {
-    private static final String RESULT = "result.json", SCENARIO = "scenario.toml", PARTIAL = "PARTIAL";
+    private static final String RESULT = "result.json";
+    private static final String SCENARIO = "scenario.toml";
+    private static final String PARTIAL = "PARTIAL";
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
     private final Path root;
--- a/rig/src/main/java/spurroad/rig/play/ScenarioRunner.java
+++ b/rig/src/main/java/spurroad/rig/play/ScenarioRunner.java
@@ -57,7 +57,8 @@
 
         private final Path jar;
         private final List<String> flags;
-        private final String cores, build;
+        private final String cores;
+        private final String build;
 
         public Sockets(Path jar, List<String> flags) throws IOException {
             this(jar, flags, "");
--- a/rig/src/main/java/spurroad/rig/policy/BaselinePolicy.java
+++ b/rig/src/main/java/spurroad/rig/policy/BaselinePolicy.java
@@ -37,7 +37,8 @@
         private final CacheKey key;
         private final long endAt;
         private final List<NodeId> targets = new ArrayList<>(2);
-        private boolean atOrigin, done;
+        private boolean atOrigin;
+        private boolean done;
         private int out;
 
         private Query(Track track, CacheKey key, boolean write, long endAt) {
@@ -122,7 +123,8 @@
         return switch (kind) {
             case RANDOM -> any();
             case TWO_CHOICES -> {
-                NodeId a = any(), b = any();
+                NodeId a = any();
+                NodeId b = any();
                 yield queries(a) <= queries(b) ? a : b;
             }
             case RING -> onRing(q, Double.MAX_VALUE);
--- a/rig/src/main/java/spurroad/rig/scale/CapacityReport.java
+++ b/rig/src/main/java/spurroad/rig/scale/CapacityReport.java
@@ -10,13 +10,16 @@
 public final class CapacityReport {
     private static final double RELEASE_HOURS = 1; // in which all of a day's replacements fall, at the worst
     private static final double BURST = 100; // changes within a second
-    private static final double PURGE_LINE_BYTES = 20; // 64 bits in hexadecimal digits, and the framing of a chunk
+    // 64 bits in hexadecimal digits, and the framing of a chunk
+    private static final double PURGE_LINE_BYTES = 20;
     private static final double HEADER_BYTES = 52; // of TCP with timestamps and IPv4
     private static final double EMPTY_LINES_PER_SECOND = 0.5; // of a watch
-    private static final double TO_ALL_MOST = 24; // messages to all that a request earns at the most: Balance.WORDS_EACH
+    // messages to all that a request earns at the most: Balance.WORDS_EACH
+    private static final double TO_ALL_MOST = 24;
     private static final double CUT_SECONDS = 3_600;
     private static final double KILO = 1e3;
-    private static final double START_CAPACITY = 0.3; // of a node that comes back cold, as in the measurements
+    // of a node that comes back cold, as in the measurements
+    private static final double START_CAPACITY = 0.3;
     private static final double MEMORY_SECONDS = 4; // of a proxy for how a node did: Balance.MEMORY_NS
     private static final double LEAST_ENDS = 2; // that are needed to set a node aside: above Balance.BAD_ENDS
 
--- a/rig/src/main/java/spurroad/rig/scale/ControlDecisions.java
+++ b/rig/src/main/java/spurroad/rig/scale/ControlDecisions.java
@@ -13,7 +13,13 @@
 
 /** What one change of membership costs the control service's decisions, by how many nodes it knows. */
 final class ControlDecisions implements Measure {
-    static final int VIEWS = 0, GUARD = 1, SNAPSHOT = 2, DIFFERENCE = 3, ALLOCATED = 4, STATE = 5; // columns
+    // columns
+    static final int VIEWS = 0;
+    static final int GUARD = 1;
+    static final int SNAPSHOT = 2;
+    static final int DIFFERENCE = 3;
+    static final int ALLOCATED = 4;
+    static final int STATE = 5;
     private static final List<String> SOURCES = List.of("discovery", "second discovery");
     private static final SortedMap<String, String> POLICY = new TreeMap<>(Map.of("limit", "1"));
     private static final double MOST_LOST = 0.3;
--- a/rig/src/main/java/spurroad/rig/scale/DiscoveryWatches.java
+++ b/rig/src/main/java/spurroad/rig/scale/DiscoveryWatches.java
@@ -4,8 +4,13 @@
 
 /** What watches cost the discovery that serves them, by how many there are, on loopback sockets. */
 final class DiscoveryWatches implements Measure {
-    static final int EMPTY_CPU = 0, EMPTY_BYTES = 1, CHANGE_CPU = 2, CHANGE_BYTES = 3, RETURN_CPU = 4,
-        RETURN_BYTES = 5; // columns
+    // columns
+    static final int EMPTY_CPU = 0;
+    static final int EMPTY_BYTES = 1;
+    static final int CHANGE_CPU = 2;
+    static final int CHANGE_BYTES = 3;
+    static final int RETURN_CPU = 4;
+    static final int RETURN_BYTES = 5;
     static final int NODES = 151; // those of a region in the mean
     private static final int EMPTY_LINES = 5; // of which the mean is taken
     private static final double BEAT_SECONDS = 2; // between empty lines of a watch
--- a/rig/src/main/java/spurroad/rig/scale/HollowProxy.java
+++ b/rig/src/main/java/spurroad/rig/scale/HollowProxy.java
@@ -37,7 +37,8 @@
     private final Random keys;
     private final long serviceNanos;
     private final Consumer<Decisions.Tell> peers;
-    private final Deque<Attempt> attempts = new ArrayDeque<>(); // all take as long, so the first one ends first
+    // all take as long, so the first one ends first
+    private final Deque<Attempt> attempts = new ArrayDeque<>();
     private final Set<NodeId> connected = new HashSet<>();
     private long requests;
     private long probes;
--- a/rig/src/main/java/spurroad/rig/scale/ListChanges.java
+++ b/rig/src/main/java/spurroad/rig/scale/ListChanges.java
@@ -10,7 +10,12 @@
  * rebuilds.
  */
 final class ListChanges implements Measure {
-    static final int TAKEN_UP = 0, REBUILT = 1, ALLOCATED = 2, BURST = 3, WHOLE = 4; // columns
+    // columns
+    static final int TAKEN_UP = 0;
+    static final int REBUILT = 1;
+    static final int ALLOCATED = 2;
+    static final int BURST = 3;
+    static final int WHOLE = 4;
     private static final int IN_BURST = 100;
     private static final long SERVICE_NANOS = 1L;
     private static final long STEP_NANOS = 1_000_000L;
--- a/rig/src/main/java/spurroad/rig/scale/ListReading.java
+++ b/rig/src/main/java/spurroad/rig/scale/ListReading.java
@@ -13,7 +13,13 @@
 
 /** What reading discovery's list costs a proxy: a whole one by its length, and one change. */
 final class ListReading implements Measure {
-    static final int BYTES = 0, CPU = 1, ALLOCATED = 2, CHANGE_BYTES = 3, CHANGE_CPU = 4, TAKEN = 5; // columns
+    // columns
+    static final int BYTES = 0;
+    static final int CPU = 1;
+    static final int ALLOCATED = 2;
+    static final int CHANGE_BYTES = 3;
+    static final int CHANGE_CPU = 4;
+    static final int TAKEN = 5;
 
     @Override
     public String name() {
--- a/rig/src/main/java/spurroad/rig/scale/Meter.java
+++ b/rig/src/main/java/spurroad/rig/scale/Meter.java
@@ -13,7 +13,8 @@
 final class Meter {
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     private static final int MOST_CALLS = 2_000_000; // of one measurement: bounds its wall time
-    private static final int COLLECTIONS = 4; // the serial collector leaves some garbage in place but for each fourth time
+    // the serial collector leaves some garbage in place but for each fourth time
+    private static final int COLLECTIONS = 4;
     private static final int LARGEST_BATCH = 1_024; // calls between two looks at the clock
 
     private Meter() {}
--- a/rig/src/main/java/spurroad/rig/scale/PeerMessages.java
+++ b/rig/src/main/java/spurroad/rig/scale/PeerMessages.java
@@ -14,8 +14,14 @@
  * that is planned for, so each proxy sends requests at the same rate and each node gets as many.
  */
 final class PeerMessages implements Measure {
-    static final int TO_ONE = 0, TO_ONE_BYTES = 1, CPU = 2, TO_ALL = 3, TO_ALL_BYTES = 4, FULL_CPU = 5,
-        STATE = 6; // columns
+    // columns
+    static final int TO_ONE = 0;
+    static final int TO_ONE_BYTES = 1;
+    static final int CPU = 2;
+    static final int TO_ALL = 3;
+    static final int TO_ALL_BYTES = 4;
+    static final int FULL_CPU = 5;
+    static final int STATE = 6;
     private static final double NODES_PER_PROXY = 6_800.0 / 16_000;
     private static final int HEADER_BYTES = 28; // of UDP and IPv4 in front of each message
     private static final long QUIET_SERVICE_NANOS = 10_000_000L;
--- a/rig/src/main/java/spurroad/rig/scale/PowerLaw.java
+++ b/rig/src/main/java/spurroad/rig/scale/PowerLaw.java
@@ -8,8 +8,10 @@
  * @param exponent 0 for what does not grow, 1 for what grows in proportion, 2 for what grows as the square
  */
 public record PowerLaw(double factor, double exponent) {
-    private static final double NEAR = 0.15; // of an exponent: noise of a busy machine is smaller over two decades
-    private static final double LOGARITHM = 0.3; // n log n looks like so much more than 1, at most, at these sizes
+    // of an exponent: noise of a busy machine is smaller over two decades
+    private static final double NEAR = 0.15;
+    // n log n looks like so much more than 1, at most, at these sizes
+    private static final double LOGARITHM = 0.3;
 
     /** The law through points whose values are all above zero; two sizes at least. */
     public static PowerLaw fit(double[] sizes, double[] values) {
--- a/rig/src/main/java/spurroad/rig/scale/RequestDecisions.java
+++ b/rig/src/main/java/spurroad/rig/scale/RequestDecisions.java
@@ -5,7 +5,13 @@
 
 /** What a request costs a proxy's decisions, and what the proxy holds, by how many nodes it may use. */
 final class RequestDecisions implements Measure {
-    static final int CPU = 0, ALLOCATED = 1, STATE = 2, CONNECTIONS = 3, SEEN = 4, PROBES = 5; // columns
+    // columns
+    static final int CPU = 0;
+    static final int ALLOCATED = 1;
+    static final int STATE = 2;
+    static final int CONNECTIONS = 3;
+    static final int SEEN = 4;
+    static final int PROBES = 5;
     static final int PER_SECOND = 750; // requests of a proxy at the peak
     private static final long SERVICE_NANOS = 10_000_000L;
     private static final int FULL_SECONDS = 60; // simulated; the time after which idle connections close
--- a/rig/src/main/java/spurroad/rig/scale/Subscribers.java
+++ b/rig/src/main/java/spurroad/rig/scale/Subscribers.java
@@ -9,7 +9,11 @@
 
 /** What a new version costs the control service's decisions, by how many proxies subscribe to one machine. */
 final class Subscribers implements Measure {
-    static final int TOLD = 0, ROLLOUT = 1, ALLOCATED = 2, STATE = 3; // columns
+    // columns
+    static final int TOLD = 0;
+    static final int ROLLOUT = 1;
+    static final int ALLOCATED = 2;
+    static final int STATE = 3;
     private static final double[] STAGES = {0.01, 0.1, 1};
     private static final long LEAST_REQUESTS = 1_000;
     private static final double MARGIN = 0.01;
--- a/rig/src/main/java/spurroad/rig/scale/SyntheticFleet.java
+++ b/rig/src/main/java/spurroad/rig/scale/SyntheticFleet.java
@@ -29,13 +29,15 @@
     static final long SECOND_NANOS = 1_000_000_000L;
     private static final KindId CACHE = new KindId(0);
     private static final String CACHE_KIND = "cache-large";
-    private static final long STARTED_MS = 1_764_547_200_000L; // Unix time, long before any measurement's clock
+    // Unix time, long before any measurement's clock
+    private static final long STARTED_MS = 1_764_547_200_000L;
     private static final long LATENCY_OBJECTIVE_NANOS = SECOND_NANOS;
     private static final long IDLE_NANOS = 60 * SECOND_NANOS; // after which nodes close an idle connection
     private static final long TICK_NANOS = 5_000_000L;
     private static final long COLD_NANOS = 8 * SECOND_NANOS;
     private static final double START_CAPACITY = 0.3;
-    private static final double WITHIN_SHARE = 1e6; // requests a second and proxy: nothing is beyond its share
+    // requests a second and proxy: nothing is beyond its share
+    private static final double WITHIN_SHARE = 1e6;
     private static final int MOST_ATTEMPTS = 4;
     private static final int NODES_PER_CELL = 4;
     private static final int PORT = 11_211;
--- a/rig/src/main/java/spurroad/rig/scenario/ScenarioFile.java
+++ b/rig/src/main/java/spurroad/rig/scenario/ScenarioFile.java
@@ -24,7 +24,10 @@
 
 /** A scenario as it stands in a TOML file; docs/operators/experiments.md tells all keys. */
 public final class ScenarioFile {
-    private static final long US = 1_000L, MS = 1_000_000L, S = 1_000_000_000L, HOUR = 3600 * S;
+    private static final long US = 1_000L;
+    private static final long MS = 1_000_000L;
+    private static final long S = 1_000_000_000L;
+    private static final long HOUR = 3600 * S;
     private static final double PARTS = 1e-6; // parts of a whole have to come to one but for rounding
 
     private ScenarioFile() {}
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedProxy.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedProxy.java
@@ -51,7 +51,10 @@
         private final int number;
         private final Pool pool;
         private Timeline.Alarm timeout;
-        private boolean ended, written, open; // open: it holds a connection of the node's
+        // open: it holds a connection of the node's
+        private boolean ended;
+        private boolean written;
+        private boolean open;
 
         private Execution(Query query, int number, Pool pool) {
             this.query = query;
@@ -83,7 +86,8 @@
     private final Map<QueryId, Query> byId = new HashMap<>();
     private final long oneWay;
     private Timeline.Alarm wake;
-    private long ids, wakeAt = Long.MAX_VALUE;
+    private long ids;
+    private long wakeAt = Long.MAX_VALUE;
     private boolean dead;
 
     SimulatedProxy(SimulatedWorld world, int number, long seed) {
@@ -178,7 +182,8 @@
         List<Decisions.Start> starts = List.copyOf(decisions.starts);
         List<Decisions.Stop> stops = List.copyOf(decisions.stops);
         List<Decisions.Answer> answers = List.copyOf(decisions.answers);
-        List<NodeId> probes = List.copyOf(decisions.probes), closes = List.copyOf(decisions.closes);
+        List<NodeId> probes = List.copyOf(decisions.probes);
+        List<NodeId> closes = List.copyOf(decisions.closes);
         boolean follow = decisions.follow;
         wake(decisions.wakeNs);
         for (Decisions.Start s : starts) {
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
@@ -126,7 +126,8 @@
             NodeId id = new NodeId(Members.hash(e.uid()));
             uids.put(id, e.uid());
             boolean isOrigin = e.uid().equals(Origin.UID);
-            List<String> kinds = scenario.world().kinds(), zones = scenario.world().zones();
+            List<String> kinds = scenario.world().kinds();
+            List<String> zones = scenario.world().zones();
             entries
                 .add(new NodeEntry(id, new KindId(isOrigin ? kinds.size() : kinds.indexOf(e.group().kind())),
                     new ZoneId(isOrigin ? 0 : zones.indexOf(e.group().zone())), new CellId(isOrigin ? 0 : 1),
--- a/rig/src/main/java/spurroad/rig/time/SimulatedTimeline.java
+++ b/rig/src/main/java/spurroad/rig/time/SimulatedTimeline.java
@@ -8,7 +8,8 @@
  */
 public final class SimulatedTimeline implements Timeline {
     private static final class Due implements Alarm, Comparable<Due> {
-        private final long at, number;
+        private final long at;
+        private final long number;
         private Runnable work;
 
         private Due(long at, long number, Runnable work) {
@@ -29,7 +30,9 @@
     }
 
     private final PriorityQueue<Due> due = new PriorityQueue<>();
-    private long now, numbers, ran;
+    private long now;
+    private long numbers;
+    private long ran;
 
     @Override
     public long now() {
--- a/rig/src/main/java/spurroad/rig/world/FaultDriver.java
+++ b/rig/src/main/java/spurroad/rig/world/FaultDriver.java
@@ -12,7 +12,8 @@
  * Does to a world what its scenario says, each fault at its time, and undoes it when its duration is over.
  */
 public final class FaultDriver {
-    private static final long NOTICE_NS = 4_000_000_000L; // ns; discovery strikes out a silent node after that
+    // ns; discovery strikes out a silent node after that
+    private static final long NOTICE_NS = 4_000_000_000L;
     private static final long FLAP_NS = 500_000_000L; // ns; down so long, then up as long
 
     private final World world;
--- a/rig/src/main/java/spurroad/rig/world/Membership.java
+++ b/rig/src/main/java/spurroad/rig/world/Membership.java
@@ -28,7 +28,8 @@
     private final long delayNs;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final List<Consumer<Long>> followers = new ArrayList<>();
-    private long revision = 1, toldRevision = 1;
+    private long revision = 1;
+    private long toldRevision = 1;
     private boolean late;
 
     public Membership(Timeline timeline, long delayNs) {
--- a/rig/src/main/java/spurroad/rig/world/ProxyFile.java
+++ b/rig/src/main/java/spurroad/rig/world/ProxyFile.java
@@ -16,10 +16,15 @@
 
 /** What proxies are told of a world: their configuration, and discovery's list, in the platform's JSON. */
 public final class ProxyFile {
-    private static final long NS_PER_US = 1_000L, NS_PER_MS = 1_000_000L;
+    private static final long NS_PER_US = 1_000L;
+    private static final long NS_PER_MS = 1_000_000L;
     private static final String ORIGIN_KIND = "origin";
-    private static final int TICK_US = 5_000, CONNECT_US = 250_000, IDLE_US = 60_000_000, MOST_OPEN = 20_000;
-    private static final int COME_BACK_US = 2_000_000, MOST_EXECUTIONS = 6;
+    private static final int TICK_US = 5_000;
+    private static final int CONNECT_US = 250_000;
+    private static final int IDLE_US = 60_000_000;
+    private static final int MOST_OPEN = 20_000;
+    private static final int COME_BACK_US = 2_000_000;
+    private static final int MOST_EXECUTIONS = 6;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final World world;
--- a/rig/src/main/java/spurroad/rig/world/ProxySelector.java
+++ b/rig/src/main/java/spurroad/rig/world/ProxySelector.java
@@ -20,7 +20,8 @@
 
     /** A proxy that is dealt out; any of them where none is. */
     public int choose() {
-        int n = offered.length, first = random.below(n);
+        int n = offered.length;
+        int first = random.below(n);
         for (int i = 0; i < n; i++) {
             if (offered[(first + i) % n]) {
                 return (first + i) % n;
--- a/rig/src/main/java/spurroad/rig/world/World.java
+++ b/rig/src/main/java/spurroad/rig/world/World.java
@@ -25,8 +25,10 @@
 public final class World {
     private static final long SWEEP_NS = 100_000_000L; // ns; between looks of the rule checker
     private static final long LOOK_NS = 1_000_000_000L; // ns; between looks at queues
-    private static final long DRAIN_NS = 1_000_000_000L; // ns; after the last client's patience: late answers are seen
-    private static final long DONE_NS = 60_000_000_000L; // ns; by then the rule checker has forgotten all that is over
+    // ns; after the last client's patience: late answers are seen
+    private static final long DRAIN_NS = 1_000_000_000L;
+    // ns; by then the rule checker has forgotten all that is over
+    private static final long DONE_NS = 60_000_000_000L;
 
     public final Scenario scenario;
     public final long seed;
--- a/rig/src/test/java/spurroad/rig/checker/RuleCheckerTest.java
+++ b/rig/src/test/java/spurroad/rig/checker/RuleCheckerTest.java
@@ -10,7 +10,6 @@
 import spurroad.model.Effect;
 import spurroad.rig.TestScenarios;
 import spurroad.rig.model.Answer;
-import spurroad.rig.model.ClientRequest;
 import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.model.Reply;
 import spurroad.rig.model.RequestAttempt;
@@ -20,13 +19,16 @@
 
 /** The rule checker alone, told of single queries. */
 public class RuleCheckerTest {
-    private static final long MS = 1_000_000L, S = 1000 * MS;
+    private static final long MS = 1_000_000L;
+    private static final long S = 1000 * MS;
     private static final Reply DONE = new Reply(Reply.Kind.RECEIPT, 1, 0, 0, 0);
     private static final Reply BUSY = new Reply(Reply.Kind.BUSY, 0, 0, 0, 0);
 
     private final Scenario scenario = TestScenarios.small("2s", "[rules]\nunanswered = true\n");
     private RuleChecker checker;
-    private RequestAttempt read, put, once;
+    private RequestAttempt read;
+    private RequestAttempt put;
+    private RequestAttempt once;
 
     @BeforeMethod
     public void tries() {
--- a/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
+++ b/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
@@ -14,7 +14,8 @@
 
 /** A cache node and the origin on simulated time. */
 public class CacheNodeTest {
-    private static final long MS = 1_000_000L, S = 1000 * MS;
+    private static final long MS = 1_000_000L;
+    private static final long S = 1000 * MS;
 
     private final Scenario scenario = TestScenarios.of("""
         name = "n"
@@ -50,12 +51,14 @@
         effect = "deduplicated"
         dedup-window = "1s"
         """);
-    private final Scenario.Track read = scenario.load().tracks().get(0),
-        put = scenario.load().tracks().get(1);
+    private final Scenario.Track read = scenario.load().tracks().get(0);
+    private final Scenario.Track put = scenario.load().tracks().get(1);
     private SimulatedTimeline timeline;
-    private CacheNode a, b;
+    private CacheNode a;
+    private CacheNode b;
     private Origin origin;
-    private List<String> seen, fell;
+    private List<String> seen;
+    private List<String> fell;
     private int ids;
 
     @BeforeMethod
--- a/rig/src/test/java/spurroad/rig/model/LoadGeneratorTest.java
+++ b/rig/src/test/java/spurroad/rig/model/LoadGeneratorTest.java
@@ -14,8 +14,10 @@
 
 /** Clients against a proxy that answers by a rule, on simulated time. */
 public class LoadGeneratorTest {
-    private static final long MS = 1_000_000L, S = 1000 * MS;
-    private final List<RequestAttempt> sent = new ArrayList<>(), taken = new ArrayList<>();
+    private static final long MS = 1_000_000L;
+    private static final long S = 1000 * MS;
+    private final List<RequestAttempt> sent = new ArrayList<>();
+    private final List<RequestAttempt> taken = new ArrayList<>();
     private final List<Long> times = new ArrayList<>();
     private SimulatedTimeline timeline;
 
--- a/toml/src/main/java/spurroad/toml/TomlFile.java
+++ b/toml/src/main/java/spurroad/toml/TomlFile.java
@@ -63,7 +63,8 @@
             read = new TomlMapper().readTree("v = " + value).get("v");
         } catch (JsonProcessingException e) {
             try {
-                read = new TomlMapper().readTree("v = \"" + value + "\"").get("v"); // a word without its quotes
+                // a word without its quotes
+                read = new TomlMapper().readTree("v = \"" + value + "\"").get("v");
             } catch (JsonProcessingException e2) {
                 throw new FaultyFileException(List.of(new Fault(name, 0, path, "is set to " + value
                     + ", which is no value")));
