--- a/core/src/main/java/spurroad/admission/Admission.java
+++ b/core/src/main/java/spurroad/admission/Admission.java
@@ -31,7 +31,7 @@
     private static final double DEVIATIONS = 3; // of chance, and as many queries, which a customer may be over that
     private static final long FADE_INTERVALS = 10; // intervals; over which a customer's rate is taken
 
-    private final Levels levels = new Levels();
+    private final ServiceLevels levels = new ServiceLevels();
     private final Random random;
     private double[] worth; // by track
     private double best;
@@ -77,7 +77,7 @@
         came = classes == before ? came : new double[classes];
     }
 
-    public Level level() {
+    public ServiceLevel level() {
         return levels.level();
     }
 
--- a/core/src/main/java/spurroad/admission/Level.java
+++ b/core/src/main/java/spurroad/admission/ServiceLevel.java
@@ -3,7 +3,7 @@
 /**
  * How much service there is, from all of it down; each level leaves out what those before it do, and more.
  */
-public enum Level {
+public enum ServiceLevel {
     /** Everything is taken in. */
     ORDINARY,
     /** Nothing from customers beyond their shares. */
@@ -16,7 +16,7 @@
     UNDER_WAY;
 
     /** Whether this level leaves out at least what another does. */
-    public boolean atLeast(Level other) {
+    public boolean atLeast(ServiceLevel other) {
         return compareTo(other) >= 0;
     }
 }
--- a/core/src/main/java/spurroad/admission/Levels.java
+++ b/core/src/main/java/spurroad/admission/ServiceLevels.java
@@ -8,7 +8,7 @@
  * above its way out, a least stay, and a longer one each time it is soon come back to: load that hovers at a
  * boundary changes the level ever more seldom. No I/O, no clock: it is told the time.
  */
-public final class Levels {
+public final class ServiceLevels {
     // what is demanded over what can be borne at which a level begins, by their order. The last two are for when
     // turning away alone uses up the means: before that the best part of what comes is worth more than one track
     private static final double[] IN = {0, 1.05, 1.4, 8, 20};
@@ -19,18 +19,18 @@
     private static final long SOON_NS = 10_000_000_000L; // ns; a level that begins again within it came back too early
     private static final int COLD_STAYS = 2; // times as long a stay while nodes are cold: they warm up in between
 
-    private final long[] stay = new long[Level.values().length];
-    private final long[] leftAt = new long[Level.values().length];
-    private final boolean[] left = new boolean[Level.values().length];
-    private Level level = Level.ORDINARY;
+    private final long[] stay = new long[ServiceLevel.values().length];
+    private final long[] leftAt = new long[ServiceLevel.values().length];
+    private final boolean[] left = new boolean[ServiceLevel.values().length];
+    private ServiceLevel level = ServiceLevel.ORDINARY;
     private long since = Long.MIN_VALUE / 2, aboveSince = Long.MAX_VALUE, belowSince = Long.MAX_VALUE;
     private long changes;
 
-    public Levels() {
+    public ServiceLevels() {
         Arrays.fill(stay, STAY_NS);
     }
 
-    public Level level() {
+    public ServiceLevel level() {
         return level;
     }
 
@@ -57,26 +57,26 @@
         belowSince = at > 0 && pressure < OUT * IN[at] ? Math.min(belowSince, now) : Long.MAX_VALUE;
         long least = cold ? COLD_STAYS * stay[at] : stay[at];
         if (aboveSince != Long.MAX_VALUE && now - aboveSince >= WORSE_NS && now - since >= WORSE_NS) {
-            enter(now, Level.values()[at + 1]);
+            enter(now, ServiceLevel.values()[at + 1]);
             return true;
         }
         if (belowSince != Long.MAX_VALUE && now - belowSince >= least / 2 && now - since >= least) {
             left[at] = true;
             leftAt[at] = now;
-            move(now, Level.values()[at - 1]);
+            move(now, ServiceLevel.values()[at - 1]);
             return true;
         }
         return false;
     }
 
-    private void enter(long now, Level worse) {
+    private void enter(long now, ServiceLevel worse) {
         int i = worse.ordinal();
         boolean soon = left[i] && now - leftAt[i] < SOON_NS;
         stay[i] = soon ? Math.min(LONGEST_NS, 2 * stay[i]) : STAY_NS;
         move(now, worse);
     }
 
-    private void move(long now, Level to) {
+    private void move(long now, ServiceLevel to) {
         level = to;
         since = now;
         aboveSince = belowSince = Long.MAX_VALUE;
--- a/core/src/test/java/spurroad/admission/AdmissionProperties.java
+++ b/core/src/test/java/spurroad/admission/AdmissionProperties.java
@@ -52,7 +52,7 @@
                                             @ForAll @IntRange(max = 1000) int seed) {
         Admission a = admission(importance, seed);
         double[] taken = taken(a, importance, demand, seed);
-        check(a.level() == Level.ORDINARY, "level " + a.level());
+        check(a.level() == ServiceLevel.ORDINARY, "level " + a.level());
         for (double t : taken) {
             check(t == 1, "a track was taken in to " + t);
         }
--- a/core/src/test/java/spurroad/admission/AdmissionTest.java
+++ b/core/src/test/java/spurroad/admission/AdmissionTest.java
@@ -55,7 +55,7 @@
     public void allIsTakenInWhileTheMeansSuffice() {
         play(20, 800, 0, 1000, false);
         assertEquals(admission.part(), 1.0);
-        assertEquals(admission.level(), Level.ORDINARY);
+        assertEquals(admission.level(), ServiceLevel.ORDINARY);
         assertEquals(came[0] + came[1], taken[0] + taken[1], "no track is starved, nothing is turned away");
     }
 
@@ -88,14 +88,14 @@
             }
             admission.measured(now, new ResourceUsage(1, 0, 0), false);
         }
-        assertTrue(admission.level().atLeast(Level.WITHIN_SHARES));
+        assertTrue(admission.level().atLeast(ServiceLevel.WITHIN_SHARES));
         for (int i = 0; i < 60; i++, now += STEP) {
             for (int n = 0; n < 60; n++) {
                 admission.admits(READ, 0);
             }
             admission.measured(now, new ResourceUsage(0.12, 0, 0), false);
         }
-        assertEquals(admission.level(), Level.ORDINARY);
+        assertEquals(admission.level(), ServiceLevel.ORDINARY);
         assertEquals(admission.part(), 1.0);
     }
 
@@ -112,7 +112,7 @@
     public void oneCustomerAtEightTimesItsShareIsWhatIsTurnedAway() {
         admission = fresh();
         play(5, 1600, 800, 1000, false);
-        assertTrue(admission.level().atLeast(Level.WITHIN_SHARES));
+        assertTrue(admission.level().atLeast(ServiceLevel.WITHIN_SHARES));
         double beyond = 0, within = 0, asked = 2000;
         for (int i = 0; i < asked; i++) {
             beyond += admission.admits(READ, 0) ? 1 : 0;
--- a/core/src/test/java/spurroad/admission/LevelsProperties.java
+++ b/core/src/test/java/spurroad/admission/ServiceLevelsProperties.java
@@ -11,7 +11,7 @@
 /**
  * What holds for the level of service on any course of demand, shrunk to the shortest one where it does not.
  */
-class LevelsProperties {
+class ServiceLevelsProperties {
     private static final long STEP = Admission.INTERVAL_NS, S = 1_000_000_000L;
 
     /** Some demand for a while. */
@@ -29,7 +29,7 @@
     /** One step at a time; better service only after the least stay, worse only after three intervals. */
     @Property(tries = 500, seed = "20261201")
     void neverTwoLevelsInOneLeastStay(@ForAll("courses") List<Stretch> course) {
-        Levels levels = new Levels();
+        ServiceLevels levels = new ServiceLevels();
         long now = 50 * S, changedAt = Long.MIN_VALUE / 2;
         for (Stretch s : course) {
             for (int i = 0; i < s.intervals; i++, now += STEP) {
@@ -53,7 +53,7 @@
      */
     @Property(tries = 300, seed = "20261202")
     void everyLevelIsLeftOnceDemandIsGone(@ForAll("courses") List<Stretch> course) {
-        Levels levels = new Levels();
+        ServiceLevels levels = new ServiceLevels();
         long now = 50 * S;
         for (Stretch s : course) {
             for (int i = 0; i < s.intervals; i++, now += STEP) {
@@ -63,7 +63,7 @@
         for (long until = now + 4 * 16 * S + S; now < until; now += STEP) {
             levels.told(now, 0, false);
         }
-        check(levels.level() == Level.ORDINARY, "still " + levels.level());
+        check(levels.level() == ServiceLevel.ORDINARY, "still " + levels.level());
     }
 
     private static void check(boolean holds, String what) {
--- a/core/src/test/java/spurroad/admission/LevelsTest.java
+++ b/core/src/test/java/spurroad/admission/ServiceLevelsTest.java
@@ -7,11 +7,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class LevelsTest {
+public class ServiceLevelsTest {
     private static final long STEP = Admission.INTERVAL_NS, S = 1_000_000_000L;
     private long now = 50 * S;
 
-    private void play(Levels levels, double seconds, double pressure, boolean cold) {
+    private void play(ServiceLevels levels, double seconds, double pressure, boolean cold) {
         for (long until = now + (long) (seconds * S); now < until; now += STEP) {
             levels.told(now, pressure, cold);
         }
@@ -19,25 +19,27 @@
 
     @DataProvider
     Object[][] ways() {
-        return new Object[][] {{0.0, Level.ORDINARY}, {1.0, Level.ORDINARY}, {1.04, Level.ORDINARY},
-            {1.06, Level.WITHIN_SHARES}, {1.5, Level.SPARING}, {7.9, Level.SPARING}, {8.1, Level.WORTHIEST},
-            {21.0, Level.UNDER_WAY}};
+        return new Object[][] {{0.0, ServiceLevel.ORDINARY}, {1.0, ServiceLevel.ORDINARY},
+            {1.04, ServiceLevel.ORDINARY},
+            {1.06, ServiceLevel.WITHIN_SHARES}, {1.5, ServiceLevel.SPARING}, {7.9, ServiceLevel.SPARING},
+            {8.1, ServiceLevel.WORTHIEST},
+            {21.0, ServiceLevel.UNDER_WAY}};
     }
 
     @Test(dataProvider = "ways")
-    public void pressureLeadsStepByStepToItsLevelAndOutAgain(double pressure, Level level) {
-        Levels levels = new Levels();
+    public void pressureLeadsStepByStepToItsLevelAndOutAgain(double pressure, ServiceLevel level) {
+        ServiceLevels levels = new ServiceLevels();
         play(levels, 4, pressure, false);
         assertEquals(levels.level(), level);
         assertEquals(levels.changes(), level.ordinal());
         play(levels, 8, 0, false);
-        assertEquals(levels.level(), Level.ORDINARY);
+        assertEquals(levels.level(), ServiceLevel.ORDINARY);
         assertEquals(levels.changes(), 2 * level.ordinal());
     }
 
     @Test
     public void aBurstShorterThanThreeIntervalsChangesNothing() {
-        Levels levels = new Levels();
+        ServiceLevels levels = new ServiceLevels();
         for (int i = 0; i < 50; i++) {
             play(levels, 0.2, 30, false);
             play(levels, 0.1, 0, false);
@@ -48,7 +50,7 @@
     /** Load up and down around each boundary, by a tenth, every 2 s for 5 minutes. */
     @Test(dataProvider = "boundaries")
     public void loadThatHoversAtABoundaryDoesNotSwingTheLevel(double in) {
-        Levels levels = new Levels();
+        ServiceLevels levels = new ServiceLevels();
         for (int i = 0; i < 150; i++) {
             play(levels, 1, 1.1 * in, false);
             play(levels, 1, 0.9 * in, false);
@@ -64,7 +66,7 @@
     /** Load that falls far each time leaves the level, but ever more seldom: the stay doubles up to 16 s. */
     @Test
     public void aLevelThatIsComeBackToSoonLastsLonger() {
-        Levels levels = new Levels();
+        ServiceLevels levels = new ServiceLevels();
         for (int i = 0; i < 60; i++) {
             play(levels, 1, 1.2, false);
             play(levels, 1, 0.5, false);
@@ -77,10 +79,10 @@
     public void theClimbIsHalfAsFastWhileNodesAreCold() {
         long[] took = new long[2];
         for (int cold = 0; cold < 2; cold++) {
-            Levels levels = new Levels();
+            ServiceLevels levels = new ServiceLevels();
             play(levels, 4, 9, false);
             long from = now;
-            while (levels.level() != Level.ORDINARY) {
+            while (levels.level() != ServiceLevel.ORDINARY) {
                 play(levels, 0.1, 0, cold == 1);
             }
             took[cold] = now - from;
@@ -96,10 +98,10 @@
     public void neverTwoLevelsInOneLeastStay() {
         for (int seed = 0; seed < 1000; seed++) {
             Random random = new Random(seed);
-            Levels levels = new Levels();
+            ServiceLevels levels = new ServiceLevels();
             long changedAt = Long.MIN_VALUE / 2;
             double pressure = 0;
-            Level before = Level.ORDINARY;
+            ServiceLevel before = ServiceLevel.ORDINARY;
             for (int i = 0; i < 600; i++, now += STEP) {
                 pressure = random.nextInt(8) == 0 ? 40 * random.nextDouble() * random.nextDouble() : pressure;
                 long stay = levels.leastStayNs();
--- a/proxy/src/main/java/spurroad/routing/Decider.java
+++ b/proxy/src/main/java/spurroad/routing/Decider.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import spurroad.Balance;
-import spurroad.admission.Level;
+import spurroad.admission.ServiceLevel;
 import spurroad.model.Decisions;
 import spurroad.model.Fleet;
 import spurroad.model.LoadReport;
@@ -277,10 +277,10 @@
     // ---- told by the gate
 
     /** The level of service, the part of all that is taken in, and how many have been turned away since. */
-    void serves(Level level, double part, long turnedAway) {
+    void serves(ServiceLevel level, double part, long turnedAway) {
         fromLoop.add(() -> {
             tally.gate(level, part, turnedAway);
-            balance.sparing(level.atLeast(Level.SPARING));
+            balance.sparing(level.atLeast(ServiceLevel.SPARING));
         });
     }
 
--- a/proxy/src/main/java/spurroad/routing/Gate.java
+++ b/proxy/src/main/java/spurroad/routing/Gate.java
@@ -1,8 +1,8 @@
 package spurroad.routing;
 
 import spurroad.admission.Admission;
-import spurroad.admission.Level;
 import spurroad.admission.ResourceUsage;
+import spurroad.admission.ServiceLevel;
 import spurroad.model.Deployment;
 import spurroad.model.Track;
 import spurroad.protocol.MetaReply;
@@ -91,7 +91,7 @@
         long now = loop.now();
         ResourceUsage usage = new ResourceUsage(processor(now), aged == 0 ? 0 : ageNs / aged, room.used());
         ageNs = aged = 0;
-        Level before = admission.level();
+        ServiceLevel before = admission.level();
         if (admission.measured(now, usage, decider.nodesAreCold(now))) {
             log.event("level of service", admission.level() + " after " + before + ", demand "
                 + Math.round(100 * admission.pressure()) + "% of what can be borne, processor "
--- a/proxy/src/main/java/spurroad/routing/Tally.java
+++ b/proxy/src/main/java/spurroad/routing/Tally.java
@@ -2,7 +2,7 @@
 
 import java.util.EnumMap;
 import java.util.Map;
-import spurroad.admission.Level;
+import spurroad.admission.ServiceLevel;
 import spurroad.model.Outcome;
 
 /** What became of queries and executions since the last line about it; the module's actor keeps it. */
@@ -13,7 +13,7 @@
     private final Map<Outcome, Integer> executions = new EnumMap<>(Outcome.class);
     private int queries, completed, rejected, aborted, left;
     private long since, stalledNs, turnedAway;
-    private Level level = Level.ORDINARY, worst = Level.ORDINARY;
+    private ServiceLevel level = ServiceLevel.ORDINARY, worst = ServiceLevel.ORDINARY;
     private double part = 1;
 
     void arrived() {
@@ -36,7 +36,7 @@
     /**
      * The level of service now, the part that is admitted, and how many were turned away at the gate since.
      */
-    void gate(Level now, double admitted, long more) {
+    void gate(ServiceLevel now, double admitted, long more) {
         level = now;
         worst = now.atLeast(worst) ? now : worst;
         part = admitted;
