--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -44,7 +44,7 @@
         private Query query;
         private Results.OfClass results; // of the query's class; null where it is no query
         private Results.End end;
-        private Passage passage; // the long value that follows the answer
+        private StreamedResponse streamed; // the long value that follows the answer
         private long uploadRoom;
         private long queryRoom, answerRoom;
         private byte[] answer;
@@ -331,16 +331,16 @@
     // ---- answers
 
     /** Told by the decider: the one final answer of a query. */
-    void answer(Query q, byte[] answer, Results.End end, Passage passage) {
-        if (over && passage != null) {
-            passage.giveUp();
+    void answer(Query q, byte[] answer, Results.End end, StreamedResponse streamed) {
+        if (over && streamed != null) {
+            streamed.giveUp();
         }
         for (Slot slot : slots) {
             if (slot.query == q) {
                 slot.answer = answer;
                 slot.end = end;
-                slot.passage = passage;
-                slot.answerRoom = answer.length + (passage == null ? 0 : PASSING_BYTES);
+                slot.streamed = streamed;
+                slot.answerRoom = answer.length + (streamed == null ? 0 : PASSING_BYTES);
                 clients.owe(slot.answerRoom);
             }
         }
@@ -357,10 +357,10 @@
             }
             writingSince = clients.now();
             connection.write(writing.answer);
-            if (writing.passage != null) {
+            if (writing.streamed != null) {
                 // what stands in its buffers is lost by a reset, and nothing tells when it has gone
                 connection.systemHolds(SYSTEM_BYTES);
-                writing.passage.begin(this);
+                writing.streamed.begin(this);
             } else if (connection.isDrained()) {
                 written();
             }
@@ -369,8 +369,8 @@
 
     @Override
     public void drained() {
-        if (writing != null && writing.passage != null) {
-            writing.passage.drained();
+        if (writing != null && writing.streamed != null) {
+            writing.streamed.drained();
         } else if (writing != null) {
             written();
             flush();
@@ -391,7 +391,7 @@
 
     /** The value has passed whole; what follows it ends the answer. */
     void passedWhole(byte[] end) {
-        writing.passage = null;
+        writing.streamed = null;
         connection.write(end);
         if (connection.isDrained()) {
             clients.loop.tell(this::drained); // not at once: its node's connection is still at work
@@ -399,7 +399,7 @@
     }
 
     /** The rest of the value will not come; a reset inside it tells the client so. */
-    void passageBroke() {
+    void streamBroke() {
         if (writing != null) {
             ended(writing, Results.End.ABORTED);
         }
@@ -493,8 +493,8 @@
     /** Nobody takes its answer any more. */
     private void drop(Slot slot) {
         ended(slot, Results.End.LEFT);
-        if (slot.passage != null) {
-            slot.passage.giveUp();
+        if (slot.streamed != null) {
+            slot.streamed.giveUp();
         }
         giveRoom(slot);
     }
@@ -553,7 +553,7 @@
 
     /** Closes it where the client takes its answers too slowly for the memory that they hold. */
     void closeIfSlow() {
-        if (clients.now() - HOLDING_NS > writingSince && (writing == null || writing.passage == null)) {
+        if (clients.now() - HOLDING_NS > writingSince && (writing == null || writing.streamed == null)) {
             close();
         }
     }
--- a/proxy/src/main/java/spurroad/routing/Decider.java
+++ b/proxy/src/main/java/spurroad/routing/Decider.java
@@ -67,10 +67,13 @@
         }
     }
 
-    private record Answered(Query q, byte[] answer, Results.End end, Passage passage) implements Runnable {
+    private record Answered(Query q, byte[] answer, Results.End end,
+                            StreamedResponse streamed)
+        implements
+            Runnable {
         @Override
         public void run() {
-            q.client.answer(q, answer, end, passage);
+            q.client.answer(q, answer, end, streamed);
         }
     }
 
@@ -301,9 +304,9 @@
             if (reply.outcome() == Outcome.COMPLETED && !q.over) {
                 q.over = true;
                 tally.completed();
-                forLoop.add(new Answered(q, reply.answer(), Results.End.SUCCEEDED, e.passage));
-            } else if (e.passage != null) {
-                forLoop.add(e.passage::giveUp);
+                forLoop.add(new Answered(q, reply.answer(), Results.End.SUCCEEDED, e.streamed));
+            } else if (e.streamed != null) {
+                forLoop.add(e.streamed::giveUp);
             }
             balance.ended(clock.now(), q.id, e.number, reply.outcome(), reply.load(), q.over,
                 stalls.total() - e.stalledNs, fresh());
--- a/proxy/src/main/java/spurroad/routing/Errand.java
+++ b/proxy/src/main/java/spurroad/routing/Errand.java
@@ -27,7 +27,7 @@
     final long stalledNs;
     boolean ended;
     /** The long value of its answer, where it has one. */
-    Passage passage;
+    StreamedResponse streamed;
 
     Errand(Query query, int number, NodeActor node, long until, long sentBy, long stalledNs) {
         this.query = query;
--- a/proxy/src/main/java/spurroad/routing/NodeConnection.java
+++ b/proxy/src/main/java/spurroad/routing/NodeConnection.java
@@ -19,7 +19,7 @@
 final class NodeConnection implements Connection.User {
     private static final String TO_NOTHING = "an answer to nothing";
     private static final long STALL_NS = 300_000_000L; // ns; inside an answer: one that was given whole arrives sooner
-    private static final long PASSAGE_STALL_NS = 2_500_000_000L; // ns; inside a long value that is being read
+    private static final long STREAM_STALL_NS = 2_500_000_000L; // ns; inside a long value that is being read
     private static final byte[] LINE_END = MetaReply.lineEnd();
     private final NodeActor node;
     private final Dialect dialect;
@@ -28,7 +28,7 @@
     private Connection connection;
     private Loop.Alarm alarm; // for the connect, or for the rest of an answer
     private long cameAt;
-    private Passage passage; // while a long value is on its way to a client
+    private StreamedResponse streamed; // while a long value is on its way to a client
     private boolean more; // whether the connection can carry another after that
     // the node actor's
     /** What it carries now; null while idle. */
@@ -92,7 +92,7 @@
     @Override
     public void came(ByteBuffer bytes) {
         cameAt = node.now();
-        if (passage != null && in.available() == 0 && passage.left() > 0 && passage.wanted()) {
+        if (streamed != null && in.available() == 0 && streamed.left() > 0 && streamed.wanted()) {
             pass(bytes);
         }
         if (bytes.hasRemaining() && !closed) {
@@ -103,10 +103,10 @@
 
     /** The part of what is there that belongs to the value. */
     private void pass(ByteBuffer bytes) {
-        int n = (int) Math.min(bytes.remaining(), passage.left());
+        int n = (int) Math.min(bytes.remaining(), streamed.left());
         ByteBuffer part = bytes.duplicate().limit(bytes.position() + n);
         bytes.position(bytes.position() + n);
-        passage.came(part);
+        streamed.came(part);
         if (!closed) {
             passOn();
         }
@@ -114,27 +114,28 @@
 
     /** Passes on what is there while the client takes it, then reads on. */
     void passOn() {
-        while (!closed && passage != null && passage.left() > 0 && in.available() > 0 && passage.wanted()) {
-            passage.came(ByteBuffer.wrap(in.take(passage.left())));
+        while (!closed && streamed != null && streamed.left() > 0 && in.available() > 0
+            && streamed.wanted()) {
+            streamed.came(ByteBuffer.wrap(in.take(streamed.left())));
         }
-        if (closed || passage == null) {
+        if (closed || streamed == null) {
             return;
         }
-        if (passage.left() == 0) {
+        if (streamed.left() == 0) {
             finish();
         } else {
-            boolean on = passage.wanted();
+            boolean on = streamed.wanted();
             connection.reading(on);
-            watchPassage(on);
+            watchStream(on);
         }
     }
 
     /** The value has passed; its end is looked at before the client is given one. */
     private void finish() {
         connection.reading(true);
-        if (passage.lineEnd()) {
+        if (streamed.lineEnd()) {
             if (in.available() < LINE_END.length) {
-                watchPassage(true);
+                watchStream(true);
                 return;
             }
             if (!Arrays.equals(in.take(LINE_END.length), LINE_END)) {
@@ -143,28 +144,28 @@
                 return;
             }
         }
-        Passage done = passage;
-        passage = null;
+        StreamedResponse done = streamed;
+        streamed = null;
         alarm.cancel();
         done.whole();
         node.free(this, more && in.available() == 0);
     }
 
-    private void watchPassage(boolean on) {
+    private void watchStream(boolean on) {
         alarm.cancel();
         if (on) {
-            alarm = node.loop().after(PASSAGE_STALL_NS, this::cut);
+            alarm = node.loop().after(STREAM_STALL_NS, this::cut);
         }
     }
 
     /** Nobody takes the value: this connection is of no further use. */
     void abandon() {
-        passage = null;
+        streamed = null;
         close();
     }
 
     private void read() {
-        if (passage != null) {
+        if (streamed != null) {
             passOn();
             return;
         }
@@ -179,8 +180,8 @@
                 if (reply.rest() != null) {
                     more = reply.more();
                     connection.reading(false); // until the client's turn has come
-                    passage = new Passage(this, reply.rest());
-                    errand.passage = passage;
+                    streamed = new StreamedResponse(this, reply.rest());
+                    errand.streamed = streamed;
                     node.answers(this, errand, reply);
                     return;
                 }
@@ -224,9 +225,9 @@
     }
 
     private void brokeOff() {
-        if (passage != null) {
-            Passage broken = passage;
-            passage = null;
+        if (streamed != null) {
+            StreamedResponse broken = streamed;
+            streamed = null;
             broken.broke();
         }
     }
--- a/proxy/src/main/java/spurroad/routing/Passage.java
+++ b/proxy/src/main/java/spurroad/routing/StreamedResponse.java
@@ -9,14 +9,14 @@
  * read than the client takes. All of it is the loop's. It ends once: whole, broken off by the node, or given
  * up by the client.
  */
-final class Passage {
+final class StreamedResponse {
     private final NodeConnection from;
     private final boolean lineEnd;
     private long left;
     private ClientConnection to;
     private boolean over;
 
-    Passage(NodeConnection from, Reply.Rest rest) {
+    StreamedResponse(NodeConnection from, Reply.Rest rest) {
         this.from = from;
         left = rest.bytes();
         lineEnd = rest.lineEnd();
@@ -38,7 +38,7 @@
     void begin(ClientConnection client) {
         to = client;
         if (over) {
-            client.passageBroke();
+            client.streamBroke();
         } else {
             from.passOn();
         }
@@ -82,7 +82,7 @@
         if (!over) {
             over = true;
             if (to != null) {
-                to.passageBroke();
+                to.streamBroke();
             }
         }
     }
