--- a/cli/src/main/java/spurroad/cli/Spurroad.java
+++ b/cli/src/main/java/spurroad/cli/Spurroad.java
@@ -31,6 +31,7 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
     }
 
+    /** Runs one command and ends the process with its exit code. */
     public static void main(String[] args) {
         System.exit(line().execute(args));
     }
--- a/control/src/main/java/spurroad/control/decide/History.java
+++ b/control/src/main/java/spurroad/control/decide/History.java
@@ -27,6 +27,7 @@
         return List.copyOf(snapshots);
     }
 
+    /** The snapshot of that number; empty where it is not kept, or never was. */
     public Optional<Snapshot> numbered(long number) {
         return snapshots.stream().filter(s -> s.number() == number).findFirst();
     }
--- a/control/src/main/java/spurroad/control/decide/Member.java
+++ b/control/src/main/java/spurroad/control/decide/Member.java
@@ -11,6 +11,7 @@
                      MemberStatus status)
     implements
         Comparable<Member> {
+    /** The same member in another status. */
     public Member with(MemberStatus other) {
         return new Member(uid, endpoint, zone, kind, weight, other);
     }
--- a/control/src/main/java/spurroad/control/distribution/CoreReplica.java
+++ b/control/src/main/java/spurroad/control/distribution/CoreReplica.java
@@ -24,6 +24,7 @@
     /** Is told when a command of the log is accepted, at each replica. */
     @FunctionalInterface
     public interface AcceptedListener {
+        /** A command was accepted at its index of the log. */
         void accepted(long index, CoreCommand command);
     }
 
--- a/control/src/main/java/spurroad/control/distribution/MalformedMessageException.java
+++ b/control/src/main/java/spurroad/control/distribution/MalformedMessageException.java
@@ -4,6 +4,7 @@
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1;
 
+    /** Tells what is wrong with the bytes. */
     public MalformedMessageException(String reason) {
         super(reason);
     }
--- a/control/src/main/java/spurroad/control/distribution/Outbox.java
+++ b/control/src/main/java/spurroad/control/distribution/Outbox.java
@@ -3,5 +3,6 @@
 /** Takes the messages that a decision sends. */
 @FunctionalInterface
 public interface Outbox {
+    /** Takes a message for a process; it may arrive late, twice, out of order or never. */
     void send(ProcessId to, Message message);
 }
--- a/rig/src/main/java/spurroad/rig/checker/OutcomeStatistics.java
+++ b/rig/src/main/java/spurroad/rig/checker/OutcomeStatistics.java
@@ -61,6 +61,7 @@
     private final Histogram latencyUs = new Histogram(MOST_US, DIGITS);
     private final Histogram lateUs = new Histogram(MOST_US, DIGITS);
 
+    /** Counts by the request classes and tenants of a scenario; what is due in its warm-up is left out. */
     public OutcomeStatistics(Scenario scenario) {
         warmNs = scenario.warmNs();
         scenario.load().tracks().forEach(t -> tracks.put(t.name(), new Count()));
@@ -111,14 +112,17 @@
         }
     }
 
+    /** Of all requests. */
     public Count all() {
         return all;
     }
 
+    /** By the name of the request class. */
     public Map<String, Count> tracks() {
         return tracks;
     }
 
+    /** By the name of the tenant. */
     public Map<String, Count> customers() {
         return customers;
     }
--- a/rig/src/main/java/spurroad/rig/checker/RuleChecker.java
+++ b/rig/src/main/java/spurroad/rig/checker/RuleChecker.java
@@ -79,6 +79,7 @@
     private long executions;
     private long wasted;
 
+    /** Checks against a scenario's rules. */
     public RuleChecker(Rules rules) {
         this.rules = rules;
     }
@@ -288,6 +289,7 @@
         return List.copyOf(breaches);
     }
 
+    /** How often a rule was broken. */
     public int count(Rule rule) {
         return counts.getOrDefault(rule, 0);
     }
@@ -302,10 +304,12 @@
         return excused;
     }
 
+    /** Tries that proxies took. */
     public long taken() {
         return taken;
     }
 
+    /** Tries that were answered. */
     public long answered() {
         return answered;
     }
--- a/rig/src/main/java/spurroad/rig/model/Answer.java
+++ b/rig/src/main/java/spurroad/rig/model/Answer.java
@@ -13,6 +13,7 @@
         VALUE, RECEIPT, REJECTED, FAILED
     }
 
+    /** Whether the client got what it asked for. */
     public boolean served() {
         return kind == Kind.VALUE || kind == Kind.RECEIPT;
     }
--- a/rig/src/main/java/spurroad/rig/model/CacheNode.java
+++ b/rig/src/main/java/spurroad/rig/model/CacheNode.java
@@ -163,6 +163,7 @@
         return true;
     }
 
+    /** A connection that was taken has ended. */
     public void disconnected() {
         connections--;
     }
@@ -184,6 +185,7 @@
         return part >= 1 ? 1 : group.startShare() + (1 - group.startShare()) * Math.max(0, part);
     }
 
+    /** How far peers reach it now. */
     public Reach reach() {
         return reach;
     }
@@ -198,10 +200,12 @@
         return startedAt;
     }
 
+    /** Requests that it serves or that wait there. */
     public int inFlight() {
         return servers.inFlight();
     }
 
+    /** Connections that are open. */
     public int connections() {
         return connections;
     }
@@ -228,6 +232,7 @@
         reachChanged = changed;
     }
 
+    /** Changes how far peers reach it; one that goes down loses what is under way. */
     public void reach(Reach to) {
         if (to == Reach.DOWN) {
             servers.drop();
@@ -244,10 +249,12 @@
         reach(Reach.UP);
     }
 
+    /** Loses all copies. */
     public void flush() {
         copies.clear();
     }
 
+    /** Answers nothing while this is on. */
     public void silent(boolean on) {
         silent = on;
     }
--- a/rig/src/main/java/spurroad/rig/model/Ledger.java
+++ b/rig/src/main/java/spurroad/rig/model/Ledger.java
@@ -33,6 +33,7 @@
         nodes.remove(node);
     }
 
+    /** The newest version of a key, from 1 on. */
     public int version(int key) {
         return versions.getOrDefault(key, 1);
     }
--- a/rig/src/main/java/spurroad/rig/model/LoadGenerator.java
+++ b/rig/src/main/java/spurroad/rig/model/LoadGenerator.java
@@ -28,8 +28,10 @@
 
     /** Who is told what becomes of queries. */
     public interface RequestListener {
+        /** A request fell due. */
         void due(ClientRequest request);
 
+        /** A request has ended, after its last try. */
         void ended(ClientRequest request, ClientRequest.Outcome end, long at);
 
         /** The work of sending it came so much after it fell due: the rig's own lateness. */
@@ -51,6 +53,7 @@
     private long nextAt;
     private long until;
 
+    /** Makes the load of a scenario: the same for the same seed. */
     public LoadGenerator(Scenario scenario, long seed, Timeline timeline, Gateway gateway,
                          RequestListener listener) {
         load = scenario.load();
--- a/rig/src/main/java/spurroad/rig/model/Origin.java
+++ b/rig/src/main/java/spurroad/rig/model/Origin.java
@@ -14,6 +14,7 @@
  * timeline.
  */
 public final class Origin {
+    /** The origin's id in discovery's list. */
     public static final String UID = "origin";
     private static final long SWEEP_NS = 1_000_000_000L; // ns; between looks for marks that are over
 
@@ -28,6 +29,7 @@
     private long sweptAt;
     private double speed = 1;
 
+    /** One that answers from a ledger, at the speed of a service. */
     public Origin(Service service, Load load, Timeline timeline, Ledger ledger, RequestObserver observer,
                   RandomStream random) {
         this.service = service;
@@ -86,6 +88,7 @@
         return new Reply(Reply.Kind.RECEIPT, ledger.version(request.key()), 0, servers.inFlight(), 0);
     }
 
+    /** Requests that it serves or that wait there. */
     public int inFlight() {
         return servers.inFlight();
     }
--- a/rig/src/main/java/spurroad/rig/model/RandomStream.java
+++ b/rig/src/main/java/spurroad/rig/model/RandomStream.java
@@ -26,6 +26,7 @@
         return source.nextDouble();
     }
 
+    /** True with a probability; draws nothing where that is zero. */
     public boolean is(double probability) {
         return probability > 0 && source.nextDouble() < probability;
     }
--- a/rig/src/main/java/spurroad/rig/play/ResultFolder.java
+++ b/rig/src/main/java/spurroad/rig/play/ResultFolder.java
@@ -25,6 +25,7 @@
 
     private final Path root;
 
+    /** Below a folder, which is made once something is kept in it. */
     public ResultFolder(Path root) {
         this.root = root;
     }
--- a/rig/src/main/java/spurroad/rig/play/ScenarioRunner.java
+++ b/rig/src/main/java/spurroad/rig/play/ScenarioRunner.java
@@ -60,6 +60,7 @@
         private final String cores;
         private final String build;
 
+        /** With all proxies on any of the machine's cores. */
         public Sockets(Path jar, List<String> flags) throws IOException {
             this(jar, flags, "");
         }
--- a/rig/src/main/java/spurroad/rig/play/ScenarioSearch.java
+++ b/rig/src/main/java/spurroad/rig/play/ScenarioSearch.java
@@ -24,6 +24,7 @@
     private final Consumer<String> log;
     private int played;
 
+    /** For one policy; the log is told what is found on the way. */
     public ScenarioSearch(Policy.Kind policy, Consumer<String> log) {
         this.policy = policy;
         this.log = log;
--- a/rig/src/main/java/spurroad/rig/policy/Policy.java
+++ b/rig/src/main/java/spurroad/rig/policy/Policy.java
@@ -18,19 +18,25 @@
  * are those of {@link Balance}, which says what each means.
  */
 public interface Policy {
+    /** See {@link Balance#listed}. */
     void listed(long at, List<NodeEntry> entries, boolean complete, Decisions into);
 
+    /** See {@link Balance#arrived}. */
     void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
                  long budgetNs,
                  Decisions into);
 
+    /** See {@link Balance#ended}. */
     void ended(long at, QueryId id, int execution, Outcome outcome, LoadReport load, boolean last,
                Decisions into);
 
+    /** See {@link Balance#probed}. */
     void probed(long at, NodeId id, Outcome outcome, LoadReport load, Decisions into);
 
+    /** See {@link Balance#left}. */
     void left(long at, QueryId id, Decisions into);
 
+    /** See {@link Balance#reached}. */
     void reached(long at, Decisions into);
 
     /** Makes the policy of each simulated proxy. */
--- a/rig/src/main/java/spurroad/rig/scenario/Scenario.java
+++ b/rig/src/main/java/spurroad/rig/scenario/Scenario.java
@@ -33,10 +33,12 @@
             return uids;
         }
 
+        /** The zones of all cache nodes, each once, in the file's order. */
         public List<String> zones() {
             return nodes.stream().map(NodeGroup::zone).distinct().toList();
         }
 
+        /** The kinds of all cache nodes, each once, in the file's order. */
         public List<String> kinds() {
             return nodes.stream().map(NodeGroup::kind).distinct().toList();
         }
@@ -65,6 +67,7 @@
                             Service service, int keys, long keepNs, int connections, long connectNs,
                             long reportNs,
                             long warmUpNs, double startShare) {
+        /** The id of a node of the group, by its number from 0 on. */
         public String uid(int i) {
             return name + "-" + i;
         }
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
@@ -51,6 +51,7 @@
     private final Map<Integer, Long> toldRevision = new HashMap<>();
     private long starts;
 
+    /** Before its first moment; the log is told what a user may want to know on the way. */
     public SimulatedWorld(Scenario scenario, long seed, Policy.Factory policy, Consumer<String> log) {
         this.scenario = scenario;
         this.policy = policy;
--- a/rig/src/main/java/spurroad/rig/time/Timeline.java
+++ b/rig/src/main/java/spurroad/rig/time/Timeline.java
@@ -8,6 +8,7 @@
 public interface Timeline {
     /** Work that waits; cancelling it twice, or after it ran, does nothing. */
     interface Alarm {
+        /** Keeps the work from being run. */
         void cancel();
     }
 
--- a/rig/src/main/java/spurroad/rig/world/Membership.java
+++ b/rig/src/main/java/spurroad/rig/world/Membership.java
@@ -14,6 +14,7 @@
  * follow it after a delay, or once nothing holds them back any more. One thread only, that of its timeline.
  */
 public final class Membership {
+    /** Where a node stands in discovery's list. */
     public enum State { ACTIVE, LEAVING, LEFT }
 
     /**
@@ -32,6 +33,7 @@
     private long toldRevision = 1;
     private boolean late;
 
+    /** An empty list, whose changes reach followers so much later. */
     public Membership(Timeline timeline, long delayNs) {
         this.timeline = timeline;
         this.delayNs = delayNs;
@@ -76,6 +78,7 @@
         followers.add(follower);
     }
 
+    /** The follower is told nothing more. */
     public void unfollow(Consumer<Long> follower) {
         followers.remove(follower);
     }
@@ -96,6 +99,7 @@
         return entries.get(uid);
     }
 
+    /** The entries of all nodes that are there or were. */
     public Collection<Entry> entries() {
         return entries.values();
     }
--- a/rig/src/main/java/spurroad/rig/world/World.java
+++ b/rig/src/main/java/spurroad/rig/world/World.java
@@ -43,6 +43,7 @@
     private final List<Queues> queues = new ArrayList<>();
     private Consumer<CacheNode> appeared = n -> {};
 
+    /** A scenario's models on a timeline, before anything happens. */
     public World(Scenario scenario, long seed, Timeline timeline) {
         this.scenario = scenario;
         this.seed = seed;
@@ -142,6 +143,7 @@
     /** At one moment: of cache nodes the mean and the most, and the origin. */
     public record Queues(double mean, int most, int origin) {}
 
+    /** The load of the world's scenario, sent through a gateway. */
     public LoadGenerator generator(LoadGenerator.Gateway gateway) {
         return new LoadGenerator(scenario, seed, timeline, gateway, outcomes);
     }
--- a/toml/src/main/java/spurroad/toml/Table.java
+++ b/toml/src/main/java/spurroad/toml/Table.java
@@ -55,6 +55,7 @@
         file.fault(key.isEmpty() ? path : path(key), expected);
     }
 
+    /** Whether the key is there; it counts as known from then on. */
     public boolean has(String key) {
         known.add(key);
         return json.has(key);
@@ -137,6 +138,7 @@
         return "";
     }
 
+    /** True or false; the other value where the key is missing or is neither. */
     public boolean flag(String key, boolean otherwise) {
         if (has(key) && !json.get(key).isBoolean()) {
             wrong(key, json.get(key), "true or false");
--- a/toml/src/main/java/spurroad/toml/TomlFile.java
+++ b/toml/src/main/java/spurroad/toml/TomlFile.java
@@ -84,10 +84,12 @@
         table.set(parts[parts.length - 1], read);
     }
 
+    /** The table of the whole file. */
     public Table root() {
         return root;
     }
 
+    /** The file's name, as faults tell it. */
     public String name() {
         return name;
     }
