--- a/proxy/src/main/java/spurroad/routing/Decider.java
+++ b/proxy/src/main/java/spurroad/routing/Decider.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import spurroad.Balance;
-import spurroad.admission.Level;
+import spurroad.admission.ServiceLevel;
 import spurroad.model.Decisions;
 import spurroad.model.Fleet;
 import spurroad.model.LoadReport;
@@ -67,10 +67,13 @@
         }
     }
 
-    private record Answered(Query q, byte[] answer, Results.End end, Passage passage) implements Runnable {
+    private record Answered(Query q, byte[] answer, Results.End end,
+                            StreamedResponse streamed)
+        implements
+            Runnable {
         @Override
         public void run() {
-            q.client.answer(q, answer, end, passage);
+            q.client.answer(q, answer, end, streamed);
         }
     }
 
@@ -277,10 +280,10 @@
     // ---- told by the gate
 
     /** The level of service, the part of all that is taken in, and how many have been turned away since. */
-    void serves(Level level, double part, long turnedAway) {
+    void serves(ServiceLevel level, double part, long turnedAway) {
         fromLoop.add(() -> {
             tally.gate(level, part, turnedAway);
-            balance.sparing(level.atLeast(Level.SPARING));
+            balance.sparing(level.atLeast(ServiceLevel.SPARING));
         });
     }
 
@@ -301,9 +304,9 @@
             if (reply.outcome() == Outcome.COMPLETED && !q.over) {
                 q.over = true;
                 tally.completed();
-                forLoop.add(new Answered(q, reply.answer(), Results.End.SUCCEEDED, e.passage));
-            } else if (e.passage != null) {
-                forLoop.add(e.passage::giveUp);
+                forLoop.add(new Answered(q, reply.answer(), Results.End.SUCCEEDED, e.streamed));
+            } else if (e.streamed != null) {
+                forLoop.add(e.streamed::giveUp);
             }
             balance.ended(clock.now(), q.id, e.number, reply.outcome(), reply.load(), q.over,
                 stalls.total() - e.stalledNs, fresh());
--- a/rig/src/main/java/spurroad/rig/model/Origin.java
+++ b/rig/src/main/java/spurroad/rig/model/Origin.java
@@ -14,6 +14,7 @@
  * timeline.
  */
 public final class Origin {
+    /** The origin's id in discovery's list. */
     public static final String UID = "origin";
     private static final long SWEEP_NS = 1_000_000_000L; // ns; between looks for marks that are over
 
@@ -21,54 +22,55 @@
     private final Service service;
     private final Load load;
     private final Ledger ledger;
-    private final Witness witness;
-    private final Chance chance;
-    private final Servers servers;
+    private final RequestObserver observer;
+    private final RandomStream random;
+    private final ServiceQueue servers;
     private final Map<String, Long> marks = new HashMap<>(); // until when each is remembered
     private long sweptAt;
     private double speed = 1;
 
-    public Origin(Service service, Load load, Timeline timeline, Ledger ledger, Witness witness,
-                  Chance chance) {
+    /** One that answers from a ledger, at the speed of a service. */
+    public Origin(Service service, Load load, Timeline timeline, Ledger ledger, RequestObserver observer,
+                  RandomStream random) {
         this.service = service;
         this.load = load;
         this.timeline = timeline;
         this.ledger = ledger;
-        this.witness = witness;
-        this.chance = chance;
-        servers = new Servers(timeline, service);
+        this.observer = observer;
+        this.random = random;
+        servers = new ServiceQueue(timeline, service);
     }
 
     /** Takes an execution whose last byte has come; a write has its effect when it is done. */
-    public void offer(Request request, Consumer<Reply> answer) {
-        witness.begun(timeline.now(), UID, request);
-        boolean taken = servers.offer(new Servers.Work() {
+    public void offer(ServerRequest request, Consumer<Reply> answer) {
+        observer.begun(timeline.now(), UID, request);
+        boolean taken = servers.offer(new ServiceQueue.Job() {
             @Override
             public long begins() {
-                return chance.time(service.meanNs() / speed, service.spread());
+                return random.time(service.meanNs() / speed, service.spread());
             }
 
             @Override
             public void done() {
                 Reply reply = request.track().write() ? write(request) : read(request);
-                witness.ended(timeline.now(), UID, request, reply);
+                observer.ended(timeline.now(), UID, request, reply);
                 answer.accept(reply);
             }
         });
         if (!taken) {
             Reply busy = new Reply(Reply.Kind.BUSY, 0, 0, servers.inFlight(), 0);
-            witness.ended(timeline.now(), UID, request, busy);
+            observer.ended(timeline.now(), UID, request, busy);
             answer.accept(busy);
         }
     }
 
-    private Reply read(Request request) {
+    private Reply read(ServerRequest request) {
         ledger.read(request.id(), request.key());
-        int bytes = chance.is(load.longPart()) ? load.longBytes() : load.valueBytes();
+        int bytes = random.is(load.longPart()) ? load.longBytes() : load.valueBytes();
         return new Reply(Reply.Kind.VALUE, ledger.version(request.key()), bytes, servers.inFlight(), 0);
     }
 
-    private Reply write(Request request) {
+    private Reply write(ServerRequest request) {
         long now = timeline.now();
         if (now - sweptAt > SWEEP_NS) {
             sweptAt = now;
@@ -81,11 +83,12 @@
                 marks.put(request.mark(), now + request.track().dedupNs());
             }
             ledger.written(request.key());
-            witness.effect(now, request);
+            observer.effect(now, request);
         }
         return new Reply(Reply.Kind.RECEIPT, ledger.version(request.key()), 0, servers.inFlight(), 0);
     }
 
+    /** Requests that it serves or that wait there. */
     public int inFlight() {
         return servers.inFlight();
     }
--- a/rig/src/main/java/spurroad/rig/net/DiscoveryServer.java
+++ b/rig/src/main/java/spurroad/rig/net/DiscoveryServer.java
@@ -27,8 +27,8 @@
 import spurroad.rig.world.World;
 
 /**
- * Discovery as one proxy sees it, at an address of that proxy's own, so that the judge knows who was told
- * what and when: whole lists, and watches that say what changed. The loop's.
+ * Discovery as one proxy sees it, at an address of that proxy's own, so that the rule checker knows who was
+ * told what and when: whole lists, and watches that say what changed. The loop's.
  */
 final class DiscoveryServer {
     private static final long BEAT_S = 2; // s; between empty lines of a watch on which nothing changes
@@ -37,25 +37,25 @@
     private final World world;
     private final ProxyFile file;
     private final int proxy;
-    private final Address address;
+    private final FaultyListener listener;
 
     DiscoveryServer(EventLoop loop, World world, ProxyFile file, int proxy) {
         this.world = world;
         this.file = file;
         this.proxy = proxy;
-        address = new Address(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
-            new HttpObjectAggregator(MOST_BODY), new Peer()});
+        listener = new FaultyListener(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
+            new HttpObjectAggregator(MOST_BODY), new ConnectionHandler()});
     }
 
     int port() {
-        return address.port;
+        return listener.port;
     }
 
     void close() {
-        address.close();
+        listener.close();
     }
 
-    private final class Peer extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest r) {
             QueryStringDecoder query = new QueryStringDecoder(r.uri());
--- a/rig/src/main/java/spurroad/rig/policy/Baseline.java
+++ b/rig/src/main/java/spurroad/rig/policy/BaselinePolicy.java
@@ -27,7 +27,7 @@
  * three rules, as a baseline that breaks them would say nothing; nothing is turned away but what failed three
  * times.
  */
-final class Baseline implements Policy {
+final class BaselinePolicy implements Policy {
     private static final int TRIES = 3; // executions at cache nodes; as many as the mechanism has candidates
     private static final int POINTS = 96; // ring points of a node, as the mechanism has them
     private static final double BOUND = 1.25; // times the mean of queries out, of the bounded ring
@@ -37,7 +37,8 @@
         private final CacheKey key;
         private final long endAt;
         private final List<NodeId> targets = new ArrayList<>(2);
-        private boolean atOrigin, done;
+        private boolean atOrigin;
+        private boolean done;
         private int out;
 
         private Query(Track track, CacheKey key, boolean write, long endAt) {
@@ -59,7 +60,7 @@
     private NodeId origin;
     private boolean following;
 
-    Baseline(Kind kind, Deployment given, long seed) {
+    BaselinePolicy(Kind kind, Deployment given, long seed) {
         this.kind = kind;
         this.given = given;
         random = new Random(seed);
@@ -122,7 +123,8 @@
         return switch (kind) {
             case RANDOM -> any();
             case TWO_CHOICES -> {
-                NodeId a = any(), b = any();
+                NodeId a = any();
+                NodeId b = any();
                 yield queries(a) <= queries(b) ? a : b;
             }
             case RING -> onRing(q, Double.MAX_VALUE);
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
@@ -16,17 +16,17 @@
 import spurroad.protocol.Members;
 import spurroad.rig.model.Answer;
 import spurroad.rig.model.CacheNode;
+import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.model.Origin;
-import spurroad.rig.model.Population;
-import spurroad.rig.model.Try;
+import spurroad.rig.model.RequestAttempt;
 import spurroad.rig.policy.Policy;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.time.SimulatedTimeline;
 import spurroad.rig.world.FaultDriver;
-import spurroad.rig.world.Front;
 import spurroad.rig.world.Membership;
 import spurroad.rig.world.ProxyControl;
 import spurroad.rig.world.ProxyFile;
+import spurroad.rig.world.ProxySelector;
 import spurroad.rig.world.World;
 import spurroad.start.ProxyStart;
 
@@ -34,16 +34,16 @@
  * A scenario in simulated time: the models of a world round what decides in each proxy, with messages that
  * take a fixed time. Deterministic: the same scenario and seed give the same run, in every process.
  */
-public final class SimulatedWorld implements Population.Gateway, ProxyControl {
+public final class SimulatedWorld implements LoadGenerator.Gateway, ProxyControl {
     final SimulatedTimeline timeline = new SimulatedTimeline();
     final Scenario scenario;
-    final Policy.Maker policy;
+    final Policy.Factory policy;
     final Deployment deployment;
     final Membership members;
     final Origin origin;
     private final World world;
-    private final Population population;
-    private final Front front;
+    private final LoadGenerator generator;
+    private final ProxySelector selector;
     private final List<SimulatedProxy> proxies = new ArrayList<>();
     private final boolean[] stopped;
     private final Map<Integer, List<Runnable>> held = new HashMap<>();
@@ -51,23 +51,24 @@
     private final Map<Integer, Long> toldRevision = new HashMap<>();
     private long starts;
 
-    public SimulatedWorld(Scenario scenario, long seed, Policy.Maker policy, Consumer<String> log) {
+    /** Before its first moment; the log is told what a user may want to know on the way. */
+    public SimulatedWorld(Scenario scenario, long seed, Policy.Factory policy, Consumer<String> log) {
         this.scenario = scenario;
         this.policy = policy;
         world = new World(scenario, seed, timeline);
         members = world.members;
         origin = world.origin;
-        front = new Front(scenario.world().proxies(), seed);
+        selector = new ProxySelector(scenario.world().proxies(), seed);
         deployment = new ProxyStart(new ProxyFile(world, place -> "127.0.0.1:1", () -> 0)
             .configuration(0, "127.0.0.1:1", "127.0.0.1:1")).figures.deployment;
-        population = world.population(this);
+        generator = world.generator(this);
         world.nodes.values().forEach(this::watch);
         world.onAppeared(this::watch);
         stopped = new boolean[scenario.world().proxies()];
         for (int i = 0; i < scenario.world().proxies(); i++) {
             proxies.add(start(i));
         }
-        new FaultDriver(world, population, this, log).begin();
+        new FaultDriver(world, generator, this, log).begin();
     }
 
     private SimulatedProxy start(int i) {
@@ -83,9 +84,9 @@
         });
     }
 
-    /** Plays all of it and gives the world back, with its judge and its tally. */
+    /** Plays all of it and gives the world back, with its rule checker and its outcomes. */
     public World play() {
-        world.begin(population);
+        world.begin(generator);
         timeline.runUntil(world.endNs());
         world.end();
         return world;
@@ -98,8 +99,8 @@
 
     // ---- what proxies ask for
 
-    int track(Scenario.Track t) {
-        return scenario.load().tracks().indexOf(t);
+    int track(Scenario.Track attempt) {
+        return scenario.load().tracks().indexOf(attempt);
     }
 
     int customer(Scenario.Customer c) {
@@ -126,7 +127,8 @@
             NodeId id = new NodeId(Members.hash(e.uid()));
             uids.put(id, e.uid());
             boolean isOrigin = e.uid().equals(Origin.UID);
-            List<String> kinds = scenario.world().kinds(), zones = scenario.world().zones();
+            List<String> kinds = scenario.world().kinds();
+            List<String> zones = scenario.world().zones();
             entries
                 .add(new NodeEntry(id, new KindId(isOrigin ? kinds.size() : kinds.indexOf(e.group().kind())),
                     new ZoneId(isOrigin ? 0 : zones.indexOf(e.group().zone())), new CellId(isOrigin ? 0 : 1),
@@ -155,39 +157,39 @@
 
     @Override
     public int choose() {
-        return front.choose();
+        return selector.choose();
     }
 
     @Override
-    public void send(Try t) {
-        SimulatedProxy p = proxies.get(t.proxy);
-        world.judge.sending(timeline.now(), t);
+    public void send(RequestAttempt attempt) {
+        SimulatedProxy p = proxies.get(attempt.proxy);
+        world.checker.sending(timeline.now(), attempt);
         timeline.after(scenario.world().oneWayNs(), () -> {
-            if (!t.isOver()) {
-                world.judge.taken(timeline.now(), t);
-                whenRunning(t.proxy, () -> p.arrived(t));
+            if (!attempt.isOver()) {
+                world.checker.taken(timeline.now(), attempt);
+                whenRunning(attempt.proxy, () -> p.arrived(attempt));
             }
         });
     }
 
     @Override
-    public void leave(Try t) {
-        world.judge.left(timeline.now(), t);
-        SimulatedProxy p = proxies.get(t.proxy);
-        timeline.after(scenario.world().oneWayNs(), () -> whenRunning(t.proxy, () -> p.left(t)));
+    public void leave(RequestAttempt attempt) {
+        world.checker.left(timeline.now(), attempt);
+        SimulatedProxy p = proxies.get(attempt.proxy);
+        timeline.after(scenario.world().oneWayNs(), () -> whenRunning(attempt.proxy, () -> p.left(attempt)));
     }
 
-    void answered(Try t, Answer answer) {
+    void answered(RequestAttempt attempt, Answer answer) {
         timeline.after(scenario.world().oneWayNs(), () -> {
-            world.judge.answered(timeline.now(), t, answer);
-            population.answered(t, answer);
+            world.checker.answered(timeline.now(), attempt, answer);
+            generator.answered(attempt, answer);
         });
     }
 
-    void cutOff(Try t) {
+    void cutOff(RequestAttempt attempt) {
         timeline.after(scenario.world().oneWayNs(), () -> {
-            world.judge.cutOff(timeline.now(), t);
-            population.broken(t, true);
+            world.checker.cutOff(timeline.now(), attempt);
+            generator.broken(attempt, true);
         });
     }
 
@@ -205,9 +207,9 @@
     public void stopped(int proxy, boolean on) {
         stopped[proxy] = on;
         if (on) {
-            world.judge.held(timeline.now(), proxy);
+            world.checker.held(timeline.now(), proxy);
         } else {
-            world.judge.released(timeline.now(), proxy);
+            world.checker.released(timeline.now(), proxy);
             List<Runnable> work = held.remove(proxy);
             if (work != null) {
                 work.forEach(Runnable::run);
@@ -218,14 +220,14 @@
     @Override
     public void killed(int proxy, boolean on) {
         if (on) {
-            world.judge.held(timeline.now(), proxy);
+            world.checker.held(timeline.now(), proxy);
             proxies.get(proxy).die();
-            timeline.after(Front.NOTICE_NS, () -> front.offer(proxy, false));
+            timeline.after(ProxySelector.NOTICE_NS, () -> selector.offer(proxy, false));
         } else {
-            world.judge.forgets(proxy);
+            world.checker.forgets(proxy);
             proxies.set(proxy, start(proxy));
-            world.judge.released(timeline.now(), proxy);
-            timeline.after(Front.NOTICE_NS, () -> front.offer(proxy, true));
+            world.checker.released(timeline.now(), proxy);
+            timeline.after(ProxySelector.NOTICE_NS, () -> selector.offer(proxy, true));
         }
     }
 
--- a/toml/src/main/java/spurroad/toml/TomlFile.java
+++ b/toml/src/main/java/spurroad/toml/TomlFile.java
@@ -19,13 +19,13 @@
  */
 public final class TomlFile {
     private final String name;
-    private final Lines lines;
+    private final KeyLocations lines;
     private final List<Fault> faults = new ArrayList<>();
     private final Table root;
 
     private TomlFile(String name, String text, JsonNode json) {
         this.name = name;
-        lines = new Lines(text);
+        lines = new KeyLocations(text);
         root = new Table(this, "", (ObjectNode) json);
     }
 
@@ -63,7 +63,8 @@
             read = new TomlMapper().readTree("v = " + value).get("v");
         } catch (JsonProcessingException e) {
             try {
-                read = new TomlMapper().readTree("v = \"" + value + "\"").get("v"); // a word without its quotes
+                // a word without its quotes
+                read = new TomlMapper().readTree("v = \"" + value + "\"").get("v");
             } catch (JsonProcessingException e2) {
                 throw new FaultyFileException(List.of(new Fault(name, 0, path, "is set to " + value
                     + ", which is no value")));
@@ -83,10 +84,12 @@
         table.set(parts[parts.length - 1], read);
     }
 
+    /** The table of the whole file. */
     public Table root() {
         return root;
     }
 
+    /** The file's name, as faults tell it. */
     public String name() {
         return name;
     }
