--- a/proxy/src/main/java/spurroad/routing/Decider.java
+++ b/proxy/src/main/java/spurroad/routing/Decider.java
@@ -53,14 +53,14 @@
         }
     }
 
-    private record Ended(Decider decider, Errand e, Reply reply) implements Runnable {
+    private record Ended(Decider decider, UpstreamRequest e, Reply reply) implements Runnable {
         @Override
         public void run() {
             decider.ended(e, reply);
         }
     }
 
-    private record Begin(Errand e) implements Runnable {
+    private record Begin(UpstreamRequest e) implements Runnable {
         @Override
         public void run() {
             e.node.begin(e);
@@ -294,7 +294,7 @@
 
     // ---- told by nodes
 
-    private void ended(Errand e, Reply reply) {
+    private void ended(UpstreamRequest e, Reply reply) {
         Query q = e.query;
         if (q == null) {
             balance.probed(clock.now(), e.node.id(), reply.outcome(), reply.load(), fresh());
@@ -499,7 +499,7 @@
             Query q = queries.get(s.query());
             // the module counted from when it began to decide, some time ago
             long until = Math.min(now + s.allowNs(), q.endsAt - figures.deployment.tickNs());
-            Errand e = new Errand(q, q.executions.size(), nodes.get(s.node()), until,
+            UpstreamRequest e = new UpstreamRequest(q, q.executions.size(), nodes.get(s.node()), until,
                 s.sentBy() - figures.deployment.tickNs(), stalls.total());
             q.executions.add(e);
             q.out++;
@@ -507,7 +507,7 @@
         }
         for (Decisions.Stop s : decisions.stops) {
             Query q = queries.get(s.query());
-            Errand e = q.executions.get(s.execution());
+            UpstreamRequest e = q.executions.get(s.execution());
             forLoop.add(() -> e.node.stop(e));
         }
         for (Decisions.Answer a : decisions.answers) {
@@ -528,7 +528,8 @@
                 mailbox.tell(() -> unknown(id)); // gone since the module last heard of it
                 continue;
             }
-            Errand probe = new Errand(null, 0, n, now + 2 * figures.connectNs, Long.MAX_VALUE,
+            UpstreamRequest probe = new UpstreamRequest(null, 0, n, now + 2 * figures.connectNs,
+                Long.MAX_VALUE,
                 stalls.total());
             forLoop.add(() -> n.begin(probe));
         }
--- a/proxy/src/main/java/spurroad/routing/NodeActor.java
+++ b/proxy/src/main/java/spurroad/routing/NodeActor.java
@@ -16,8 +16,8 @@
 import spurroad.transport.Loop;
 
 /**
- * One cache node or the origin: owns the connections to it, and ends every errand that it was given once. All
- * of it is the loop's.
+ * One cache node or the origin: owns the connections to it, and ends every request that it was given once.
+ * All of it is the loop's.
  */
 final class NodeActor {
     /** What all node actors share. */
@@ -25,15 +25,15 @@
                         long restNs,
                         Dialer dialer, Runnable closeIdleEverywhere, Ended ended, Runnable forwarded) {}
 
-    /** Hears how each errand ended. */
+    /** Hears how each request ended. */
     interface Ended {
-        void ended(Errand e, Reply reply);
+        void ended(UpstreamRequest e, Reply reply);
     }
 
     private static final double KEPT = 0.8; // of the time until the node closes an idle one: no query crosses that
     private static final long SHORT_NS = 10_000_000L; // ns; between askings for a place: idle ones close within that
 
-    private record TimedOut(NodeActor node, Errand e) implements Runnable {
+    private record TimedOut(NodeActor node, UpstreamRequest e) implements Runnable {
         @Override
         public void run() {
             node.timedOut(e);
@@ -105,10 +105,10 @@
     }
 
     /**
-     * How an errand ends whose first byte is about to go out and must not; null where it may. Asked there and
+     * How a request ends whose first byte is about to go out and must not; null where it may. Asked there and
      * nowhere else: the news that forbids it may have come between the decision and a place or a connection.
      */
-    Outcome forbids(Errand e) {
+    Outcome forbids(UpstreamRequest e) {
         if (e.unwanted() || now() >= e.sentBy || e.overdue(now())) {
             return Outcome.NEVER_SENT; // nobody waits for it, or its time to go out is over: the node is not to blame
         }
@@ -134,15 +134,15 @@
         }
     }
 
-    void begin(Errand e) {
+    void begin(UpstreamRequest e) {
         e.begunAt = now();
         e.generation = generation; // what was decided later comes later
         awaits(e, Math.min(e.sentBy, e.until));
         place(e);
     }
 
-    /** Calls an errand off; the node may go on with it if all of it has gone out, else it never ran. */
-    void stop(Errand e) {
+    /** Calls a request off; the node may go on with it if all of it has gone out, else it never ran. */
+    void stop(UpstreamRequest e) {
         if (!e.ended) {
             leave(e);
             end(e, without(e.written ? Outcome.CANCELLED
@@ -155,7 +155,7 @@
      * of cancels, as it has never run. What waits for a connection ends when that is up, and leaves it to
      * others.
      */
-    void withdraw(Errand e) {
+    void withdraw(UpstreamRequest e) {
         if (e.begun && !e.written) {
             stop(e);
         }
@@ -163,7 +163,7 @@
 
     // ---- its own
 
-    private void place(Errand e) {
+    private void place(UpstreamRequest e) {
         if (e.ended) {
             return;
         }
@@ -174,7 +174,7 @@
         }
         NodeConnection c = kept();
         if (c != null) {
-            c.errand = e;
+            c.request = e;
             e.connection = c;
             c.write(e);
         } else if (around.descriptors.takeForNode()) {
@@ -191,7 +191,7 @@
         }
     }
 
-    private void connect(Errand e) {
+    private void connect(UpstreamRequest e) {
         e.connection = new NodeConnection(this, dialect, generation, e);
         e.connection.connect(member.endpoint(), around.connectNs);
     }
@@ -232,11 +232,11 @@
         }
     }
 
-    private void awaits(Errand e, long until) {
+    private void awaits(UpstreamRequest e, long until) {
         e.alarm = around.loop.after(until - now(), new TimedOut(this, e));
     }
 
-    private void timedOut(Errand e) {
+    private void timedOut(UpstreamRequest e) {
         if (!e.ended && e.written && now() < e.until) {
             awaits(e, e.until); // it has gone out in time, its answer may still come
         } else if (!e.ended) {
@@ -247,13 +247,13 @@
         }
     }
 
-    private static void leave(Errand e) {
+    private static void leave(UpstreamRequest e) {
         if (e.connection != null) {
             e.connection.close();
         }
     }
 
-    private void end(Errand e, Reply reply) {
+    private void end(UpstreamRequest e, Reply reply) {
         e.ended = true;
         e.alarm.cancel();
         if (reply.outcome() == Outcome.ERROR
@@ -270,36 +270,36 @@
 
     // ---- told by its connections
 
-    /** The last byte of an errand has gone out. */
-    void written(Errand e) {
+    /** The last byte of a request has gone out. */
+    void written(UpstreamRequest e) {
         if (!e.written && e.query != null) {
             around.forwarded.run();
         }
         e.written = true;
     }
 
-    void replied(NodeConnection c, Errand e, Reply reply) {
+    void replied(NodeConnection c, UpstreamRequest e, Reply reply) {
         if (c.closed) {
             return;
         }
-        c.errand = null;
+        c.request = null;
         free(c, reply.more());
         end(e, reply);
     }
 
     /**
-     * An answer with a long value has begun: the errand has ended, its connection stays with the client's.
+     * An answer with a long value has begun: the request has ended, its connection stays with the client's.
      */
-    void answers(NodeConnection c, Errand e, Reply reply) {
+    void answers(NodeConnection c, UpstreamRequest e, Reply reply) {
         if (!c.closed) {
-            c.errand = null;
+            c.request = null;
             end(e, reply);
         }
     }
 
-    /** It came up and its errand may not begin: that goes elsewhere, and the connection to the next one. */
-    void refused(NodeConnection c, Errand e, Outcome forbidden) {
-        c.errand = null;
+    /** It came up and its request may not begin: that goes elsewhere, and the connection to the next one. */
+    void refused(NodeConnection c, UpstreamRequest e, Outcome forbidden) {
+        c.request = null;
         e.connection = null;
         free(c, true);
         end(e, without(forbidden));
@@ -318,7 +318,7 @@
 
     void broken(NodeConnection c) {
         idle.remove(c);
-        Errand e = c.errand;
+        UpstreamRequest e = c.request;
         if (!c.closed && e != null && !e.ended) {
             end(e, without(e.written ? Outcome.DROPPED : Outcome.NO_CONNECTION));
         }
--- a/proxy/src/main/java/spurroad/routing/NodeConnection.java
+++ b/proxy/src/main/java/spurroad/routing/NodeConnection.java
@@ -13,7 +13,7 @@
 import spurroad.transport.Loop;
 
 /**
- * One connection to a node, with one errand at a time; all of it is the loop's. It connects, sends and takes
+ * One connection to a node, with one request at a time; all of it is the loop's. It connects, sends and takes
  * replies as they come; its node's actor owns it and may close it at any time.
  */
 final class NodeConnection implements Connection.User {
@@ -32,19 +32,19 @@
     private boolean more; // whether the connection can carry another after that
     // the node actor's
     /** What it carries now; null while idle. */
-    Errand errand;
+    UpstreamRequest request;
     boolean closed;
     long idleSince;
     final int generation;
 
-    NodeConnection(NodeActor node, Dialect dialect, int generation, Errand first) {
+    NodeConnection(NodeActor node, Dialect dialect, int generation, UpstreamRequest first) {
         this.node = node;
         this.dialect = dialect;
         this.generation = generation;
-        errand = first;
+        request = first;
     }
 
-    /** Begins to connect; the errand is sent once it is up. */
+    /** Begins to connect; the request is sent once it is up. */
     void connect(InetSocketAddress endpoint, long mostNs) {
         try {
             connection = node.connection();
@@ -60,7 +60,7 @@
     @Override
     public void connected() {
         alarm.cancel();
-        Errand e = errand;
+        UpstreamRequest e = request;
         Outcome forbidden = e == null ? null : node.forbids(e);
         if (forbidden != null) {
             node.refused(this, e, forbidden);
@@ -69,8 +69,8 @@
         }
     }
 
-    /** Sends an errand. */
-    void write(Errand e) {
+    /** Sends a request. */
+    void write(UpstreamRequest e) {
         e.begun = true;
         connection.write(dialect.message(e.command(), e.timeLeftMs(node.now())));
         if (e.query != null && e.command().isLong()) {
@@ -84,8 +84,8 @@
 
     @Override
     public void drained() {
-        if (errand != null) {
-            node.written(errand);
+        if (request != null) {
+            node.written(request);
         }
     }
 
@@ -181,11 +181,11 @@
                     more = reply.more();
                     connection.reading(false); // until the client's turn has come
                     streamed = new StreamedResponse(this, reply.rest());
-                    errand.streamed = streamed;
-                    node.answers(this, errand, reply);
+                    request.streamed = streamed;
+                    node.answers(this, request, reply);
                     return;
                 }
-                node.replied(this, errand, in.available() == 0 ? reply : reply.last());
+                node.replied(this, request, in.available() == 0 ? reply : reply.last());
             } catch (IOException bad) {
                 if (bad instanceof ProtocolException) {
                     node.unusable(bad.getMessage());
@@ -196,10 +196,10 @@
     }
 
     private Reply reply(ByteSource from) throws IOException {
-        if (errand == null || !errand.written) {
+        if (request == null || !request.written) {
             throw new ProtocolException(TO_NOTHING);
         }
-        return dialect.reply(from, errand.command());
+        return dialect.reply(from, request.command());
     }
 
     /** An answer has begun; what gives its beginning gives the rest soon. */
@@ -249,7 +249,7 @@
         return !closed;
     }
 
-    /** Closes it where its errand, if it has one, is still to be ended by the break. */
+    /** Closes it where its request, if it has one, is still to be ended by the break. */
     private void cut() {
         alarm.cancel();
         connection.close();
--- a/proxy/src/main/java/spurroad/routing/Query.java
+++ b/proxy/src/main/java/spurroad/routing/Query.java
@@ -26,7 +26,7 @@
     boolean left;
     // the decider's
     QueryId id;
-    final List<Errand> executions = new ArrayList<>(2);
+    final List<UpstreamRequest> executions = new ArrayList<>(2);
     int out;
     boolean over;
 
--- a/proxy/src/main/java/spurroad/routing/Errand.java
+++ b/proxy/src/main/java/spurroad/routing/UpstreamRequest.java
@@ -4,7 +4,7 @@
 import spurroad.transport.Loop;
 
 /** One execution of a query, or a probe where there is no query: its node's actor ends it exactly once. */
-final class Errand {
+final class UpstreamRequest {
     private static final long NS_PER_MS = 1_000_000L;
     final Query query;
     final int number;
@@ -29,7 +29,7 @@
     /** The long value of its answer, where it has one. */
     StreamedResponse streamed;
 
-    Errand(Query query, int number, NodeActor node, long until, long sentBy, long stalledNs) {
+    UpstreamRequest(Query query, int number, NodeActor node, long until, long sentBy, long stalledNs) {
         this.query = query;
         this.number = number;
         this.node = node;
--- a/proxy/src/test/java/spurroad/routing/NodeActorTest.java
+++ b/proxy/src/test/java/spurroad/routing/NodeActorTest.java
@@ -80,26 +80,26 @@
             new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
-    private Errand begin(NodeActor node, long allowNs) throws IOException {
-        Errand e = errand(node, allowNs);
+    private UpstreamRequest begin(NodeActor node, long allowNs) throws IOException {
+        UpstreamRequest e = request(node, allowNs);
         loop.tell(() -> node.begin(e));
         return e;
     }
 
-    private Errand errand(NodeActor node, long allowNs) throws IOException {
-        return errand(node, allowNs, Long.MAX_VALUE);
+    private UpstreamRequest request(NodeActor node, long allowNs) throws IOException {
+        return request(node, allowNs, Long.MAX_VALUE);
     }
 
-    private Errand errand(NodeActor node, long allowNs, long sentBy) throws IOException {
+    private UpstreamRequest request(NodeActor node, long allowNs, long sentBy) throws IOException {
         MetaCommand command = MetaCommand.read(new ByteSource(new ByteArrayInputStream(
             "mg k v O1 Pc=read,d=480\r\n".getBytes())));
         Query query = new Query(null, command, new TrackId(0), null, null, 0, 0);
-        return new Errand(query, 0, node, clock.now() + allowNs, sentBy, 0);
+        return new UpstreamRequest(query, 0, node, clock.now() + allowNs, sentBy, 0);
     }
 
     private Outcome outcome() throws InterruptedException {
         Reply reply = ended.poll(20, TimeUnit.SECONDS);
-        assertNotNull(reply, "an errand that never ended");
+        assertNotNull(reply, "a request that never ended");
         return reply.outcome();
     }
 
@@ -188,13 +188,13 @@
             Descriptors descriptors = new Descriptors(100);
             NodeActor node = node(peer.port, false, descriptors);
             int before = descriptors.leftForNodes();
-            Errand e = begin(node, LONG_NS);
+            UpstreamRequest e = begin(node, LONG_NS);
             peer.await("mg");
             loop.tell(() -> node.stop(e));
             loop.tell(() -> node.stop(e));
             assertEquals(outcome(), Outcome.CANCELLED);
             assertEquals(peer.await("closed"), "closed");
-            Errand next = begin(node, LONG_NS);
+            UpstreamRequest next = begin(node, LONG_NS);
             peer.await("mg");
             loop.tell(() -> node.stop(next));
             assertEquals(outcome(), Outcome.CANCELLED);
@@ -279,7 +279,7 @@
 
     // ---- narrow moments: news between a decision and its first byte
 
-    /** What may come between the two; the node's peer is to hear nothing of the errand then. */
+    /** What may come between the two; the node's peer is to hear nothing of the request then. */
     private enum News {
         DRAINS(Outcome.NO_CONNECTION), GONE(Outcome.NO_CONNECTION), OUT_BY_HAND(Outcome.NO_CONNECTION),
         STARTED_ANEW(Outcome.NO_CONNECTION), MOVED(Outcome.NO_CONNECTION), CLIENT_LEFT(Outcome.NEVER_SENT),
@@ -291,7 +291,7 @@
             this.end = end;
         }
 
-        private void reach(NodeActor node, Errand e, Peers.Peer peer, Peers.Peer other) {
+        private void reach(NodeActor node, UpstreamRequest e, Peers.Peer peer, Peers.Peer other) {
             e.query.left = this == CLIENT_LEFT || this == LEFT_AND_CALLED_OFF;
             switch (this) {
                 case DRAINS -> node.listed(member(peer.port, 0, Phase.DRAINING), false);
@@ -320,7 +320,7 @@
         try (Peers.Peer peer = new Peers.Peer(message -> null);
             Peers.Peer other = new Peers.Peer(message -> null)) {
             NodeActor node = node(peer.port, false, new Descriptors(100));
-            Errand e = errand(node, SHORT_NS);
+            UpstreamRequest e = request(node, SHORT_NS);
             loop.tell(() -> {
                 node.begin(e);
                 news.reach(node, e, peer, other);
@@ -339,7 +339,7 @@
             Descriptors descriptors = new Descriptors(2 + 8 + 2);
             NodeActor holder = node(holds.port, false, descriptors),
                 node = node(peer.port, false, descriptors);
-            Errand first = begin(holder, LONG_NS), e = errand(node, LONG_NS);
+            UpstreamRequest first = begin(holder, LONG_NS), e = request(node, LONG_NS);
             assertNotNull(holds.await("mg"));
             loop.tell(() -> {
                 node.begin(e);
@@ -372,7 +372,8 @@
             Descriptors descriptors = new Descriptors(place ? 2 + 8 + 2 : 100);
             NodeActor holder = node(holds.port, false, descriptors),
                 node = node(peer.port, false, descriptors);
-            Errand first = begin(holder, LONG_NS), e = errand(node, LONG_NS, clock.now() + SHORT_NS / 2);
+            UpstreamRequest first = begin(holder, LONG_NS),
+                e = request(node, LONG_NS, clock.now() + SHORT_NS / 2);
             assertNotNull(holds.await("mg"));
             loop.tell(() -> {
                 node.begin(e);
@@ -400,7 +401,7 @@
             return "EN O1\r\n";
         })) {
             NodeActor node = node(peer.port, false, new Descriptors(100));
-            Errand e = errand(node, LONG_NS, clock.now() + SHORT_NS);
+            UpstreamRequest e = request(node, LONG_NS, clock.now() + SHORT_NS);
             loop.tell(() -> node.begin(e));
             assertNotNull(peer.await("mg"));
             while (clock.now() < e.sentBy) {
@@ -438,7 +439,7 @@
             NodeActor node = node(peer.port, origin, new Descriptors(100));
             begin(node, LONG_NS);
             assertEquals(outcome(), Outcome.COMPLETED);
-            Errand next = errand(node, LONG_NS);
+            UpstreamRequest next = request(node, LONG_NS);
             loop.tell(() -> {
                 try {
                     if (comes == null) {
@@ -474,15 +475,15 @@
             {null, false, true, Outcome.TIMED_OUT}};
     }
 
-    /** An answer or an end, a call off and the time being over, all together: one end of the errand. */
+    /** An answer or an end, a call off and the time being over, all together: one end of the request. */
     @Test(dataProvider = "meetings")
-    public void whateverMeetsInOneTurnAnErrandEndsOnce(String says, boolean calledOff, boolean late,
+    public void whateverMeetsInOneTurnARequestEndsOnce(String says, boolean calledOff, boolean late,
                                                        Outcome outcome)
         throws Exception {
         CountDownLatch held = new CountDownLatch(1), went = new CountDownLatch(1);
         try (Peers.Peer peer = new Peers.Peer(message -> null)) {
             NodeActor node = node(peer.port, false, new Descriptors(100));
-            Errand e = begin(node, late ? SHORT_NS : LONG_NS);
+            UpstreamRequest e = begin(node, late ? SHORT_NS : LONG_NS);
             assertNotNull(peer.await("mg"));
             loop.tell(() -> {
                 held.countDown();
