--- a/control/src/main/java/spurroad/control/decide/History.java
+++ b/control/src/main/java/spurroad/control/decide/History.java
@@ -27,6 +27,7 @@
         return List.copyOf(snapshots);
     }
 
+    /** The snapshot of that number; empty where it is not kept, or never was. */
     public Optional<Snapshot> numbered(long number) {
         return snapshots.stream().filter(s -> s.number() == number).findFirst();
     }
@@ -47,12 +48,13 @@
     }
 
     /**
-     * Brings the policy of an earlier snapshot back, as a new one; members stay as they are, as an old list would send
-     * queries to nodes that have gone since. Empty where that number is not kept.
+     * Brings the policy of an earlier snapshot back, as a new one; members stay as they are, as an old list
+     * would send queries to nodes that have gone since. Empty where that number is not kept.
      */
     public Optional<Snapshot> rollback(long atMs, long number) {
         Snapshot last = snapshots.peekLast();
-        return numbered(number).map(to -> take(atMs, "policy of snapshot " + number + " again", last.members(),
-            to.policy()));
+        return numbered(number)
+            .map(to -> take(atMs, "policy of snapshot " + number + " again", last.members(),
+                to.policy()));
     }
 }
--- a/control/src/main/java/spurroad/control/decide/Snapshot.java
+++ b/control/src/main/java/spurroad/control/decide/Snapshot.java
@@ -9,16 +9,17 @@
 import java.util.TreeMap;
 
 /**
- * All that proxies are told at one time. Its version is a hash of its content and of nothing else: control services
- * that have never heard of each other give the same input the same version, so a proxy that moves from one to another
- * sees no change.
+ * All that proxies are told at one time. Its version is a hash of its content and of nothing else: control
+ * services that have never heard of each other give the same input the same version, so a proxy that moves
+ * from one to another sees no change.
  *
- * @param number  counts within one control service
- * @param cause   why it differs from the one before, as one line
+ * @param number counts within one control service
+ * @param cause why it differs from the one before, as one line
  * @param members by uid
- * @param policy  keys and values of the operators' policy, as proxies take them
+ * @param policy keys and values of the operators' policy, as proxies take them
  */
-public record Snapshot(long number, String version, long atMs, String cause, SortedMap<String, Member> members,
+public record Snapshot(long number, String version, long atMs, String cause,
+                       SortedMap<String, Member> members,
                        SortedMap<String, String> policy) {
     private static final int VERSION_DIGITS = 16; // of SHA-256; two of a history alike by chance: one in 2^48
 
@@ -35,7 +36,7 @@
             MessageDigest hash = MessageDigest.getInstance("SHA-256");
             for (Member m : members.values()) {
                 field(hash, "member", m.uid(), m.endpoint(), m.zone(), m.kind(), Double.toString(m.weight()),
-                    Long.toString(m.standing().startedMs()), m.standing().state().name());
+                    Long.toString(m.status().startedMs()), m.status().state().name());
             }
             policy.forEach((key, value) -> field(hash, "policy", key, value));
             return HexFormat.of().formatHex(hash.digest()).substring(0, VERSION_DIGITS);
@@ -56,6 +57,6 @@
 
     /** What has changed since another one, a line each, in the order of uids and keys. */
     public List<String> since(Snapshot before) {
-        return Difference.of(before, this);
+        return SnapshotDelta.of(before, this);
     }
 }
--- a/core/src/test/java/spurroad/admission/AdmissionTest.java
+++ b/core/src/test/java/spurroad/admission/AdmissionTest.java
@@ -8,7 +8,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A proxy in numbers only: it can bear so many queries a second, and a rejection costs it a twentieth of one. */
+/**
+ * A proxy in numbers only: it can bear so many queries a second, and a rejection costs it a twentieth of one.
+ */
 public class AdmissionTest {
     private static final long STEP = Admission.INTERVAL_NS, S = 1_000_000_000L, AGE = 75_000_000L;
     private static final int READ = 0, PAY = 1; // tracks; the second is worth five times as much
@@ -22,7 +24,9 @@
         return new Admission(new double[] {1, 5}, new double[] {100, 100_000}, AGE, 150_000_000L, 2 * S, 3);
     }
 
-    /** Plays so many seconds, the second customer sending what the first does not; queries served a second. */
+    /**
+     * Plays so many seconds, the second customer sending what the first does not; queries served a second.
+     */
     private double play(double seconds, double perSecond, double ofFirst, double capacity, boolean cold) {
         double served = 0, backlog = 0;
         came[0] = came[1] = taken[0] = taken[1] = 0;
@@ -40,7 +44,9 @@
             }
             backlog = Math.max(0, work - room);
             now += STEP;
-            admission.measured(now, new Means(Math.min(1, work / room), (long) (backlog / capacity * S), 0.1), cold);
+            admission.measured(now,
+                new ResourceUsage(Math.min(1, work / room), (long) (backlog / capacity * S), 0.1),
+                cold);
         }
         return (served - backlog) / seconds;
     }
@@ -49,7 +55,7 @@
     public void allIsTakenInWhileTheMeansSuffice() {
         play(20, 800, 0, 1000, false);
         assertEquals(admission.part(), 1.0);
-        assertEquals(admission.level(), Level.ORDINARY);
+        assertEquals(admission.level(), ServiceLevel.ORDINARY);
         assertEquals(came[0] + came[1], taken[0] + taken[1], "no track is starved, nothing is turned away");
     }
 
@@ -69,7 +75,10 @@
             served + " a second of " + rest + " at " + admission.level());
     }
 
-    /** Reload day: a proxy refused half of all with 12% of its means used, its customers all beyond their shares. */
+    /**
+     * Reload day: a proxy refused half of all with 12% of its means used, its customers all beyond their
+     * shares.
+     */
     @Test
     public void aLevelDoesNotKeepItselfUpByWhatTheProcessDoesAnyway() {
         admission = fresh();
@@ -77,16 +86,16 @@
             for (int n = 0; n < 60; n++) {
                 admission.admits(READ, 0);
             }
-            admission.measured(now, new Means(1, 0, 0), false);
+            admission.measured(now, new ResourceUsage(1, 0, 0), false);
         }
-        assertTrue(admission.level().atLeast(Level.WITHIN_SHARES));
+        assertTrue(admission.level().atLeast(ServiceLevel.WITHIN_SHARES));
         for (int i = 0; i < 60; i++, now += STEP) {
             for (int n = 0; n < 60; n++) {
                 admission.admits(READ, 0);
             }
-            admission.measured(now, new Means(0.12, 0, 0), false);
+            admission.measured(now, new ResourceUsage(0.12, 0, 0), false);
         }
-        assertEquals(admission.level(), Level.ORDINARY);
+        assertEquals(admission.level(), ServiceLevel.ORDINARY);
         assertEquals(admission.part(), 1.0);
     }
 
@@ -103,7 +112,7 @@
     public void oneCustomerAtEightTimesItsShareIsWhatIsTurnedAway() {
         admission = fresh();
         play(5, 1600, 800, 1000, false);
-        assertTrue(admission.level().atLeast(Level.WITHIN_SHARES));
+        assertTrue(admission.level().atLeast(ServiceLevel.WITHIN_SHARES));
         double beyond = 0, within = 0, asked = 2000;
         for (int i = 0; i < asked; i++) {
             beyond += admission.admits(READ, 0) ? 1 : 0;
@@ -121,7 +130,7 @@
             play(5, 800, 0, 1000, false);
             for (int i = 0; i < 3; i++) {
                 now += STEP;
-                admission.measured(now, new Means(1, seconds * S, 0.9), false);
+                admission.measured(now, new ResourceUsage(1, seconds * S, 0.9), false);
             }
             now += seconds * S;
             play(3, 800, 0, 1000, false);
@@ -148,8 +157,9 @@
 
     @Test
     public void scarceRoomOrLongWaitsCutAsWellAsTheProcessor() {
-        for (Means means : new Means[] {new Means(0.1, 0, 1.2), new Means(0.1, 3 * AGE, 0),
-            new Means(Double.NaN, 3 * AGE, 0), new Means(1.3, 0, 0)}) {
+        for (ResourceUsage means : new ResourceUsage[] {new ResourceUsage(0.1, 0, 1.2),
+            new ResourceUsage(0.1, 3 * AGE, 0),
+            new ResourceUsage(Double.NaN, 3 * AGE, 0), new ResourceUsage(1.3, 0, 0)}) {
             admission = fresh();
             admission.admits(READ, 1);
             admission.measured(now, means, false);
--- a/proxy/src/test/java/spurroad/RecordingNodes.java
+++ b/proxy/src/test/java/spurroad/RecordingNodes.java
@@ -19,8 +19,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Cache nodes and an origin on loopback that one thread reads as soon as something comes, and that tell when each
- * request's first line came. Answers may be held back until a moment; load probes are answered at once.
+ * Cache nodes and an origin on loopback that one thread reads as soon as something comes, and that tell when
+ * each request's first line came. Answers may be held back until a moment; load probes are answered at once.
  */
 public final class RecordingNodes implements AutoCloseable {
     /** Before the ids of requests that came to it as to an origin, over HTTP. */
@@ -29,10 +29,11 @@
     private static final int BUFFER_BYTES = 1 << 16;
     private static final int LONGEST_LINE = 256; // characters; of what the tests send
     private static final String LINE_END = "\r\n";
-    private static final Pattern COMMAND = Pattern.compile("m[gs] \\S+ \\S+ O(\\S+).*"), HEADER = Pattern.compile(
-        "X-Request-Id: (\\S+)");
+    private static final Pattern COMMAND = Pattern.compile("m[gs] \\S+ \\S+ O(\\S+).*"),
+        HEADER = Pattern.compile(
+            "X-Request-Id: (\\S+)");
 
-    private record Held(SocketChannel to, String answer) { }
+    private record Held(SocketChannel to, String answer) {}
 
     private final Selector selector;
     private final Map<String, Long> firstCameAt = new ConcurrentHashMap<>();
@@ -45,14 +46,16 @@
     /**
      * Starts them.
      *
-     * @param answers the held back answer to a request, by its id, behind {@link #AT_ORIGIN} there; null for silence
+     * @param answers the held back answer to a request, by its id, behind {@link #AT_ORIGIN} there; null for
+     *     silence
      */
     public RecordingNodes(int count, Function<String, String> answers) throws IOException {
         this.answers = answers;
         selector = Selector.open();
         for (int i = 0; i < count; i++) {
             ServerSocketChannel server = ServerSocketChannel.open();
-            server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024).configureBlocking(false);
+            server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024)
+                .configureBlocking(false);
             server.register(selector, SelectionKey.OP_ACCEPT);
             servers.add(server);
         }
@@ -64,12 +67,18 @@
         return servers.get(node).socket().getLocalPort();
     }
 
-    /** When the first line of each request came, by its id, behind {@link #AT_ORIGIN} there; by {@link System#nanoTime}. */
+    /**
+     * When the first line of each request came, by its id, behind {@link #AT_ORIGIN} there; by
+     * {@link System#nanoTime}.
+     */
     public Map<String, Long> firstCameAt() {
         return firstCameAt;
     }
 
-    /** For how long something that had come waited at most for its turn, in nanoseconds: times may be late by that. */
+    /**
+     * For how long something that had come waited at most for its turn, in nanoseconds: times may be late by
+     * that.
+     */
     public long longestTurnNs() {
         return longestTurnNs;
     }
--- a/proxy/src/test/java/spurroad/program/LeavingClientsTest.java
+++ b/proxy/src/test/java/spurroad/program/LeavingClientsTest.java
@@ -33,7 +33,8 @@
  */
 public class LeavingClientsTest {
     private static final int CLIENTS = 200, NODES = 20, HOLDERS = 8;
-    private static final long MS = 1_000_000L, KNOWN_MS = 2_000, GONE_MS = 400, AFTER_MS = 400, SETTLE_MS = 300;
+    private static final long MS = 1_000_000L, KNOWN_MS = 2_000, GONE_MS = 400, AFTER_MS = 400,
+        SETTLE_MS = 300;
     private static final int MOST_PLAYS = 5; // until events come in the order that is tested
     private static final long CONNECTS_MS = 3_500; // a connect comes up within 3 s, as the system asks again
     private static final String OF = "[wf]"; // ids of queries of clients that leave, before the play's number
@@ -41,7 +42,7 @@
     private static final String WRITE = "ms k# 1 Ow# Pc=put,t=acme,d=9000,k=w#\r\na\r\n";
     private static final int BULK_BYTES = 4_000_000, FEW = 3; // more than the systems hold; room for three
     private static final int PIPELINED_BYTES = 300_000; // behind the sixteenth command: more than one reading takes
-    private static final long LATEST_MS = 60; // from a client's leaving to an attempt; 100 are allowed, a rest lasts as long
+    private static final long LATEST_MS = 60; // from a client's leaving to an attempt; 100 are allowed
     private static final long LEAVE_MS = 400; // over which clients leave one after another
     private static final String FLOOD = "mn\r\n".repeat(PIPELINED_BYTES / 4);
     private static final String LONG = write(70_000), BULK = write(BULK_BYTES);
@@ -96,30 +97,9 @@
         return id;
     }
 
-    private String node(Waits waits, String message) {
-        if (message.startsWith("stats")) {
-            return "STAT inflight 0\r\nEND\r\n";
-        }
-        try {
-            String id = waits == Waits.FETCH ? null : heard(message);
-            gate.await();
-            return id == null ? "EN O" + id(message) + "\r\n" : "VA 1 O" + id + "\r\nv\r\n";
-        } catch (InterruptedException e) {
-            throw new IllegalStateException(e);
-        }
-    }
-
-    private String origin(String message) {
-        try {
-            heard(message);
-            gate.await();
-        } catch (InterruptedException e) {
-            throw new IllegalStateException(e);
-        }
-        return "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv";
-    }
-
-    /** A node that takes no connections, or reads nothing, until the gate opens; then it hears whole commands. */
+    /**
+     * A node that takes no connections, or reads nothing, until the gate opens; then it hears whole commands.
+     */
     private int raw(boolean accepts) throws IOException {
         ServerSocket server = opened(new ServerSocket());
         server.setReceiveBufferSize(2048);
@@ -160,14 +140,29 @@
         came.set(0);
     }
 
-    private Service proxy(Waits waits, boolean cancels) throws Exception {
-        boolean raw = waits == Waits.CONNECTION || waits == Waits.LAST_BYTE;
-        int[] ports = new int[NODES + 1];
-        for (int i = 0; i < NODES; i++) {
-            ports[i] = raw ? raw(waits == Waits.LAST_BYTE) : opened(new Peer(m -> node(waits, m))).port;
+    private RecordingNodes nodes(Waits waits) throws IOException {
+        return opened(new RecordingNodes(NODES + 1, id -> answer(waits, id)));
+    }
+
+    /**
+     * The ports of the nodes, the origin's last; of others where they have to take no connection or read
+     * nothing.
+     */
+    private int[] ports(Waits waits, RecordingNodes nodes) throws IOException {
+        int[] ports = IntStream.rangeClosed(0, NODES).map(nodes::port).toArray();
+        for (int i = 0; i < NODES && (waits == Waits.CONNECTION || waits == Waits.LAST_BYTE); i++) {
+            ports[i] = raw(waits == Waits.LAST_BYTE);
         }
-        ports[NODES] = opened(new Peer(this::origin)).port;
-        return proxy(waits, cancels, ports);
+        return ports;
+    }
+
+    /** Adds what came to the nodes; where a fetch is waited for, what came to the origin. */
+    private void collect(Waits waits, RecordingNodes nodes) {
+        nodes.firstCameAt().forEach((id, at) -> {
+            if (waits != Waits.FETCH || id.startsWith(RecordingNodes.AT_ORIGIN)) {
+                sentOn.merge(id.replace(RecordingNodes.AT_ORIGIN, ""), at, Math::max);
+            }
+        });
     }
 
     /** One with cache nodes at the ports, and with an origin at the last. */
@@ -177,13 +172,15 @@
             targets[i] = Peers.target("s-" + i, "m1", ports[i], "active", 0);
         }
         targets[NODES] = Peers.target("s-o", "origin", ports[NODES], "active", 0);
-        int sockets = waits == Waits.PLACE || waits == Waits.PIPELINED_PLACE ? 340 : 2048; // so that some hundred are left for nodes, or none are short
+        // so that some hundred places are left for nodes, or that places are not short
+        int sockets = waits == Waits.PLACE || waits == Waits.PIPELINED_PLACE ? 340 : 2048;
         int discovery = opened(new Peer(m -> ServiceTest.WATCH)).port;
-        return ServiceTest.service(new ProxyStart(Peers.start(discovery, sockets, Peers.list(1, true, targets))
-            .replace("\"connectTimeoutUs\":250000", "\"connectTimeoutUs\":5000000")
-            .replace("\"sloTimeUs\"", "\"statementTimeoutUs\":600000,\"sloTimeUs\"") // which sets when an end is over
-            .replace("\"cancel\":true", "\"cancel\":" + cancels)
-            .replace("aside", waits == Waits.LAST_BYTE ? "through" : "aside")));
+        return ServiceTest
+            .service(new ProxyStart(Peers.start(discovery, sockets, Peers.list(1, true, targets))
+                .replace("\"connectTimeoutUs\":250000", "\"connectTimeoutUs\":5000000")
+                .replace("\"sloTimeUs\"", "\"statementTimeoutUs\":600000,\"sloTimeUs\"") // which sets when an end is over
+                .replace("\"cancel\":true", "\"cancel\":" + cancels)
+                .replace("aside", waits == Waits.LAST_BYTE ? "through" : "aside")));
     }
 
     @DataProvider
@@ -197,13 +194,17 @@
     }
 
     /**
-     * Where a deployment has no cancels, what waited for a connection, or for its last bytes to be taken, went out for
-     * clients long gone.
+     * Where a deployment has no cancels, what waited for a connection, or for its last bytes to be taken,
+     * went out for clients long gone.
      */
     @Test(dataProvider = "waits", timeOut = 60_000)
     public void nothingIsSentOnForClientsThatLeft(Waits waits, boolean cancels) throws Exception {
         begin(waits == Waits.NOTHING);
-        Service s = proxy(waits, cancels);
+        RecordingNodes nodes = nodes(waits);
+        Service s = proxy(waits, cancels, ports(waits, nodes));
+        if (waits == Waits.NOTHING) {
+            nodes.release();
+        }
         List<Client> holders = waits == Waits.ROOM ? holders(s) : List.of();
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < (waits == Waits.LAST_BYTE ? FEW : CLIENTS); i++) {
@@ -223,18 +224,22 @@
         awaitKnown(s);
         Thread.sleep(GONE_MS);
         long known = System.nanoTime(); // what is sent on from here on is late, however busy the machine is
-        boolean begun = came.get() > 0 || !sentOn.isEmpty();
+        boolean begun = came.get() > 0;
         for (Client h : holders) {
             h.close();
         }
         gate.countDown();
+        nodes.release();
         long opened = System.nanoTime();
         long wait = waits == Waits.CONNECTION && !cancels ? CONNECTS_MS : AFTER_MS;
         while ((System.nanoTime() - opened) / MS < wait && late(known).isEmpty()) {
             Thread.sleep(10);
+            collect(waits, nodes);
         }
-        assertEquals(late(known), List.of(), "sent on long after its client left; the last " + latest(left) + " ms");
-        assertTrue(waits != Waits.CONNECTION || cancels || came.get() > 2 * NODES, "no connection came up: " + came);
+        assertEquals(late(known), List.of(),
+            "sent on long after its client left; the last " + latest(left) + " ms");
+        assertTrue(waits != Waits.CONNECTION || cancels || came.get() > 2 * NODES,
+            "no connection came up: " + came);
         assertTrue(waits != Waits.LAST_BYTE || begun, "none was begun");
     }
 
@@ -251,20 +256,18 @@
     }
 
     /**
-     * What the clients wait for comes while they leave, one after another or all at once, by a close or a reset. From the
-     * third attempt on that begins more than 0.1 s after its client's close a day is broken; here none may.
+     * What the clients wait for comes while they leave, one after another or all at once, by a close or a
+     * reset. From the third attempt on that begins more than 0.1 s after its client's close a day is broken;
+     * here none may.
      */
     @Test(dataProvider = "leaving", timeOut = 60_000)
-    public void noAttemptBeginsLongAfterItsClientHasLeft(Waits waits, boolean closes, boolean atOnce) throws Exception {
+    public void noAttemptBeginsLongAfterItsClientHasLeft(Waits waits, boolean closes, boolean atOnce)
+        throws Exception {
         boolean speaksLast = waits == Waits.NOTHING || waits == Waits.REST;
         begin(speaksLast);
         Heartbeat heartbeat = opened(new Heartbeat());
-        RecordingNodes nodes = opened(new RecordingNodes(NODES + 1, m -> answer(waits, m)));
-        int[] ports = IntStream.rangeClosed(0, NODES).map(nodes::port).toArray();
-        for (int i = 0; i < NODES && waits == Waits.CONNECTION; i++) {
-            ports[i] = raw(false);
-        }
-        Service s = proxy(waits, true, ports);
+        RecordingNodes nodes = nodes(waits);
+        Service s = proxy(waits, true, ports(waits, nodes));
         List<Client> holders = waits == Waits.ROOM ? holders(s) : List.of();
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
@@ -293,9 +296,10 @@
         }
         awaitKnown(s);
         Thread.sleep(waits == Waits.CONNECTION ? CONNECTS_MS : AFTER_MS);
-        nodes.firstCameAt().forEach((id, at) -> sentOn.merge(id.replace(RecordingNodes.AT_ORIGIN, ""), at, Math::max));
+        collect(waits, nodes);
         long stalledMs = Math.max(heartbeat.longestNs, nodes.longestTurnNs()) / MS;
-        String figures = waits + (closes ? ", closed" : ", reset") + (atOnce ? " all at once" : " one by one")
+        String how = (closes ? ", closed" : ", reset") + (atOnce ? " all at once" : " one by one");
+        String figures = waits + how
             + ": the last attempt came " + latest(left) + " ms after its client left, of " + sentOn.size()
             + "; the machine stalled for up to " + stalledMs + " ms";
         System.out.println(figures);
@@ -366,8 +370,8 @@
     }
 
     /**
-     * The loop is held up behind decisions to begin while all leave: it carries them out before it has read of that. Played
-     * until the loop was held up in that moment.
+     * The loop is held up behind decisions to begin while all leave: it carries them out before it has read
+     * of that. Played until the loop was held up in that moment.
      */
     @Test(timeOut = 60_000)
     public void noAttemptBeginsForClientsThatLeftWhileTheLoopWasHeldUp() throws Exception {
@@ -380,9 +384,9 @@
 
     private boolean allLeaveWhileTheLoopIsHeldUp() throws Exception {
         begin(true);
-        RecordingNodes nodes = opened(new RecordingNodes(NODES + 1, m -> answer(Waits.NOTHING, m)));
+        RecordingNodes nodes = nodes(Waits.NOTHING);
         nodes.release();
-        Service s = proxy(Waits.NOTHING, true, IntStream.rangeClosed(0, NODES).map(nodes::port).toArray());
+        Service s = proxy(Waits.NOTHING, true, ports(Waits.NOTHING, nodes));
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             clients.add(new Client(s.port()).say("mn\r\n"));
@@ -428,11 +432,13 @@
         }
     }
 
-    /** What waited for a connection was answered before the kill, and went out all the same when that came up. */
+    /**
+     * What waited for a connection was answered before the kill, and went out all the same when that came up.
+     */
     @Test(timeOut = 60_000)
     public void nothingIsSentOnOnceTheEndHasAnsweredIt() throws Exception {
         begin(false);
-        Service s = proxy(Waits.CONNECTION, false);
+        Service s = proxy(Waits.CONNECTION, false, ports(Waits.CONNECTION, nodes(Waits.CONNECTION)));
         Client c = opened(new Client(s.port()).say("mn\r\n" + READ.replace("#", number(1))));
         assertEquals(c.line(), "MN");
         Thread end = ServiceTest.ending(s);
@@ -458,7 +464,8 @@
     }
 
     private List<String> late(long known) {
-        return sentOn.keySet().stream().filter(id -> id.matches(OF + plays + "n\\d+") && sentOn.get(id) > known)
+        return sentOn.keySet().stream()
+            .filter(id -> id.matches(OF + plays + "n\\d+") && sentOn.get(id) > known)
             .sorted().toList();
     }
 
--- a/rig/src/main/java/spurroad/rig/net/OriginServer.java
+++ b/rig/src/main/java/spurroad/rig/net/OriginServer.java
@@ -15,7 +15,7 @@
 import java.nio.charset.StandardCharsets;
 import spurroad.rig.model.Origin;
 import spurroad.rig.model.Reply;
-import spurroad.rig.model.Request;
+import spurroad.rig.model.ServerRequest;
 
 /** Carries HTTP/1.1 to the origin. The loop's. */
 final class OriginServer {
@@ -23,32 +23,32 @@
     private static final byte[] NOTHING = {};
 
     private final Origin origin;
-    private final Figures figures;
-    private final Address address;
+    private final CommandFields figures;
+    private final FaultyListener listener;
 
-    OriginServer(EventLoop loop, Figures figures, Origin origin) {
+    OriginServer(EventLoop loop, CommandFields figures, Origin origin) {
         this.origin = origin;
         this.figures = figures;
-        address = new Address(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
-            new HttpObjectAggregator(MOST_BODY), new Peer()});
+        listener = new FaultyListener(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
+            new HttpObjectAggregator(MOST_BODY), new ConnectionHandler()});
     }
 
     int port() {
-        return address.port;
+        return listener.port;
     }
 
     void close() {
-        address.close();
+        listener.close();
     }
 
-    private final class Peer extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest r) {
             if (r.uri().equals("/ping") || r.uri().equals("/_load")) {
                 write(context, HttpResponseStatus.OK, NOTHING, false);
                 return;
             }
-            Request request = figures.request(r.uri().substring(1), header(r, "X-Request-Id"),
+            ServerRequest request = figures.request(r.uri().substring(1), header(r, "X-Request-Id"),
                 header(r, "X-Extras"), false);
             if (request == null) {
                 write(context, HttpResponseStatus.BAD_REQUEST, NOTHING, false);
@@ -62,9 +62,9 @@
             return value == null ? "" : value;
         }
 
-        private void answer(ChannelHandlerContext context, Request request, Reply reply) {
+        private void answer(ChannelHandlerContext context, ServerRequest request, Reply reply) {
             switch (reply.kind()) {
-                case VALUE -> write(context, HttpResponseStatus.OK, Values.of(request, reply), false);
+                case VALUE -> write(context, HttpResponseStatus.OK, TaggedValue.of(request, reply), false);
                 case RECEIPT -> write(context, HttpResponseStatus.OK,
                     request.id().getBytes(StandardCharsets.ISO_8859_1), false);
                 case BUSY -> write(context, HttpResponseStatus.SERVICE_UNAVAILABLE, NOTHING, true);
@@ -72,10 +72,12 @@
             }
         }
 
-        private void write(ChannelHandlerContext context, HttpResponseStatus status, byte[] body, boolean notRun) {
+        private void write(ChannelHandlerContext context, HttpResponseStatus status, byte[] body,
+                           boolean notRun) {
             FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 Unpooled.wrappedBuffer(body));
-            response.headers().set("Content-Length", body.length).set("X-Load", "inflight=" + origin.inFlight());
+            response.headers().set("Content-Length", body.length).set("X-Load",
+                "inflight=" + origin.inFlight());
             if (notRun) {
                 response.headers().set("X-Not-Run", "1");
             }
--- a/rig/src/main/java/spurroad/rig/net/SocketWorld.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketWorld.java
@@ -14,27 +14,28 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import spurroad.rig.model.CacheNode;
-import spurroad.rig.model.Population;
+import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.world.FaultDriver;
-import spurroad.rig.world.Front;
 import spurroad.rig.world.ProxyControl;
 import spurroad.rig.world.ProxyFile;
+import spurroad.rig.world.ProxySelector;
 import spurroad.rig.world.World;
 
 /**
- * A scenario on loopback sockets in real time: the same models as in simulated time, on one thread that works all
- * sockets, round real proxies that are processes of their own. Everything that it has opened or started is ended by
- * {@link #close}.
+ * A scenario on loopback sockets in real time: the same models as in simulated time, on one thread that works
+ * all sockets, round real proxies that are processes of their own. Everything that it has opened or started
+ * is ended by {@link #close}.
  */
 public final class SocketWorld implements ProxyControl, AutoCloseable {
     private static final int LOOK_MS = 500; // ms; between looks at what proxies hold
 
     /** What one proxy took. */
-    public record Used(int proxy, double cpuSeconds, double memoryMb, int descriptors) { }
+    public record Used(int proxy, double cpuSeconds, double memoryMb, int descriptors) {}
 
     private final Scenario scenario;
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
+        NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final SocketTimeline timeline = new SocketTimeline(loop);
     private final Signals signals;
@@ -44,7 +45,7 @@
     private final OriginServer origin;
     private final List<DiscoveryServer> discoveries = new ArrayList<>();
     private final List<ProxyProcess> proxies = new ArrayList<>();
-    private final ClientSide clients;
+    private final SocketGateway clients;
     private final Consumer<String> log;
     private volatile long epochMs;
     private volatile String failure;
@@ -53,7 +54,7 @@
      * Opens all servers; proxies are started by {@link #play}.
      *
      * @param command how a proxy is started, without its configuration
-     * @param folder  where configurations and logs of proxies are put
+     * @param folder where configurations and logs of proxies are put
      */
     public SocketWorld(Scenario scenario, long seed, List<String> command, Path folder, Consumer<String> log)
         throws IOException {
@@ -61,13 +62,14 @@
         this.log = log;
         signals = new Signals();
         world = new World(scenario, seed, timeline);
-        Figures figures = new Figures(scenario);
+        CommandFields figures = new CommandFields(scenario);
         origin = new OriginServer(loop, figures, world.origin);
         for (CacheNode n : world.nodes.values()) {
             nodes.add(new NodeServer(loop, figures, n));
         }
         world.onAppeared(n -> nodes.get(place(n.uid) - 1).serve(n));
-        file = new ProxyFile(world, place -> "127.0.0.1:" + (place == 0 ? origin.port() : nodes.get(place - 1).port()),
+        file = new ProxyFile(world,
+            place -> "127.0.0.1:" + (place == 0 ? origin.port() : nodes.get(place - 1).port()),
             () -> epochMs);
         int[] ports = new int[scenario.world().proxies()];
         for (int i = 0; i < ports.length; i++) {
@@ -75,7 +77,7 @@
             discoveries.add(new DiscoveryServer(loop, world, file, i));
             proxies.add(new ProxyProcess(i, ports[i], command, folder, signals));
         }
-        clients = new ClientSide(world, loop, ports);
+        clients = new SocketGateway(world, loop, ports);
     }
 
     private int place(String uid) {
@@ -102,18 +104,21 @@
         }
     }
 
-    /** Starts the proxies and the faults, and leaves the load to others; where each of them can be reached. */
+    /**
+     * Starts the proxies and the faults, and leaves the load to others; where each of them can be reached.
+     */
     public List<String> open() throws IOException, InterruptedException {
         startProxies();
         loop.execute(() -> {
             timeline.begin();
             epochMs = System.currentTimeMillis();
-            new FaultDriver(world, world.population(clients), this, log).begin();
+            new FaultDriver(world, world.generator(clients), this, log).begin();
         });
         List<String> where = new ArrayList<>();
         proxies.forEach(p -> where.add("proxy p-" + p.number + " 127.0.0.1:" + p.port));
-        world.members.entries().forEach(e -> where.add((e.place() == 0 ? "origin " : "cache node " + e.uid() + " ")
-            + "127.0.0.1:" + (e.place() == 0 ? origin.port() : nodes.get(e.place() - 1).port())));
+        world.members.entries()
+            .forEach(e -> where.add((e.place() == 0 ? "origin " : "cache node " + e.uid() + " ")
+                + "127.0.0.1:" + (e.place() == 0 ? origin.port() : nodes.get(e.place() - 1).port())));
         discoveries.forEach(d -> where.add("discovery 127.0.0.1:" + d.port()));
         return where;
     }
@@ -130,7 +135,8 @@
             }
         });
         long most = world.endNs() / 1_000_000L + 10_000;
-        for (long until = System.nanoTime() + most * 1_000_000L; !done.isDone() && System.nanoTime() < until;) {
+        for (long until = System.nanoTime() + most * 1_000_000L; !done.isDone()
+            && System.nanoTime() < until;) {
             proxies.forEach(ProxyProcess::look);
             Thread.sleep(LOOK_MS);
         }
@@ -144,10 +150,10 @@
     private void begin(CompletableFuture<Void> done) {
         timeline.begin();
         epochMs = System.currentTimeMillis();
-        Population population = world.population(clients);
-        clients.population(population);
-        new FaultDriver(world, population, this, log).begin();
-        world.begin(population);
+        LoadGenerator generator = world.generator(clients);
+        clients.generator(generator);
+        new FaultDriver(world, generator, this, log).begin();
+        world.begin(generator);
         timeline.at(world.endNs(), () -> {
             world.end();
             for (ProxyProcess p : proxies) {
@@ -171,7 +177,8 @@
 
     /** What each proxy took so far. */
     public List<Used> used() {
-        return proxies.stream().map(p -> new Used(p.number, p.cpuSeconds(), p.mostMemoryMb(), p.mostDescriptors()))
+        return proxies.stream()
+            .map(p -> new Used(p.number, p.cpuSeconds(), p.mostMemoryMb(), p.mostDescriptors()))
             .toList();
     }
 
@@ -181,22 +188,22 @@
     public void stopped(int proxy, boolean on) {
         proxies.get(proxy).stopped(on);
         if (on) {
-            world.judge.held(timeline.now(), proxy);
+            world.checker.held(timeline.now(), proxy);
         } else {
-            world.judge.released(timeline.now(), proxy);
+            world.checker.released(timeline.now(), proxy);
         }
     }
 
     @Override
     public void killed(int proxy, boolean on) {
         if (on) {
-            world.judge.held(timeline.now(), proxy);
+            world.checker.held(timeline.now(), proxy);
             proxies.get(proxy).kill();
-            timeline.after(Front.NOTICE_NS, () -> clients.offered(proxy, false));
+            timeline.after(ProxySelector.NOTICE_NS, () -> clients.offered(proxy, false));
             return;
         }
         try {
-            world.judge.forgets(proxy);
+            world.checker.forgets(proxy);
             proxies.get(proxy).start(configuration(proxy));
         } catch (IOException e) {
             throw new UncheckedIOException("p-" + proxy + " can't be started again", e);
@@ -205,7 +212,7 @@
             try {
                 proxies.get(proxy).awaitReady();
                 loop.execute(() -> {
-                    world.judge.released(timeline.now(), proxy);
+                    world.checker.released(timeline.now(), proxy);
                     clients.offered(proxy, true);
                 });
             } catch (IOException e) {
--- a/rig/src/main/java/spurroad/rig/policy/Policy.java
+++ b/rig/src/main/java/spurroad/rig/policy/Policy.java
@@ -14,31 +14,39 @@
 import spurroad.model.TrackId;
 
 /**
- * What decides in a simulated proxy: the decision module, or a baseline that it is compared with. The calls are those
- * of {@link Balance}, which says what each means.
+ * What decides in a simulated proxy: the decision module, or a baseline that it is compared with. The calls
+ * are those of {@link Balance}, which says what each means.
  */
 public interface Policy {
+    /** See {@link Balance#listed}. */
     void listed(long at, List<NodeEntry> entries, boolean complete, Decisions into);
 
-    void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write, long budgetNs,
+    /** See {@link Balance#arrived}. */
+    void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
+                 long budgetNs,
                  Decisions into);
 
-    void ended(long at, QueryId id, int execution, Outcome outcome, LoadReport load, boolean last, Decisions into);
+    /** See {@link Balance#ended}. */
+    void ended(long at, QueryId id, int execution, Outcome outcome, LoadReport load, boolean last,
+               Decisions into);
 
+    /** See {@link Balance#probed}. */
     void probed(long at, NodeId id, Outcome outcome, LoadReport load, Decisions into);
 
+    /** See {@link Balance#left}. */
     void left(long at, QueryId id, Decisions into);
 
+    /** See {@link Balance#reached}. */
     void reached(long at, Decisions into);
 
     /** Makes the policy of each simulated proxy. */
-    interface Maker {
+    interface Factory {
         /** One for a proxy. */
         Policy make(Deployment deployment, long seed);
     }
 
     /** Which policies there are. */
-    enum Kind implements Maker {
+    enum Kind implements Factory {
         /** The decision module of this build. */
         MECHANISM,
         /** Any ready cache node, by chance. */
@@ -53,7 +61,7 @@
         @Override
         public Policy make(Deployment deployment, long seed) {
             return this == MECHANISM ? new Mechanism(new Balance(deployment, seed))
-                : new Baseline(this, deployment, seed);
+                : new BaselinePolicy(this, deployment, seed);
         }
     }
 
@@ -65,7 +73,8 @@
         }
 
         @Override
-        public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
+        public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
+                            boolean write,
                             long budgetNs, Decisions into) {
             balance.arrived(at, id, track, customer, key, write, 0, budgetNs, into);
         }
--- a/rig/src/main/java/spurroad/rig/world/ProxyFile.java
+++ b/rig/src/main/java/spurroad/rig/world/ProxyFile.java
@@ -16,10 +16,15 @@
 
 /** What proxies are told of a world: their configuration, and discovery's list, in the platform's JSON. */
 public final class ProxyFile {
-    private static final long NS_PER_US = 1_000L, NS_PER_MS = 1_000_000L;
+    private static final long NS_PER_US = 1_000L;
+    private static final long NS_PER_MS = 1_000_000L;
     private static final String ORIGIN_KIND = "origin";
-    private static final int TICK_US = 5_000, CONNECT_US = 250_000, IDLE_US = 60_000_000, MOST_OPEN = 20_000;
-    private static final int COME_BACK_US = 2_000_000, MOST_EXECUTIONS = 6;
+    private static final int TICK_US = 5_000;
+    private static final int CONNECT_US = 250_000;
+    private static final int IDLE_US = 60_000_000;
+    private static final int MOST_OPEN = 20_000;
+    private static final int COME_BACK_US = 2_000_000;
+    private static final int MOST_EXECUTIONS = 6;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final World world;
@@ -30,7 +35,7 @@
      * For one world.
      *
      * @param endpoint address and port of a place
-     * @param epochMs  Unix time at which the world's timeline began, in milliseconds
+     * @param epochMs Unix time at which the world's timeline began, in milliseconds
      */
     public ProxyFile(World world, IntFunction<String> endpoint, LongSupplier epochMs) {
         this.world = world;
@@ -104,7 +109,8 @@
         settings.put("projects", s.load().customers().stream()
             .map(c -> Map.of("name", c.name(), "allowancePerS", c.share())).toList());
         settings.put("allowed", Map.of("cancel", true, "probes", true, "retryAfter", true, "maxRetryAfterUs",
-            COME_BACK_US, "mostExecutions", MOST_EXECUTIONS, "connectTimeoutUs", CONNECT_US, "idleCloseUs", IDLE_US,
+            COME_BACK_US, "mostExecutions", MOST_EXECUTIONS, "connectTimeoutUs", CONNECT_US, "idleCloseUs",
+            IDLE_US,
             "maxOpen", MOST_OPEN));
         settings.put("obligations", Map.of("coldUs", first.warmUpNs() / NS_PER_US,
             "startCapacity", first.startShare()));
