--- a/proxy/src/main/java/spurroad/transport/Loop.java
+++ b/proxy/src/main/java/spurroad/transport/Loop.java
@@ -36,6 +36,7 @@
 
     private static final int CHUNK_BYTES = 64 * 1024; // bytes; read or written at once, so that nobody waits for one
     private static final long NS_PER_MS = 1_000_000L;
+    private static final long LEAST_WAIT_NS = 1_000_000L; // ns; what is there sooner may have stood before
     private static final int LOOP_FAILED = 70; // exit code; the usual one for a fault of the program itself
 
     private record Due(TreeSet<Due> timers, long at, long number,
@@ -69,7 +70,7 @@
     private List<Runnable> afterSelect = new ArrayList<>();
     private final Consumer<SelectionKey> readies = this::ready;
     private final Consumer<Runnable> safely = this::safely;
-    private long numbers, arrivedAt, selectedAt;
+    private long numbers, arrivedAt, selectedAt, turnBeganAt;
     private boolean waited;
 
     public Loop(EventLog log, Clock clock) {
@@ -152,6 +153,7 @@
 
     private void turn() throws IOException {
         long before = clock.now();
+        turnBeganAt = before;
         long waitNs = timers.isEmpty() ? Long.MAX_VALUE : timers.first().at - before;
         asleep.set(true);
         if (!told.isEmpty() || waitNs <= 0 || !afterSelect.isEmpty()) {
@@ -163,9 +165,11 @@
             long ms = waitNs == Long.MAX_VALUE ? 0 : (waitNs + NS_PER_MS - 1) / NS_PER_MS;
             waited = true;
             selector.select(readies, ms);
-            selectedAt = clock.now();
-            arrivedAt = waited ? selectedAt : arrivedAt;
-            waited = false;
+            if (waited) { // nothing came
+                waited = false;
+                selectedAt = clock.now();
+                arrivedAt = selectedAt;
+            }
         }
         if (!afterSelect.isEmpty()) {
             List<Runnable> closed = afterSelect;
@@ -185,7 +189,10 @@
     private void ready(SelectionKey key) {
         if (waited) {
             waited = false;
-            arrivedAt = clock.now(); // the first of a turn that waited: nothing stood unread before
+            long now = clock.now();
+            // the first of a turn that waited: nothing stood unread before, unless it was there at once
+            arrivedAt = now - turnBeganAt < LEAST_WAIT_NS ? selectedAt : now;
+            selectedAt = now;
         }
         try {
             if (key.isValid()) {
--- a/proxy/src/test/java/spurroad/transport/TransportTest.java
+++ b/proxy/src/test/java/spurroad/transport/TransportTest.java
@@ -4,13 +4,21 @@
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.Pipe;
+import java.nio.channels.SelectionKey;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
 public class TransportTest {
+    private static final long HELD_UP_NS = 200_000_000L;
     private final EventLog log = new EventLog();
 
     @Test
@@ -54,6 +62,34 @@
         loop.end();
     }
 
+    /**
+     * It passed for just arrived, and so did the end of a client that had left while the loop was held up.
+     */
+    @Test
+    public void whatCameWhileTheLoopWasHeldUpHasStoodUnread() throws Exception {
+        Loop loop = new Loop(log, new Clock());
+        Pipe pipe = Pipe.open();
+        CompletableFuture<Long> arrivedAt = new CompletableFuture<>();
+        AtomicLong cameAt = new AtomicLong();
+        loop.tell(() -> {
+            try {
+                loop.register(pipe.source(), SelectionKey.OP_READ, operations -> {
+                    arrivedAt.complete(loop.arrivedAt());
+                    loop.end();
+                });
+                loop.after(HELD_UP_NS, () -> {}); // not before: the next turn would not wait
+                cameAt.set(loop.now());
+                pipe.sink().write(ByteBuffer.wrap(new byte[1]));
+                Thread.sleep(HELD_UP_NS / 2 / 1_000_000);
+            } catch (IOException | InterruptedException e) {
+                arrivedAt.completeExceptionally(e);
+            }
+        });
+        new Threads(log).start("loop", loop);
+        long late = arrivedAt.get(20, TimeUnit.SECONDS) - cameAt.get();
+        assertTrue(late <= 0, "told to have come " + late + " ns later than it had");
+    }
+
     @Test
     public void aMailboxGivesAllAtOnceInOrderAndRefusesMoreThanItHolds() throws InterruptedException {
         Mailbox mailbox = new Mailbox(3);
