--- a/proxy/src/main/java/spurroad/program/Main.java
+++ b/proxy/src/main/java/spurroad/program/Main.java
@@ -40,6 +40,7 @@
     }
 
     private static void serve() throws InterruptedException {
+        StartBudget budget = new StartBudget();
         System.setProperty("java.util.logging.manager", LastingLogs.class.getName());
         LineFormatter lines = new LineFormatter("json".equals(System.getProperty(LOG_PROPERTY)));
         for (Handler handler : Logger.getLogger("").getHandlers()) {
@@ -64,8 +65,8 @@
                 Clock clock = new Clock();
                 AdminServer admin = start.admin == null ? null : admin(start, threads, log, clock);
                 Handover handover = Handover.of(start, log); // before it plays: another makes room meanwhile
-                new Rehearsal(start).play(threads, log, clock);
-                Service service = life.begin(() -> new Service(start, threads, log, clock, handover));
+                new Rehearsal(start).play(threads, log, clock, budget.rehearsalMs());
+                Service service = life.begin(() -> new Service(start, threads, log, clock, handover, budget));
                 up.complete(service);
                 if (admin != null) {
                     admin.serves(service.calls());
@@ -93,7 +94,8 @@
     private static void rehearse() throws InterruptedException {
         EventLog log = new EventLog();
         try {
-            new Rehearsal(ProxyStart.ofEnvironment(System.getenv())).play(new Threads(log), log, new Clock());
+            new Rehearsal(ProxyStart.ofEnvironment(System.getenv())).play(new Threads(log), log, new Clock(),
+                new StartBudget().rehearsalMs());
         } catch (FaultyKeyException e) {
             end("spurroad: " + e.getMessage(), MISUSED);
         }
--- a/proxy/src/main/java/spurroad/program/Rehearsal.java
+++ b/proxy/src/main/java/spurroad/program/Rehearsal.java
@@ -40,7 +40,6 @@
 final class Rehearsal {
     private static final int QUERIES = 800; // the quick compiler takes up what has run some hundred times
     private static final int CLIENTS = 4; // at once: queries meet each other, as later
-    private static final long LONGEST_MS = 4_000; // ms; a process so slow is better cold than late
     private static final int NODES = 4, PLACES = 200; // cache nodes; connections, which all fit
     private static final String VALUE = "8c1f30d27a5be964";
 
@@ -54,8 +53,8 @@
         this.start = start;
     }
 
-    /** Returns when all is played, or after a while. */
-    void play(Threads threads, EventLog log, Clock clock) throws InterruptedException {
+    /** Returns when all is played, or after so many milliseconds. */
+    void play(Threads threads, EventLog log, Clock clock, long longestMs) throws InterruptedException {
         loop = new Loop(log, clock);
         Decider decider = new Decider(start, threads, loop, log, clock, new Descriptors(PLACES),
             (at, placeBack) -> connection(Rehearsal::node, placeBack), 0);
@@ -70,7 +69,7 @@
                 last.say(command(asked.getAndIncrement()));
             }
         });
-        answers.await(LONGEST_MS, TimeUnit.MILLISECONDS);
+        answers.await(longestMs, TimeUnit.MILLISECONDS);
         clients.end();
         decider.listed(new Members(2, true, List.of()));
         decider.end();
--- a/proxy/src/main/java/spurroad/program/Service.java
+++ b/proxy/src/main/java/spurroad/program/Service.java
@@ -40,7 +40,6 @@
     private static final long LOOK_MS = 5; // ms; how often it is looked whether all clients are gone
     private static final long LONGEST_END_NS = 10_000_000_000L; // ns; longer than clients wait
 
-    private static final long FIRST_LIST_NS = 3_000_000_000L; // ns; a list that is pushed comes within milliseconds
     private static final long REST_NS = 10_000_000L; // ns; of a node's connection: what follows an answer comes in less
 
     private final EventLog log;
@@ -63,6 +62,13 @@
      */
     public Service(ProxyStart start, Threads threads, EventLog log, Clock clock, Handover handover)
         throws IOException, InterruptedException {
+        this(start, threads, log, clock, handover, new StartBudget());
+    }
+
+    /** Starts it; where lists are pushed it waits for the first as long as the start's budget says. */
+    Service(ProxyStart start, Threads threads, EventLog log, Clock clock, Handover handover,
+            StartBudget budget)
+        throws IOException, InterruptedException {
         this.start = start;
         this.log = log;
         this.handover = handover;
@@ -89,7 +95,7 @@
         }
         if (list.pushed()) {
             // what there is to know counts from now on: nothing is taken before it has been heard, or can't be
-            loop.tell(() -> loop.after(FIRST_LIST_NS, this::open));
+            loop.tell(() -> loop.after(budget.firstListNs(), this::open));
             list.begin(this::open);
         } else {
             open();
--- a/proxy/src/test/java/spurroad/program/ServiceTest.java
+++ b/proxy/src/test/java/spurroad/program/ServiceTest.java
@@ -321,7 +321,7 @@
     public void aRehearsalIsPlayedToItsEndAndLeavesNoThreadOfTheModule() throws Exception {
         EventLog log = new EventLog();
         Rehearsal rehearsal = new Rehearsal(new ProxyStart(Peers.start(1, 256, Peers.list(1, true))));
-        rehearsal.play(new Threads(log), log, new Clock());
+        rehearsal.play(new Threads(log), log, new Clock(), 4_000);
         assertEquals(rehearsal.left(), 0);
         for (Thread t : Thread.getAllStackTraces().keySet()) {
             if (t.getName().equals("rehearsal")) {
--- /dev/null
+++ b/proxy/src/test/java/spurroad/program/StartBudgetTest.java
@@ -0,0 +1,72 @@
+package spurroad.program;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertNotNull;
+import static org.testng.Assert.assertTrue;
+
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.atomic.AtomicLong;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import spurroad.Peers;
+import spurroad.Peers.Client;
+import spurroad.Peers.Peer;
+import spurroad.start.ProxyStart;
+import spurroad.transport.Clock;
+import spurroad.transport.EventLog;
+import spurroad.transport.Threads;
+
+/** A start on a small part of a core, with discovery silent, is over in time. */
+public class StartBudgetTest {
+    private static final long MS = 1_000_000L;
+
+    /** What has passed, and what is left then for playing requests and for the first list; all in ms. */
+    @DataProvider
+    Object[][] passed() {
+        return new Object[][] {{0, 3000, 3000}, {800, 2200, 3000}, {1500, 1500, 2500}, {2900, 500, 1100},
+            {3600, 500, 500}, {60_000, 500, 500}};
+    }
+
+    @Test(dataProvider = "passed")
+    public void whatASlowStartHasTakenIsNotWaitedAgain(long passedMs, long rehearsalMs, long listMs) {
+        AtomicLong now = new AtomicLong(Long.MAX_VALUE - MS); // such a clock may pass its largest number
+        StartBudget budget = new StartBudget(now::get);
+        now.addAndGet(passedMs * MS);
+        assertEquals(budget.rehearsalMs(), rehearsalMs);
+        assertEquals(budget.firstListNs(), listMs * MS);
+    }
+
+    /** It waited 3 s for the first list, behind up to 4 s of play: 8.8 s in all on a tenth of a core. */
+    @Test(timeOut = 30_000)
+    public void aProxyThatHasBegunLongAgoWaitsShortlyForASilentAgent() throws Exception {
+        CountDownLatch never = new CountDownLatch(1);
+        AtomicLong earlier = new AtomicLong();
+        StartBudget budget = new StartBudget(() -> System.nanoTime() + earlier.get());
+        earlier.set(3_600 * MS);
+        try (Peer node = new Peer(ServiceTest.hit("v")); Peer silent = new Peer(m -> held(never))) {
+            EventLog log = new EventLog();
+            String start = Peers.start(silent.port, 256,
+                Peers.list(1, true, Peers.target("s-1", "m1", node.port, "active", 0)));
+            long since = System.nanoTime();
+            Service s = new Service(new ProxyStart(start.replace("on_request", "pushed")), new Threads(log),
+                log,
+                new Clock(), null, budget);
+            try (Client c = new Client(s.port())) {
+                assertEquals(c.say("mn\r\n").line(), "MN");
+            }
+            long ms = (System.nanoTime() - since) / MS;
+            assertTrue(ms >= 500 && ms < 2_500, "served after " + ms + " ms");
+            assertNotNull(silent.await("GET"));
+        }
+        never.countDown();
+    }
+
+    private static String held(CountDownLatch until) {
+        try {
+            until.await();
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);
+        }
+        return null;
+    }
+}
