--- /dev/null
+++ b/proxy/src/test/java/spurroad/program/IdleCrowdTest.java
@@ -0,0 +1,141 @@
+package spurroad.program;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertNotNull;
+import static org.testng.Assert.assertTrue;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.SocketChannel;
+import java.util.concurrent.atomic.AtomicBoolean;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import spurroad.Peers;
+import spurroad.Peers.Client;
+import spurroad.Peers.Peer;
+
+/**
+ * Idle clients take all places that they can get while discovery is down, and come again when they are sent
+ * away.
+ */
+public class IdleCrowdTest {
+    private static final long MS = 1_000_000L;
+    private static final int SOCKETS = 256, CROWD = 400; // more than there are places
+    private static final int QUERIES = 20;
+    private static final long DOWN_MS = 1_500;
+    private static final long RETURN_MS = 3_000; // discovery is asked again within 0.2 s where lists are pushed
+
+    /** Clients of which each opens another connection once its former one is closed. */
+    private static final class Crowd implements AutoCloseable {
+        private final SocketChannel[] connections = new SocketChannel[CROWD];
+        private final InetSocketAddress to;
+        private final String says;
+        private volatile boolean ended;
+
+        private Crowd(int port, String says) {
+            to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+            this.says = says;
+            Peers.daemon(this::run);
+        }
+
+        private void run() throws IOException, InterruptedException {
+            ByteBuffer buffer = ByteBuffer.allocate(100);
+            while (!ended) {
+                for (int i = 0; i < CROWD; i++) {
+                    if (connections[i] == null || isClosed(connections[i], buffer.clear())) {
+                        connections[i] = open();
+                    }
+                }
+                Thread.sleep(5);
+            }
+            for (SocketChannel each : connections) {
+                each.close();
+            }
+        }
+
+        private SocketChannel open() throws IOException {
+            SocketChannel opened = SocketChannel.open(to);
+            opened.configureBlocking(false);
+            opened.write(ByteBuffer.wrap(says.getBytes()));
+            return opened;
+        }
+
+        private static boolean isClosed(SocketChannel connection, ByteBuffer buffer) throws IOException {
+            try {
+                if (connection.read(buffer) >= 0) {
+                    return false;
+                }
+            } catch (IOException e) {
+                // reset
+            }
+            connection.close();
+            return true;
+        }
+
+        @Override
+        public void close() {
+            ended = true;
+        }
+    }
+
+    /** What each of the crowd says: nothing, or a probe. */
+    @DataProvider
+    Object[][] crowds() {
+        return new Object[][] {{""}, {"mn\r\n"}};
+    }
+
+    /** Discovery's call, connections to nodes and clients with requests have places all the same. */
+    @Test(dataProvider = "crowds", timeOut = 60_000)
+    public void requestsAreServedOnceDiscoveryReturns(String says) throws Exception {
+        AtomicBoolean up = new AtomicBoolean();
+        try (Peer node = new Peer(ServiceTest.hit("v"))) {
+            String list = Peers.list(2, true, Peers.target("s-1", "m1", node.port, "active", 0)) + "\n";
+            String answer = ServiceTest.WATCH + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n";
+            try (Peer discovery = new Peer(m -> up.get() ? answer : "")) {
+                Service s = ServiceTest
+                    .service(new spurroad.start.ProxyStart(Peers.start(discovery.port, SOCKETS,
+                        Peers.list(1, true)).replace("on_request", "pushed")));
+                try (Crowd crowd = new Crowd(s.port(), says)) {
+                    assertNotNull(discovery.await("GET"));
+                    Thread.sleep(DOWN_MS);
+                    long since = System.nanoTime();
+                    up.set(true);
+                    long first = 0;
+                    long longest = 0;
+                    int tries = 0;
+                    for (int i = 0; i < QUERIES; i++) {
+                        long asked = System.nanoTime();
+                        for (boolean served = false; !served; tries++) {
+                            served = isServed(s.port(), i);
+                            assertTrue((System.nanoTime() - since) / MS < 4 * RETURN_MS, i + " served");
+                        }
+                        first = first == 0 ? (System.nanoTime() - since) / MS : first;
+                        longest = i == 0 ? 0 : Math.max(longest, (System.nanoTime() - asked) / MS);
+                    }
+                    System.out.println(
+                        "a crowd that says '" + says.trim() + "': the first request is served " + first
+                            + " ms after discovery's return, further ones within " + longest + " ms, " + tries
+                            + " tries for "
+                            + QUERIES);
+                    assertTrue(first < RETURN_MS, "served " + first + " ms after discovery's return");
+                }
+            }
+        }
+    }
+
+    /** Asks on a connection of its own; not where it is turned away or the connection closed unread. */
+    private static boolean isServed(int port, int number) throws IOException {
+        try (Client c = new Client(port)) {
+            String line = c.say(ServiceTest.READ.replace("O1", "Oq" + number)).line();
+            if (line == null || line.startsWith("SERVER_ERROR busy")) {
+                return false;
+            }
+            assertEquals(line + c.line(), "VA 1 Oq" + number + "v");
+            return true;
+        } catch (java.net.SocketException e) {
+            return false;
+        }
+    }
+}
