--- a/proxy/src/test/java/spurroad/program/OperationTest.java
+++ b/proxy/src/test/java/spurroad/program/OperationTest.java
@@ -53,7 +53,8 @@
             Service s = ServiceTest.proxy(discovery, 256, first, second);
             try (Client c = new Client(s.port())) {
                 assertTrue(!stands(s, "s-9", true), "never listed");
-                assertTrue(stands(s, "s-1", true) && stands(s, "s-1", true), "said twice, it is the same");
+                assertTrue(stands(s, "s-1", true));
+                assertTrue(stands(s, "s-1", true), "said twice, it is the same");
                 String again = Peers.list(2, true, first, second) + "\n";
                 discovery.say(Integer.toHexString(again.length()) + "\r\n" + again + "\r\n");
                 for (int i = 0; i < 100; i++) {
--- a/rig/src/main/java/spurroad/rig/scale/Meter.java
+++ b/rig/src/main/java/spurroad/rig/scale/Meter.java
@@ -91,7 +91,8 @@
      * meanwhile.
      */
     static <T> Kept<T> keep(int copies, Supplier<T> made) {
-        made.get(); // what is set up once, such as caches of the library, is not counted
+        // what is set up once, such as caches of the library, is not counted
+        T unused = made.get();
         List<T> kept = new ArrayList<>(copies);
         long before = usedBytes();
         for (int i = 0; i < copies; i++) {
--- a/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
+++ b/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
@@ -184,7 +184,8 @@
         a.offer(request("r", 1, true), r -> done[0] = timeline.now() - from);
         timeline.runUntil(from + S);
         assertEquals(done[0], 15 * MS);
-        assertTrue(a.connect() && a.connect());
+        assertTrue(a.connect());
+        assertTrue(a.connect());
         assertFalse(a.connect());
         a.disconnected();
         assertTrue(a.connect());
