--- a/proxy/src/test/java/spurroad/program/TimeLeftTest.java
+++ b/proxy/src/test/java/spurroad/program/TimeLeftTest.java
@@ -33,9 +33,9 @@
     private static final long NS_PER_MS = 1_000_000L;
     private static final int CACHE_NODES = 4;
     private static final int CLIENTS = 24;
-    private static final int REQUESTS_EACH = 8;
-    private static final int SHORTEST_WAIT_MS = 30;
-    private static final int LONGEST_WAIT_MS = 1_500;
+    private static final int REQUESTS_EACH = 12;
+    private static final int SHORTEST_WAIT_MS = 100;
+    private static final int LONGEST_WAIT_MS = 2_500;
     private static final int LONGEST_DELAY_MS = 200;
     /**
      * What may pass, on a busy machine, between a client's write and the moment at which the proxy's thread
