--- a/cli/src/main/java/spurroad/cli/ScaleCommand.java
+++ b/cli/src/main/java/spurroad/cli/ScaleCommand.java
@@ -1,6 +1,7 @@
 package spurroad.cli;
 
 import java.io.PrintWriter;
+import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -28,22 +29,30 @@
         description = "One of requests, changes, list, peers, control, subscribers, watches.")
     private List<String> names = new ArrayList<>();
     @Option(names = "--capacity",
-        description = "Works out afterwards what the expected fleet costs; takes all.")
+        description = "Works out what the expected fleet costs; needs all measurements.")
     private boolean capacity;
     @Option(names = "--short", description = "Small sizes, one run each: shapes only.")
     private boolean brief;
+    @Option(names = "--save", paramLabel = "FILE", description = "Keeps the results in a file.")
+    private Path saved;
+    @Option(names = "--results", paramLabel = "FILE",
+        description = "Takes results that were kept; measures nothing.")
+    private Path kept;
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
+        if (capacity && !names.isEmpty()) {
+            throw new CommandLine.ParameterException(spec.commandLine(), "--capacity needs all measurements");
+        }
         PrintWriter out = spec.commandLine().getOut();
-        Results results = new Results();
-        for (Measure measure : chosen()) {
-            Series series = Series.of(measure, brief ? Effort.SHORT : Effort.FULL);
-            results.add(series);
-            out.println(SeriesReport.markdown(series));
-            out.flush();
+        Results results = kept == null ? measured(out) : Results.read(kept);
+        if (kept != null) {
+            results.all().forEach(series -> out.println(SeriesReport.markdown(series)));
+        }
+        if (saved != null) {
+            results.write(saved);
         }
         if (capacity) {
             out.println(CapacityReport.markdown(FleetPlan.expected(), results));
@@ -51,11 +60,16 @@
         return 0;
     }
 
-    private List<Measure> chosen() {
-        if (capacity && !names.isEmpty()) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "--capacity takes all measurements");
+    /** Tells each series as soon as it is there. */
+    private Results measured(PrintWriter out) throws Exception {
+        Results results = new Results();
+        for (Measure measure : names.isEmpty() ? Measures.all() : names.stream().map(this::named).toList()) {
+            Series series = Series.of(measure, brief ? Effort.SHORT : Effort.FULL);
+            results.add(series);
+            out.println(SeriesReport.markdown(series));
+            out.flush();
         }
-        return names.isEmpty() ? Measures.all() : names.stream().map(this::named).toList();
+        return results;
     }
 
     private Measure named(String name) {
--- a/rig/src/test/java/spurroad/rig/scale/CapacityTest.java
+++ b/rig/src/test/java/spurroad/rig/scale/CapacityTest.java
@@ -4,6 +4,9 @@
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -58,6 +61,38 @@
         assertThrows(IllegalStateException.class, () -> CapacityReport.markdown(PLAN, results));
     }
 
+    @Test
+    public void savedResultsGiveTheSameReport() throws IOException {
+        Path file = Files.createTempFile("results", ".json");
+        try {
+            Results results = proportional(10_000);
+            results.write(file);
+            assertEquals(CapacityReport.markdown(PLAN, Results.read(file)),
+                CapacityReport.markdown(PLAN, results));
+        } finally {
+            Files.delete(file);
+        }
+    }
+
+    @DataProvider
+    Object[][] faulty() {
+        return new Object[][] {{"{\"unknown\": {\"sizes\": [1], \"runs\": [[[1]]]}}"},
+            {"{\"subscribers\": {\"sizes\": [1], \"runs\": [[[1, 2, 3]]]}}"},
+            {"{\"subscribers\": {\"sizes\": [1, 2], \"runs\": [[[1, 2, 3, 4]]]}}"},
+            {"{\"subscribers\": {\"sizes\": [], \"runs\": []}}"}, {"nothing"}};
+    }
+
+    @Test(dataProvider = "faulty")
+    public void aFaultyFileIsRefused(String text) throws IOException {
+        Path file = Files.createTempFile("results", ".json");
+        try {
+            Files.writeString(file, text);
+            assertThrows(IOException.class, () -> Results.read(file));
+        } finally {
+            Files.delete(file);
+        }
+    }
+
     private static String line(String report, String beginning) {
         return report.lines().filter(l -> l.startsWith(beginning)).findFirst().orElse("no line " + beginning);
     }
