--- a/rig/src/main/java/spurroad/rig/checker/OutcomeStatistics.java
+++ b/rig/src/main/java/spurroad/rig/checker/OutcomeStatistics.java
@@ -19,9 +19,15 @@
 
     /** Queries of one kind, and their worth. */
     public static final class Count {
-        public long due, inTime, late, rejected, failed, unanswered;
+        public long due;
+        public long inTime;
+        public long late;
+        public long rejected;
+        public long failed;
+        public long unanswered;
         /** By the importance of their tracks. */
-        public double worthDue, worthGot;
+        public double worthDue;
+        public double worthGot;
 
         private void due(ClientRequest a) {
             due++;
@@ -49,11 +55,13 @@
     private final long warmNs;
     private final List<Count> seconds = new ArrayList<>();
     private final List<Histogram> latencies = new ArrayList<>(); // by second
-    private final Map<String, Count> tracks = new LinkedHashMap<>(), customers = new LinkedHashMap<>();
+    private final Map<String, Count> tracks = new LinkedHashMap<>();
+    private final Map<String, Count> customers = new LinkedHashMap<>();
     private final Count all = new Count();
     private final Histogram latencyUs = new Histogram(MOST_US, DIGITS);
     private final Histogram lateUs = new Histogram(MOST_US, DIGITS);
 
+    /** Counts by the request classes and tenants of a scenario; what is due in its warm-up is left out. */
     public OutcomeStatistics(Scenario scenario) {
         warmNs = scenario.warmNs();
         scenario.load().tracks().forEach(t -> tracks.put(t.name(), new Count()));
@@ -104,14 +112,17 @@
         }
     }
 
+    /** Of all requests. */
     public Count all() {
         return all;
     }
 
+    /** By the name of the request class. */
     public Map<String, Count> tracks() {
         return tracks;
     }
 
+    /** By the name of the tenant. */
     public Map<String, Count> customers() {
         return customers;
     }
--- a/rig/src/main/java/spurroad/rig/model/LoadGenerator.java
+++ b/rig/src/main/java/spurroad/rig/model/LoadGenerator.java
@@ -28,8 +28,10 @@
 
     /** Who is told what becomes of queries. */
     public interface RequestListener {
+        /** A request fell due. */
         void due(ClientRequest request);
 
+        /** A request has ended, after its last try. */
         void ended(ClientRequest request, ClientRequest.Outcome end, long at);
 
         /** The work of sending it came so much after it fell due: the rig's own lateness. */
@@ -43,11 +45,15 @@
     private final Timeline timeline;
     private final Gateway gateway;
     private final RequestListener listener;
-    private final RandomStream arrivals, what;
+    private final RandomStream arrivals;
+    private final RandomStream what;
     private final Popularity popularity;
     private double times = 1;
-    private long number, nextAt, until;
+    private long number;
+    private long nextAt;
+    private long until;
 
+    /** Makes the load of a scenario: the same for the same seed. */
     public LoadGenerator(Scenario scenario, long seed, Timeline timeline, Gateway gateway,
                          RequestListener listener) {
         load = scenario.load();
--- a/rig/src/main/java/spurroad/rig/play/ScenarioRunner.java
+++ b/rig/src/main/java/spurroad/rig/play/ScenarioRunner.java
@@ -57,8 +57,10 @@
 
         private final Path jar;
         private final List<String> flags;
-        private final String cores, build;
+        private final String cores;
+        private final String build;
 
+        /** With all proxies on any of the machine's cores. */
         public Sockets(Path jar, List<String> flags) throws IOException {
             this(jar, flags, "");
         }
--- a/rig/src/main/java/spurroad/rig/scale/CapacityReport.java
+++ b/rig/src/main/java/spurroad/rig/scale/CapacityReport.java
@@ -11,15 +11,18 @@
 public final class CapacityReport {
     private static final double RELEASE_HOURS = 1; // in which all of a day's replacements fall, at the worst
     private static final double BURST = 100; // changes within a second
-    private static final double PURGE_LINE_BYTES = 20; // 64 bits in hexadecimal digits, and the framing of a chunk
+    // 64 bits in hexadecimal digits, and the framing of a chunk
+    private static final double PURGE_LINE_BYTES = 20;
     private static final double HEADER_BYTES = 52; // of TCP with timestamps and IPv4
     private static final double EMPTY_LINES_PER_SECOND = 0.5; // of a watch
-    private static final double TO_ALL_MOST = 24; // messages to all that a request earns at the most: Balance.WORDS_EACH
+    // messages to all that a request earns at the most: Balance.WORDS_EACH
+    private static final double TO_ALL_MOST = 24;
     private static final double CUT_SECONDS = 3_600;
     private static final double KILO = 1e3;
     private static final double MOST_SIZE = 1e7; // up to which an allowance's end is looked for
     private static final int HALVINGS = 60;
-    private static final double START_CAPACITY = 0.3; // of a node that comes back cold, as in the measurements
+    // of a node that comes back cold, as in the measurements
+    private static final double START_CAPACITY = 0.3;
     private static final double MEMORY_SECONDS = 4; // of a proxy for how a node did: Balance.MEMORY_NS
     private static final double LEAST_ENDS = 2; // that are needed to set a node aside: above Balance.BAD_ENDS
 
@@ -172,7 +175,7 @@
 
     /** What proxies do to one node that they know, and what each of them sees of it. */
     private void node() {
-        MarkdownTable table = new MarkdownTable(List.of("a node is known", "proxies", "connections open",
+        MarkdownTable table = new MarkdownTable(List.of("known within", "proxies", "connections open",
             "handshakes/s as it comes back, at start capacity", "until all are back (s)",
             "requests of one proxy in 4 s", "judged by one proxy"));
         for (Scope scope : scopes()) {
@@ -181,7 +184,7 @@
             double open = proxies * Math.min(1, requests.at(nodes, RequestDecisions.CONNECTIONS) / nodes);
             double handshakes = Math.min(proxies, START_CAPACITY * plan.requestsPerSecond() / plan.nodes());
             double seen = plan.requestsPerProxy() / nodes * MEMORY_SECONDS;
-            table.row("at the " + scope.name, MarkdownTable.count(proxies), MarkdownTable.count(open),
+            table.row(scope.name, MarkdownTable.count(proxies), MarkdownTable.count(open),
                 MarkdownTable.figure(handshakes), MarkdownTable.figure(proxies / handshakes),
                 MarkdownTable.figure(seen), seen >= LEAST_ENDS ? "yes" : "**no**");
         }
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
@@ -51,6 +51,7 @@
     private final Map<Integer, Long> toldRevision = new HashMap<>();
     private long starts;
 
+    /** Before its first moment; the log is told what a user may want to know on the way. */
     public SimulatedWorld(Scenario scenario, long seed, Policy.Factory policy, Consumer<String> log) {
         this.scenario = scenario;
         this.policy = policy;
@@ -126,7 +127,8 @@
             NodeId id = new NodeId(Members.hash(e.uid()));
             uids.put(id, e.uid());
             boolean isOrigin = e.uid().equals(Origin.UID);
-            List<String> kinds = scenario.world().kinds(), zones = scenario.world().zones();
+            List<String> kinds = scenario.world().kinds();
+            List<String> zones = scenario.world().zones();
             entries
                 .add(new NodeEntry(id, new KindId(isOrigin ? kinds.size() : kinds.indexOf(e.group().kind())),
                     new ZoneId(isOrigin ? 0 : zones.indexOf(e.group().zone())), new CellId(isOrigin ? 0 : 1),
--- a/rig/src/main/java/spurroad/rig/world/World.java
+++ b/rig/src/main/java/spurroad/rig/world/World.java
@@ -25,8 +25,10 @@
 public final class World {
     private static final long SWEEP_NS = 100_000_000L; // ns; between looks of the rule checker
     private static final long LOOK_NS = 1_000_000_000L; // ns; between looks at queues
-    private static final long DRAIN_NS = 1_000_000_000L; // ns; after the last client's patience: late answers are seen
-    private static final long DONE_NS = 60_000_000_000L; // ns; by then the rule checker has forgotten all that is over
+    // ns; after the last client's patience: late answers are seen
+    private static final long DRAIN_NS = 1_000_000_000L;
+    // ns; by then the rule checker has forgotten all that is over
+    private static final long DONE_NS = 60_000_000_000L;
 
     public final Scenario scenario;
     public final long seed;
@@ -41,6 +43,7 @@
     private final List<Queues> queues = new ArrayList<>();
     private Consumer<CacheNode> appeared = n -> {};
 
+    /** A scenario's models on a timeline, before anything happens. */
     public World(Scenario scenario, long seed, Timeline timeline) {
         this.scenario = scenario;
         this.seed = seed;
@@ -140,6 +143,7 @@
     /** At one moment: of cache nodes the mean and the most, and the origin. */
     public record Queues(double mean, int most, int origin) {}
 
+    /** The load of the world's scenario, sent through a gateway. */
     public LoadGenerator generator(LoadGenerator.Gateway gateway) {
         return new LoadGenerator(scenario, seed, timeline, gateway, outcomes);
     }
