--- a/proxy/src/main/java/spurroad/routing/NodeConnection.java
+++ b/proxy/src/main/java/spurroad/routing/NodeConnection.java
@@ -13,13 +13,13 @@
 import spurroad.transport.Loop;
 
 /**
- * One connection to a node, with one errand at a time; all of it is the loop's. It connects, sends and takes
+ * One connection to a node, with one request at a time; all of it is the loop's. It connects, sends and takes
  * replies as they come; its node's actor owns it and may close it at any time.
  */
 final class NodeConnection implements Connection.User {
     private static final String TO_NOTHING = "an answer to nothing";
     private static final long STALL_NS = 300_000_000L; // ns; inside an answer: one that was given whole arrives sooner
-    private static final long PASSAGE_STALL_NS = 2_500_000_000L; // ns; inside a long value that is being read
+    private static final long STREAM_STALL_NS = 2_500_000_000L; // ns; inside a long value that is being read
     private static final byte[] LINE_END = MetaReply.lineEnd();
     private final NodeActor node;
     private final Dialect dialect;
@@ -28,23 +28,23 @@
     private Connection connection;
     private Loop.Alarm alarm; // for the connect, or for the rest of an answer
     private long cameAt;
-    private Passage passage; // while a long value is on its way to a client
+    private StreamedResponse streamed; // while a long value is on its way to a client
     private boolean more; // whether the connection can carry another after that
     // the node actor's
     /** What it carries now; null while idle. */
-    Errand errand;
+    UpstreamRequest request;
     boolean closed;
     long idleSince;
     final int generation;
 
-    NodeConnection(NodeActor node, Dialect dialect, int generation, Errand first) {
+    NodeConnection(NodeActor node, Dialect dialect, int generation, UpstreamRequest first) {
         this.node = node;
         this.dialect = dialect;
         this.generation = generation;
-        errand = first;
+        request = first;
     }
 
-    /** Begins to connect; the errand is sent once it is up. */
+    /** Begins to connect; the request is sent once it is up. */
     void connect(InetSocketAddress endpoint, long mostNs) {
         try {
             connection = node.connection();
@@ -60,7 +60,7 @@
     @Override
     public void connected() {
         alarm.cancel();
-        Errand e = errand;
+        UpstreamRequest e = request;
         Outcome forbidden = e == null ? null : node.forbids(e);
         if (forbidden != null) {
             node.refused(this, e, forbidden);
@@ -69,8 +69,8 @@
         }
     }
 
-    /** Sends an errand. */
-    void write(Errand e) {
+    /** Sends a request. */
+    void write(UpstreamRequest e) {
         e.begun = true;
         connection.write(dialect.message(e.command(), e.timeLeftMs(node.now())));
         if (e.query != null && e.command().isLong()) {
@@ -84,15 +84,15 @@
 
     @Override
     public void drained() {
-        if (errand != null) {
-            node.written(errand);
+        if (request != null) {
+            node.written(request);
         }
     }
 
     @Override
     public void came(ByteBuffer bytes) {
         cameAt = node.now();
-        if (passage != null && in.available() == 0 && passage.left() > 0 && passage.wanted()) {
+        if (streamed != null && in.available() == 0 && streamed.left() > 0 && streamed.wanted()) {
             pass(bytes);
         }
         if (bytes.hasRemaining() && !closed) {
@@ -103,10 +103,10 @@
 
     /** The part of what is there that belongs to the value. */
     private void pass(ByteBuffer bytes) {
-        int n = (int) Math.min(bytes.remaining(), passage.left());
+        int n = (int) Math.min(bytes.remaining(), streamed.left());
         ByteBuffer part = bytes.duplicate().limit(bytes.position() + n);
         bytes.position(bytes.position() + n);
-        passage.came(part);
+        streamed.came(part);
         if (!closed) {
             passOn();
         }
@@ -114,27 +114,28 @@
 
     /** Passes on what is there while the client takes it, then reads on. */
     void passOn() {
-        while (!closed && passage != null && passage.left() > 0 && in.available() > 0 && passage.wanted()) {
-            passage.came(ByteBuffer.wrap(in.take(passage.left())));
+        while (!closed && streamed != null && streamed.left() > 0 && in.available() > 0
+            && streamed.wanted()) {
+            streamed.came(ByteBuffer.wrap(in.take(streamed.left())));
         }
-        if (closed || passage == null) {
+        if (closed || streamed == null) {
             return;
         }
-        if (passage.left() == 0) {
+        if (streamed.left() == 0) {
             finish();
         } else {
-            boolean on = passage.wanted();
+            boolean on = streamed.wanted();
             connection.reading(on);
-            watchPassage(on);
+            watchStream(on);
         }
     }
 
     /** The value has passed; its end is looked at before the client is given one. */
     private void finish() {
         connection.reading(true);
-        if (passage.lineEnd()) {
+        if (streamed.lineEnd()) {
             if (in.available() < LINE_END.length) {
-                watchPassage(true);
+                watchStream(true);
                 return;
             }
             if (!Arrays.equals(in.take(LINE_END.length), LINE_END)) {
@@ -143,28 +144,28 @@
                 return;
             }
         }
-        Passage done = passage;
-        passage = null;
+        StreamedResponse done = streamed;
+        streamed = null;
         alarm.cancel();
         done.whole();
         node.free(this, more && in.available() == 0);
     }
 
-    private void watchPassage(boolean on) {
+    private void watchStream(boolean on) {
         alarm.cancel();
         if (on) {
-            alarm = node.loop().after(PASSAGE_STALL_NS, this::cut);
+            alarm = node.loop().after(STREAM_STALL_NS, this::cut);
         }
     }
 
     /** Nobody takes the value: this connection is of no further use. */
     void abandon() {
-        passage = null;
+        streamed = null;
         close();
     }
 
     private void read() {
-        if (passage != null) {
+        if (streamed != null) {
             passOn();
             return;
         }
@@ -179,12 +180,12 @@
                 if (reply.rest() != null) {
                     more = reply.more();
                     connection.reading(false); // until the client's turn has come
-                    passage = new Passage(this, reply.rest());
-                    errand.passage = passage;
-                    node.answers(this, errand, reply);
+                    streamed = new StreamedResponse(this, reply.rest());
+                    request.streamed = streamed;
+                    node.answers(this, request, reply);
                     return;
                 }
-                node.replied(this, errand, in.available() == 0 ? reply : reply.last());
+                node.replied(this, request, in.available() == 0 ? reply : reply.last());
             } catch (IOException bad) {
                 if (bad instanceof ProtocolException) {
                     node.unusable(bad.getMessage());
@@ -195,10 +196,10 @@
     }
 
     private Reply reply(ByteSource from) throws IOException {
-        if (errand == null || !errand.written) {
+        if (request == null || !request.written) {
             throw new ProtocolException(TO_NOTHING);
         }
-        return dialect.reply(from, errand.command());
+        return dialect.reply(from, request.command());
     }
 
     /** An answer has begun; what gives its beginning gives the rest soon. */
@@ -224,9 +225,9 @@
     }
 
     private void brokeOff() {
-        if (passage != null) {
-            Passage broken = passage;
-            passage = null;
+        if (streamed != null) {
+            StreamedResponse broken = streamed;
+            streamed = null;
             broken.broke();
         }
     }
@@ -248,7 +249,7 @@
         return !closed;
     }
 
-    /** Closes it where its errand, if it has one, is still to be ended by the break. */
+    /** Closes it where its request, if it has one, is still to be ended by the break. */
     private void cut() {
         alarm.cancel();
         connection.close();
