--- a/core/src/main/java/spurroad/Customer.java
+++ b/core/src/main/java/spurroad/Customer.java
@@ -4,7 +4,7 @@
 final class Customer {
     private final Fading sent;
     double beyond; // of its queries, by the last word
-    private final Words words = new Words(0, -1); // by us as its keeper
+    private final UpdateBudget words = new UpdateBudget(0, -1); // by us as its keeper
     long saidAt = Long.MIN_VALUE / 2;
 
     Customer(long memoryNs) {
--- a/core/src/main/java/spurroad/Node.java
+++ b/core/src/main/java/spurroad/Node.java
@@ -23,7 +23,7 @@
     int sentSince, trickle, trickleLeft, trickleGood;
     boolean probing, proven = true;
     // as its keeper: the first goes at once
-    private final Words words = new Words(Double.MAX_VALUE, Balance.SAY_NS);
+    private final UpdateBudget words = new UpdateBudget(Double.MAX_VALUE, Balance.SAY_NS);
     double saidPace; // ns; by its keeper, with the last report
     double kept = 1, keptSaid = 1; // share of its keys, by its keeper; what we said last as its keeper
     long keptAt = Long.MIN_VALUE / 2;
--- a/core/src/main/java/spurroad/OriginBacklog.java
+++ b/core/src/main/java/spurroad/OriginBacklog.java
@@ -3,7 +3,7 @@
 /** An origin behind the nodes: which share of what goes there is to go, as its keeper has it. */
 final class OriginBacklog {
     private final Fading late = new Fading(Balance.HELD_NS); // where we are its keeper: writes of all proxies
-    private final Words words = new Words(0, Balance.SAY_NS);
+    private final UpdateBudget words = new UpdateBudget(0, Balance.SAY_NS);
     private double share = 1, said = 1;
     private long steeredAt, saidAt = Long.MIN_VALUE / 2;
 
