--- a/rig/src/main/java/spurroad/rig/scale/CapacityReport.java
+++ b/rig/src/main/java/spurroad/rig/scale/CapacityReport.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.DoubleUnaryOperator;
+import spurroad.control.distribution.DistributionSettings;
 
 /**
  * What a fleet would cost its proxies and its control machines, worked out from measured series, beside what
@@ -13,12 +14,15 @@
     private static final double BURST = 100; // changes within a second
     // 64 bits in hexadecimal digits, and the framing of a chunk
     private static final double PURGE_LINE_BYTES = 20;
+    private static final double PURGE_BYTES = 8; // in a batch: a hash of the key
     private static final double HEADER_BYTES = 52; // of TCP with timestamps and IPv4
     private static final double EMPTY_LINES_PER_SECOND = 0.5; // of a watch
     // messages to all that a request earns at the most: Balance.WORDS_EACH
     private static final double TO_ALL_MOST = 24;
     private static final double CUT_SECONDS = 3_600;
     private static final double KILO = 1e3;
+    private static final double FLUSHES_PER_SECOND = (double) DistributionSettings.SECOND
+        / new DistributionSettings().flushInterval;
     private static final double MOST_SIZE = 1e7; // up to which an allowance's end is looked for
     private static final int HALVINGS = 60;
     // of a node that comes back cold, as in the measurements
@@ -74,6 +78,8 @@
         sizeRow(table, "proxies", plan.proxies());
         sizeRow(table, "nodes", plan.nodes());
         sizeRow(table, "requests/s", plan.requestsPerSecond());
+        sizeRow(table, "Gbit/s to clients", plan.bitsPerSecond() / 1e9);
+        sizeRow(table, "objects a node, if each such place keeps all", plan.objects(), plan.nodes());
         sizeRow(table, "changes of the list/s, mean day", plan.listChangesPerSecond());
         sizeRow(table, "changes of the list/s, in a release", releaseChanges());
         section(String.format(Locale.ROOT, "Sizes (skew of regions and zones %.1f, of sites %.1f)",
@@ -84,12 +90,12 @@
         each.row("Gbit/s of a proxy", MarkdownTable.figure(plan.bitsPerSecond() / plan.proxies() / 1e9));
         each.row("KB an answer",
             MarkdownTable.figure(plan.bitsPerSecond() / plan.requestsPerSecond() / 8 / KILO));
-        each.row("objects a node, one copy each", MarkdownTable.figure(plan.objects() / plan.nodes()));
-        each.row("objects a node of the mean site, a copy at each site",
-            MarkdownTable.figure(plan.objects() / ((double) plan.nodes() / plan.sites())));
         each.row("changes of configuration/s", MarkdownTable.figure(plan.configurationChangesPerSecond()));
         each.row("changes of configuration and of the list/s",
             MarkdownTable.figure(plan.configurationChangesPerSecond() + plan.listChangesPerSecond()));
+        each.row("whole lists of the fleet for each change of either (KB/s)",
+            MarkdownTable.figure((plan.configurationChangesPerSecond() + plan.listChangesPerSecond())
+                * list.at(plan.nodes(), ListReading.BYTES)));
         section("Means", each);
     }
 
@@ -100,6 +106,17 @@
             MarkdownTable.figure(whole * plan.largestSite()));
     }
 
+    /** Something that is the same everywhere, over nodes of which there are fewer in smaller places. */
+    private void sizeRow(MarkdownTable table, String of, double everywhere, double nodes) {
+        table.row(of, MarkdownTable.figure(everywhere / nodes),
+            MarkdownTable.figure(everywhere * plan.regions() / nodes),
+            MarkdownTable.figure(everywhere / (nodes * plan.largestRegion())),
+            MarkdownTable.figure(everywhere * plan.zones() / nodes),
+            MarkdownTable.figure(everywhere / (nodes * plan.largestZone())),
+            MarkdownTable.figure(everywhere * plan.sites() / nodes),
+            MarkdownTable.figure(everywhere / (nodes * plan.largestSite())));
+    }
+
     private double releaseChanges() {
         return plan.listChangesPerSecond() * 24 / RELEASE_HOURS;
     }
@@ -122,19 +139,23 @@
             List.of("a proxy knows", "nodes", "state (MB)", "of 64 MB", "garbage of a rebuilt ring (MB)",
                 "whole list (KB)", "connections", "of 1,024", "requests/s of a node", "proxies at a node",
                 "beyond measured"));
-        MarkdownTable rates = new MarkdownTable(
+        MarkdownTable cpu = new MarkdownTable(
             List.of("a proxy knows", "a change (ms)", "day, mean (% of a core)", "of 5%",
                 "release (% of a core)",
-                "of 5%", "changes/s at 5%", "whole lists, day (KB/s)", "of 17 KB/s",
-                "changes alone, day (KB/s)",
-                "of 17 KB/s"));
+                "of 5%", "joined every 250 ms, at most (% of a core)", "of 5%", "changes/s at 5%"));
+        MarkdownTable network = new MarkdownTable(
+            List.of("a proxy knows", "whole lists, day (KB/s)", "of 17 KB/s", "whole lists, release (KB/s)",
+                "of 17 KB/s", "changes alone, day (KB/s)", "changes alone, release (KB/s)", "of 17 KB/s"));
         for (Scope scope : scopes()) {
             double nodes = Math.max(1, plan.nodes() * scope.part);
             cost.row(stateRow(scope, nodes));
-            rates.row(ratesRow(scope, nodes));
+            cpu.row(changesCpuRow(scope, nodes));
+            network.row(changesNetworkRow(scope, nodes));
         }
         section("A proxy, by which nodes it knows: state", cost);
-        section("A proxy, by which nodes it knows: changes of the list, the ring rebuilt after each", rates);
+        section("A proxy, by which nodes it knows: processor time of changes, the ring rebuilt after each",
+            cpu);
+        section("A proxy, by which nodes it knows: bytes of changes", network);
     }
 
     private List<String> stateRow(Scope scope, double nodes) {
@@ -154,23 +175,30 @@
         return list.at(nodes, ListReading.TAKEN) > 0.5;
     }
 
-    private List<String> ratesRow(Scope scope, double nodes) {
+    private List<String> changesCpuRow(Scope scope, double nodes) {
         double changeMillis = changes.at(nodes, ListChanges.REBUILT)
             + list.at(nodes, ListReading.CHANGE_CPU) / KILO;
+        double percentOfOne = changeMillis / KILO * 100; // with one a second
+        double day = plan.listChangesPerSecond() * scope.part * percentOfOne;
+        double release = releaseChanges() * scope.part * percentOfOne;
+        double joined = FLUSHES_PER_SECOND * percentOfOne;
+        return List.of(scope.name, MarkdownTable.figure(changeMillis), MarkdownTable.figure(day),
+            Allowance.PROXY_CPU.verdict(day), MarkdownTable.figure(release),
+            Allowance.PROXY_CPU.verdict(release),
+            MarkdownTable.figure(joined), Allowance.PROXY_CPU.verdict(joined),
+            MarkdownTable.figure(Allowance.PROXY_CPU.value() / percentOfOne));
+    }
+
+    private List<String> changesNetworkRow(Scope scope, double nodes) {
         double day = plan.listChangesPerSecond() * scope.part;
         double release = releaseChanges() * scope.part;
-        double percentPerChange = changeMillis / KILO * 100;
-        double wholeLists = day * list.at(nodes, ListReading.BYTES);
-        double alone = day * (list.at(nodes, ListReading.CHANGE_BYTES) + HEADER_BYTES) / KILO;
-        return List.of(scope.name, MarkdownTable.figure(changeMillis),
-            MarkdownTable.figure(day * percentPerChange),
-            Allowance.PROXY_CPU.verdict(day * percentPerChange),
-            MarkdownTable.figure(release * percentPerChange),
-            Allowance.PROXY_CPU.verdict(release * percentPerChange),
-            MarkdownTable.figure(Allowance.PROXY_CPU.value() / percentPerChange),
-            MarkdownTable.figure(wholeLists),
-            Allowance.PROXY_NETWORK.verdict(wholeLists), MarkdownTable.figure(alone),
-            Allowance.PROXY_NETWORK.verdict(alone));
+        double whole = list.at(nodes, ListReading.BYTES);
+        double alone = (list.at(nodes, ListReading.CHANGE_BYTES) + HEADER_BYTES) / KILO;
+        return List.of(scope.name, MarkdownTable.figure(day * whole),
+            Allowance.PROXY_NETWORK.verdict(day * whole),
+            MarkdownTable.figure(release * whole), Allowance.PROXY_NETWORK.verdict(release * whole),
+            MarkdownTable.figure(day * alone), MarkdownTable.figure(release * alone),
+            Allowance.PROXY_NETWORK.verdict(release * alone));
     }
 
     /** What proxies do to one node that they know, and what each of them sees of it. */
@@ -272,7 +300,7 @@
         double single = plan.purgesPerSecond() * (PURGE_LINE_BYTES + HEADER_BYTES) / KILO;
         table.row("one by one to a proxy, 20 bytes and headers (KB/s)", MarkdownTable.figure(single),
             Allowance.PROXY_NETWORK.verdict(single));
-        double batched = plan.purgesPerSecond() * 8 / KILO;
+        double batched = plan.purgesPerSecond() * PURGE_BYTES / KILO;
         table.row("batched, 8 bytes each (KB/s)", MarkdownTable.figure(batched),
             Allowance.PROXY_NETWORK.verdict(batched));
         table.row("deliveries to each node, all together (1/s)",
@@ -287,10 +315,18 @@
             Allowance.CONTROL_CORE.verdict(cores));
         double backlog = plan.purgesPerSecond() * CUT_SECONDS;
         table.row("purges of an hour's cut", MarkdownTable.count(backlog), "");
-        table.row("the same, 8 bytes each (MB)", MarkdownTable.figure(backlog * 8 / 1e6), "");
+        table.row("the same, 8 bytes each (MB)", MarkdownTable.figure(backlog * PURGE_BYTES / 1e6), "");
         double spare = (Allowance.PROXY_NETWORK.value() - batched) * KILO;
         table.row("time for a proxy to catch up within 17 KB/s (s)",
-            MarkdownTable.figure(backlog * 8 / spare), "");
+            MarkdownTable.figure(backlog * PURGE_BYTES / spare), "");
+        DistributionSettings distribution = new DistributionSettings();
+        double bytesPerSecond = distribution.mostPurgesPerUpdate * PURGE_BYTES * FLUSHES_PER_SECOND;
+        table.row("the distribution's bound on catching up (KB/s)",
+            MarkdownTable.figure(bytesPerSecond / KILO),
+            Allowance.PROXY_NETWORK.verdict(bytesPerSecond / KILO));
+        table.row("time to catch up at that bound (s)",
+            MarkdownTable.figure(backlog * PURGE_BYTES / bytesPerSecond),
+            "");
         section("Purges", table);
     }
 
@@ -314,6 +350,11 @@
         limit(table, "rings rebuilt in a release", Allowance.PROXY_CPU, "nodes known", plan.nodes(),
             nodes -> releaseChanges() * nodes / plan.nodes() * changes.at(nodes, ListChanges.REBUILT) / KILO
                 * 100);
+        limit(table, "rings rebuilt every 250 ms (a burst, joined)", Allowance.PROXY_CPU, "nodes known",
+            plan.nodes(), nodes -> FLUSHES_PER_SECOND * changes.at(nodes, ListChanges.REBUILT) / KILO * 100);
+        limit(table, "two requests in 4 s to judge a node by", new Allowance(1, "of its needs"),
+            "nodes known",
+            plan.nodes(), nodes -> LEAST_ENDS * nodes / (plan.requestsPerProxy() * MEMORY_SECONDS));
         limit(table, "whole lists for each change, mean day", Allowance.PROXY_NETWORK, "nodes known",
             plan.nodes(),
             nodes -> plan.listChangesPerSecond() * nodes / plan.nodes() * list.at(nodes, ListReading.BYTES));
