--- /dev/null
+++ b/cli/src/main/java/spurroad/cli/FleetCommand.java
@@ -0,0 +1,98 @@
+package spurroad.cli;
+
+import java.io.PrintWriter;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Spec;
+import spurroad.rig.fleet.FleetFootprint;
+import spurroad.rig.fleet.FleetResult;
+import spurroad.rig.fleet.FleetRun;
+import spurroad.rig.fleet.FleetScenario;
+import spurroad.rig.fleet.FleetShape;
+import spurroad.rig.fleet.FleetTables;
+
+/** Plays how changes and purges reach a large fleet, in simulated time. */
+@Command(name = "fleet", mixinStandardHelpOptions = true, description = {
+    "Plays in simulated time how changes and purges reach a fleet of hollow proxies, on a quiet day and in",
+    "failures, and prints latencies, traffic and memory as Markdown tables."})
+final class FleetCommand implements Callable<Integer> {
+    private static final int CUT_SECONDS = 20;
+    private static final int HOUR_SECONDS = 3_600;
+
+    @Option(names = "--proxies", paramLabel = "N", split = ",",
+        description = "Sizes of the fleet (${DEFAULT-VALUE}); other sizes than 16000 play a quiet day and a burst.")
+    private List<Integer> sizes = List.of(6_800, 16_000, 32_000);
+    @Option(names = "--scenario", paramLabel = "NAME", split = ",",
+        description = "Only these, at every size: ${COMPLETION-CANDIDATES}.")
+    private List<FleetScenario> scenarios = List.of();
+    @Option(names = "--seed", paramLabel = "N", split = ",",
+        description = "One run for each (${DEFAULT-VALUE}).")
+    private List<Long> seeds = List.of(1L);
+    @Option(names = "--hour",
+        description = "Plays a cut of a whole hour, on a fleet of 600 proxies, and nothing else.")
+    private boolean hour;
+    @Spec
+    private CommandSpec spec;
+
+    @Override
+    public Integer call() {
+        PrintWriter out = spec.commandLine().getOut();
+        List<FleetFootprint> footprints = hour ? List.of()
+            : sizes.stream().map(size -> FleetFootprint.measure(FleetShape.of(size))).toList(); // in a fresh heap
+        List<FleetResult> results = new ArrayList<>();
+        if (hour) {
+            seeds.forEach(
+                seed -> results.add(FleetRun.play(FleetShape.small(600), FleetScenario.REGION_CUT, seed,
+                    HOUR_SECONDS)));
+        } else {
+            playSizes(results);
+        }
+        out.println();
+        FleetTables.latencies(out, results);
+        FleetTables.cuts(out, results);
+        out.println();
+        FleetTables.traffic(out, results);
+        if (!footprints.isEmpty()) {
+            out.println();
+            FleetTables.memory(out, footprints);
+        }
+        out.flush();
+        return results.stream().anyMatch(FleetCommand::isBroken) ? Spurroad.FAILED : 0;
+    }
+
+    private void playSizes(List<FleetResult> results) {
+        for (int size : sizes) {
+            for (FleetScenario scenario : scenariosAt(size)) {
+                for (long seed : seeds) {
+                    FleetResult result = FleetRun.play(FleetShape.of(size), scenario, seed, CUT_SECONDS);
+                    results.add(result);
+                    spec.commandLine().getErr().printf(Locale.ROOT,
+                        "%,d proxies, %s, seed %d: %.0f s simulated in %.0f"
+                            + " s of processor time%n",
+                        size, scenario.title(), seed, result.simulatedSeconds(),
+                        result.cpuSeconds());
+                    spec.commandLine().getErr().flush();
+                }
+            }
+        }
+    }
+
+    private List<FleetScenario> scenariosAt(int size) {
+        if (!scenarios.isEmpty()) {
+            return scenarios;
+        }
+        return size == 16_000 ? Arrays.asList(FleetScenario.values())
+            : List.of(FleetScenario.QUIET, FleetScenario.BURST);
+    }
+
+    private static boolean isBroken(FleetResult result) {
+        return result.lateChanges() > 0 || result.latePurges() > 0 || result.wronglyFresh() > 0
+            || result.behind() > 0;
+    }
+}
--- a/cli/src/main/java/spurroad/cli/Spurroad.java
+++ b/cli/src/main/java/spurroad/cli/Spurroad.java
@@ -12,6 +12,7 @@
     sortOptions = false,
     description = "A proxy that spreads keys over cache nodes before a slow origin, and what belongs to it.",
     subcommands = {ServeCommand.class, CheckCommand.class, ExplainCommand.class, RigCommand.class,
+        FleetCommand.class,
         Version.class,
         AutoComplete.GenerateCompletion.class},
     exitCodeListHeading = "%nExit codes:%n",
--- a/control/src/main/java/spurroad/control/distribution/ControlMachine.java
+++ b/control/src/main/java/spurroad/control/distribution/ControlMachine.java
@@ -5,6 +5,7 @@
 import spurroad.control.distribution.Message.Acknowledge;
 import spurroad.control.distribution.Message.LeaseRequest;
 import spurroad.control.distribution.Message.Subscribe;
+import spurroad.control.distribution.Message.Unsubscribe;
 
 /**
  * One machine of the control service: a replica of the core that also publishes to relays and grants their
@@ -38,6 +39,8 @@
             publisher.subscribed(now, from, subscribe, standing(now), outbox);
         } else if (message instanceof Acknowledge acknowledge) {
             publisher.acknowledged(now, from, acknowledge);
+        } else if (message instanceof Unsubscribe unsubscribe) {
+            publisher.unsubscribed(from, unsubscribe);
         } else if (message instanceof LeaseRequest request) {
             grantor.requested(now, from, request, outbox);
         } else {
--- a/control/src/main/java/spurroad/control/distribution/CoreReplica.java
+++ b/control/src/main/java/spurroad/control/distribution/CoreReplica.java
@@ -41,6 +41,7 @@
 
     private final DistributionSettings settings;
     private final ProcessId self;
+    private final List<ProcessId> members;
     private final List<ProcessId> others;
     private final StableState stable;
     private final ConfigurationState configuration;
@@ -51,6 +52,7 @@
 
     private Role role = Role.FOLLOWER;
     private ProcessId primary;
+    private ProcessId lastPrimary;
     private long commitIndex;
     private long appliedEpoch;
     private long primaryHeardAt = Long.MIN_VALUE;
@@ -72,6 +74,7 @@
         this.self = self;
         this.stable = stable;
         this.accepted = accepted;
+        this.members = List.copyOf(members);
         others = members.stream().filter(member -> !member.equals(self)).toList();
         random = new Random(seed);
         configuration = new ConfigurationState(settings.configurationLog);
@@ -93,7 +96,10 @@
     }
 
     private void awaitPrimary(long now) {
-        electionAt = now + settings.electionTimeout + (long) (random.nextDouble() * settings.electionTimeout);
+        int last = lastPrimary == null ? -1 : members.indexOf(lastPrimary);
+        int rank = Math.floorMod(members.indexOf(self) - 1 - last, members.size());
+        double jitter = 3 * random.nextDouble();
+        electionAt = now + settings.electionTimeout + (long) ((rank + jitter) * settings.electionStagger);
     }
 
     /** Takes a message of another replica. */
@@ -208,6 +214,7 @@
     private void becomePrimary(long now, Outbox outbox) {
         role = Role.PRIMARY;
         primary = self;
+        lastPrimary = self;
         followers.clear();
         for (ProcessId other : others) {
             Follower follower = new Follower();
@@ -423,6 +430,7 @@
         follow(now, epoch);
         role = Role.FOLLOWER;
         primary = from;
+        lastPrimary = from;
         primaryHeardAt = now;
         awaitPrimary(now);
     }
--- a/control/src/main/java/spurroad/control/distribution/DistributionSettings.java
+++ b/control/src/main/java/spurroad/control/distribution/DistributionSettings.java
@@ -20,8 +20,11 @@
     public final long resendAfter = SECOND;
     /** A child is dropped when nothing was heard of it for so long. */
     public final long childTimeout = 5 * SECOND;
-    /** How many updates may be on the way to a child. */
-    public final int mostUnacknowledged = 6;
+    /**
+     * How many updates may be on the way to a child: what a round trip round the world takes, and one late
+     * one.
+     */
+    public final int mostUnacknowledged = 3;
     /** Purges in one update: 32 KiB, so that one who catches up takes 128 KiB a second. */
     public final int mostPurgesPerUpdate = 4_096;
     /** Children of one publisher. */
@@ -54,8 +57,12 @@
     public final long returnInterval = 10 * SECOND;
     /** The primary of the core sends at least so often. */
     public final long coreInterval = 100 * MILLISECOND;
-    /** A replica that has heard of no primary for so long stands for election; spread up to twice that. */
-    public final long electionTimeout = SECOND;
+    /** The replica after the last primary stands for election when it has heard of none for so long. */
+    public final long electionTimeout = 600 * MILLISECOND;
+    /**
+     * How much later than the one before it each further replica stands, so that they do not split the votes.
+     */
+    public final long electionStagger = 100 * MILLISECOND;
     /** Entries of the core's log that are kept for replicas that are behind. */
     public final int coreLog = 8_192;
     /** Bytes of entries in one message between replicas are bounded by this number of entries. */
--- a/control/src/main/java/spurroad/control/distribution/Lease.java
+++ b/control/src/main/java/spurroad/control/distribution/Lease.java
@@ -10,6 +10,7 @@
  * when it asked, so that it ends here before it ends there.
  */
 final class Lease {
+    private static final long PAUSE = 5 * DistributionSettings.SECOND; // of one whom nobody answers in time
     private static final long LONGEST_MILLIS = 10_000; // whatever a grantor says
     private static final int RETURN_AFTER = 10; // requests until the first grantor is asked again
 
@@ -19,6 +20,8 @@
     private final Random random;
     private int grantor;
     private int requests;
+    private int unanswered; // requests in a row
+    private int declined; // requests in a row
     private boolean isAwaited;
     private long requestAt;
     private long heldUntil = Long.MIN_VALUE;
@@ -50,6 +53,13 @@
         }
         if (isAwaited) {
             grantor = (grantor + 1) % grantors.size();
+            unanswered++;
+        }
+        if (unanswered >= grantors.size()) {
+            unanswered = 0;
+            isAwaited = false;
+            requestAt = now + PAUSE;
+            return;
         }
         if (++requests % RETURN_AFTER == 0) {
             grantor = 0;
@@ -59,15 +69,26 @@
         outbox.send(grantors.get(grantor), new LeaseRequest(group, now / DistributionSettings.MILLISECOND));
     }
 
-    /** Takes an answer; one that it does not wait for any longer counts too. */
+    /**
+     * Takes an answer. One that comes late is of no use: whoever is so slow to read must not relay, and asks
+     * again only after a pause.
+     */
     void replied(long now, ProcessId from, LeaseReply reply) {
-        if (!reply.group().equals(group)) {
+        long askedAt = reply.echoMillis() * DistributionSettings.MILLISECOND;
+        boolean isPlausible = reply.echoMillis() <= now / DistributionSettings.MILLISECOND;
+        if (!reply.group().equals(group) || !isPlausible) {
+            return;
+        }
+        if (now - askedAt >= settings.requestTimeout) {
+            isAwaited = false;
+            requestAt = Math.max(requestAt, now + PAUSE);
             return;
         }
-        if (reply.granted() && reply.echoMillis() <= now / DistributionSettings.MILLISECOND) {
+        unanswered = 0;
+        declined = 0;
+        if (reply.granted()) {
             long durationMillis = Math.min(reply.durationMillis(), LONGEST_MILLIS);
-            long until = (reply.echoMillis() + durationMillis) * DistributionSettings.MILLISECOND;
-            heldUntil = Math.max(heldUntil, until);
+            heldUntil = Math.max(heldUntil, askedAt + durationMillis * DistributionSettings.MILLISECOND);
         }
         if (isAwaited && from.equals(grantors.get(grantor))) {
             isAwaited = false;
@@ -76,11 +97,19 @@
         }
     }
 
-    /** A grantor that can't grant at present: the next one is asked. */
+    /**
+     * A grantor that can't grant at present: the next one is asked, and after all of them the first one
+     * later.
+     */
     void notGranting(long now, ProcessId from) {
-        if (isAwaited && from.equals(grantors.get(grantor))) {
-            requestAt = now;
+        if (!isAwaited || !from.equals(grantors.get(grantor))) {
+            return;
         }
+        isAwaited = false;
+        unanswered = 0;
+        grantor = (grantor + 1) % grantors.size();
+        declined++;
+        requestAt = declined % grantors.size() == 0 ? now + settings.leaseInterval : now;
     }
 
     /** Gives it up. */
--- a/control/src/main/java/spurroad/control/distribution/Message.java
+++ b/control/src/main/java/spurroad/control/distribution/Message.java
@@ -20,6 +20,9 @@
         public static final long NO_PURGES = -1;
     }
 
+    /** Ends a subscription. */
+    record Unsubscribe(long sentAtMillis) implements Message {}
+
     /** Why a subscription was refused, or ended by the publisher. */
     enum RefusalReason {
         /** It holds no relay lease. */
--- a/control/src/main/java/spurroad/control/distribution/MessageCodec.java
+++ b/control/src/main/java/spurroad/control/distribution/MessageCodec.java
@@ -15,6 +15,7 @@
 import spurroad.control.distribution.Message.RefusalReason;
 import spurroad.control.distribution.Message.Refused;
 import spurroad.control.distribution.Message.Subscribe;
+import spurroad.control.distribution.Message.Unsubscribe;
 import spurroad.control.distribution.Message.Update;
 import spurroad.control.distribution.Message.Vote;
 import spurroad.control.distribution.Message.VoteRequest;
@@ -35,6 +36,7 @@
     private static final int APPEND = 9;
     private static final int APPEND_REPLY = 10;
     private static final int INSTALL_STATE = 11;
+    private static final int UNSUBSCRIBE = 12;
 
     private static final int ABSENT = 0; // part of an update
     private static final int DELTA = 1;
@@ -65,6 +67,9 @@
             out.number(acknowledge.sentAtMillis());
         } else if (message instanceof Subscribe subscribe) {
             writeSubscribe(out, subscribe);
+        } else if (message instanceof Unsubscribe unsubscribe) {
+            out.octet(UNSUBSCRIBE);
+            out.number(unsubscribe.sentAtMillis());
         } else if (message instanceof Refused refused) {
             out.octet(REFUSED);
             out.octet(refused.reason().ordinal());
@@ -247,6 +252,7 @@
         int kind = in.octet();
         return switch (kind) {
             case SUBSCRIBE -> readSubscribe(in);
+            case UNSUBSCRIBE -> new Unsubscribe(in.number());
             case REFUSED -> new Refused(readReason(in), in.number());
             case UPDATE -> new Update(in.number(), readHeartbeat(in), readConfiguration(in), readPurges(in));
             case ACKNOWLEDGE ->
--- a/control/src/main/java/spurroad/control/distribution/Publisher.java
+++ b/control/src/main/java/spurroad/control/distribution/Publisher.java
@@ -10,6 +10,7 @@
 import spurroad.control.distribution.Message.RefusalReason;
 import spurroad.control.distribution.Message.Refused;
 import spurroad.control.distribution.Message.Subscribe;
+import spurroad.control.distribution.Message.Unsubscribe;
 import spurroad.control.distribution.Message.Update;
 
 /**
@@ -44,7 +45,6 @@
             purgeSent = purgeAcknowledged;
             rewoundAt = updatesSent;
             rewoundTime = now;
-            updatesAcknowledged = updatesSent;
         }
     }
 
@@ -63,6 +63,7 @@
     private long madeAtSequence;
     private long madeAtPurge;
     private long nextFlush = Long.MAX_VALUE;
+    private long purgesKeptAfter = Long.MAX_VALUE;
 
     /** Creates one for a state that its owner brings forward. */
     public Publisher(DistributionSettings settings, Scope scope, ConfigurationState configuration,
@@ -145,11 +146,20 @@
         child.purgeAcknowledged = Math.max(child.purgeAcknowledged, acknowledge.purgeNumber());
         if (acknowledge.missed() && acknowledge.updateNumber() > child.rewoundAt) {
             child.rewind(now);
+            child.updatesAcknowledged = child.updatesSent;
         }
         child.sequenceSent = Math.max(child.sequenceSent, child.sequenceAcknowledged);
         child.purgeSent = Math.max(child.purgeSent, child.purgeAcknowledged);
     }
 
+    /** Takes note that a child has left. */
+    public void unsubscribed(ProcessId from, Unsubscribe message) {
+        Child child = children.get(from);
+        if (child != null && message.sentAtMillis() >= child.heardMillis) {
+            children.remove(from);
+        }
+    }
+
     /**
      * Where it is time, sends to each child what is new to it, or a heartbeat; drops those that have fallen
      * silent.
@@ -170,7 +180,7 @@
     }
 
     private void keepPurgesThatAreNeeded() {
-        long needed = Long.MAX_VALUE;
+        long needed = purgesKeptAfter;
         for (Child child : children.values()) {
             needed = Math.min(needed, child.purgeAcknowledged);
         }
@@ -186,6 +196,7 @@
             return false;
         }
         child.rewind(now);
+        child.updatesAcknowledged = child.updatesSent - settings.mostUnacknowledged + 1; // room for one, to try
         return true;
     }
 
@@ -243,6 +254,12 @@
         keepPurgesThatAreNeeded();
     }
 
+    /** Keeps the purges after a number, whatever its children need; {@code Long.MAX_VALUE} to end that. */
+    public void keepPurgesAfter(long number) {
+        purgesKeptAfter = number;
+        keepPurgesThatAreNeeded();
+    }
+
     /** When to flush next. */
     public long nextFlushAt() {
         return nextFlush;
--- a/control/src/main/java/spurroad/control/distribution/Relay.java
+++ b/control/src/main/java/spurroad/control/distribution/Relay.java
@@ -8,6 +8,7 @@
 import spurroad.control.distribution.Message.RefusalReason;
 import spurroad.control.distribution.Message.Refused;
 import spurroad.control.distribution.Message.Subscribe;
+import spurroad.control.distribution.Message.Unsubscribe;
 import spurroad.control.distribution.Message.Update;
 
 /**
@@ -29,6 +30,7 @@
                         int subgroupLeases) {}
 
     private static final long RELEASE_AFTER = 3 * DistributionSettings.SECOND; // without a parent
+    private static final long RETURN = 60 * DistributionSettings.SECOND; // of children that left it without a parent
     private static final long ABSTAIN = 5 * DistributionSettings.SECOND; // from the lease that it let go
 
     private final DistributionSettings settings;
@@ -40,6 +42,8 @@
     private boolean isRelay;
     private long attachedAt;
     private long abstainUntil;
+    private boolean wasAttached;
+    private long keepUntil = Long.MAX_VALUE;
 
     /** Creates one without state, parent or lease. */
     public Relay(long now, DistributionSettings settings, Scope scope, Place place, AppliedListener listener,
@@ -64,11 +68,14 @@
             subscribed(now, from, subscribe, outbox);
         } else if (message instanceof Acknowledge acknowledge) {
             publisher.acknowledged(now, from, acknowledge);
+        } else if (message instanceof Unsubscribe unsubscribe) {
+            publisher.unsubscribed(from, unsubscribe);
         } else if (message instanceof LeaseRequest request) {
             leaseRequested(now, from, request, outbox);
         } else if (message instanceof LeaseReply reply) {
             leaseReplied(now, from, reply);
         } else if (message instanceof Update || message instanceof Refused) {
+            followParent(now);
             subscriber.receive(now, from, message, outbox);
         }
         followLease(now, outbox);
@@ -102,6 +109,7 @@
     @Override
     public void wake(long now, Outbox outbox) {
         subscriber.wake(now, outbox);
+        followParent(now);
         if (subscriber.isAttached()) {
             attachedAt = now;
         } else if (isRelay && now - attachedAt >= RELEASE_AFTER) {
@@ -113,6 +121,24 @@
         publisher.flush(now, standing(now), outbox);
     }
 
+    /**
+     * Those below lost it with this process, and will be as far behind as it was: what it misses without a
+     * parent is kept for them until they had time to come back.
+     */
+    private void followParent(long now) {
+        boolean isAttached = subscriber.isAttached();
+        if (!isAttached && wasAttached) {
+            publisher.keepPurgesAfter(subscriber.purges().oldest());
+            keepUntil = Long.MAX_VALUE;
+        } else if (isAttached && !wasAttached) {
+            keepUntil = now + RETURN;
+        } else if (isAttached && now >= keepUntil) {
+            publisher.keepPurgesAfter(Long.MAX_VALUE);
+            keepUntil = Long.MAX_VALUE;
+        }
+        wasAttached = isAttached;
+    }
+
     private void followLease(long now, Outbox outbox) {
         boolean holds = lease.isHeld(now);
         if (holds == isRelay) {
--- a/control/src/main/java/spurroad/control/distribution/Subscriber.java
+++ b/control/src/main/java/spurroad/control/distribution/Subscriber.java
@@ -7,6 +7,7 @@
 import spurroad.control.distribution.Message.RefusalReason;
 import spurroad.control.distribution.Message.Refused;
 import spurroad.control.distribution.Message.Subscribe;
+import spurroad.control.distribution.Message.Unsubscribe;
 import spurroad.control.distribution.Message.Update;
 
 /**
@@ -19,6 +20,7 @@
     private static final long SPREAD = 200 * DistributionSettings.MILLISECOND; // of those who lose one parent together
     private static final long REFUSAL_PAUSE = 500 * DistributionSettings.MILLISECOND;
 
+    private static final int MOST_DOUBLINGS = 3; // of the time for an answer
     private static final long LONGEST_PAUSE_MILLIS = 10_000; // whatever a publisher says
 
     private final DistributionSettings settings;
@@ -33,6 +35,8 @@
 
     private Link link = Link.SEARCHING;
     private ProcessId parent;
+    private ProcessId formerParent; // that was not told yet
+    private int failedAttempts; // in a row
     private long epoch;
     private boolean knowsPurges;
     private int shortLogs; // candidates in a row whose log of purges was too short
@@ -110,6 +114,7 @@
     private void attached(long now) {
         link = Link.ATTACHED;
         shortLogs = 0;
+        failedAttempts = 0;
         detachedSince = Long.MAX_VALUE;
         selector.succeeded(parent);
         long away = settings.returnInterval + (long) (random.nextDouble() * settings.returnInterval);
@@ -157,6 +162,9 @@
     }
 
     private void search(long now) {
+        if (link != Link.SEARCHING) {
+            formerParent = parent;
+        }
         link = Link.SEARCHING;
         parent = null;
         searchAt = now;
@@ -167,6 +175,7 @@
         if (link != Link.SEARCHING && isLost(now)) {
             boolean wasAttached = link == Link.ATTACHED;
             selector.failed(parent, now);
+            failedAttempts++;
             search(now);
             if (wasAttached) {
                 searchAt = now + (long) (random.nextDouble() * SPREAD);
@@ -181,15 +190,25 @@
     }
 
     private boolean isLost(long now) {
-        long timeout = link == Link.SUBSCRIBING ? settings.requestTimeout : settings.parentTimeout;
+        long timeout = link == Link.SUBSCRIBING ? requestTimeout() : settings.parentTimeout;
         return now - lastHeard >= timeout || now >= detachedUntil();
     }
 
+    /** Longer after each round in which nobody answered: it may be this process that is slow to read. */
+    private long requestTimeout() {
+        int rounds = failedAttempts / Math.max(1, selector.size());
+        return settings.requestTimeout << Math.min(rounds, MOST_DOUBLINGS);
+    }
+
     private long detachedUntil() {
         return detachedSince == Long.MAX_VALUE ? Long.MAX_VALUE : detachedSince + settings.detachedTimeout;
     }
 
     private void subscribe(long now, Outbox outbox) {
+        if (formerParent != null) {
+            outbox.send(formerParent, new Unsubscribe(sendTime(now)));
+            formerParent = null;
+        }
         parent = selector.next(now);
         if (parent == null) {
             searchAt = Math.max(now, selector.nextAt());
@@ -212,7 +231,7 @@
     public long nextWakeAt() {
         return switch (link) {
             case SEARCHING -> searchAt;
-            case SUBSCRIBING -> lastHeard + settings.requestTimeout;
+            case SUBSCRIBING -> lastHeard + requestTimeout();
             case ATTACHED ->
                 Math.min(Math.min(lastHeard + settings.parentTimeout, detachedUntil()), returnAt);
         };
--- a/control/src/test/java/spurroad/control/distribution/LinkTest.java
+++ b/control/src/test/java/spurroad/control/distribution/LinkTest.java
@@ -7,6 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import java.util.stream.IntStream;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import spurroad.control.distribution.ConfigurationUpdate.Delta;
@@ -16,6 +17,7 @@
 import spurroad.control.distribution.Message.RefusalReason;
 import spurroad.control.distribution.Message.Refused;
 import spurroad.control.distribution.Message.Subscribe;
+import spurroad.control.distribution.Message.Unsubscribe;
 import spurroad.control.distribution.Message.Update;
 
 /** One publisher and one subscriber, message by message. */
@@ -236,6 +238,25 @@
         assertFalse(subscriber.isAttached());
     }
 
+    @Test
+    public void aParentThatIsLeftIsToldAndAnOlderWordDoesNotEndANewerSubscription() {
+        attach(START);
+        ProcessId first = subscriber.parent();
+        long lost = START + settings.parentTimeout;
+        subscriber.wake(lost, this::fromChild);
+        subscriber.wake(subscriber.nextWakeAt(), this::fromChild);
+        int leaving = IntStream.range(0, toParent.size()).filter(i -> toParent.get(i) instanceof Unsubscribe)
+            .findFirst().orElseThrow();
+        Unsubscribe left = (Unsubscribe) toParent.get(leaving);
+        assertEquals(asked.get(asked.size() - toParent.size() + leaving), first);
+        publisher.subscribed(lost + SECOND, CHILD, new Subscribe(EAST, true, 1, 0, 0, false,
+            left.sentAtMillis() + 1), standing, (to, m) -> {});
+        publisher.unsubscribed(CHILD, left);
+        assertEquals(publisher.children(), 1);
+        publisher.unsubscribed(CHILD, new Unsubscribe(left.sentAtMillis() + 2));
+        assertEquals(publisher.children(), 0);
+    }
+
     @Test
     public void thoseWhoComeAtOnceAreTakenAtABoundedRateAndSpread() {
         List<Refused> refusals = new ArrayList<>();
--- a/control/src/test/java/spurroad/control/distribution/MessageCodecTest.java
+++ b/control/src/test/java/spurroad/control/distribution/MessageCodecTest.java
@@ -25,6 +25,7 @@
         return new Object[][] {
             {new Message.Subscribe(Scope.ALL, false, 0, Message.Subscribe.NO_PURGES, 0, false, 0)},
             {new Message.Subscribe(new Scope("east"), true, Long.MAX_VALUE, 12, 8_192, true, 1L << 41)},
+            {new Message.Unsubscribe(17)},
             {new Message.Refused(Message.RefusalReason.LOG_TOO_SHORT, 1_234)},
             {new Message.Update(1, HEARTBEAT, Optional.empty(), Optional.empty())},
             {new Message.Update(2, HEARTBEAT, Optional.of(new Delta(6, 9, List.of(ENTRY, REMOVAL))),
--- /dev/null
+++ b/rig/src/main/java/spurroad/rig/fleet/FleetFootprint.java
@@ -0,0 +1,140 @@
+package spurroad.rig.fleet;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Supplier;
+import spurroad.control.distribution.AppliedListener;
+import spurroad.control.distribution.ConfigurationState;
+import spurroad.control.distribution.ConfigurationUpdate;
+import spurroad.control.distribution.DistributionSettings;
+import spurroad.control.distribution.MalformedMessageException;
+import spurroad.control.distribution.Message;
+import spurroad.control.distribution.MessageCodec;
+import spurroad.control.distribution.ProcessId;
+import spurroad.control.distribution.Publisher;
+import spurroad.control.distribution.PurgeLog;
+import spurroad.control.distribution.ResourceKey;
+import spurroad.control.distribution.Scope;
+import spurroad.control.distribution.Subscriber;
+
+/**
+ * The heap that the decisions of one process take with the state of the largest region, or of all: states
+ * read from bytes, so that nothing is shared, a relay with a full usual log of purges and 200 children, a
+ * control machine with the purges of more than an hour. Measured as the difference of the used heap over
+ * several instances.
+ */
+public record FleetFootprint(FleetShape shape, int regionResources, int allResources, double proxyBytes,
+                             double relayBytes, double controlBytes) {
+    private static final int SETTINGS = 50;
+    private static final int CHILDREN = 200;
+
+    /** Measures; takes a second or two, and other work in the same process disturbs it. */
+    public static FleetFootprint measure(FleetShape shape) {
+        int[] nodes = new int[shape.regions()];
+        shape.layOut().forEach(site -> nodes[site.region()] += site.nodes());
+        int largest = 0;
+        for (int region = 0; region < nodes.length; region++) {
+            largest = nodes[region] > nodes[largest] ? region : largest;
+        }
+        ConfigurationState all = state(nodes);
+        Scope region = new Scope(SimulatedFleet.regionName(largest));
+        byte[] regional = encode(all.snapshot(region));
+        byte[] whole = encode(all.snapshot(Scope.ALL));
+        DistributionSettings settings = new DistributionSettings();
+        double proxy = bytesOf(300, () -> subscriber(settings, region, regional, 0));
+        double relay = bytesOf(10, () -> relay(settings, region, regional, settings.usualPurgeLog));
+        double control = bytesOf(3, () -> relay(settings, Scope.ALL, whole, settings.largestPurgeLog));
+        return new FleetFootprint(shape, all.snapshot(region).entries().size(), all.size(), proxy, relay,
+            control);
+    }
+
+    private static ConfigurationState state(int[] nodes) {
+        ConfigurationState state = new ConfigurationState(0);
+        for (int i = 0; i < SETTINGS; i++) {
+            state.append(new ResourceKey(ResourceKey.EVERYWHERE, "setting-" + i),
+                new byte[SimulatedFleet.VALUE_BYTES]);
+        }
+        for (int region = 0; region < nodes.length; region++) {
+            for (int node = 0; node < nodes[region]; node++) {
+                state.append(new ResourceKey(SimulatedFleet.regionName(region), "n" + node),
+                    new byte[SimulatedFleet.VALUE_BYTES]);
+            }
+        }
+        return state;
+    }
+
+    private static byte[] encode(ConfigurationUpdate.Snapshot snapshot) {
+        return MessageCodec.encode(new Message.InstallState(1,
+            new spurroad.control.distribution.CoreSnapshot(1, 1, snapshot, 0), 0));
+    }
+
+    private static ConfigurationState decoded(byte[] bytes, int log) {
+        try {
+            Message.InstallState message = (Message.InstallState) MessageCodec.decode(bytes);
+            ConfigurationState state = new ConfigurationState(log);
+            state.apply(message.snapshot().configuration(), entry -> {});
+            return state;
+        } catch (MalformedMessageException malformed) {
+            throw new IllegalStateException(malformed);
+        }
+    }
+
+    private static Object subscriber(DistributionSettings settings, Scope scope, byte[] state, int purges) {
+        Subscriber subscriber = new Subscriber(settings, scope, decoded(state, 0),
+            new PurgeLog(purges, purges), 0,
+            AppliedListener.NONE, 1);
+        subscriber.candidates(0, ids(4), ids(6));
+        return subscriber;
+    }
+
+    private static Object relay(DistributionSettings settings, Scope scope, byte[] state, int purgeLog) {
+        ConfigurationState configuration = decoded(state, settings.configurationLog);
+        for (int i = 0; i < settings.configurationLog; i++) {
+            configuration.append(new ResourceKey(ResourceKey.EVERYWHERE, "setting-" + i % SETTINGS),
+                new byte[SimulatedFleet.VALUE_BYTES]);
+        }
+        PurgeLog purges = new PurgeLog(purgeLog, purgeLog);
+        for (int i = 0; i < purgeLog; i++) {
+            purges.append(i);
+        }
+        Publisher publisher = new Publisher(settings, scope, configuration, purges, 1);
+        Message.Subscribe request = new Message.Subscribe(scope, true, configuration.sequence(),
+            purges.number(), 0,
+            false, 0);
+        for (int i = 0; i < CHILDREN; i++) {
+            publisher.subscribed(i * FleetNetwork.SECOND, new ProcessId(i), request,
+                new Publisher.Standing(1, 0, true), (to, message) -> {});
+        }
+        return List.of(publisher, subscriber(settings, scope, state, 0));
+    }
+
+    private static List<ProcessId> ids(int count) {
+        List<ProcessId> ids = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            ids.add(new ProcessId(i));
+        }
+        return ids;
+    }
+
+    private static double bytesOf(int instances, Supplier<Object> maker) {
+        maker.get();
+        long before = usedHeap();
+        Object[] kept = new Object[instances];
+        for (int i = 0; i < instances; i++) {
+            kept[i] = maker.get();
+        }
+        long after = usedHeap();
+        if (kept[instances - 1] == null) {
+            throw new IllegalStateException("nothing was made");
+        }
+        return (after - before) / (double) instances;
+    }
+
+    private static long usedHeap() {
+        for (int i = 0; i < 3; i++) {
+            System.gc();
+        }
+        Runtime runtime = Runtime.getRuntime();
+        return runtime.totalMemory() - runtime.freeMemory();
+    }
+}
--- /dev/null
+++ b/rig/src/main/java/spurroad/rig/fleet/Host.java
@@ -0,0 +1,91 @@
+package spurroad.rig.fleet;
+
+import java.util.List;
+import spurroad.control.distribution.ControlMachine;
+import spurroad.control.distribution.Participant;
+import spurroad.control.distribution.ProcessId;
+import spurroad.control.distribution.Relay;
+import spurroad.control.distribution.Subscriber;
+
+/**
+ * One process of the simulated fleet: where it is, what it runs, what it sent and received since the last
+ * reset.
+ */
+final class Host {
+    /** What a process does for others at the time. */
+    enum Role { CONTROL, REGION_RELAY, SITE_RELAY, PROXY }
+
+    final ProcessId id;
+    final int region;
+    final int zone;
+    final int site; // -1 for a control machine
+    boolean isRegionCandidate;
+    boolean isSiteCandidate;
+
+    Participant participant; // null while it is down
+    long startedAt;
+    long wakeAt = Long.MAX_VALUE;
+    long readInterval; // of a slow reader; 0 for one that reads at once
+    long readAt;
+    int nextPurge; // the first accepted batch of purges that it has not all of
+    boolean hasState;
+
+    long bytesIn;
+    long bytesOut;
+    long messagesIn;
+    long messagesOut;
+    long cpuNanos;
+    boolean isSampled; // its processor time is taken
+
+    Host(ProcessId id, int region, int zone, int site) {
+        this.id = id;
+        this.region = region;
+        this.zone = zone;
+        this.site = site;
+    }
+
+    boolean isUp() {
+        return participant != null;
+    }
+
+    /** Its receiving end; null at a control machine. */
+    Subscriber subscriber() {
+        if (participant instanceof Relay relay) {
+            return relay.subscriber();
+        }
+        return participant instanceof Subscriber subscriber ? subscriber : null;
+    }
+
+    ControlMachine control() {
+        return (ControlMachine) participant;
+    }
+
+    Role role() {
+        if (site < 0) {
+            return Role.CONTROL;
+        }
+        if (participant instanceof Relay relay && relay.isRelay()) {
+            return isRegionCandidate ? Role.REGION_RELAY : Role.SITE_RELAY;
+        }
+        return Role.PROXY;
+    }
+
+    int children() {
+        if (participant instanceof Relay relay) {
+            return relay.publisher().children();
+        }
+        return participant instanceof ControlMachine machine ? machine.publisher().children() : 0;
+    }
+
+    void resetCounts() {
+        bytesIn = 0;
+        bytesOut = 0;
+        messagesIn = 0;
+        messagesOut = 0;
+        cpuNanos = 0;
+    }
+
+    static List<ProcessId> ids(List<Host> hosts) {
+        return hosts.stream().map(host -> host.id).toList();
+    }
+}
--- /dev/null
+++ b/rig/src/main/java/spurroad/rig/fleet/SimulatedFleet.java
@@ -0,0 +1,307 @@
+package spurroad.rig.fleet;
+
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import spurroad.control.distribution.AppliedListener;
+import spurroad.control.distribution.ConfigurationState;
+import spurroad.control.distribution.ControlMachine;
+import spurroad.control.distribution.CoreCommand;
+import spurroad.control.distribution.DistributionSettings;
+import spurroad.control.distribution.Entry;
+import spurroad.control.distribution.Participant;
+import spurroad.control.distribution.ProcessId;
+import spurroad.control.distribution.PurgeBatch;
+import spurroad.control.distribution.PurgeLog;
+import spurroad.control.distribution.Relay;
+import spurroad.control.distribution.ResourceKey;
+import spurroad.control.distribution.Scope;
+import spurroad.control.distribution.StableState;
+import spurroad.control.distribution.Subscriber;
+import spurroad.rig.time.SimulatedTimeline;
+
+/** All processes of a fleet on one simulated timeline, and what can be done to them. */
+final class SimulatedFleet {
+    static final int VALUE_BYTES = 40; // of a resource: address, zone, kind, weight, state, start
+
+    private static final int REGION_RELAYS = 3;
+    private static final int REGION_CANDIDATES = 6;
+    private static final int SITE_RELAYS = 2;
+    private static final int SITE_CANDIDATES = 4;
+    private static final long RETRY = 100 * FleetNetwork.MILLISECOND;
+    private static final long PROPOSE_AGAIN = FleetNetwork.SECOND;
+    private static final int SETTINGS_EVERYWHERE = 50;
+
+    final FleetShape shape;
+    final SimulatedTimeline timeline = new SimulatedTimeline();
+    final FleetNetwork network;
+    final FleetMeasures measures = new FleetMeasures();
+    final List<Host> control = new ArrayList<>();
+    final List<Host> proxies = new ArrayList<>();
+    private final DistributionSettings settings = new DistributionSettings();
+    private final Random random;
+    private final Map<ProcessId, StableState> disks = new HashMap<>();
+    private final Map<ProcessId, Relay.Place> places = new HashMap<>(); // of relay candidates
+    private final Map<Integer, List<ProcessId>> siteRelays = new HashMap<>();
+    private final Map<Integer, List<ProcessId>> regionRelays = new HashMap<>();
+    private final int[] nodesOfRegion;
+    private long proposals;
+
+    SimulatedFleet(FleetShape shape, long seed) {
+        this.shape = shape;
+        random = new Random(seed);
+        network = new FleetNetwork(timeline, shape.regions(), random.nextLong());
+        nodesOfRegion = new int[shape.regions()];
+        addControl();
+        addProxies();
+        chooseCandidates();
+    }
+
+    private void addControl() {
+        for (int i = 0; i < shape.controlMachines(); i++) {
+            Host host = new Host(new ProcessId(i), i % shape.regions(), 0, -1);
+            control.add(host);
+            network.add(host);
+        }
+    }
+
+    private void addProxies() {
+        List<FleetShape.Site> sites = shape.layOut();
+        int next = shape.controlMachines();
+        for (int site = 0; site < sites.size(); site++) {
+            FleetShape.Site place = sites.get(site);
+            nodesOfRegion[place.region()] += place.nodes();
+            for (int i = 0; i < place.proxies(); i++) {
+                Host host = new Host(new ProcessId(next++), place.region(), place.zone(), site);
+                proxies.add(host);
+                network.add(host);
+            }
+        }
+    }
+
+    private void chooseCandidates() {
+        Map<Integer, List<Host>> bySite = new HashMap<>();
+        Map<Integer, List<Host>> byRegion = new HashMap<>();
+        for (Host host : proxies) {
+            bySite.computeIfAbsent(host.site, unused -> new ArrayList<>()).add(host);
+            byRegion.computeIfAbsent(host.region, unused -> new ArrayList<>()).add(host);
+        }
+        byRegion.forEach(this::chooseRegionCandidates);
+        bySite.forEach(this::chooseSiteCandidates);
+    }
+
+    /** From different zones as far as there are. */
+    private void chooseRegionCandidates(int region, List<Host> hosts) {
+        List<Host> shuffled = new ArrayList<>(hosts);
+        Collections.shuffle(shuffled, random);
+        List<Host> chosen = new ArrayList<>();
+        for (int perZone = 1; chosen.size() < Math.min(REGION_CANDIDATES, hosts.size() / 3); perZone++) {
+            for (Host host : shuffled) {
+                long sameZone = chosen.stream().filter(other -> other.zone == host.zone).count();
+                if (chosen.size() < REGION_CANDIDATES && sameZone < perZone && !chosen.contains(host)) {
+                    chosen.add(host);
+                }
+            }
+        }
+        List<ProcessId> ids = Host.ids(chosen);
+        regionRelays.put(region, ids);
+        for (Host host : chosen) {
+            host.isRegionCandidate = true;
+            places.put(host.id,
+                new Relay.Place("r" + region, controlInOrder(region), controlInOrder(host.id.value()),
+                    without(ids, host.id), SITE_RELAYS));
+        }
+    }
+
+    /** The same order for all who give the same number. */
+    private List<ProcessId> controlInOrder(int number) {
+        List<ProcessId> order = new ArrayList<>(Host.ids(control));
+        Collections.shuffle(order, new Random(number));
+        return order;
+    }
+
+    private void chooseSiteCandidates(int site, List<Host> hosts) {
+        List<Host> chosen = hosts.stream().filter(host -> !host.isRegionCandidate).limit(SITE_CANDIDATES)
+            .toList();
+        List<ProcessId> ids = Host.ids(chosen);
+        siteRelays.put(site, ids);
+        for (Host host : chosen) {
+            host.isSiteCandidate = true;
+            List<ProcessId> upper = regionRelays.get(host.region);
+            List<ProcessId> grantors = new ArrayList<>(upper);
+            Collections.shuffle(grantors, new Random(site));
+            places.put(host.id, new Relay.Place("s" + site, grantors, upper, without(ids, host.id), 0));
+        }
+    }
+
+    private static List<ProcessId> without(List<ProcessId> ids, ProcessId self) {
+        return ids.stream().filter(id -> !id.equals(self)).toList();
+    }
+
+    // ---- starting and stopping
+
+    /**
+     * Starts the control machines, gives them the state that there was before, then starts all proxies over a
+     * time.
+     */
+    void startAll(long spread) {
+        control.forEach(this::start);
+        timeline.runUntil(timeline.now() + 5 * FleetNetwork.SECOND);
+        proposeInitialState();
+        timeline.runUntil(timeline.now() + 5 * FleetNetwork.SECOND);
+        for (Host host : proxies) {
+            timeline.after((long) (random.nextDouble() * spread), () -> start(host));
+        }
+        timeline.runUntil(timeline.now() + spread);
+    }
+
+    private void proposeInitialState() {
+        for (int i = 0; i < SETTINGS_EVERYWHERE; i++) {
+            propose(setting(i));
+        }
+        for (int region = 0; region < shape.regions(); region++) {
+            for (int node = 0; node < nodesOfRegion[region]; node++) {
+                propose(node(region, node));
+            }
+        }
+    }
+
+    void start(Host host) {
+        if (host.isUp()) {
+            return;
+        }
+        host.startedAt = timeline.now();
+        host.hasState = false;
+        host.nextPurge = 0;
+        host.participant = host.site < 0 ? controlMachine(host) : proxy(host);
+        network.started(host);
+    }
+
+    private ControlMachine controlMachine(Host host) {
+        StableState disk = disks.computeIfAbsent(host.id, unused -> new StableState());
+        return new ControlMachine(timeline.now(), settings, host.id, Host.ids(control), disk, REGION_RELAYS,
+            (index, command) -> measures.accepted(index, command, timeline.now()), random.nextLong());
+    }
+
+    private Participant proxy(Host host) {
+        Scope scope = new Scope(regionName(host.region));
+        AppliedListener listener = listener(host);
+        Relay.Place place = places.get(host.id);
+        if (place != null) {
+            return new Relay(timeline.now(), settings, scope, place, listener, random.nextLong());
+        }
+        Subscriber subscriber = new Subscriber(settings, scope, new ConfigurationState(0), new PurgeLog(0, 0),
+            0,
+            listener, random.nextLong());
+        subscriber.candidates(timeline.now(), siteRelays.get(host.site), regionRelays.get(host.region));
+        return subscriber;
+    }
+
+    private AppliedListener listener(Host host) {
+        return new AppliedListener() {
+            @Override
+            public void changed(Entry entry) {
+                if (!host.hasState) {
+                    host.hasState = true;
+                    measures.hasState(host, timeline.now());
+                }
+                measures.changed(host, entry, timeline.now());
+            }
+
+            @Override
+            public void purged(PurgeBatch batch, long fromNumber) {
+                measures.purged(host, batch.toNumber(), timeline.now());
+            }
+
+            @Override
+            public void purgesReset(long toNumber) {
+                measures.purgesReset(host, toNumber);
+            }
+        };
+    }
+
+    static void stop(Host host) {
+        host.participant = null;
+    }
+
+    // ---- changes and purges
+
+    static String regionName(int region) {
+        return "r" + region;
+    }
+
+    private byte[] value() {
+        byte[] value = new byte[VALUE_BYTES];
+        random.nextBytes(value);
+        ByteBuffer.wrap(value).putLong(++proposals);
+        return value;
+    }
+
+    private CoreCommand node(int region, int node) {
+        return new CoreCommand.Change(new ResourceKey(regionName(region), "n" + node), value());
+    }
+
+    private CoreCommand setting(int setting) {
+        return new CoreCommand.Change(new ResourceKey(ResourceKey.EVERYWHERE, "setting-" + setting), value());
+    }
+
+    /** One in four changes concerns everybody, the others one region each, by its size. */
+    CoreCommand anyChange() {
+        if (random.nextInt(4) == 0) {
+            return setting(random.nextInt(SETTINGS_EVERYWHERE));
+        }
+        int region = proxies.get(random.nextInt(proxies.size())).region;
+        return node(region, random.nextInt(nodesOfRegion[region]));
+    }
+
+    CoreCommand purges(int count) {
+        long[] hashes = new long[count];
+        for (int i = 0; i < count; i++) {
+            hashes[i] = random.nextLong();
+        }
+        return new CoreCommand.Purges(hashes);
+    }
+
+    /**
+     * Hands a command to the core as staff or a purge API would: to the primary, again until it is accepted.
+     */
+    void propose(CoreCommand command) {
+        measures.proposed(command, timeline.now());
+        hand(command);
+    }
+
+    private void hand(CoreCommand command) {
+        Host primary = primary();
+        boolean taken = primary != null && primary.control().replica().propose(command).isPresent();
+        timeline.after(taken ? PROPOSE_AGAIN : RETRY, () -> {
+            if (!measures.isAccepted(command)) {
+                hand(command);
+            }
+        });
+    }
+
+    /** The control machine that a majority hears; null where there is none. */
+    Host primary() {
+        for (Host host : control) {
+            if (host.isUp() && host.control().replica().isPrimary()
+                && host.control().replica().isConnected(timeline.now())) {
+                return host;
+            }
+        }
+        return null;
+    }
+
+    /** Proxies that are up and lack something that was accepted, or have no parent. */
+    long behind() {
+        long sequence = measures.acceptedSequence();
+        long purgeNumber = measures.acceptedPurges();
+        return proxies.stream().filter(Host::isUp)
+            .filter(host -> host.subscriber().configuration().sequence() < sequence
+                || host.subscriber().purges().number() < purgeNumber)
+            .count();
+    }
+}
