--- a/cli/src/main/java/spurroad/cli/Tables.java
+++ b/cli/src/main/java/spurroad/cli/ResultTables.java
@@ -5,16 +5,17 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
-import spurroad.rig.judge.Breach;
-import spurroad.rig.judge.Rule;
+import spurroad.rig.checker.Breach;
+import spurroad.rig.checker.Rule;
 import spurroad.rig.play.Comparison;
 import spurroad.rig.play.Result;
 
 /** Results as text for people. */
-final class Tables {
-    private static final int MOST_STORIES = 3; // breaches told in full; all of them stand in the result's file
+final class ResultTables {
+    // breaches told in full; all of them stand in the result's file
+    private static final int MOST_STORIES = 3;
 
-    private Tables() {}
+    private ResultTables() {}
 
     static void result(PrintWriter out, Result r) {
         out.printf(Locale.ROOT, "%s, seed %d, %s: goodput %.4f in %.1f s%s%n", r.scenario(), r.seed(),
--- a/control/src/main/java/spurroad/control/distribution/Publisher.java
+++ b/control/src/main/java/spurroad/control/distribution/Publisher.java
@@ -196,7 +196,7 @@
             return false;
         }
         child.rewind(now);
-        child.updatesAcknowledged = child.updatesSent - settings.mostUnacknowledged + 1; // room for one, to try
+        child.updatesAcknowledged = child.updatesSent - settings.mostUnacknowledged + 1; // room for one
         return true;
     }
 
--- a/control/src/main/java/spurroad/control/distribution/Relay.java
+++ b/control/src/main/java/spurroad/control/distribution/Relay.java
@@ -30,7 +30,8 @@
                         int subgroupLeases) {}
 
     private static final long RELEASE_AFTER = 3 * DistributionSettings.SECOND; // without a parent
-    private static final long RETURN = 60 * DistributionSettings.SECOND; // of children that left it without a parent
+    /** How long children that left it without a parent have to come back. */
+    private static final long RETURN = 60 * DistributionSettings.SECOND;
     private static final long ABSTAIN = 5 * DistributionSettings.SECOND; // from the lease that it let go
 
     private final DistributionSettings settings;
--- a/rig/src/main/java/spurroad/rig/fleet/FleetMeasures.java
+++ b/rig/src/main/java/spurroad/rig/fleet/FleetMeasures.java
@@ -22,7 +22,7 @@
     final Histogram starts = new Histogram(LONGEST_MILLIS, 3); // from a proxy's start until it has the state
 
     private final Map<Object, Long> proposedAt = new HashMap<>(); // by the identity of what is proposed
-    private final Map<Long, Long> changeProposedAt = new HashMap<>(); // by sequence number, where it was accepted first
+    private final Map<Long, Long> changeProposedAt = new HashMap<>(); // by the first sequence number
     private final Map<Object, Boolean> acceptedChanges = new HashMap<>();
     private final List<Long> purgeNumbers = new ArrayList<>(); // accepted by then
     private final List<Long> purgeProposedAt = new ArrayList<>();
--- a/rig/src/main/java/spurroad/rig/fleet/FleetRun.java
+++ b/rig/src/main/java/spurroad/rig/fleet/FleetRun.java
@@ -13,7 +13,8 @@
  * measures.
  */
 public final class FleetRun {
-    private static final double CHANGES_PER_SECOND = 0.8; // 54,000 of configuration and 15,300 of membership a day
+    /** 54,000 of configuration and 15,300 of membership a day. */
+    private static final double CHANGES_PER_SECOND = 0.8;
     private static final int PURGES_PER_BATCH = 45;
     private static final long PURGE_INTERVAL = 100 * FleetNetwork.MILLISECOND;
     private static final long START_SPREAD = 10 * FleetNetwork.SECOND;
--- a/rig/src/main/java/spurroad/rig/net/MetaDecoder.java
+++ b/rig/src/main/java/spurroad/rig/net/MetaDecoder.java
@@ -25,15 +25,17 @@
     }
 
     /** Something that is no message; the connection is of no further use. */
-    static final class Garbled extends RuntimeException {
+    static final class MalformedMessageException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        Garbled(String what) {
+        MalformedMessageException(String what) {
             super(what);
         }
     }
 
-    private static final int MOST_LINE = 4096, MOST_VALUE = 4 << 20; // bytes
+    // bytes
+    private static final int MOST_LINE = 4096;
+    private static final int MOST_VALUE = 4 << 20;
     private static final byte[] NOTHING = {};
 
     @Override
@@ -41,7 +43,7 @@
         int length = in.bytesBefore((byte) '\n');
         if (length < 0) {
             if (in.readableBytes() > MOST_LINE) {
-                throw new Garbled("a line without end");
+                throw new MalformedMessageException("a line without end");
             }
             return;
         }
@@ -62,7 +64,7 @@
         byte[] value = new byte[bytes];
         in.readBytes(value);
         if (in.readByte() != '\r' || in.readByte() != '\n') {
-            throw new Garbled("a value that is longer than told");
+            throw new MalformedMessageException("a value that is longer than told");
         }
         out.add(new Message(words, value));
     }
@@ -82,6 +84,6 @@
         } catch (NumberFormatException e) {
             // told below
         }
-        throw new Garbled("a length that is none: " + words[at]);
+        throw new MalformedMessageException("a length that is none: " + words[at]);
     }
 }
--- a/rig/src/main/java/spurroad/rig/net/NodeServer.java
+++ b/rig/src/main/java/spurroad/rig/net/NodeServer.java
@@ -9,30 +9,30 @@
 import java.nio.charset.StandardCharsets;
 import spurroad.rig.model.CacheNode;
 import spurroad.rig.model.Reply;
-import spurroad.rig.model.Request;
+import spurroad.rig.model.ServerRequest;
 
 /** Carries the meta commands to a cache node at one address; another may take its place there. The loop's. */
 final class NodeServer {
-    private final Address address;
-    private final Figures figures;
+    private final FaultyListener listener;
+    private final CommandFields figures;
     private CacheNode node;
     private CacheNode.Reach reach = CacheNode.Reach.UP;
 
-    NodeServer(EventLoop loop, Figures figures, CacheNode node) {
+    NodeServer(EventLoop loop, CommandFields figures, CacheNode node) {
         this.figures = figures;
-        address = new Address(loop, channel -> {
+        listener = new FaultyListener(loop, channel -> {
             CacheNode at = this.node;
             if (!at.connect()) {
                 return null;
             }
             channel.closeFuture().addListener(closed -> at.disconnected());
-            return new ChannelHandler[] {new MetaDecoder(), new Peer()};
+            return new ChannelHandler[] {new MetaDecoder(), new ConnectionHandler()};
         });
         serve(node);
     }
 
     int port() {
-        return address.port;
+        return listener.port;
     }
 
     /** This node is at the address from now on. */
@@ -55,21 +55,21 @@
         switch (now) {
             case UP -> {
                 if (vanished) {
-                    address.resetAll(); // its machine is back, and knows nothing of them
+                    listener.resetAll(); // its machine is back, and knows nothing of them
                 }
-                address.accept();
+                listener.accept();
             }
-            case HALF_OPEN, VANISHED -> address.hang();
-            case DOWN -> address.refuse();
+            case HALF_OPEN, VANISHED -> listener.hang();
+            case DOWN -> listener.refuse();
         }
     }
 
     void close() {
-        address.close();
+        listener.close();
     }
 
     /** One connection of a proxy. */
-    private final class Peer extends SimpleChannelInboundHandler<MetaDecoder.Message> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<MetaDecoder.Message> {
         private boolean fresh = true;
 
         @Override
@@ -89,7 +89,7 @@
         }
 
         private void query(ChannelHandlerContext context, MetaDecoder.Message m) {
-            Request request = figures.request(m.words()[1], m.flag('O'), m.flag('P'), fresh);
+            ServerRequest request = figures.request(m.words()[1], m.flag('O'), m.flag('P'), fresh);
             fresh = false;
             if (request == null) {
                 write(context, "CLIENT_ERROR bad command line format");
@@ -98,14 +98,14 @@
             node.offer(request, reply -> answer(context, request, reply));
         }
 
-        private void answer(ChannelHandlerContext context, Request request, Reply reply) {
+        private void answer(ChannelHandlerContext context, ServerRequest request, Reply reply) {
             if (reply.spoilt() > 0) {
                 spoilt(context, request, reply);
                 return;
             }
             String load = " Linflight=" + reply.inFlight();
             switch (reply.kind()) {
-                case VALUE -> value(context, "VA %d O" + request.id() + load, Values.of(request, reply));
+                case VALUE -> value(context, "VA %d O" + request.id() + load, TaggedValue.of(request, reply));
                 case MISS -> write(context, "EN O" + request.id() + load);
                 case RECEIPT -> write(context, "HD O" + request.id() + " c" + request.id() + load);
                 case BUSY -> write(context, "SERVER_ERROR busy");
@@ -113,11 +113,11 @@
             }
         }
 
-        private void spoilt(ChannelHandlerContext context, Request request, Reply reply) {
+        private void spoilt(ChannelHandlerContext context, ServerRequest request, Reply reply) {
             switch (reply.spoilt()) {
                 case 1 -> write(context, "\u0001\u0002\u00ff noise");
-                case 2 -> value(context, "VA 3 O" + request.id(), Values.of(request, reply));
-                case 3 -> value(context, "VA %d Oq0.0", Values.of(request, reply));
+                case 2 -> value(context, "VA 3 O" + request.id(), TaggedValue.of(request, reply));
+                case 3 -> value(context, "VA %d Oq0.0", TaggedValue.of(request, reply));
                 default -> write(context, "VA 3000000000 O" + request.id());
             }
         }
--- a/rig/src/main/java/spurroad/rig/net/SocketWorld.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketWorld.java
@@ -14,12 +14,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import spurroad.rig.model.CacheNode;
-import spurroad.rig.model.Population;
+import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.world.FaultDriver;
-import spurroad.rig.world.Front;
 import spurroad.rig.world.ProxyControl;
 import spurroad.rig.world.ProxyFile;
+import spurroad.rig.world.ProxySelector;
 import spurroad.rig.world.World;
 
 /**
@@ -45,7 +45,7 @@
     private final OriginServer origin;
     private final List<DiscoveryServer> discoveries = new ArrayList<>();
     private final List<ProxyProcess> proxies = new ArrayList<>();
-    private final ClientSide clients;
+    private final SocketGateway clients;
     private final Consumer<String> log;
     private volatile long epochMs;
     private volatile String failure;
@@ -62,7 +62,7 @@
         this.log = log;
         signals = new Signals();
         world = new World(scenario, seed, timeline);
-        Figures figures = new Figures(scenario);
+        CommandFields figures = new CommandFields(scenario);
         origin = new OriginServer(loop, figures, world.origin);
         for (CacheNode n : world.nodes.values()) {
             nodes.add(new NodeServer(loop, figures, n));
@@ -77,7 +77,7 @@
             discoveries.add(new DiscoveryServer(loop, world, file, i));
             proxies.add(new ProxyProcess(i, ports[i], command, folder, signals));
         }
-        clients = new ClientSide(world, loop, ports);
+        clients = new SocketGateway(world, loop, ports);
     }
 
     private int place(String uid) {
@@ -112,7 +112,7 @@
         loop.execute(() -> {
             timeline.begin();
             epochMs = System.currentTimeMillis();
-            new FaultDriver(world, world.population(clients), this, log).begin();
+            new FaultDriver(world, world.generator(clients), this, log).begin();
         });
         List<String> where = new ArrayList<>();
         proxies.forEach(p -> where.add("proxy p-" + p.number + " 127.0.0.1:" + p.port));
@@ -150,10 +150,10 @@
     private void begin(CompletableFuture<Void> done) {
         timeline.begin();
         epochMs = System.currentTimeMillis();
-        Population population = world.population(clients);
-        clients.population(population);
-        new FaultDriver(world, population, this, log).begin();
-        world.begin(population);
+        LoadGenerator generator = world.generator(clients);
+        clients.generator(generator);
+        new FaultDriver(world, generator, this, log).begin();
+        world.begin(generator);
         timeline.at(world.endNs(), () -> {
             world.end();
             for (ProxyProcess p : proxies) {
@@ -188,22 +188,22 @@
     public void stopped(int proxy, boolean on) {
         proxies.get(proxy).stopped(on);
         if (on) {
-            world.judge.held(timeline.now(), proxy);
+            world.checker.held(timeline.now(), proxy);
         } else {
-            world.judge.released(timeline.now(), proxy);
+            world.checker.released(timeline.now(), proxy);
         }
     }
 
     @Override
     public void killed(int proxy, boolean on) {
         if (on) {
-            world.judge.held(timeline.now(), proxy);
+            world.checker.held(timeline.now(), proxy);
             proxies.get(proxy).kill();
-            timeline.after(Front.NOTICE_NS, () -> clients.offered(proxy, false));
+            timeline.after(ProxySelector.NOTICE_NS, () -> clients.offered(proxy, false));
             return;
         }
         try {
-            world.judge.forgets(proxy);
+            world.checker.forgets(proxy);
             proxies.get(proxy).start(configuration(proxy));
         } catch (IOException e) {
             throw new UncheckedIOException("p-" + proxy + " can't be started again", e);
@@ -212,7 +212,7 @@
             try {
                 proxies.get(proxy).awaitReady();
                 loop.execute(() -> {
-                    world.judge.released(timeline.now(), proxy);
+                    world.checker.released(timeline.now(), proxy);
                     clients.offered(proxy, true);
                 });
             } catch (IOException e) {
--- a/rig/src/test/java/spurroad/rig/model/PopulationTest.java
+++ b/rig/src/test/java/spurroad/rig/model/LoadGeneratorTest.java
@@ -7,34 +7,36 @@
 import java.util.List;
 import java.util.function.Function;
 import org.testng.annotations.Test;
-import spurroad.rig.Worlds;
-import spurroad.rig.judge.Tally;
+import spurroad.rig.TestScenarios;
+import spurroad.rig.checker.OutcomeStatistics;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.time.SimulatedTimeline;
 
 /** Clients against a proxy that answers by a rule, on simulated time. */
-public class PopulationTest {
-    private static final long MS = 1_000_000L, S = 1000 * MS;
-    private final List<Try> sent = new ArrayList<>(), taken = new ArrayList<>();
+public class LoadGeneratorTest {
+    private static final long MS = 1_000_000L;
+    private static final long S = 1000 * MS;
+    private final List<RequestAttempt> sent = new ArrayList<>();
+    private final List<RequestAttempt> taken = new ArrayList<>();
     private final List<Long> times = new ArrayList<>();
     private SimulatedTimeline timeline;
 
     /** Plays with a proxy that answers after a time, or never where the rule gives null. */
-    private Tally play(Scenario scenario, long answerNs, Function<Try, Answer> rule) {
+    private OutcomeStatistics play(Scenario scenario, long answerNs, Function<RequestAttempt, Answer> rule) {
         timeline = new SimulatedTimeline();
-        Tally tally = new Tally(scenario);
-        Population[] of = new Population[1];
+        OutcomeStatistics outcomes = new OutcomeStatistics(scenario);
+        LoadGenerator[] of = new LoadGenerator[1];
         sent.clear();
         taken.clear();
         times.clear();
-        of[0] = new Population(scenario, 5, timeline, new Population.Gateway() {
+        of[0] = new LoadGenerator(scenario, 5, timeline, new LoadGenerator.Gateway() {
             @Override
             public int choose() {
                 return 0;
             }
 
             @Override
-            public void send(Try t) {
+            public void send(RequestAttempt t) {
                 sent.add(t);
                 times.add(timeline.now());
                 Answer answer = rule.apply(t);
@@ -44,30 +46,30 @@
             }
 
             @Override
-            public void leave(Try t) {
+            public void leave(RequestAttempt t) {
                 taken.add(t);
             }
-        }, tally);
+        }, outcomes);
         of[0].begin(scenario.lengthNs());
         timeline.runUntil(scenario.lengthNs() + 20 * S);
-        return tally;
+        return outcomes;
     }
 
-    private static Answer served(Try t) {
+    private static Answer served(RequestAttempt t) {
         return new Answer(Answer.Kind.VALUE, 0, t.id, 1);
     }
 
     private static Scenario clients(String more) {
-        return Worlds.small("11s", "[load.clients]\n" + more);
+        return TestScenarios.small("11s", "[load.clients]\n" + more);
     }
 
     @Test
     public void asMuchFallsDueWhateverBecomesOfIt() {
         Scenario s = clients("tries = 1\n");
-        Tally quick = play(s, MS, PopulationTest::served);
-        List<Long> due = sent.stream().map(t -> t.ask.due).toList();
-        Tally never = play(s, MS, t -> null);
-        assertEquals(sent.stream().map(t -> t.ask.due).toList(), due, "open loop: the same moments");
+        OutcomeStatistics quick = play(s, MS, LoadGeneratorTest::served);
+        List<Long> due = sent.stream().map(t -> t.request.due).toList();
+        OutcomeStatistics never = play(s, MS, t -> null);
+        assertEquals(sent.stream().map(t -> t.request.due).toList(), due, "open loop: the same moments");
         assertEquals(quick.all().inTime, quick.all().due);
         assertEquals(never.all().unanswered, never.all().due);
         assertEquals(taken.size(), sent.size(), "each was taken back when its time was over");
@@ -76,7 +78,7 @@
 
     @Test
     public void latencyCountsFromWhenAQueryWasDueOverAllTries() {
-        Tally t = play(clients("tries = 2\nretry = \"as-told\"\n"), 10 * MS, x -> x.number == 1
+        OutcomeStatistics t = play(clients("tries = 2\nretry = \"as-told\"\n"), 10 * MS, x -> x.number == 1
             ? new Answer(Answer.Kind.REJECTED, 50 * MS, "", 0) : served(x));
         assertEquals(t.latencyUs().getValueAtPercentile(50) / 1000.0, 70, 1);
         assertEquals(t.all().inTime, t.all().due);
@@ -84,7 +86,7 @@
 
     @Test
     public void whoIsRejectedAsksAgainAsOftenAsItMayAndAsLongAsItWaits() {
-        Tally t = play(clients("tries = 3\nretry = \"at-once\"\n"), MS,
+        OutcomeStatistics t = play(clients("tries = 3\nretry = \"at-once\"\n"), MS,
             x -> new Answer(Answer.Kind.REJECTED, 0, "", 0));
         assertEquals(sent.size(), 3 * t.seconds().stream().mapToLong(c -> c.due).sum());
         assertEquals(t.all().rejected, t.all().due);
@@ -92,7 +94,7 @@
             x -> new Answer(Answer.Kind.REJECTED, 300 * MS, "", 0));
         assertTrue(sent.stream().allMatch(x -> x.number <= 4));
         for (int i = 0; i < sent.size(); i++) {
-            assertTrue(times.get(i) - sent.get(i).ask.due < S, "nobody asks after its patience is over");
+            assertTrue(times.get(i) - sent.get(i).request.due < S, "nobody asks after its patience is over");
         }
     }
 
@@ -100,13 +102,13 @@
     @Test
     public void whatFailedIsAskedForAgainOnlyWhereThatDoesNoHarm() {
         play(clients("tries = 3\nretry = \"at-once\"\n"), MS, x -> new Answer(Answer.Kind.FAILED, 0, "", 0));
-        assertTrue(sent.stream().filter(x -> x.ask.track.write()).allMatch(x -> x.number == 1));
-        assertTrue(sent.stream().anyMatch(x -> !x.ask.track.write() && x.number == 3));
+        assertTrue(sent.stream().filter(x -> x.request.track.write()).allMatch(x -> x.number == 1));
+        assertTrue(sent.stream().anyMatch(x -> !x.request.track.write() && x.number == 3));
     }
 
     @Test
     public void popularityFollowsZipfAndDrifts() {
-        Scenario s = Worlds.of("""
+        Scenario s = TestScenarios.of("""
             name = "z"
             length = "40s"
             [[world.nodes]]
@@ -117,14 +119,15 @@
             zipf = 1.0
             drift = 10.0
             """);
-        play(s, MS, PopulationTest::served);
-        long first = sent.stream().filter(t -> t.ask.due < S / 10).filter(t -> t.ask.key == 0).count();
-        long all = sent.stream().filter(t -> t.ask.due < S / 10).count();
+        play(s, MS, LoadGeneratorTest::served);
+        long first = sent.stream().filter(t -> t.request.due < S / 10).filter(t -> t.request.key == 0)
+            .count();
+        long all = sent.stream().filter(t -> t.request.due < S / 10).count();
         assertTrue(first > all / 20, first + " of " + all + " for the first key: 0.13 are due to it");
-        long moved = sent.stream().filter(t -> t.ask.due > 39 * S)
-            .filter(t -> t.ask.key >= 390 && t.ask.key < 400)
+        long moved = sent.stream().filter(t -> t.request.due > 39 * S)
+            .filter(t -> t.request.key >= 390 && t.request.key < 400)
             .count();
-        long then = sent.stream().filter(t -> t.ask.due > 39 * S).count();
+        long then = sent.stream().filter(t -> t.request.due > 39 * S).count();
         assertTrue(moved > then / 5,
             moved + " of " + then + " for the first ten ranks, which have moved on by 390 keys");
     }
