--- a/proxy/src/main/java/spurroad/routing/ListWatch.java
+++ b/proxy/src/main/java/spurroad/routing/ListWatch.java
@@ -15,20 +15,12 @@
 import spurroad.transport.Threads;
 
 /**
- * The list, worked on the loop: keeps its revision and one watch, or two while discovery moves or a watch is silent.
+ * The list, worked on the loop: keeps its revision and one watch, or two while discovery moves, a watch is silent or a call
+ * has no answer: such a one is kept beside the next call, as what it waits for may come at any moment.
  * Where lists are pushed, whoever pushes them is close and not asked by others: there it is followed from the start and
  * asked again soon. Elsewhere it is followed when the module says so.
  */
 public final class ListWatch implements Decider.Follow {
-    // A watch says something every 2 s, and what a silent one misses counts as told 6 s after it fell silent. By these
-    // figures it is asked anew 2.6 to 3.4 s after its last line, which leaves as long for the answer. By 7 s drains
-    // that followed upon a silence were learned of too late (restless days, all watches silent at once).
-    private static final long SILENT_NS = 2_600_000_000L; // ns; a beat and a third; a call too many costs little
-    private static final long SPREAD_NS = 800_000_000L; // ns; of that: the watches of all proxies fall silent at once
-    private static final long CALL_NS = 4_000_000_000L; // ns; until the first line: discovery answers calls in turn
-    private static final long PUSHED_NS = 100_000_000L; // ns; between calls where lists are pushed
-    private static final double ASK_SHARE = 0.4; // of the time that the settings give for asking: the call takes some
-    private static final int CONNECT_MS = 2_000; // ms; one beat
     private static final int THREAD_MS = 10_000; // ms; longer than any alarm: no thread outlives a socket for long
     private static final int OK = 200;
     private static final Runnable NOTHING = () -> { };
@@ -39,8 +31,7 @@
     private final EventLog log;
     private final Decider decider;
     private final boolean pushed;
-    private final long longestPauseNs;
-    private final Random random;
+    private final CallTiming timing;
     // the loop's
     private InetSocketAddress discovery;
     private long revision;
@@ -57,8 +48,7 @@
         names = start.figures.names;
         revision = start.known.revision();
         pushed = !start.figures.deployment.mustAsk();
-        longestPauseNs = pushed ? PUSHED_NS : (long) (ASK_SHARE * start.figures.askWithinNs);
-        random = new Random(start.seed);
+        timing = new CallTiming(pushed, start.figures.askWithinNs, new Random(start.seed));
     }
 
     /** Whether lists are pushed: what there is to know counts from the first moment of a process on. */
@@ -76,7 +66,7 @@
     public void follow() {
         loop.tell(() -> {
             if (current == null) {
-                call();
+                call(timing.callNs());
             }
         });
     }
@@ -85,24 +75,28 @@
     public void moved(InetSocketAddress to) {
         loop.tell(() -> {
             discovery = to;
-            callAnew();
+            if (current != null && current.spoke) {
+                callBeside(timing.callNs());
+                return;
+            }
+            if (current != null) {
+                current.close();
+            }
+            call(timing.callNs());
         });
     }
 
-    private void callAnew() {
-        if (current != null && current.spoke) {
-            endFormer();
-            former = current;
-        } else if (current != null) {
-            current.close();
-        }
-        call();
+    /** Calls beside the current watch, which is kept until the new one has spoken. */
+    private void callBeside(long callNs) {
+        endFormer();
+        former = current;
+        call(callNs);
     }
 
-    private void call() {
+    private void call(long callNs) {
         again.cancel();
         current = new Watch(discovery, revision);
-        current.listen(CALL_NS);
+        current.listen(callNs);
         threads.start("list", current);
     }
 
@@ -118,11 +112,15 @@
         if (from != current && from != former) {
             return; // a later watch has told more
         }
+        if (from == former && !from.spoke && from.at.equals(discovery)) {
+            becomesCurrent(from);
+        }
         if (from == current) {
             from.spoke = true;
             endFormer();
         }
-        from.listen(silentNs());
+        from.silent = false;
+        from.listen(timing.silentNs());
         if (list != null) {
             revision = list.revision();
             log.event("the list changed", "revision " + revision + ", " + list.members().size() + " entries"
@@ -133,20 +131,33 @@
         }
     }
 
-    private long silentNs() {
-        return SILENT_NS + (long) (random.nextDouble() * SPREAD_NS);
+    /** A call that had no answer in time has got it after all: the one that was begun beside it is not needed. */
+    private void becomesCurrent(Watch late) {
+        again.cancel();
+        if (current != null) {
+            current.close();
+        }
+        current = late;
+        former = null;
     }
 
     /** No whole line for too long, whatever has trickled in. */
     private void silent(Watch watch) {
-        if (watch == current && watch.spoke) {
-            log.trouble("a watch on the list has fallen silent", "asked anew, since revision " + revision);
-            callAnew();
-            watch.listen(CALL_NS); // beside the call, in case it is only late
-        } else {
+        watch.silent = true;
+        if (watch != current) {
             watch.close();
             ended(watch, "nothing came"); // not left to its thread, which may hear of that later
+            return;
+        }
+        log.trouble(watch.spoke ? "a watch on the list has fallen silent" : "a call for the list has no answer yet",
+            "asked anew, since revision " + revision);
+        if (!watch.spoke && former != null && !former.silent) {
+            watch.close(); // the watch at the former address is the better one to keep
+            call(timing.callNs());
+            return;
         }
+        callBeside(watch.spoke ? timing.callAfterSilenceNs(watch.listensNs) : timing.callNs());
+        watch.listen(timing.callNs()); // beside the call, in case it is only late
     }
 
     private void ended(Watch watch, String why) {
@@ -156,9 +167,9 @@
         } else if (watch == current) {
             current = null;
             log.trouble("the list can't be followed for now", why);
-            // the module's pauses grow to 12 s; that discovery is back counts anew, and in less time than that elsewhere
+            // the module's pauses know nothing of the time that the settings give for asking
             again.cancel();
-            again = loop.after((long) ((0.5 + random.nextDouble()) * longestPauseNs), this::follow);
+            again = loop.after(timing.pauseNs(), this::follow);
             if (!pushed) {
                 decider.listFailed();
             }
@@ -172,6 +183,8 @@
         private final long since;
         // the loop's
         private boolean spoke;
+        private boolean silent;
+        private long listensNs; // duration; from its last line, or its beginning, until it passes for silent
         private Loop.Alarm alarm = () -> { };
 
         private Watch(InetSocketAddress at, long since) {
@@ -182,6 +195,7 @@
         /** The next line is to come within the time. */
         private void listen(long ns) {
             alarm.cancel();
+            listensNs = ns;
             if (this == current || this == former) {
                 alarm = loop.after(ns, () -> silent(this));
             }
@@ -191,7 +205,7 @@
         public void run() {
             String why = "it ended";
             try {
-                socket.connect(at, CONNECT_MS);
+                socket.connect(at, timing.connectMs());
                 socket.setSoTimeout(THREAD_MS);
                 String host = at.getHostString() + ":" + at.getPort();
                 socket.getOutputStream().write(Http.get("/catalog/members?follow=1&since=" + since, host));
@@ -200,7 +214,7 @@
                 if (head.status() != OK) {
                     throw new ProtocolException("answered " + head.status());
                 }
-                loop.tell(() -> listen(silentNs())); // the first line comes after a beat where nothing has changed
+                loop.tell(() -> listen(timing.silentNs())); // the first line comes after a beat where nothing has changed
                 ByteSource lines = Http.stream(in, head);
                 for (String text = Http.listText(lines); text != null; text = Http.listText(lines)) {
                     Members list = text.isBlank() ? null : Members.read(Json.read(text), names);
