--- a/core/src/main/java/spurroad/Balance.java
+++ b/core/src/main/java/spurroad/Balance.java
@@ -41,10 +41,9 @@
     static final double LATE_SHARE = 0.7; // of the SLO time left: beyond it a mean is late too often
     static final double LATE_TOLD = 0.85; // the same where keepers tell queues: the mean is nearer the truth
     static final double COME_BACK = 0.5; // of the SLO time until a rejected client may try: queues have moved
-    static final long OWED_NS = 2_000_000_000L; // ns; by then a node given back has work, where there is any
     static final long FOLLOW_NS = 500_000_000L; // ns; first pause before following the list again
-    static final int MOST_KNOWN = 4_096; // nodes, gone ones too: who comes back is known again
-    static final long LONGEST_FOLLOW_NS = 8_000_000_000L; // ns; the list is one service for all proxies
+    static final int MOST_KNOWN = 4_096; // nodes, gone ones too: who comes back is known again; keys turned away
+    static final long LONGEST_FOLLOW_NS = 1_900_000_000L; // ns; half as much again and a call: under 6 s
     static final long HELD_NS = 1_000_000_000L; // ns; what is out and never ends well counts about so long
     static final long SAY_NS = 200_000_000L; // ns; until a keeper says a figure again
     static final double MISS_GIVES = 2; // SLO times of queue less for a miss, by the share of pressed queries
@@ -72,7 +71,7 @@
     private Node origin;
     private List<Node> caches = List.of();
     private final Map<QueryId, Qry> queries = new HashMap<>();
-    private final Recent turnedAway = new Recent(1_000);
+    private final Recent turnedAway = new Recent(MOST_KNOWN);
     private final Agenda agenda = new Agenda();
     private final TreeSet<Qry> waiting = new TreeSet<>(Comparator.comparing((Qry q) -> q.beyondShare)
         .thenComparing(q -> -q.track.importance()).thenComparing(q -> !q.write).thenComparing(q -> q.order));
@@ -130,8 +129,9 @@
 
     private void anew(NodeEntry e, long backNs) {
         Node n = new Node(e, MEMORY_NS, LONG_MEMORY_NS, PAUSE_NS);
-        n.backNs = backNs;
-        watched.remove(nodes.put(e.id(), n));
+        Node former = nodes.put(e.id(), n);
+        watched.remove(former);
+        n.born(former, backNs, arrivals.at(now).top, now);
     }
 
     /** Takes up what the list and staff say of nodes; the strictest of it holds. */
@@ -154,6 +154,7 @@
             Node n = nodes.get(id);
             if (!out && n != null) {
                 anew(n.entry, now);
+                nodes.get(id).owe(random.nextDouble() * fleet.proxies());
                 owed.add(id);
             }
             arrange();
@@ -441,7 +442,7 @@
             ready = ready.isEmpty() ? walk(q, false) : ready;
             // where few queries come, its keys may not be among them for long
             Node back = owed.isEmpty() || !q.execs.isEmpty() ? null : owed.stream().map(nodes::get)
-                .filter(n -> now - n.backNs > OWED_NS && ready(n, q)).findFirst().orElse(null);
+                .filter(n -> now > n.owedFrom && ready(n, q)).findFirst().orElse(null);
             List<Node> c = back == null ? ready : List.of(back);
             if (c.isEmpty() || q.endAt <= now + given.tickNs()) {
                 giveUp(q);
@@ -769,8 +770,7 @@
         // storms and hot keys, turned away elsewhere or asked again, pushed cold ones over (release)
         double carried = given.startCapacity() + (1 - given.startCapacity()) * warmth;
         return warmth >= 1 || q.execs.isEmpty()
-            && q.luck * Math.max(1, (n.asked.at(now).top - 1) / (arrivals.at(now).top * n.part))
-            < carried * (1 - pressed.ratio(now, PRIOR, 0));
+            && q.luck * n.demand(arrivals.at(now).top, now) < carried * (1 - pressed.ratio(now, PRIOR, 0));
     }
 
     /** The first distinct nodes clockwise from the key; where none is ready, those that may be sent to. */
--- a/core/src/main/java/spurroad/Node.java
+++ b/core/src/main/java/spurroad/Node.java
@@ -13,10 +13,13 @@
     private static final int KEYS = 4_000; // known of one node: minutes of what hundreds of proxies ask
     private static final long SHORT_NS = 1_000_000L; // ns; no execution is told of as shorter
     private static final int TRICKLE_END = 8; // queries; a trickle doubled beyond this is an ordinary flow
+    private static final long OWED_NS = 2_000_000_000L; // ns; by then a node given back has work, where there is any
+    private static final long OWED_APART_NS = 500_000_000L; // ns; mean, over all proxies: all hear it at the same moment
     private static final long LONGEST_PAUSE_NS = 4_000_000_000L; // ns; well again, it waits no longer
     NodeEntry entry;
     boolean banned; // by hand
     long backNs; // when staff gave it back; zero where they did not
+    long owedFrom; // where they did and nothing went there since: when any query may
     double reported = Double.NaN;
     long reportedAt = Long.MIN_VALUE / 2;
     long lastAnswerAt, probeFailedAt, asideUntil, pause;
@@ -36,6 +39,8 @@
     final Fading[] pace;
     Fading bad;
     final Fading asked; // queries whose key falls to it, sent or not
+    private long bornAt; // when this start of it was listed or given back; of the queries until then:
+    private double askedBefore, arrivedBefore;
     double part = 1; // of the ring
 
     Node(NodeEntry entry, long memoryNs, long longMemoryNs, long pause) {
@@ -61,6 +66,38 @@
         return startedNs() == 0 ? 1 : (double) Math.max(0, now - startedNs()) / Math.max(1, coldNs);
     }
 
+    /** A start of it begins: what was asked for before stands beside what is from now on. */
+    void born(Node former, long givenBackNs, double arrived, long now) {
+        backNs = givenBackNs;
+        bornAt = now;
+        arrivedBefore = arrived;
+        if (former != null && !former.banned) { // where it was out by hand that is long ago, and no query fell to it since
+            askedBefore = former.asked.at(now).top;
+            asked.add(now, askedBefore, 0);
+        }
+    }
+
+    /** Staff gave it back: in its turn among all proxies it gets a query that its warm-up allows, whosever key it is. */
+    void owe(double turn) {
+        owedFrom = backNs + OWED_NS + (long) (turn * OWED_APART_NS);
+    }
+
+    /**
+     * How many times its part of the ring this proxy's queries ask for it, one that a key falls to by chance left out: over
+     * all that is remembered, which tells of a lasting hot key, or since its start, which tells of a sudden one, whichever is
+     * more.
+     *
+     * @param arrived what this proxy remembers of queries, with the same memory as {@link #asked}
+     */
+    double demand(double arrived, long now) {
+        double left = Math.exp((bornAt - now) / (double) Balance.LONG_MEMORY_NS);
+        double all = asked.at(now).top - 1;
+        double sinceStart = all - left * askedBefore;
+        double expectedSinceStart = (arrived - left * arrivedBefore) * part;
+        double lately = expectedSinceStart > 0 ? sinceStart / expectedSinceStart : 1;
+        return Math.max(1, Math.max(all / (arrived * part), lately));
+    }
+
     /** Whether its figure is a report, or its keeper's word. */
     boolean fresh(long now) {
         return now - reportedAt < Balance.FRESH_NS;
--- /dev/null
+++ b/core/src/test/java/spurroad/ColdNodeFleetTest.java
@@ -0,0 +1,221 @@
+package spurroad;
+
+import static org.testng.Assert.assertTrue;
+import static spurroad.Rig.MS;
+import static spurroad.Rig.READ;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.Random;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import spurroad.model.DedupScope;
+import spurroad.model.Decisions;
+import spurroad.model.Fleet;
+import spurroad.model.NodeId;
+import spurroad.model.Outcome;
+import spurroad.model.Phase;
+
+/**
+ * Thirty instances of the module that know nothing of one another, and one cold node: it falls under the sum of what all send.
+ * Of a budget of N requests in a time, N + 2 x sqrt(N) + 2 are chance. Nothing here waits or reads a clock.
+ */
+public class ColdNodeFleetTest {
+    private static final int NODES = 8;
+    private static final double START_SHARE = 0.3; // of its capacity, as Rig's settings have it
+    private static final double WARM_S = 8; // s, the same
+    private static final double FALL_MULTIPLE = 2; // of what it can do at that moment; the least that a deployment gave
+    private static final double WINDOW_S = 1.5;
+    private static final double LOAD = 0.7; // of what the nodes can do
+    private static final long WORK_NS = 20 * MS; // of one request at a node
+
+    /** How requests come, and how the node becomes cold. */
+    private enum Traffic {
+        /** Seven tenths of what nodes can do. */
+        EVEN,
+        /** Half as much again, from the moment on in which the node comes. */
+        BURST,
+        /** Half as much again as nodes can do, from then on. */
+        OVERLOAD,
+        /** A fifth of all requests want one key of the cold node, from long before. */
+        HOT_KEY,
+        /** The same, from the moment on in which the node comes, and a burst. */
+        SUDDEN_HOT_KEY,
+        /** One instance in ten has seven times the requests of each other one, and a burst. */
+        UNEVEN,
+        /** The other nodes turn every second request away, and a burst. */
+        TURNED_AWAY,
+        /** Staff give it back at all instances at the same moment, with a burst. */
+        BY_HAND,
+        /** The same, and each instance sees a request in some seconds only. */
+        BY_HAND_QUIET
+    }
+
+    /** The largest sum in a window over what was allowed then, of all plays. */
+    private static final class Worst {
+        private int calls;
+        private double allowed = 1;
+        private int falls;
+
+        private void add(int calls, double allowed) {
+            if (calls * this.allowed > this.calls * allowed) {
+                this.calls = calls;
+                this.allowed = allowed;
+            }
+        }
+    }
+
+    private record End(long at, int proxy, long query, int execution) { }
+
+    /** One play of some seconds round the moment in which node 0 comes cold. */
+    private static final class Play {
+        private static final long HOT = 1;
+        private final Traffic traffic;
+        private final Random random;
+        private final List<Rig> fleet = new ArrayList<>();
+        private final PriorityQueue<End> ends = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+        private final Deque<Long> window = new ArrayDeque<>();
+        private final double perSecond; // of a node, warm
+        private final Worst worst;
+        private long hotKey = HOT;
+        private long coldAt;
+        private long query;
+        private boolean fell;
+
+        private Play(Traffic traffic, int proxies, double perSecond, long seed, Worst worst) {
+            this.traffic = traffic;
+            this.perSecond = perSecond;
+            this.worst = worst;
+            random = new Random(seed);
+            for (int p = 0; p < proxies; p++) {
+                Rig rig = new Rig(false, DedupScope.ALL, seed * 1000 + p,
+                    new Fleet(null, p, proxies, false));
+                rig.list(true, Rig.entries(NODES, false));
+                fleet.add(rig);
+            }
+            Rig first = fleet.get(0);
+            while (first.target(-hotKey, READ, hotKey) != 0) {
+                first.end(-hotKey, 0, Outcome.COMPLETED);
+                hotKey++;
+            }
+            first.end(-hotKey, 0, Outcome.COMPLETED);
+        }
+
+        private void run() {
+            long start = fleet.get(0).now;
+            boolean byHand = traffic == Traffic.BY_HAND || traffic == Traffic.BY_HAND_QUIET;
+            boolean hotBefore = traffic == Traffic.HOT_KEY;
+            requests(start, start + 6000 * MS, LOAD, hotBefore ? 0.2 : 0);
+            if (byHand) {
+                each(start + 6000 * MS, rig -> rig.balance.byHand(rig.now, new NodeId(0), true, rig.decided));
+                requests(start + 6000 * MS, start + 10_000 * MS, LOAD, 0);
+            }
+            coldAt = start + 10_000 * MS;
+            each(coldAt, byHand ? rig -> rig.balance.byHand(rig.now, new NodeId(0), false, rig.decided)
+                : rig -> rig.list(false, List.of(Rig.entry(0, Phase.READY, coldAt))));
+            boolean steady = traffic == Traffic.EVEN || traffic == Traffic.HOT_KEY;
+            double load = traffic == Traffic.OVERLOAD ? 1.5 : steady ? LOAD : 1.5 * LOAD;
+            double hot = traffic == Traffic.HOT_KEY || traffic == Traffic.SUDDEN_HOT_KEY ? 0.2 : 0;
+            requests(coldAt, coldAt + 4000 * MS, traffic == Traffic.BY_HAND_QUIET ? 0.2 : load, hot);
+        }
+
+        private void each(long at, java.util.function.Consumer<Rig> does) {
+            for (Rig rig : fleet) {
+                rig.now = at;
+                rig.decided.clear();
+                does.accept(rig);
+            }
+        }
+
+        private void requests(long from, long until, double load, double hot) {
+            double mean = 1e9 / (load * perSecond * NODES);
+            for (double at = from + gap(mean); at < until; at += gap(mean)) {
+                endAll((long) at);
+                request((long) at, hot);
+            }
+        }
+
+        private double gap(double mean) {
+            return -mean * Math.log(1 - random.nextDouble());
+        }
+
+        private void request(long at, double hot) {
+            int p = random.nextInt(fleet.size());
+            if (traffic == Traffic.UNEVEN && random.nextDouble() < 0.4) {
+                p = random.nextInt(Math.max(1, fleet.size() / 10));
+            }
+            Rig rig = fleet.get(p);
+            rig.now = at;
+            long key = random.nextDouble() < hot ? hotKey : 1000 + random.nextInt(100_000);
+            carryOut(p, rig.ask(++query, READ, key));
+        }
+
+        private void endAll(long until) {
+            while (!ends.isEmpty() && ends.peek().at <= until) {
+                End end = ends.poll();
+                Rig rig = fleet.get(end.proxy);
+                rig.now = end.at;
+                boolean away = traffic == Traffic.TURNED_AWAY && random.nextBoolean();
+                carryOut(end.proxy, rig.end(end.query, end.execution, away ? Outcome.TURNED_AWAY : Outcome.COMPLETED));
+            }
+        }
+
+        private void carryOut(int proxy, Decisions decided) {
+            Rig rig = fleet.get(proxy);
+            for (Decisions.Start s : List.copyOf(decided.starts)) {
+                long number = s.query().value();
+                int execution = executions.merge(number, 1, Integer::sum) - 1;
+                ends.add(new End(rig.now + WORK_NS, proxy, number, execution));
+                if (s.node().value() == 0 && coldAt > 0) {
+                    sent(rig.now);
+                }
+            }
+        }
+
+        private final java.util.Map<Long, Integer> executions = new java.util.HashMap<>();
+
+        private void sent(long at) {
+            window.add(at);
+            while (window.peek() < at - WINDOW_S * 1e9) {
+                window.remove();
+            }
+            double warmth = Math.min(1, (at - coldAt) / 1e9 / WARM_S);
+            double share = START_SHARE + (1 - START_SHARE) * warmth;
+            double budget = FALL_MULTIPLE * share * perSecond * WINDOW_S;
+            double allowed = budget + 2 * Math.sqrt(budget) + 2;
+            worst.add(window.size(), allowed);
+            if (!fell && window.size() > allowed) {
+                fell = true;
+                worst.falls++;
+            }
+        }
+    }
+
+    @DataProvider
+    Object[][] fleets() {
+        List<Object[]> cases = new ArrayList<>();
+        for (Traffic traffic : Traffic.values()) {
+            for (int proxies : new int[] {30, 20}) {
+                for (double perSecond : new double[] {3, 30}) {
+                    cases.add(new Object[] {traffic, proxies, perSecond});
+                }
+            }
+        }
+        return cases.toArray(Object[][]::new);
+    }
+
+    @Test(dataProvider = "fleets")
+    public void allTogetherSendAColdNodeNoMoreThanItBears(Traffic traffic, int proxies, double perSecond) {
+        Worst worst = new Worst();
+        int plays = Integer.getInteger("spurroad.coldPlays", 40);
+        for (long seed = 1; seed <= plays; seed++) {
+            new Play(traffic, proxies, perSecond, seed, worst).run();
+        }
+        System.out.printf("cold node, %s, %d proxies, %.0f a second: worst window %d of %.1f, %d of %d plays over%n",
+            traffic, proxies, perSecond, worst.calls, worst.allowed, worst.falls, plays);
+        assertTrue(worst.falls == 0, worst.calls + " calls where " + worst.allowed + " were allowed");
+    }
+}
