--- /dev/null
+++ b/proxy/src/test/java/spurroad/protocol/LargeListsTest.java
@@ -0,0 +1,116 @@
+package spurroad.protocol;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.io.ByteArrayInputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import spurroad.Balance;
+import spurroad.Peers;
+import spurroad.model.CacheKey;
+import spurroad.model.CustomerId;
+import spurroad.model.Decisions;
+import spurroad.model.NodeId;
+import spurroad.model.QueryId;
+import spurroad.model.TrackId;
+import spurroad.start.ProxyStart;
+
+/** Deployments of more nodes and proxies than any that has been seen. */
+public class LargeListsTest {
+    private static final int MANY = 1100;
+    private static final Members.Names NAMES = new Members.Names(List.of("m1", "origin"), List.of("a"), true);
+
+    private static String[] targets(int nameLength) {
+        String[] targets = new String[MANY];
+        for (int i = 0; i < MANY; i++) {
+            String uid = "node-" + i + "-" + "x".repeat(nameLength);
+            targets[i] = Peers.target(uid, "m1", 1 + i, "active", 0);
+        }
+        return targets;
+    }
+
+    private static String indented(String list) {
+        StringBuilder text = new StringBuilder();
+        String indent = "\n";
+        for (char c : list.toCharArray()) {
+            boolean closes = c == '}' || c == ']';
+            indent = closes ? indent.substring(0, indent.length() - 4) : indent;
+            text.append(closes ? indent : "").append(c);
+            indent += c == '{' || c == '[' ? "    " : "";
+            text.append(c == '{' || c == '[' || c == ',' ? indent : "");
+        }
+        return text.toString();
+    }
+
+    private static String chunked(String body, int most) {
+        StringBuilder text = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        for (int from = 0; from < body.length(); from += most) {
+            String part = body.substring(from, Math.min(body.length(), from + most));
+            text.append(Integer.toHexString(part.length())).append("\r\n").append(part).append("\r\n");
+        }
+        return text.append("0\r\n\r\n").toString();
+    }
+
+    /** How long the names are, whether the list comes indented, and the longest chunk. */
+    @DataProvider
+    Object[][] forms() {
+        return new Object[][] {{20, false, 1000}, {20, true, 1000}, {20, true, Integer.MAX_VALUE},
+            {1500, false, Integer.MAX_VALUE}, {1500, true, 64_000}, {1500, true, Integer.MAX_VALUE}};
+    }
+
+    @Test(dataProvider = "forms")
+    public void aListOfManyNodesIsReadWhole(int nameLength, boolean indented, int chunk) throws Exception {
+        String list = Peers.list(7, true, targets(nameLength));
+        String body = (indented ? indented(list) : list) + "\n";
+        byte[] bytes = chunked(body, chunk).getBytes(StandardCharsets.ISO_8859_1);
+        ByteSource in = new ByteSource(new ByteArrayInputStream(bytes));
+        Members read = Members.read(Json.read(Http.listText(Http.stream(in, Http.head(in)))), NAMES);
+        assertEquals(read.members().size(), MANY);
+        assertEquals(read.members().get(MANY - 1).endpoint().getPort(), MANY);
+    }
+
+    /** Each of so many nodes has keys of its own, and is known again when the list changes. */
+    @Test
+    public void manyNodesAreUsed() throws Exception {
+        String list = Peers.list(7, true, targets(20));
+        Members read = Members.read(Json.read(list), NAMES);
+        Balance balance = new Balance(new ProxyStart(Peers.start(1, 1024, list)).figures.deployment, 1);
+        Decisions decided = new Decisions();
+        long now = 1_000_000_000L;
+        balance.listed(now, read.members().stream().map(Members.Member::entry).toList(), true, decided);
+        assertEquals(balance.standings().listed(), MANY);
+        Set<NodeId> used = new HashSet<>();
+        for (long query = 0; query < 30 * MANY; query++) {
+            decided.clear();
+            balance.arrived(now, new QueryId(query), new TrackId(0), new CustomerId(0), new CacheKey(query + 1), false, 0,
+                4_000_000_000L, decided);
+            decided.starts.forEach(s -> used.add(s.node()));
+            decided.clear();
+            balance.left(now, new QueryId(query), decided);
+        }
+        assertTrue(used.size() > 0.95 * MANY, used.size() + " of " + MANY);
+    }
+
+    @Test
+    public void settingsOfManyProxiesAndNodesAreRead() {
+        List<String> proxies = new ArrayList<>();
+        for (int i = 0; i < MANY; i++) {
+            proxies.add("\"127.0.0.1:" + (10_000 + i) + "\"");
+        }
+        String text = Peers.start(1, 1024, indented(Peers.list(7, true, targets(20))))
+            .replace("\"allowed\":{", "\"balancers\":" + MANY + ",\"index\":" + (MANY - 1)
+                + ",\"allowed\":{\"peers\":true,")
+            .replace("\"known\":", "\"proxies\":[" + String.join(",", proxies) + "],\"known\":");
+        ProxyStart start = new ProxyStart(text);
+        assertEquals(start.proxies.size(), MANY);
+        assertEquals(start.known.members().size(), MANY);
+        assertEquals(start.figures.deployment.fleet().index(), MANY - 1);
+        assertEquals(start.figures.deployment.fleet().proxies(), MANY);
+    }
+}
