--- a/core/src/main/java/spurroad/Balance.java
+++ b/core/src/main/java/spurroad/Balance.java
@@ -42,7 +42,7 @@
     static final double LATE_TOLD = 0.85; // the same where keepers tell queues: the mean is nearer the truth
     static final double COME_BACK = 0.5; // of the SLO time until a rejected client may try: queues have moved
     static final long FOLLOW_NS = 500_000_000L; // ns; first pause before following the list again
-    static final int MOST_KNOWN = 4_096; // nodes, gone ones too: who comes back is known again; keys turned away
+    static final int MOST_KNOWN = 4_096; // nodes, gone ones too: who comes back is known; keys too
     static final long LONGEST_FOLLOW_NS = 1_900_000_000L; // ns; half as much again and a call: under 6 s
     static final long HELD_NS = 1_000_000_000L; // ns; what is out and never ends well counts about so long
     static final long SAY_NS = 200_000_000L; // ns; until a keeper says a figure again
