--- a/cli/src/main/java/spurroad/cli/ExplainCommand.java
+++ b/cli/src/main/java/spurroad/cli/ExplainCommand.java
@@ -62,7 +62,8 @@
         return candidates.walk().isEmpty() ? Spurroad.FAILED : 0;
     }
 
-    private void tell(Candidates candidates, List<NodeEntry> entries, Map<NodeId, String> names) throws Exception {
+    private void tell(Candidates candidates, List<NodeEntry> entries, Map<NodeId, String> names)
+        throws Exception {
         List<Map<String, Object>> found = new ArrayList<>();
         for (Candidates.Found f : candidates.walk()) {
             Map<String, Object> one = new LinkedHashMap<>();
@@ -83,7 +84,8 @@
             out.println(ResultFolder.json(all));
             return;
         }
-        out.printf("key %s falls to %016x on a ring of %d points%n", key, candidates.point(), candidates.points());
+        out.printf("key %s falls to %016x on a ring of %d points%n", key, candidates.point(),
+            candidates.points());
         for (int i = 0; i < found.size(); i++) {
             out.printf("%d. %s, %.4f%% of the ring further on; it has %.1f%% of the ring%n", i + 1,
                 found.get(i).get("node"), 100 * (double) found.get(i).get("way"),
--- a/cli/src/main/java/spurroad/cli/Kept.java
+++ b/cli/src/main/java/spurroad/cli/Kept.java
@@ -5,7 +5,8 @@
 
 /** Where results are kept and how they are told; the same for all that plays. */
 final class Kept {
-    @Option(names = "--results", paramLabel = "FOLDER", description = "Where results are kept (${DEFAULT-VALUE}).")
+    @Option(names = "--results", paramLabel = "FOLDER",
+        description = "Where results are kept (${DEFAULT-VALUE}).")
     private Path results = Path.of("results");
     @Option(names = "--again", description = "Play also what is done.")
     private boolean again;
--- a/cli/src/main/java/spurroad/cli/OperatorsFile.java
+++ b/cli/src/main/java/spurroad/cli/OperatorsFile.java
@@ -6,8 +6,8 @@
 import spurroad.toml.TomlFile;
 
 /**
- * What operators set beside the platform's configuration, in a file of their own. Each feature has its table; without
- * it the feature is off.
+ * What operators set beside the platform's configuration, in a file of their own. Each feature has its table;
+ * without it the feature is off.
  *
  * @param logFormat how log lines are written
  */
--- a/cli/src/main/java/spurroad/cli/PlayedWith.java
+++ b/cli/src/main/java/spurroad/cli/PlayedWith.java
@@ -16,7 +16,8 @@
     @Option(names = "--policy", paramLabel = "NAME",
         description = "What decides in simulated proxies: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE}).")
     private Policy.Kind policy = Policy.Kind.MECHANISM;
-    @Option(names = "--jar", paramLabel = "FILE", description = "The proxy's jar; this build's where it is not given.")
+    @Option(names = "--jar", paramLabel = "FILE",
+        description = "The proxy's jar; this build's where it is not given.")
     private Path jar;
     @Option(names = "--flags", paramLabel = "FLAGS",
         description = "Of the proxies' virtual machines, instead of those for a small machine.")
--- a/cli/src/main/java/spurroad/cli/Progress.java
+++ b/cli/src/main/java/spurroad/cli/Progress.java
@@ -2,7 +2,9 @@
 
 import java.io.PrintStream;
 
-/** One line on a terminal's standard error that says how far long work is; nothing where that is no terminal. */
+/**
+ * One line on a terminal's standard error that says how far long work is; nothing where that is no terminal.
+ */
 final class Progress implements AutoCloseable {
     private static final long STEP_MS = 200; // ms; people see no quicker
 
--- a/cli/src/main/java/spurroad/cli/RigCompare.java
+++ b/cli/src/main/java/spurroad/cli/RigCompare.java
@@ -24,7 +24,8 @@
 /** Plays two builds or policies on the same scenario and seeds, in turn. */
 @Command(name = "compare", mixinStandardHelpOptions = true, description = {
     "Plays two builds (jars, on sockets) or policies (in simulated time) with the same seeds, in turn, and tells the "
-        + "differences.", "A policy is one of mechanism, random, ring, two_choices, bounded_ring."})
+        + "differences.",
+    "A policy is one of mechanism, random, ring, two_choices, bounded_ring."})
 final class RigCompare implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "SCENARIO")
     private Path file;
@@ -71,7 +72,8 @@
         try {
             return new Player.Simulated(Policy.Kind.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_')));
         } catch (IllegalArgumentException e) {
-            throw new CommandLine.ParameterException(spec.commandLine(), name + " is neither a jar nor a policy");
+            throw new CommandLine.ParameterException(spec.commandLine(),
+                name + " is neither a jar nor a policy");
         }
     }
 }
--- a/cli/src/main/java/spurroad/cli/RigReport.java
+++ b/cli/src/main/java/spurroad/cli/RigReport.java
@@ -18,7 +18,8 @@
 final class RigReport implements Callable<Integer> {
     @Parameters(paramLabel = "PAGE", description = "The page that is written.")
     private Path page;
-    @Option(names = "--results", paramLabel = "FOLDER", description = "Where results are kept (${DEFAULT-VALUE}).")
+    @Option(names = "--results", paramLabel = "FOLDER",
+        description = "Where results are kept (${DEFAULT-VALUE}).")
     private Path results = Path.of("results");
     @Spec
     private CommandSpec spec;
@@ -28,8 +29,9 @@
         ResultFolder folder = new ResultFolder(results);
         List<Result> all = folder.all();
         Report.write(page, all, folder);
-        spec.commandLine().getOut().println(all.size() + " results, " + folder.partial().size() + " cut off, in "
-            + page);
+        spec.commandLine().getOut()
+            .println(all.size() + " results, " + folder.partial().size() + " cut off, in "
+                + page);
         return all.isEmpty() ? Spurroad.FAILED : 0;
     }
 }
--- a/cli/src/main/java/spurroad/cli/RigRun.java
+++ b/cli/src/main/java/spurroad/cli/RigRun.java
@@ -28,8 +28,10 @@
     private PlayedWith with;
     @Option(names = "--seeds", split = ",", paramLabel = "N", description = "Instead of the scenario's own.")
     private List<Long> seeds = List.of();
-    @Option(names = "--set", paramLabel = "KEY=V1,V2", description = {"Plays the scenarios once with each of these values "
-        + "instead of the one in the file,", "and with each combination where it is given more than once."})
+    @Option(names = "--set", paramLabel = "KEY=V1,V2",
+        description = {"Plays the scenarios once with each of these values "
+            + "instead of the one in the file,",
+            "and with each combination where it is given more than once."})
     private Map<String, String> sets = Map.of();
     @Mixin
     private Kept kept;
--- a/cli/src/main/java/spurroad/cli/RigSearch.java
+++ b/cli/src/main/java/spurroad/cli/RigSearch.java
@@ -41,15 +41,18 @@
         PrintWriter out = spec.commandLine().getOut();
         try (Progress progress = new Progress().begin("searching")) {
             Search search = new Search(policy, progress::at);
-            Scenario calm = new Scenario(scenario.name(), scenario.about(), scenario.warmNs(), scenario.lengthNs(),
+            Scenario calm = new Scenario(scenario.name(), scenario.about(), scenario.warmNs(),
+                scenario.lengthNs(),
                 scenario.world(), scenario.load(), List.of(), scenario.rules(), scenario.seeds());
             double untouched = search.play(calm, scenario.seeds().get(0)).score();
             Search.Found worst = search.worst(scenario, scripts, seed);
             Search.Found shortest = search.shrink(worst, untouched);
             Files.writeString(found, ScenarioText.with(Files.readString(file), scenario.name() + "-found",
                 shortest.scenario(), shortest.seed()));
-            out.printf(Locale.ROOT, "without faults %.4f; worst of %d scripts %.4f with %d faults; shortened %.4f with "
-                + "%d faults, seed %d; %d runs; written to %s%n", untouched, scripts, worst.score(),
+            out.printf(Locale.ROOT,
+                "without faults %.4f; worst of %d scripts %.4f with %d faults; shortened %.4f with "
+                    + "%d faults, seed %d; %d runs; written to %s%n",
+                untouched, scripts, worst.score(),
                 worst.scenario().faults().size(), shortest.score(), shortest.scenario().faults().size(),
                 shortest.seed(), search.played(), found);
             return shortest.result().broken() > 0 ? Spurroad.FAILED : 0;
--- a/cli/src/main/java/spurroad/cli/RigWorld.java
+++ b/cli/src/main/java/spurroad/cli/RigWorld.java
@@ -35,7 +35,8 @@
         PrintWriter out = spec.commandLine().getOut();
         Path folder = Files.createTempDirectory("spurroad-world");
         List<String> command = with.sockets().command();
-        try (SocketWorld world = new SocketWorld(scenario, scenario.seeds().get(0), command, folder, out::println)) {
+        try (SocketWorld world = new SocketWorld(scenario, scenario.seeds().get(0), command, folder,
+            out::println)) {
             Runtime.getRuntime().addShutdownHook(new Thread(world::endNow));
             world.open().forEach(out::println);
             out.println("logs of the proxies in " + folder + "; open for " + seconds + " s");
--- a/cli/src/main/java/spurroad/cli/Runs.java
+++ b/cli/src/main/java/spurroad/cli/Runs.java
@@ -53,8 +53,9 @@
             }
             progress.at(scenario.name() + ", " + player.build() + ", seed " + seed);
             Path at = folder.begin(scenario.name(), player.build(), seed, text);
-            Result result = player.play(scenario, seed, at, line -> LOG.info("{} seed {}: {}", scenario.name(), seed,
-                line));
+            Result result = player.play(scenario, seed, at,
+                line -> LOG.info("{} seed {}: {}", scenario.name(), seed,
+                    line));
             folder.done(at, result);
             results.add(result);
         }
--- a/cli/src/main/java/spurroad/cli/ServeCommand.java
+++ b/cli/src/main/java/spurroad/cli/ServeCommand.java
@@ -6,7 +6,9 @@
 import picocli.CommandLine.Option;
 import spurroad.program.Main;
 
-/** Serves, as the platform's own start does, with further features where an operators' file switches them on. */
+/**
+ * Serves, as the platform's own start does, with further features where an operators' file switches them on.
+ */
 @Command(name = "serve", mixinStandardHelpOptions = true, description = {
     "Serves until it gets SIGTERM; then it answers what it has taken and ends.",
     "BALANCER_CONFIG names the platform's configuration (JSON), as with the lean start."})
--- a/cli/src/main/java/spurroad/cli/Spurroad.java
+++ b/cli/src/main/java/spurroad/cli/Spurroad.java
@@ -8,9 +8,11 @@
 import spurroad.toml.FaultyFileException;
 
 /** The command line of the whole product. */
-@Command(name = "spurroad", mixinStandardHelpOptions = true, versionProvider = Version.class, sortOptions = false,
+@Command(name = "spurroad", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    sortOptions = false,
     description = "A proxy that spreads keys over cache nodes before a slow origin, and what belongs to it.",
-    subcommands = {ServeCommand.class, CheckCommand.class, ExplainCommand.class, RigCommand.class, Version.class,
+    subcommands = {ServeCommand.class, CheckCommand.class, ExplainCommand.class, RigCommand.class,
+        Version.class,
         AutoComplete.GenerateCompletion.class},
     exitCodeListHeading = "%nExit codes:%n",
     exitCodeList = {" 0:done; all rules kept", " 1:it failed, or a rule was broken",
--- a/cli/src/test/java/spurroad/cli/ArchitectureTest.java
+++ b/cli/src/test/java/spurroad/cli/ArchitectureTest.java
@@ -15,14 +15,17 @@
     private static final JavaClasses ALL = new ClassFileImporter()
         .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("spurroad");
     private static final String[] DECISIONS = {"spurroad", "spurroad.model", "spurroad.admission"};
-    private static final String[] PROXY = {"spurroad.transport..", "spurroad.protocol..", "spurroad.routing..",
+    private static final String[] PROXY = {"spurroad.transport..", "spurroad.protocol..",
+        "spurroad.routing..",
         "spurroad.operation..", "spurroad.start..", "spurroad.program..", "spurroad.wirehost.."};
 
     @Test
     public void decisionsTouchNoInputOutputClockOrThread() {
         classes().that().resideInAnyPackage(DECISIONS).should().onlyDependOnClassesThat()
-            .resideInAnyPackage("spurroad", "spurroad.model", "spurroad.admission", "java.lang", "java.lang.runtime",
-                "java.lang.invoke", "java.util", "java.util.function", "java.util.stream").check(ALL);
+            .resideInAnyPackage("spurroad", "spurroad.model", "spurroad.admission", "java.lang",
+                "java.lang.runtime",
+                "java.lang.invoke", "java.util", "java.util.function", "java.util.stream")
+            .check(ALL);
         noClasses().that().resideInAnyPackage(DECISIONS).should().callMethod(System.class, "nanoTime")
             .orShould().callMethod(System.class, "currentTimeMillis")
             .orShould().accessClassesThat().areAssignableTo(Thread.class)
@@ -33,9 +36,12 @@
     @Test
     public void theControlServiceDecidesWithoutInputOutputClockOrThread() {
         classes().that().resideInAPackage("spurroad.control.decide").should().onlyDependOnClassesThat()
-            .resideInAnyPackage("spurroad.control.decide", "java.lang", "java.lang.runtime", "java.lang.invoke",
-                "java.util", "java.util.function", "java.util.stream", "java.security", "java.nio.charset").check(ALL);
-        noClasses().that().resideInAPackage("spurroad.control.decide").should().callMethod(System.class, "nanoTime")
+            .resideInAnyPackage("spurroad.control.decide", "java.lang", "java.lang.runtime",
+                "java.lang.invoke",
+                "java.util", "java.util.function", "java.util.stream", "java.security", "java.nio.charset")
+            .check(ALL);
+        noClasses().that().resideInAPackage("spurroad.control.decide").should()
+            .callMethod(System.class, "nanoTime")
             .orShould().callMethod(System.class, "currentTimeMillis").check(ALL);
     }
 
@@ -64,8 +70,10 @@
             .whereLayer("routing").mayOnlyBeAccessedByLayers("ends", "product")
             .whereLayer("operation").mayOnlyBeAccessedByLayers("ends", "product")
             .whereLayer("start").mayOnlyBeAccessedByLayers("routing", "ends", "product")
-            .whereLayer("protocol").mayOnlyBeAccessedByLayers("start", "routing", "operation", "ends", "product")
-            .whereLayer("transport").mayOnlyBeAccessedByLayers("protocol", "start", "routing", "operation", "ends",
+            .whereLayer("protocol")
+            .mayOnlyBeAccessedByLayers("start", "routing", "operation", "ends", "product")
+            .whereLayer("transport")
+            .mayOnlyBeAccessedByLayers("protocol", "start", "routing", "operation", "ends",
                 "product")
             .check(ALL);
     }
@@ -73,16 +81,21 @@
     @Test
     public void theLeanProxyNeedsNoLibrary() {
         classes().that().resideInAnyPackage(PROXY).should().onlyDependOnClassesThat()
-            .resideInAnyPackage("spurroad", "spurroad.model..", "spurroad.admission..", "spurroad.transport..",
-                "spurroad.protocol..", "spurroad.routing..", "spurroad.operation..", "spurroad.start..", "spurroad.program..",
-                "spurroad.wirehost..", "java..", "sun.misc").check(ALL);
+            .resideInAnyPackage("spurroad", "spurroad.model..", "spurroad.admission..",
+                "spurroad.transport..",
+                "spurroad.protocol..", "spurroad.routing..", "spurroad.operation..", "spurroad.start..",
+                "spurroad.program..",
+                "spurroad.wirehost..", "java..", "sun.misc")
+            .check(ALL);
     }
 
     /** A judge that read with the proxy's parsers would not see their faults. */
     @Test
     public void theJudgeIsNoPartOfTheProxy() {
-        noClasses().that().resideInAnyPackage("spurroad.rig.judge", "spurroad.rig.net").should().dependOnClassesThat()
-            .resideInAnyPackage(PROXY).orShould().dependOnClassesThat().haveFullyQualifiedName("spurroad.Balance")
+        noClasses().that().resideInAnyPackage("spurroad.rig.judge", "spurroad.rig.net").should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(PROXY).orShould().dependOnClassesThat()
+            .haveFullyQualifiedName("spurroad.Balance")
             .check(ALL);
     }
 
--- a/cli/src/test/java/spurroad/cli/SpurroadTest.java
+++ b/cli/src/test/java/spurroad/cli/SpurroadTest.java
@@ -28,7 +28,7 @@
     private static final Path JAR = Path.of("..", "proxy", "target", "spurroad.jar");
     private Path folder;
 
-    private record Said(int code, String out, String err) { }
+    private record Said(int code, String out, String err) {}
 
     @BeforeMethod
     public void folder() throws IOException {
@@ -50,7 +50,8 @@
     public void helpNamesAllCommandsAndExitCodes() {
         Said s = say("--help");
         assertEquals(s.code, 0);
-        for (String word : List.of("serve", "check", "explain", "rig", "version", "generate-completion", "Exit codes")) {
+        for (String word : List.of("serve", "check", "explain", "rig", "version", "generate-completion",
+            "Exit codes")) {
             assertTrue(s.out.contains(word), s.out);
         }
     }
@@ -97,7 +98,8 @@
     public void explainTellsCandidatesInTheirOrder() throws IOException {
         StringBuilder list = new StringBuilder("{\"rev\":1,\"all\":true,\"targets\":[");
         for (int i = 0; i < 6; i++) {
-            list.append(i == 0 ? "" : ",").append("{\"uid\":\"s-").append(i).append("\",\"endpoint\":\"127.0.0.1:11")
+            list.append(i == 0 ? "" : ",").append("{\"uid\":\"s-").append(i)
+                .append("\",\"endpoint\":\"127.0.0.1:11")
                 .append(i).append("\",\"az\":\"east\",\"model\":\"standard\",\"state\":\"")
                 .append(i == 5 ? "leaving" : "active").append("\"}");
         }
@@ -114,7 +116,8 @@
     // ---- experiments
 
     private Path scenario(String length) throws IOException {
-        return file("s.toml", "name = \"s\"\nlength = \"" + length + "\"\nwarm = \"500ms\"\nseeds = [4, 5]\n[world]\n"
+        return file("s.toml", "name = \"s\"\nlength = \"" + length
+            + "\"\nwarm = \"500ms\"\nseeds = [4, 5]\n[world]\n"
             + "[[world.nodes]]\nname = \"a\"\ncount = 3\n[load]\nrate = 150\n[[faults]]\nkind = \"slow\"\nat = \"1s\"\n"
             + "for = \"1s\"\ntargets = [\"a-0\"]\nfactor = 0.1\n");
     }
@@ -133,7 +136,8 @@
         assertTrue(first.out.contains("rules kept"), first.out);
         assertEquals(results().size(), 2);
         long at = Files.getLastModifiedTime(results().get(0)).toMillis();
-        assertEquals(say("rig", "run", s, "--simulated", "--results", folder.resolve("results")).out, first.out);
+        assertEquals(say("rig", "run", s, "--simulated", "--results", folder.resolve("results")).out,
+            first.out);
         assertEquals(Files.getLastModifiedTime(results().get(0)).toMillis(), at);
     }
 
@@ -151,13 +155,15 @@
         }
         assertTrue(said.get(0).contains("\"goodput\""), said.get(0));
         assertEquals(said.get(0), said.get(1));
-        assertNotEquals(said.get(0), say("rig", "run", s, "--simulated", "--json", "--seeds", "9,10", "--results",
-            folder.resolve("r2")).out.replaceAll("\"tookS\" : [0-9.E-]+", ""));
+        assertNotEquals(said.get(0),
+            say("rig", "run", s, "--simulated", "--json", "--seeds", "9,10", "--results",
+                folder.resolve("r2")).out.replaceAll("\"tookS\" : [0-9.E-]+", ""));
     }
 
     private static Process process(boolean withLog, String... words) throws IOException {
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-Dspurroad.home=..", "-cp", System.getProperty("java.class.path"), "spurroad.cli.Spurroad"));
+        List<String> command = new ArrayList<>(
+            List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Dspurroad.home=..", "-cp", System.getProperty("java.class.path"), "spurroad.cli.Spurroad"));
         command.addAll(List.of(words));
         ProcessBuilder builder = new ProcessBuilder(command);
         return (withLog ? builder.redirectErrorStream(true)
@@ -168,14 +174,16 @@
     @Test
     public void aRunThatIsCutOffLeavesNoProcessAndIsMarked() throws IOException, InterruptedException {
         Path s = scenario("30s");
-        Process p = process(true, "rig", "run", s.toString(), "--results", folder.resolve("results").toString(), "--jar",
+        Process p = process(true, "rig", "run", s.toString(), "--results",
+            folder.resolve("results").toString(), "--jar",
             JAR.toString());
         BufferedReader out = p.inputReader(StandardCharsets.UTF_8);
         String line = out.readLine();
         while (line != null && !line.contains("SLOW begins")) {
             line = out.readLine();
         }
-        List<ProcessHandle> proxies = p.descendants().filter(h -> h.info().command().orElse("").endsWith("java"))
+        List<ProcessHandle> proxies = p.descendants()
+            .filter(h -> h.info().command().orElse("").endsWith("java"))
             .toList();
         assertEquals(proxies.size(), 1, line);
         p.destroy();
@@ -190,7 +198,8 @@
         try (Stream<Path> all = Files.walk(folder.resolve("results"))) {
             assertEquals(all.filter(f -> f.endsWith("PARTIAL")).count(), 1);
         }
-        Said report = say("rig", "report", folder.resolve("page.html"), "--results", folder.resolve("results"));
+        Said report = say("rig", "report", folder.resolve("page.html"), "--results",
+            folder.resolve("results"));
         assertTrue(report.out.startsWith("0 results, 1 cut off"), report.out);
         assertTrue(Files.readString(folder.resolve("page.html")).contains("cut off: "));
     }
@@ -215,17 +224,21 @@
         assertTrue(again.out.contains(String.format(Locale.ROOT, "goodput %.4f", score)), again.out);
     }
 
-    /** Cut off or not, what is done of a matrix is not played again; the report shows load against goodput. */
+    /**
+     * Cut off or not, what is done of a matrix is not played again; the report shows load against goodput.
+     */
     @Test
     public void aMatrixPlaysEachCombinationOnce() throws IOException {
         Path s = scenario("3s");
-        Object[] words = {"rig", "run", s, "--simulated", "--seeds", "4", "--set", "load.rate=100,200,400", "--set",
+        Object[] words = {"rig", "run", s, "--simulated", "--seeds", "4", "--set", "load.rate=100,200,400",
+            "--set",
             "world.proxies=1,2", "--results", folder.resolve("results")};
         Said first = say(words);
         assertEquals(first.code, 0, first.err);
         assertEquals(results().size(), 6);
         Files.delete(results().get(2));
-        assertEquals(say(words).out.replaceAll(" in [0-9.]+ s", ""), first.out.replaceAll(" in [0-9.]+ s", ""));
+        assertEquals(say(words).out.replaceAll(" in [0-9.]+ s", ""),
+            first.out.replaceAll(" in [0-9.]+ s", ""));
         assertEquals(results().size(), 6);
         say("rig", "report", folder.resolve("page.html"), "--results", folder.resolve("results"));
         assertEquals(Files.readString(folder.resolve("page.html")).split("<svg", -1).length - 1, 1 + 6 * 4);
@@ -241,6 +254,7 @@
         assertEquals(r.code, 0, r.err);
         String text = Files.readString(page);
         assertEquals(text.split("<svg", -1).length - 1, 4, "four plots");
-        assertTrue(text.contains("simulated MECHANISM") && text.contains("1: SLOW"), "results and marked faults");
+        assertTrue(text.contains("simulated MECHANISM") && text.contains("1: SLOW"),
+            "results and marked faults");
     }
 }
--- a/control/src/main/java/spurroad/control/decide/History.java
+++ b/control/src/main/java/spurroad/control/decide/History.java
@@ -47,12 +47,13 @@
     }
 
     /**
-     * Brings the policy of an earlier snapshot back, as a new one; members stay as they are, as an old list would send
-     * queries to nodes that have gone since. Empty where that number is not kept.
+     * Brings the policy of an earlier snapshot back, as a new one; members stay as they are, as an old list
+     * would send queries to nodes that have gone since. Empty where that number is not kept.
      */
     public Optional<Snapshot> rollback(long atMs, long number) {
         Snapshot last = snapshots.peekLast();
-        return numbered(number).map(to -> take(atMs, "policy of snapshot " + number + " again", last.members(),
-            to.policy()));
+        return numbered(number)
+            .map(to -> take(atMs, "policy of snapshot " + number + " again", last.members(),
+                to.policy()));
     }
 }
--- a/control/src/main/java/spurroad/control/decide/Member.java
+++ b/control/src/main/java/spurroad/control/decide/Member.java
@@ -3,12 +3,14 @@
 /**
  * One cache node, or the origin, as proxies are told of it.
  *
- * @param uid      the same for all proxies and sources
+ * @param uid the same for all proxies and sources
  * @param endpoint address and port
- * @param weight   its size, above zero
+ * @param weight its size, above zero
  */
-public record Member(String uid, String endpoint, String zone, String kind, double weight, MemberStatus status)
-    implements Comparable<Member> {
+public record Member(String uid, String endpoint, String zone, String kind, double weight,
+                     MemberStatus status)
+    implements
+        Comparable<Member> {
     public Member with(MemberStatus other) {
         return new Member(uid, endpoint, zone, kind, weight, other);
     }
--- a/control/src/main/java/spurroad/control/decide/Rollout.java
+++ b/control/src/main/java/spurroad/control/decide/Rollout.java
@@ -3,13 +3,14 @@
 import java.util.Arrays;
 
 /**
- * Brings a new policy to some proxies first and to the rest when it has done them no harm. Which proxies are first goes
- * by a hash of their names and the new version, so that every control service chooses the same, and not always the
- * same ones. Each stage lasts for a least time and a least number of queries; a stage in which the part of queries not
- * served in time is larger than among the others by more than chance and a margin ends the roll-out, and all go back.
+ * Brings a new policy to some proxies first and to the rest when it has done them no harm. Which proxies are
+ * first goes by a hash of their names and the new version, so that every control service chooses the same,
+ * and not always the same ones. Each stage lasts for a least time and a least number of queries; a stage in
+ * which the part of queries not served in time is larger than among the others by more than chance and a
+ * margin ends the roll-out, and all go back.
  *
- * <p>The comparison is a two-proportion z-test, one-sided, against the margin. No clock: it is told the time. Not for
- * several threads.
+ * <p>The comparison is a two-proportion z-test, one-sided, against the margin. No clock: it is told the time.
+ * Not for several threads.
  */
 public final class Rollout {
     /** What becomes of it. */
@@ -30,15 +31,17 @@
     /**
      * Begins one.
      *
-     * @param version      of the policy that is rolled out
-     * @param stages       parts of the proxies that have it, rising, the last one 1
-     * @param leastNs      that a stage lasts, in nanoseconds
+     * @param version of the policy that is rolled out
+     * @param stages parts of the proxies that have it, rising, the last one 1
+     * @param leastNs that a stage lasts, in nanoseconds
      * @param leastQueries that those who have it must have reported in a stage
-     * @param margin       by which more may be served late or not at all, as a part of all
+     * @param margin by which more may be served late or not at all, as a part of all
      */
-    public Rollout(long now, String version, double[] stages, long leastNs, long leastQueries, double margin) {
+    public Rollout(long now, String version, double[] stages, long leastNs, long leastQueries,
+                   double margin) {
         if (stages.length == 0 || stages[stages.length - 1] != 1) {
-            throw new IllegalArgumentException("stages " + Arrays.toString(stages) + ": expected the last one to be 1");
+            throw new IllegalArgumentException(
+                "stages " + Arrays.toString(stages) + ": expected the last one to be 1");
         }
         this.version = version;
         this.stages = stages.clone();
--- a/control/src/main/java/spurroad/control/decide/ShrinkGuard.java
+++ b/control/src/main/java/spurroad/control/decide/ShrinkGuard.java
@@ -8,23 +8,24 @@
 import java.util.TreeSet;
 
 /**
- * Refuses a list that loses too much of the fleet at once: a discovery that empties by a fault of its own must not take
- * the proxies with it. What a list calls draining is always taken, as that is said of a node on purpose. Of nodes that
- * are just missing, those beyond the part that may go are held for a while; if they are still missing then, they go.
+ * Refuses a list that loses too much of the fleet at once: a discovery that empties by a fault of its own
+ * must not take the proxies with it. What a list calls draining is always taken, as that is said of a node on
+ * purpose. Of nodes that are just missing, those beyond the part that may go are held for a while; if they
+ * are still missing then, they go.
  *
- * <p>The part is of the weight of what was active when the first of them went missing, so that a fleet can't be lost in
- * slices either. No clock: it is told the time. Not for several threads.
+ * <p>The part is of the weight of what was active when the first of them went missing, so that a fleet can't
+ * be lost in slices either. No clock: it is told the time. Not for several threads.
  */
 public final class ShrinkGuard {
     /**
      * What the guard lets through.
      *
      * @param fleet as proxies are to be told
-     * @param held  nodes that are missing and held all the same, by uid
+     * @param held nodes that are missing and held all the same, by uid
      */
-    public record Verdict(SortedMap<String, Member> fleet, SortedSet<String> held) { }
+    public record Verdict(SortedMap<String, Member> fleet, SortedSet<String> held) {}
 
-    private record Missing(Member member, long since) { }
+    private record Missing(Member member, long since) {}
 
     private final double mostLost;
     private final long holdNs;
@@ -36,7 +37,7 @@
      * A guard that has seen no list.
      *
      * @param mostLost part of the weight that may go missing at once, from 0 to 1
-     * @param holdNs   for how long what is beyond that is held, in nanoseconds
+     * @param holdNs for how long what is beyond that is held, in nanoseconds
      */
     public ShrinkGuard(double mostLost, long holdNs) {
         this.mostLost = mostLost;
@@ -70,7 +71,8 @@
     }
 
     private static double active(Map<String, Member> fleet) {
-        return fleet.values().stream().filter(m -> m.status().state() == MemberState.ACTIVE).mapToDouble(Member::weight)
+        return fleet.values().stream().filter(m -> m.status().state() == MemberState.ACTIVE)
+            .mapToDouble(Member::weight)
             .sum();
     }
 }
--- a/control/src/main/java/spurroad/control/decide/Snapshot.java
+++ b/control/src/main/java/spurroad/control/decide/Snapshot.java
@@ -9,16 +9,17 @@
 import java.util.TreeMap;
 
 /**
- * All that proxies are told at one time. Its version is a hash of its content and of nothing else: control services
- * that have never heard of each other give the same input the same version, so a proxy that moves from one to another
- * sees no change.
+ * All that proxies are told at one time. Its version is a hash of its content and of nothing else: control
+ * services that have never heard of each other give the same input the same version, so a proxy that moves
+ * from one to another sees no change.
  *
- * @param number  counts within one control service
- * @param cause   why it differs from the one before, as one line
+ * @param number counts within one control service
+ * @param cause why it differs from the one before, as one line
  * @param members by uid
- * @param policy  keys and values of the operators' policy, as proxies take them
+ * @param policy keys and values of the operators' policy, as proxies take them
  */
-public record Snapshot(long number, String version, long atMs, String cause, SortedMap<String, Member> members,
+public record Snapshot(long number, String version, long atMs, String cause,
+                       SortedMap<String, Member> members,
                        SortedMap<String, String> policy) {
     private static final int VERSION_DIGITS = 16; // of SHA-256; two of a history alike by chance: one in 2^48
 
--- a/control/src/main/java/spurroad/control/decide/SnapshotDelta.java
+++ b/control/src/main/java/spurroad/control/decide/SnapshotDelta.java
@@ -9,7 +9,7 @@
 
 /** What differs between two snapshots, for people: a line each, {@code +}, {@code -} or {@code ~} first. */
 final class SnapshotDelta {
-    private SnapshotDelta() { }
+    private SnapshotDelta() {}
 
     static List<String> of(Snapshot before, Snapshot after) {
         List<String> lines = new ArrayList<>();
@@ -19,7 +19,8 @@
         return lines;
     }
 
-    private static <T> void compare(SortedMap<String, T> before, SortedMap<String, T> after, List<String> lines,
+    private static <T> void compare(SortedMap<String, T> before, SortedMap<String, T> after,
+                                    List<String> lines,
                                     BiFunction<String, T, String> whole, BiFunction<T, T, String> change) {
         SortedSet<String> keys = new TreeSet<>(before.keySet());
         keys.addAll(after.keySet());
--- a/control/src/main/java/spurroad/control/decide/SourceViews.java
+++ b/control/src/main/java/spurroad/control/decide/SourceViews.java
@@ -8,10 +8,11 @@
 import java.util.TreeMap;
 
 /**
- * The fleet as several sources see it: discovery, a second discovery, the nodes' own word. The status of each node is
- * the join of what is said of it ({@link MemberStatus}). What a whole list leaves out is gone for its source, unless
- * another that is as live names it in a later life. A source that has fallen silent is still believed in what it said, which can only
- * be stricter or older, but no longer in what it left out: it can't know what has come since.
+ * The fleet as several sources see it: discovery, a second discovery, the nodes' own word. The status of each
+ * node is the join of what is said of it ({@link MemberStatus}). What a whole list leaves out is gone for its
+ * source, unless another that is as live names it in a later life. A source that has fallen silent is still
+ * believed in what it said, which can only be stricter or older, but no longer in what it left out: it can't
+ * know what has come since.
  *
  * <p>Bounded: what is gone for every source is forgotten. Not for several threads.
  */
@@ -87,8 +88,10 @@
 
     private void forget(Map<String, Member> fleet) {
         for (View v : views.values()) {
-            v.members.values().removeIf(m -> m.status().state() == MemberState.GONE && views.values().stream().allMatch(
-                o -> !o.members.containsKey(m.uid()) || o.members.get(m.uid()).status().state() == MemberState.GONE));
+            v.members.values()
+                .removeIf(m -> m.status().state() == MemberState.GONE && views.values().stream().allMatch(
+                    o -> !o.members.containsKey(m.uid())
+                        || o.members.get(m.uid()).status().state() == MemberState.GONE));
         }
     }
 }
--- a/control/src/main/java/spurroad/control/decide/Subscription.java
+++ b/control/src/main/java/spurroad/control/decide/Subscription.java
@@ -3,12 +3,13 @@
 import java.util.Optional;
 
 /**
- * One kind of resource on one proxy's stream, as the state of the world variant of xDS has it: what was sent and is not
- * answered yet, what was accepted, what was refused. At most one answer is out at a time; what comes meanwhile takes
- * the place of what waits, so a proxy that reads slowly is sent the newest state and not all that were between.
- * A version that was refused is not sent again until another one is there.
+ * One kind of resource on one proxy's stream, as the state of the world variant of xDS has it: what was sent
+ * and is not answered yet, what was accepted, what was refused. At most one answer is out at a time; what
+ * comes meanwhile takes the place of what waits, so a proxy that reads slowly is sent the newest state and
+ * not all that were between. A version that was refused is not sent again until another one is there.
  *
- * <p>Source: "xDS REST and gRPC protocol", ACK/NACK and resource type instance version. Not for several threads.
+ * <p>Source: "xDS REST and gRPC protocol", ACK/NACK and resource type instance version. Not for several
+ * threads.
  */
 public final class Subscription {
     private String newest = "", out = "", outNonce = "", accepted = "", refused = "";
@@ -16,7 +17,7 @@
     private boolean asked, again;
 
     /** What is to be sent now: a version, and the nonce that its answer will bear. */
-    public record Send(String version, String nonce) { }
+    public record Send(String version, String nonce) {}
 
     /** There is a newer version to be had. */
     public Optional<Send> newer(String version) {
@@ -28,8 +29,8 @@
      * The proxy asks.
      *
      * @param version that it has accepted last; empty where it has none
-     * @param nonce   of the answer that this is about; empty in the first request of a stream
-     * @param error   why it refused that answer; null where it did not
+     * @param nonce of the answer that this is about; empty in the first request of a stream
+     * @param error why it refused that answer; null where it did not
      * @param changed whether it asks for other resources than before
      */
     public Optional<Send> request(String version, String nonce, String error, boolean changed) {
--- a/control/src/test/java/spurroad/control/decide/FleetTest.java
+++ b/control/src/test/java/spurroad/control/decide/FleetTest.java
@@ -103,7 +103,8 @@
     @Test
     public void theVersionIsOfTheContentAloneAndOfAllOfIt() {
         Snapshot a = Snapshot.of(1, 5, "first", Members.fleet("n1", "n2"), NO_POLICY);
-        assertEquals(Snapshot.of(9, 7, "elsewhere", Members.fleet("n2", "n1"), NO_POLICY).version(), a.version());
+        assertEquals(Snapshot.of(9, 7, "elsewhere", Members.fleet("n2", "n1"), NO_POLICY).version(),
+            a.version());
         SortedMap<String, Member> other = Members.fleet("n1", "n2");
         other.put("n2", other.get("n2").with(new MemberStatus(0, MemberState.DRAINING)));
         assertNotEquals(Snapshot.version(other, NO_POLICY), a.version());
@@ -123,9 +124,11 @@
         SortedMap<String, Member> later = Members.fleet("n1", "n3");
         later.put("n1", later.get("n1").with(new MemberStatus(0, MemberState.DRAINING)));
         Snapshot two = h.take(3, "list", later, p2);
-        assertEquals(two.since(one), List.of("~ n1: ACTIVE -> DRAINING", "- n2 at " + one.members().get("n2").endpoint()
-            + ", ACTIVE", "+ n3 at " + two.members().get("n3").endpoint() + ", ACTIVE", "+ ring-points = 96",
-            "~ soft-limit: 0.1 -> 0.3"));
+        assertEquals(two.since(one),
+            List.of("~ n1: ACTIVE -> DRAINING", "- n2 at " + one.members().get("n2").endpoint()
+                + ", ACTIVE", "+ n3 at " + two.members().get("n3").endpoint() + ", ACTIVE",
+                "+ ring-points = 96",
+                "~ soft-limit: 0.1 -> 0.3"));
         Snapshot back = h.rollback(4, one.number()).orElseThrow();
         assertEquals(back.policy(), p1);
         assertEquals(back.members(), later);
--- a/control/src/test/java/spurroad/control/decide/Members.java
+++ b/control/src/test/java/spurroad/control/decide/Members.java
@@ -5,12 +5,12 @@
 
 /** Members for tests. */
 final class Members {
-    private Members() { }
+    private Members() {}
 
     static Member member(String uid, long startedMs, MemberState state) {
-        return new Member(uid, "127.0.0.1:" + (1000 + uid.hashCode() % 1000), "east", "m1", 1, 
+        return new Member(uid, "127.0.0.1:" + (1000 + uid.hashCode() % 1000), "east", "m1", 1,
             new MemberStatus(startedMs,
-            state));
+                state));
     }
 
     static Member active(String uid) {
--- a/control/src/test/java/spurroad/control/decide/SourceViewsProperties.java
+++ b/control/src/test/java/spurroad/control/decide/SourceViewsProperties.java
@@ -14,7 +14,7 @@
 /** What holds of the fleet whatever is said by whom and in which order. */
 class SourceViewsProperties {
     /** A source says something of a node. */
-    record Said(String source, Member member) { }
+    record Said(String source, Member member) {}
 
     @Provide
     Arbitrary<MemberStatus> statuses() {
@@ -24,7 +24,8 @@
 
     @Provide
     Arbitrary<List<Said>> sayings() {
-        return Combinators.combine(Arbitraries.of("a", "b", "c"), Arbitraries.of("n1", "n2", "n3", "n4"), statuses())
+        return Combinators
+            .combine(Arbitraries.of("a", "b", "c"), Arbitraries.of("n1", "n2", "n3", "n4"), statuses())
             .as((source, uid, s) -> new Said(source, Members.member(uid, s.startedMs(), s.state())))
             .list().ofMaxSize(20);
     }
@@ -39,7 +40,8 @@
 
     /** The same said by all, in any order of the sources, is the same fleet. */
     @Property(seed = "2", tries = 300)
-    void theOrderInWhichSourcesAreHeardDoesNotMatter(@ForAll("sayings") List<Said> said, @ForAll Random random) {
+    void theOrderInWhichSourcesAreHeardDoesNotMatter(@ForAll("sayings") List<Said> said,
+                                                     @ForAll Random random) {
         List<String> sources = new ArrayList<>(List.of("a", "b", "c"));
         SourceViews one = views(said, sources);
         Collections.shuffle(sources, random);
@@ -49,12 +51,15 @@
     private static SourceViews views(List<Said> said, List<String> sources) {
         SourceViews views = new SourceViews();
         for (String source : sources) {
-            said.stream().filter(s -> s.source.equals(source)).forEach(s -> views.changed(source, List.of(s.member)));
+            said.stream().filter(s -> s.source.equals(source))
+                .forEach(s -> views.changed(source, List.of(s.member)));
         }
         return views;
     }
 
-    /** Nobody is sent queries whom any source, live or lost, called leaving in a life that none calls over. */
+    /**
+     * Nobody is sent queries whom any source, live or lost, called leaving in a life that none calls over.
+     */
     @Property(seed = "3", tries = 300)
     void theStricterStateWinsUntilAllAgree(@ForAll("sayings") List<Said> said, @ForAll boolean lost) {
         SourceViews views = views(said, List.of("a", "b", "c"));
@@ -67,7 +72,8 @@
                 said.stream().filter(s -> s.source.equals(source) && s.member.uid().equals(m.uid()))
                     .reduce((x, y) -> y).map(s -> s.member.status()).ifPresent(s -> check(
                         s.startedMs() < m.status().startedMs() || s.startedMs() == m.status().startedMs()
-                        && s.state().compareTo(m.status().state()) <= 0, m + " though " + source + " said " + s));
+                            && s.state().compareTo(m.status().state()) <= 0,
+                        m + " though " + source + " said " + s));
             }
         }
     }
--- a/core/src/main/java/spurroad/Agenda.java
+++ b/core/src/main/java/spurroad/Agenda.java
@@ -5,10 +5,10 @@
 
 /** When held queries are due, in order; one held anew, or released, is no more due for its earlier hold. */
 final class Agenda {
-    private record Due(long at, long order, Qry qry, int hold) { }
+    private record Due(long at, long order, Qry qry, int hold) {}
 
-    private final PriorityQueue<Due> dues =
-        new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<Due> dues = new PriorityQueue<>(
+        Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
     private long order;
 
     void add(Qry q, long at) {
--- a/core/src/main/java/spurroad/Behind.java
+++ b/core/src/main/java/spurroad/Behind.java
@@ -8,8 +8,8 @@
     private long steeredAt, saidAt = Long.MIN_VALUE / 2;
 
     /**
-     * As its keeper: a write ended. The share falls while too many end late, and else grows.
-     * Tells whether a word to so many is earned, due and news; it is then spent.
+     * As its keeper: a write ended. The share falls while too many end late, and else grows. Tells whether a
+     * word to so many is earned, due and news; it is then spent.
      */
     boolean ended(boolean badly, long now, int proxies) {
         late.add(now, badly ? 1 : 0, 1);
--- a/core/src/main/java/spurroad/Candidates.java
+++ b/core/src/main/java/spurroad/Candidates.java
@@ -9,21 +9,21 @@
 import spurroad.model.Phase;
 
 /**
- * Where a key's candidates lie on the ring that the module would build of a list, for people who ask; the module itself
- * leaves out further nodes by what it has seen of them.
+ * Where a key's candidates lie on the ring that the module would build of a list, for people who ask; the
+ * module itself leaves out further nodes by what it has seen of them.
  *
- * @param point  of the key on the ring
+ * @param point of the key on the ring
  * @param points how many points the ring has
- * @param walk   the first ready cache nodes clockwise, three at most
+ * @param walk the first ready cache nodes clockwise, three at most
  */
 public record Candidates(long point, int points, List<Found> walk) {
     /**
      * A node on the way.
      *
-     * @param way  from the key's point to the node's, as a part of the ring
+     * @param way from the key's point to the node's, as a part of the ring
      * @param part of the ring that is the node's own
      */
-    public record Found(NodeId node, double way, double part) { }
+    public record Found(NodeId node, double way, double part) {}
 
     /** Of a list of all that there is, without the origin's kind, which is never a candidate. */
     public static Candidates of(List<NodeEntry> entries, KindId originKind, CacheKey key) {
@@ -42,7 +42,8 @@
             if (!seen.contains(n)) {
                 seen.add(n);
                 long at = ring.point(from + i);
-                walk.add(new Found(n.entry.id(), ((double) at - point) / 0x1p64 + (at < point ? 1 : 0), n.part));
+                walk.add(
+                    new Found(n.entry.id(), ((double) at - point) / 0x1p64 + (at < point ? 1 : 0), n.part));
             }
         }
         return new Candidates(point, ring.size(), walk);
--- a/core/src/main/java/spurroad/Node.java
+++ b/core/src/main/java/spurroad/Node.java
@@ -77,15 +77,18 @@
         }
     }
 
-    /** Staff gave it back: in its turn among all proxies it gets a query that its warm-up allows, whosever key it is. */
+    /**
+     * Staff gave it back: in its turn among all proxies it gets a query that its warm-up allows, whosever key
+     * it is.
+     */
     void owe(double turn) {
         owedFrom = backNs + OWED_NS + (long) (turn * OWED_APART_NS);
     }
 
     /**
-     * How many times its part of the ring this proxy's queries ask for it, one that a key falls to by chance left out: over
-     * all that is remembered, which tells of a lasting hot key, or since its start, which tells of a sudden one, whichever is
-     * more.
+     * How many times its part of the ring this proxy's queries ask for it, one that a key falls to by chance
+     * left out: over all that is remembered, which tells of a lasting hot key, or since its start, which
+     * tells of a sudden one, whichever is more.
      *
      * @param arrived what this proxy remembers of queries, with the same memory as {@link #asked}
      */
--- a/core/src/main/java/spurroad/Qry.java
+++ b/core/src/main/java/spurroad/Qry.java
@@ -43,7 +43,10 @@
         sloAt = Math.min(endAt, now + sloNs);
     }
 
-    /** Until when nodes know it for the same one, if an execution of it may have run and another is allowed by that. */
+    /**
+     * Until when nodes know it for the same one, if an execution of it may have run and another is allowed by
+     * that.
+     */
     long knownUntil() {
         return mayHaveRun == null || track.effect() != Effect.DEDUPLICATED ? Long.MAX_VALUE
             : mayHaveRun.sentAt + track.dedupWindowNs();
--- a/core/src/main/java/spurroad/Ring.java
+++ b/core/src/main/java/spurroad/Ring.java
@@ -11,7 +11,9 @@
     // a point's place on the ring, its lowest bits replaced by the index of the node that owns it
     private final long[] points;
 
-    /** Points in proportion to weight: `mean` of them for a node of mean weight, at most `most` times that. */
+    /**
+     * Points in proportion to weight: `mean` of them for a node of mean weight, at most `most` times that.
+     */
     Ring(List<Node> nodes, int mean, double most) {
         this.nodes = nodes;
         double weight = nodes.stream().mapToDouble(n -> n.entry.weight()).average().orElse(1);
--- a/core/src/main/java/spurroad/admission/Admission.java
+++ b/core/src/main/java/spurroad/admission/Admission.java
@@ -4,14 +4,14 @@
 import java.util.Random;
 
 /**
- * Says which queries a proxy takes in by its own means: its share of a core, its memory, and how long things wait in
- * it. Reasons of nodes, shares of a track's worth and times are the decision module's. What is turned away here has
- * cost the reading of its command and the writing of one line.
+ * Says which queries a proxy takes in by its own means: its share of a core, its memory, and how long things
+ * wait in it. Reasons of nodes, shares of a track's worth and times are the decision module's. What is turned
+ * away here has cost the reading of its command and the writing of one line.
  *
- * <p>Of all that comes, a part is admitted that follows the scarcest means: cut in proportion while more is used than
- * may be, raised by little steps while less is. The part is filled by worth: the best class first, the last one that
- * fits by chance. Sources: admission by priority from DAGOR (Zhou et al., 2018), additive increase and
- * multiplicative decrease (Chiu and Jain, 1989). No I/O, no clock: it is told the time.
+ * <p>Of all that comes, a part is admitted that follows the scarcest means: cut in proportion while more is
+ * used than may be, raised by little steps while less is. The part is filled by worth: the best class first,
+ * the last one that fits by chance. Sources: admission by priority from DAGOR (Zhou et al., 2018), additive
+ * increase and multiplicative decrease (Chiu and Jain, 1989). No I/O, no clock: it is told the time.
  */
 public final class Admission {
     /** How often {@link #measured} is to be called, in nanoseconds. */
@@ -44,7 +44,8 @@
     private double part = 1, admitted, rejected, pressure, usedLately;
 
     /** One for a proxy, with its figures as {@link #figures} takes them. */
-    public Admission(double[] importance, double[] pace, long mostAge, long comeBack, long maxComeBack, long seed) {
+    public Admission(double[] importance, double[] pace, long mostAge, long comeBack, long maxComeBack,
+                     long seed) {
         random = new Random(seed);
         figures(importance, pace, mostAge, comeBack, maxComeBack);
     }
@@ -52,11 +53,11 @@
     /**
      * Its figures, for all that comes from now on; the part that is admitted and the level stay as they are.
      *
-     * @param importance   of each track
-     * @param pace         this proxy's part of each customer's share, queries a second
-     * @param mostAge      how long things may wait in the proxy, in nanoseconds: a part of the shortest SLO time
-     * @param comeBack     how long a rejected client is to stay away without pressure, in nanoseconds
-     * @param maxComeBack  how long it may be asked to at most; zero where clients are told nothing
+     * @param importance of each track
+     * @param pace this proxy's part of each customer's share, queries a second
+     * @param mostAge how long things may wait in the proxy, in nanoseconds: a part of the shortest SLO time
+     * @param comeBack how long a rejected client is to stay away without pressure, in nanoseconds
+     * @param maxComeBack how long it may be asked to at most; zero where clients are told nothing
      */
     public void figures(double[] importance, double[] pace, long mostAge, long comeBack, long maxComeBack) {
         worth = importance.clone();
@@ -90,7 +91,10 @@
         return pressure;
     }
 
-    /** A query came: whether it is taken in. Track and customer by their number, a customer below 0 is unknown. */
+    /**
+     * A query came: whether it is taken in. Track and customer by their number, a customer below 0 is
+     * unknown.
+     */
     public boolean admits(int track, int customer) {
         boolean beyond = customer >= 0 && customer < customerPace.length && isBeyond(customer);
         int c = (beyond ? classes / 2 : 0) + rank[track];
@@ -131,8 +135,8 @@
     }
 
     /**
-     * What was used over the last interval; to be called once an interval, with times that never go back. True if
-     * the level has changed.
+     * What was used over the last interval; to be called once an interval, with times that never go back.
+     * True if the level has changed.
      *
      * @param cold whether nodes are still warming up
      */
@@ -160,8 +164,8 @@
     }
 
     /**
-     * How long a client that is turned away is to stay away, in nanoseconds: longer the more keep coming, and each by
-     * chance, so that they don't come back together. Zero where clients are told nothing.
+     * How long a client that is turned away is to stay away, in nanoseconds: longer the more keep coming, and
+     * each by chance, so that they don't come back together. Zero where clients are told nothing.
      */
     public long comeBackNs() {
         double mean = comeBackNs * Math.max(1, pressure);
--- a/core/src/main/java/spurroad/admission/Claim.java
+++ b/core/src/main/java/spurroad/admission/Claim.java
@@ -1,8 +1,9 @@
 package spurroad.admission;
 
 /**
- * How strong a client's connection's claim to its place is, where places are short. Places are for those that have a
- * query; of the others, those go first that have been quiet the longest beside what their kind may take.
+ * How strong a client's connection's claim to its place is, where places are short. Places are for those that
+ * have a query; of the others, those go first that have been quiet the longest beside what their kind may
+ * take.
  */
 public enum Claim {
     /** Waits for an answer, or may still be taking one: never asked to go. */
@@ -20,7 +21,9 @@
         this.patienceNs = patienceNs;
     }
 
-    /** How overdue one is that was quiet for so long, in nanoseconds; from 1 on it may go, the highest first. */
+    /**
+     * How overdue one is that was quiet for so long, in nanoseconds; from 1 on it may go, the highest first.
+     */
     public double overdue(long quietNs) {
         return this == QUERY ? 0 : (double) quietNs / patienceNs;
     }
--- a/core/src/main/java/spurroad/admission/Level.java
+++ b/core/src/main/java/spurroad/admission/Level.java
@@ -1,6 +1,8 @@
 package spurroad.admission;
 
-/** How much service there is, from all of it down; each level leaves out what those before it do, and more. */
+/**
+ * How much service there is, from all of it down; each level leaves out what those before it do, and more.
+ */
 public enum Level {
     /** Everything is taken in. */
     ORDINARY,
--- a/core/src/main/java/spurroad/admission/Levels.java
+++ b/core/src/main/java/spurroad/admission/Levels.java
@@ -3,10 +3,10 @@
 import java.util.Arrays;
 
 /**
- * The level of service, one step at a time. It goes by what is demanded over what can be borne, which does not fall by
- * turning queries away, so that a level does not undo its own cause. Each level has a way in above its way out, a
- * least stay, and a longer one each time it is soon come back to: load that hovers at a boundary changes the level
- * ever more seldom. No I/O, no clock: it is told the time.
+ * The level of service, one step at a time. It goes by what is demanded over what can be borne, which does
+ * not fall by turning queries away, so that a level does not undo its own cause. Each level has a way in
+ * above its way out, a least stay, and a longer one each time it is soon come back to: load that hovers at a
+ * boundary changes the level ever more seldom. No I/O, no clock: it is told the time.
  */
 public final class Levels {
     // what is demanded over what can be borne at which a level begins, by their order. The last two are for when
@@ -45,14 +45,15 @@
     }
 
     /**
-     * Tells what is demanded over what can be borne, 1 being just as much; to be called some ten times a second, with
-     * times that never go back. True if the level has changed.
+     * Tells what is demanded over what can be borne, 1 being just as much; to be called some ten times a
+     * second, with times that never go back. True if the level has changed.
      *
      * @param cold whether nodes are still warming up, which bear less than those measured before
      */
     public boolean told(long now, double pressure, boolean cold) {
         int at = level.ordinal();
-        aboveSince = at + 1 < IN.length && pressure >= IN[at + 1] ? Math.min(aboveSince, now) : Long.MAX_VALUE;
+        aboveSince = at + 1 < IN.length && pressure >= IN[at + 1] ? Math.min(aboveSince, now)
+            : Long.MAX_VALUE;
         belowSince = at > 0 && pressure < OUT * IN[at] ? Math.min(belowSince, now) : Long.MAX_VALUE;
         long least = cold ? COLD_STAYS * stay[at] : stay[at];
         if (aboveSince != Long.MAX_VALUE && now - aboveSince >= WORSE_NS && now - since >= WORSE_NS) {
--- a/core/src/main/java/spurroad/model/Deployment.java
+++ b/core/src/main/java/spurroad/model/Deployment.java
@@ -6,11 +6,11 @@
  * The figures by which a proxy decides, derived from its start settings.
  *
  * @param customerPace queries a second within each customer's share, this proxy's part of them
- * @param originKind   the kind of the origin's list entry, or null where nodes fetch for themselves
- * @param mustAsk      whether the list is heard only by a proxy that asks for it
+ * @param originKind the kind of the origin's list entry, or null where nodes fetch for themselves
+ * @param mustAsk whether the list is heard only by a proxy that asks for it
  * @param maxComeBackNs how long a rejected client may be asked to stay away; zero where it is not told
- * @param idleNs       how long nodes leave an idle connection open
- * @param fleet        where this proxy stands among the others
+ * @param idleNs how long nodes leave an idle connection open
+ * @param fleet where this proxy stands among the others
  */
 public record Deployment(List<Track> tracks, List<Double> customerPace, KindId originKind, boolean mustAsk,
                          boolean probes, boolean cancels, long maxComeBackNs,
--- a/core/src/main/java/spurroad/model/Fleet.java
+++ b/core/src/main/java/spurroad/model/Fleet.java
@@ -3,10 +3,10 @@
 /**
  * Where a proxy stands among those of its deployment.
  *
- * @param zone    its own place, or null where it is not told
- * @param index   its number among the proxies, from 0
+ * @param zone its own place, or null where it is not told
+ * @param index its number among the proxies, from 0
  * @param proxies how many there are
- * @param peers   whether proxies may send one another messages
+ * @param peers whether proxies may send one another messages
  */
 public record Fleet(ZoneId zone, int index, int proxies, boolean peers) {
     /** A proxy that knows of no others and of no place. */
--- a/core/src/main/java/spurroad/model/Word.java
+++ b/core/src/main/java/spurroad/model/Word.java
@@ -1,12 +1,13 @@
 package spurroad.model;
 
 /**
- * What one proxy says to another of a node or a customer: a hint that ages, and that may be lost, doubled or false.
+ * What one proxy says to another of a node or a customer: a hint that ages, and that may be lost, doubled or
+ * false.
  *
- * @param value  by topic: a change, a figure, or a share
+ * @param value by topic: a change, a figure, or a share
  * @param paceNs time per query in the figure, with {@link Topic#QUEUE} and {@link Topic#KEPT} only
- * @param kept   share of its keys that the node keeps, with {@link Topic#QUEUE} and {@link Topic#KEPT} only
- * @param key    with {@link Topic#HELD}, {@link Topic#ASK} and {@link Topic#KEPT} only
+ * @param kept share of its keys that the node keeps, with {@link Topic#QUEUE} and {@link Topic#KEPT} only
+ * @param key with {@link Topic#HELD}, {@link Topic#ASK} and {@link Topic#KEPT} only
  */
 public record Word(Topic topic, long subject, double value, long paceNs, double kept, CacheKey key) {
     public Word(Topic topic, long subject, double value) {
@@ -29,11 +30,14 @@
     /** What it is about. */
     public enum Topic {
         /**
-         * To a node's keeper: an execution began there (1), or ended well (minus what is left of its weight) or badly
-         * (what is left). The key is that of a write as it begins, and of a read as it ends.
+         * To a node's keeper: an execution began there (1), or ended well (minus what is left of its weight)
+         * or badly (what is left). The key is that of a write as it begins, and of a read as it ends.
          */
         HELD,
-        /** From a node's keeper to all: its queue figure over all proxies, and which share of its keys it keeps. */
+        /**
+         * From a node's keeper to all: its queue figure over all proxies, and which share of its keys it
+         * keeps.
+         */
         QUEUE,
         /** To a customer's keeper: a query of it came in. */
         ASKED,
@@ -45,7 +49,9 @@
         ORIGIN,
         /** To a node's keeper, from the proxy of that number: whether the node keeps a key. */
         ASK,
-        /** The keeper's answer: as {@link #QUEUE}, but for the share: 1 where the node keeps the key, else 0. */
+        /**
+         * The keeper's answer: as {@link #QUEUE}, but for the share: 1 where the node keeps the key, else 0.
+         */
         KEPT
     }
 }
--- a/core/src/test/java/spurroad/BalanceTest.java
+++ b/core/src/test/java/spurroad/BalanceTest.java
@@ -17,8 +17,8 @@
 import java.util.TreeSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import spurroad.model.DedupScope;
 import spurroad.model.Decisions;
+import spurroad.model.DedupScope;
 import spurroad.model.Fleet;
 import spurroad.model.NodeEntry;
 import spurroad.model.Outcome;
@@ -43,7 +43,8 @@
     }
 
     @Test(dataProvider = "effects")
-    public void runsAgainOnlyWhereTheTrackAllows(TrackId track, Outcome outcome, boolean again, boolean rejected) {
+    public void runsAgainOnlyWhereTheTrackAllows(TrackId track, Outcome outcome, boolean again,
+                                                 boolean rejected) {
         Rig rig = Rig.of(6, false);
         long firstNode = rig.target(1, track, KEY);
         Decisions d = rig.end(1, 0, outcome);
@@ -56,7 +57,9 @@
         }
     }
 
-    /** Each release brings nodes of other names; those that had gone were kept for as long as the proxy lived. */
+    /**
+     * Each release brings nodes of other names; those that had gone were kept for as long as the proxy lived.
+     */
     @Test
     public void nodesThatAreGoneAreForgottenOnceTheyAreMany() throws Exception {
         Rig rig = Rig.of(4, true);
@@ -81,7 +84,8 @@
         rig.ask(1, MARKED, KEY);
         assertEquals(rig.decided.starts.get(0).sentBy(), Long.MAX_VALUE, "a first execution is no repeat");
         rig.now += 300 * MS;
-        assertEquals(rig.end(1, 0, Outcome.NO_CONNECTION).starts.get(0).sentBy(), Long.MAX_VALUE, "nor after none that ran");
+        assertEquals(rig.end(1, 0, Outcome.NO_CONNECTION).starts.get(0).sentBy(), Long.MAX_VALUE,
+            "nor after none that ran");
         long ran = rig.now;
         rig.now += 300 * MS;
         assertEquals(rig.end(1, 1, Outcome.DROPPED).starts.get(0).sentBy(), ran + 800 * MS);
@@ -145,7 +149,9 @@
         }
     }
 
-    /** Once lost on the way: reports that make the first's queue the shortest are as old as the query is not. */
+    /**
+     * Once lost on the way: reports that make the first's queue the shortest are as old as the query is not.
+     */
     @Test
     public void aFirstCandidateOverItsLimitHasTheOthersProbedThoughItsQueueIsTheShortestKnown() {
         List<Long> c = candidates();
@@ -213,7 +219,8 @@
         rig.list(true, entries);
         for (TrackId track : List.of(READ, ONCE)) {
             Decisions d = rig.ask(track.value(), track, KEY);
-            boolean toOrigin = track == ONCE && entries.size() == 1 && entries.get(0).kind().equals(Rig.ORIGIN);
+            boolean toOrigin = track == ONCE && entries.size() == 1
+                && entries.get(0).kind().equals(Rig.ORIGIN);
             assertEquals(d.starts.size(), toOrigin ? 1 : 0);
             assertEquals(d.answers.size(), toOrigin ? 0 : 1);
         }
@@ -432,7 +439,10 @@
         assertEquals(started, 29);
     }
 
-    /** First seconds of a slow start: all was rejected on what slow first queries had shown, and nothing tried again. */
+    /**
+     * First seconds of a slow start: all was rejected on what slow first queries had shown, and nothing tried
+     * again.
+     */
     @Test
     public void anIdleNodeOrOriginTakesAQueryWhateverItsPastPace() {
         for (boolean aside : new boolean[] {false, true}) {
@@ -445,7 +455,10 @@
         }
     }
 
-    /** Reload day: one proxy had two fetches out and rejected misses, while another had eight out and served all. */
+    /**
+     * Reload day: one proxy had two fetches out and rejected misses, while another had eight out and served
+     * all.
+     */
     @Test
     public void theOriginIsGivenMoreForAsLongAsItsAnswersComeInTime() {
         Rig rig = Rig.of(5, true);
@@ -465,14 +478,15 @@
         assertTrue(out.size() <= 4, "late answers take that back: " + out.size());
     }
 
-    private record Fetch(long query, int execution, long endsAt) { }
+    private record Fetch(long query, int execution, long endsAt) {}
 
     /** Notes what was sent to the origin, a write or a read that its cache node misses at once. */
     private static void note(Rig rig, Decisions d, List<Fetch> out) {
         for (Decisions.Start s : List.copyOf(d.starts)) {
             boolean write = s.query().value() % 2 == 1;
             if (s.node().value() == 99) { // reads take long for the first four seconds, some writes always
-                long took = write ? s.query().value() % 3 == 0 ? 950 : 600 : s.query().value() < 1600 ? 900 : 230;
+                long took = write ? s.query().value() % 3 == 0 ? 950 : 600
+                    : s.query().value() < 1600 ? 900 : 230;
                 out.add(new Fetch(s.query().value(), write ? 0 : 1, rig.now + took * MS));
             } else {
                 note(rig, rig.end(s.query().value(), 0, Outcome.MISS), out);
@@ -481,9 +495,9 @@
     }
 
     /**
-     * Four times the queries, seed 34: of two proxies one sent the origin ever fewer reads, so that writes, which take
-     * twice as long by themselves, were most of what it saw of it; its limit fell from that, and stayed so when the
-     * origin was long well again.
+     * Four times the queries, seed 34: of two proxies one sent the origin ever fewer reads, so that writes,
+     * which take twice as long by themselves, were most of what it saw of it; its limit fell from that, and
+     * stayed so when the origin was long well again.
      */
     @Test
     public void writesThatTakeLongByThemselvesDoNotShutTheOriginToReads() {
@@ -508,7 +522,10 @@
         assertTrue(out.size() > 10, out.size() + " out at the origin");
     }
 
-    /** First incident on sockets: a proxy short of CPU took its own stalls for slow nodes, and rejected for seconds. */
+    /**
+     * First incident on sockets: a proxy short of CPU took its own stalls for slow nodes, and rejected for
+     * seconds.
+     */
     @Test
     public void timeInWhichTheProxyItselfWasHeldUpIsNotTheNodes() {
         for (boolean told : new boolean[] {true, false}) {
@@ -519,7 +536,8 @@
                 rig.own = told ? 580 * MS : 0;
                 rig.end(i, 0, Outcome.COMPLETED);
             }
-            assertEquals(rig.ask(100, READ, KEY).starts.size() + rig.ask(101, READ, KEY).starts.size(), told ? 2 : 1);
+            assertEquals(rig.ask(100, READ, KEY).starts.size() + rig.ask(101, READ, KEY).starts.size(),
+                told ? 2 : 1);
         }
     }
 
--- a/core/src/test/java/spurroad/ByHandTest.java
+++ b/core/src/test/java/spurroad/ByHandTest.java
@@ -30,7 +30,8 @@
     /** What the list and staff say, and whether it may be used. */
     @DataProvider
     Object[][] standings() {
-        return new Object[][] {{Phase.READY, false, true}, {Phase.READY, true, false}, {Phase.DRAINING, false, false},
+        return new Object[][] {{Phase.READY, false, true}, {Phase.READY, true, false},
+            {Phase.DRAINING, false, false},
             {Phase.DRAINING, true, false}, {Phase.GONE, false, false}, {Phase.GONE, true, false}};
     }
 
@@ -60,14 +61,16 @@
                     case 0 -> says(rig, node, out[node] = random.nextBoolean());
                     case 1 -> {
                         listed[node] = Phase.values()[random.nextInt(3)];
-                        yield rig.list(false, List.of(Rig.entry(node, listed[node], random.nextInt(2) * rig.now)));
+                        yield rig.list(false,
+                            List.of(Rig.entry(node, listed[node], random.nextInt(2) * rig.now)));
                     }
                     case 2 -> rig.after(random.nextInt(100));
                     default -> rig.ask(1000 + step, READ, random.nextInt(50));
                 };
                 for (Decisions.Start s : List.copyOf(d.starts)) {
                     int at = (int) s.node().value();
-                    assertTrue(at == 99 || !out[at] && listed[at] == Phase.READY, "seed " + seed + ", node " + at);
+                    assertTrue(at == 99 || !out[at] && listed[at] == Phase.READY,
+                        "seed " + seed + ", node " + at);
                     rig.end(s.query().value(), 0, Outcome.COMPLETED);
                 }
                 for (NodeId probed : d.probes) {
@@ -95,7 +98,10 @@
         assertEquals(rig.target(1, READ, 1), -1);
     }
 
-    /** It comes back as a cold one does: by share, and soon with some, also where its own keys are seldom asked. */
+    /**
+     * It comes back as a cold one does: by share, and soon with some, also where its own keys are seldom
+     * asked.
+     */
     @Test
     public void givenBackItIsColdAndHasWorkSoonEvenWithLittleTraffic() {
         Rig rig = Rig.of(NODES, false);
@@ -134,8 +140,10 @@
         Rig rig = Rig.of(6, false);
         rig.ask(1, READ, 1);
         Deployment d = rig.deployment;
-        Deployment next = new Deployment(d.tracks().subList(2, 3), d.customerPace(), d.originKind(), d.mustAsk(),
-            d.probes(), d.cancels(), d.maxComeBackNs(), 1, d.startCapacity(), d.coldNs(), d.tickNs(), d.idleNs(),
+        Deployment next = new Deployment(d.tracks().subList(2, 3), d.customerPace(), d.originKind(),
+            d.mustAsk(),
+            d.probes(), d.cancels(), d.maxComeBackNs(), 1, d.startCapacity(), d.coldNs(), d.tickNs(),
+            d.idleNs(),
             d.fleet());
         rig.decided.clear();
         rig.balance.deployed(rig.now, next, rig.decided);
--- a/core/src/test/java/spurroad/CandidatesTest.java
+++ b/core/src/test/java/spurroad/CandidatesTest.java
@@ -23,8 +23,10 @@
 
     @Test
     public void whoIsNotReadyAndTheOriginAreNoCandidates() {
-        List<NodeId> found = Candidates.of(List.of(Rig.entry(1, Phase.READY, 0), Rig.entry(2, Phase.DRAINING, 0),
-            Rig.entry(3, Phase.GONE, 0)), Rig.ORIGIN, new CacheKey(5)).walk().stream().map(Candidates.Found::node).toList();
+        List<NodeId> found = Candidates
+            .of(List.of(Rig.entry(1, Phase.READY, 0), Rig.entry(2, Phase.DRAINING, 0),
+                Rig.entry(3, Phase.GONE, 0)), Rig.ORIGIN, new CacheKey(5))
+            .walk().stream().map(Candidates.Found::node).toList();
         assertEquals(found, List.of(new NodeId(1)));
         assertEquals(Candidates.of(List.of(), Rig.ORIGIN, new CacheKey(5)).walk(), List.of());
     }
--- a/core/src/test/java/spurroad/ColdNodeFleetTest.java
+++ b/core/src/test/java/spurroad/ColdNodeFleetTest.java
@@ -12,16 +12,17 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import spurroad.model.DedupScope;
 import spurroad.model.Decisions;
+import spurroad.model.DedupScope;
 import spurroad.model.Fleet;
 import spurroad.model.NodeId;
 import spurroad.model.Outcome;
 import spurroad.model.Phase;
 
 /**
- * Thirty instances of the module that know nothing of one another, and one cold node: it falls under the sum of what all send.
- * Of a budget of N requests in a time, N + 2 x sqrt(N) + 2 are chance. Nothing here waits or reads a clock.
+ * Thirty instances of the module that know nothing of one another, and one cold node: it falls under the sum
+ * of what all send. Of a budget of N requests in a time, N + 2 x sqrt(N) + 2 are chance. Nothing here waits
+ * or reads a clock.
  */
 public class ColdNodeFleetTest {
     private static final int NODES = 8;
@@ -68,7 +69,7 @@
         }
     }
 
-    private record End(long at, int proxy, long query, int execution) { }
+    private record End(long at, int proxy, long query, int execution) {}
 
     /** One play of some seconds round the moment in which node 0 comes cold. */
     private static final class Play {
@@ -159,7 +160,8 @@
                 Rig rig = fleet.get(end.proxy);
                 rig.now = end.at;
                 boolean away = traffic == Traffic.TURNED_AWAY && random.nextBoolean();
-                carryOut(end.proxy, rig.end(end.query, end.execution, away ? Outcome.TURNED_AWAY : Outcome.COMPLETED));
+                carryOut(end.proxy,
+                    rig.end(end.query, end.execution, away ? Outcome.TURNED_AWAY : Outcome.COMPLETED));
             }
         }
 
@@ -214,7 +216,8 @@
         for (long seed = 1; seed <= plays; seed++) {
             new Play(traffic, proxies, perSecond, seed, worst).run();
         }
-        System.out.printf("cold node, %s, %d proxies, %.0f a second: worst window %d of %.1f, %d of %d plays over%n",
+        System.out.printf(
+            "cold node, %s, %d proxies, %.0f a second: worst window %d of %.1f, %d of %d plays over%n",
             traffic, proxies, perSecond, worst.calls, worst.allowed, worst.falls, plays);
         assertTrue(worst.falls == 0, worst.calls + " calls where " + worst.allowed + " were allowed");
     }
--- a/core/src/test/java/spurroad/KeeperTest.java
+++ b/core/src/test/java/spurroad/KeeperTest.java
@@ -13,8 +13,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import spurroad.model.CacheKey;
-import spurroad.model.DedupScope;
 import spurroad.model.Decisions;
+import spurroad.model.DedupScope;
 import spurroad.model.Fleet;
 import spurroad.model.NodeEntry;
 import spurroad.model.Outcome;
@@ -79,7 +79,10 @@
         return new Object[][] {{Way.HEARD, 40}, {Way.DOUBLED, 40}, {Way.LOST, 0}};
     }
 
-    /** Busy days at size: a proxy of two queries a second went on sending to a node that all others had found silent. */
+    /**
+     * Busy days at size: a proxy of two queries a second went on sending to a node that all others had found
+     * silent.
+     */
     @Test(dataProvider = "ways")
     public void anIdleProxyLeavesANodeThatABusyOneFoundSilent(Way way, int leastGone) {
         long[] keys = keysOf(3);
@@ -94,7 +97,8 @@
         for (int q = 0; q < keys.length; q++) {
             gone += home(idle, 1000 + q, keys[q]) == 3 ? 0 : 1;
         }
-        assertTrue(leastGone == 0 ? gone == 0 : 100 * gone >= leastGone * keys.length, gone + " of " + keys.length);
+        assertTrue(leastGone == 0 ? gone == 0 : 100 * gone >= leastGone * keys.length,
+            gone + " of " + keys.length);
         idle.now += 2000 * MS;
         assertEquals(idle.target(2000, READ, keys[0]), 3, "a word ages");
     }
@@ -127,7 +131,10 @@
         }
     }
 
-    /** Incident ica88e8: a hot key left its full node, came next to one that had just started, and pushed it over. */
+    /**
+     * Incident ica88e8: a hot key left its full node, came next to one that had just started, and pushed it
+     * over.
+     */
     @Test
     public void keysThatAFullNodeLeavesStayOffColdOnes() {
         List<Rig> rigs = fleet(null);
@@ -172,19 +179,23 @@
         assertTrue(kept >= least && kept <= most, "keeps " + kept);
     }
 
-    /** Of ten writes those that time out; of twenty each, least and most reads of unknown keys, and writes. */
+    /**
+     * Of ten writes those that time out; of twenty each, least and most reads of unknown keys, and writes.
+     */
     @DataProvider
     Object[][] pressure() {
-        return new Object[][] {{0, 20, 20, 20, 20}, {2, 20, 20, 20, 20}, {5, 0, 12, 18, 20}, {10, 0, 4, 0, 6}};
+        return new Object[][] {{0, 20, 20, 20, 20}, {2, 20, 20, 20, 20}, {5, 0, 12, 18, 20},
+            {10, 0, 4, 0, 6}};
     }
 
     /**
-     * Slow origin behind the nodes: misses and writes kept it down, and reads that would have hit were turned away with
-     * those that missed. Now what a node keeps is asked of its keeper, and is sent.
+     * Slow origin behind the nodes: misses and writes kept it down, and reads that would have hit were turned
+     * away with those that missed. Now what a node keeps is asked of its keeper, and is sent.
      */
     @Test(dataProvider = "pressure")
     public void whatMayMissGivesWayToASlowOriginThenWritesAndWhatIsKeptPasses(int lost, int least, int most,
-                                                                            int leastWrites, int mostWrites) {
+                                                                              int leastWrites,
+                                                                              int mostWrites) {
         List<Rig> rigs = fleet(null);
         Rig busy = rigs.get(0), idle = rigs.get(2);
         for (int q = 0; q < 20; q++) {
@@ -200,7 +211,8 @@
         rigs.forEach(r -> r.now += 1500 * MS);
         int reads = 0, writes = 0;
         for (int q = 1000; q < 1020; q++) {
-            assertEquals(sent(rigs, idle, q, READ, q - 1000 + 1), 1, "what a node keeps takes nothing from the origin");
+            assertEquals(sent(rigs, idle, q, READ, q - 1000 + 1), 1,
+                "what a node keeps takes nothing from the origin");
             reads += sent(rigs, idle, q + 1000, READ, q);
             writes += sent(rigs, idle, q + 2000, MARKED, q + 2000);
         }
@@ -228,7 +240,10 @@
         return new Object[][] {{0, 0, 0}, {1, 0, 0}, {3, 1, 14}, {8, 20, 20}};
     }
 
-    /** Incident i1e1366: reads of what nodes kept went on to jammed ones, and nearly all ended late for half a minute. */
+    /**
+     * Incident i1e1366: reads of what nodes kept went on to jammed ones, and nearly all ended late for half a
+     * minute.
+     */
     @Test(dataProvider = "jams")
     public void readsGiveWayWhereMostQueriesAreLate(int lost, int least, int most) {
         Rig rig = fleet(null).get(0);
@@ -244,7 +259,9 @@
         assertTrue(away >= least && away <= most, away + " turned away");
     }
 
-    /** How ten executions at a node end, and after how long; least and most pace that its keeper then tells. */
+    /**
+     * How ten executions at a node end, and after how long; least and most pace that its keeper then tells.
+     */
     @DataProvider
     Object[][] paces() {
         return new Object[][] {{true, 100, 5, 40}, {false, 900, 50, 200}, {false, 1, 5, 40}};
@@ -252,7 +269,8 @@
 
     /** Incident i1e1366: a jammed node's pace was that of the few that it ended in time. */
     @Test(dataProvider = "paces")
-    public void aKeeperTellsWhoAsksTheQueueWithThePaceThatTimeOutsShow(boolean well, long ms, long least, long most) {
+    public void aKeeperTellsWhoAsksTheQueueWithThePaceThatTimeOutsShow(boolean well, long ms, long least,
+                                                                       long most) {
         Rig keeper = fleet(null).get(keeperOf(3));
         for (int i = 0; i < 10; i++) {
             keeper.told(new Word(Topic.HELD, 3, 1));
@@ -265,11 +283,16 @@
         int asker = (keeperOf(3) + 1) % PROXIES;
         Word answer = keeper.told(new Word(Topic.ASK, 3, asker, new CacheKey(7))).tells.get(0).word();
         assertEquals(answer.kept(), well ? 1.0 : 0.0);
-        assertTrue(answer.paceNs() >= least * MS && answer.paceNs() <= most * MS, answer.paceNs() / MS + " ms");
-        assertTrue(keeper.told(new Word(Topic.ASK, 3, PROXIES, new CacheKey(7))).tells.isEmpty(), "there is no such proxy");
+        assertTrue(answer.paceNs() >= least * MS && answer.paceNs() <= most * MS,
+            answer.paceNs() / MS + " ms");
+        assertTrue(keeper.told(new Word(Topic.ASK, 3, PROXIES, new CacheKey(7))).tells.isEmpty(),
+            "there is no such proxy");
     }
 
-    /** Overloaded days: clients that came again were counted anew, and customers within their shares turned away. */
+    /**
+     * Overloaded days: clients that came again were counted anew, and customers within their shares turned
+     * away.
+     */
     @Test
     public void whoComesAgainAfterARejectionIsCountedOnce() {
         List<Rig> rigs = fleet(null);
@@ -288,13 +311,19 @@
         assertEquals(counted, 20);
     }
 
-    /** Queries a second of one proxy, where 20 are within the share at all four, and whether some are turned away. */
+    /**
+     * Queries a second of one proxy, where 20 are within the share at all four, and whether some are turned
+     * away.
+     */
     @DataProvider
     Object[][] rates() {
         return new Object[][] {{15, false}, {80, true}};
     }
 
-    /** Busy day in one place: a third of all queries was turned away, as busy proxies took the mean proxy's part for theirs. */
+    /**
+     * Busy day in one place: a third of all queries was turned away, as busy proxies took the mean proxy's
+     * part for theirs.
+     */
     @Test(dataProvider = "rates")
     public void theShareOfACustomerIsThatOfAllProxies(int rate, boolean some) {
         List<Rig> rigs = fleet(null);
@@ -319,7 +348,10 @@
         return new Object[][] {{new ZoneId(0)}, {new ZoneId(1)}, {new ZoneId(7)}, {null}};
     }
 
-    /** Where a crossing is dear the candidate in our own place is the first; elsewhere the ring's order stands. */
+    /**
+     * Where a crossing is dear the candidate in our own place is the first; elsewhere the ring's order
+     * stands.
+     */
     @Test(dataProvider = "places")
     public void theCandidateInOurOwnPlaceIsTheFirst(ZoneId own) {
         Rig rig = fleet(own).get(0);
@@ -328,7 +360,8 @@
             List<Long> walk = Candidates.of(Rig.entries(NODES, false), Rig.ORIGIN, new CacheKey(key))
                 .walk().stream().map(f -> f.node().value()).toList();
             long to = home(rig, key, key);
-            long expected = walk.stream().filter(n -> own != null && n % 2 == own.value()).findFirst().orElse(walk.get(0));
+            long expected = walk.stream().filter(n -> own != null && n % 2 == own.value()).findFirst()
+                .orElse(walk.get(0));
             assertEquals(to, expected);
             asOnTheRing += to == walk.get(0) ? 1 : 0;
         }
@@ -338,7 +371,8 @@
     /** What is false, or of what nobody knows: a hint may be anything that the codec lets through. */
     @DataProvider
     Object[][] falseWords() {
-        return new Object[][] {{Topic.HELD, 99L, 1.0}, {Topic.HELD, 3L, -1.0}, {Topic.HELD, 3L, -1e-9}, {Topic.QUEUE, 99L, 5.0},
+        return new Object[][] {{Topic.HELD, 99L, 1.0}, {Topic.HELD, 3L, -1.0}, {Topic.HELD, 3L, -1e-9},
+            {Topic.QUEUE, 99L, 5.0},
             {Topic.QUEUE, 3L, 1e6}, {Topic.QUEUE, 3L, 0.0}, {Topic.ASKED, -1L, 1.0}, {Topic.ASKED, 77L, 1.0},
             {Topic.BEYOND, -1L, 1.0}, {Topic.BEYOND, 1L, 1.0}};
     }
@@ -362,7 +396,8 @@
     /** Seconds that an execution took: what is told of it is to be a message all the same. */
     @DataProvider
     Object[][] times() {
-        return new Object[][] {{0, Outcome.COMPLETED}, {0, Outcome.ERROR}, {300, Outcome.COMPLETED}, {300, Outcome.ERROR}};
+        return new Object[][] {{0, Outcome.COMPLETED}, {0, Outcome.ERROR}, {300, Outcome.COMPLETED},
+            {300, Outcome.ERROR}};
     }
 
     @Test(dataProvider = "times")
--- a/core/src/test/java/spurroad/Rig.java
+++ b/core/src/test/java/spurroad/Rig.java
@@ -60,7 +60,8 @@
             entries.add(entry(i, Phase.READY, 0));
         }
         if (aside) {
-            entries.add(new NodeEntry(new NodeId(99), ORIGIN, new ZoneId(0), new CellId(0), 0, 1, Phase.READY));
+            entries
+                .add(new NodeEntry(new NodeId(99), ORIGIN, new ZoneId(0), new CellId(0), 0, 1, Phase.READY));
         }
         return entries;
     }
--- a/core/src/test/java/spurroad/admission/AdmissionProperties.java
+++ b/core/src/test/java/spurroad/admission/AdmissionProperties.java
@@ -1,18 +1,21 @@
 package spurroad.admission;
 
+import java.util.List;
+import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import java.util.List;
-import java.util.Random;
 
 /** What holds for admission on any mix of tracks and any demand. */
 class AdmissionProperties {
     private static final long STEP = Admission.INTERVAL_NS, S = 1_000_000_000L, AGE = 75_000_000L;
 
-    /** A proxy that can bear so much a second; the parts of each track that were taken in over the last ten seconds. */
+    /**
+     * A proxy that can bear so much a second; the parts of each track that were taken in over the last ten
+     * seconds.
+     */
     private static double[] taken(Admission a, List<Double> importance, double demand, int seed) {
         Random random = new Random(seed);
         double[] came = new double[importance.size()], in = new double[importance.size()];
@@ -36,14 +39,17 @@
     }
 
     private static Admission admission(List<Double> importance, int seed) {
-        return new Admission(importance.stream().mapToDouble(Double::doubleValue).toArray(), new double[0], AGE,
+        return new Admission(importance.stream().mapToDouble(Double::doubleValue).toArray(), new double[0],
+            AGE,
             150_000_000L, 2 * S, seed);
     }
 
     /** At the ordinary level nothing is starved: while demand is borne, every track is taken in whole. */
     @Property(tries = 60, seed = "20261203")
-    void noTrackIsStarvedAtTheOrdinaryLevel(@ForAll @Size(min = 1, max = 5) List<@DoubleRange(min = 0.1, max = 9) Double>
-        importance, @ForAll @DoubleRange(min = 0.05, max = 0.85) double demand, @ForAll @IntRange(max = 1000) int seed) {
+    void noTrackIsStarvedAtTheOrdinaryLevel(@ForAll @Size(min = 1,
+        max = 5) List<@DoubleRange(min = 0.1, max = 9) Double> importance,
+                                            @ForAll @DoubleRange(min = 0.05, max = 0.85) double demand,
+                                            @ForAll @IntRange(max = 1000) int seed) {
         Admission a = admission(importance, seed);
         double[] taken = taken(a, importance, demand, seed);
         check(a.level() == Level.ORDINARY, "level " + a.level());
@@ -54,21 +60,25 @@
 
     /** A track that is worth more is never taken in to a lesser part than one that is worth less. */
     @Property(tries = 60, seed = "20261204")
-    void theWorthierIsNeverWorseOff(@ForAll @Size(min = 2, max = 4) List<@DoubleRange(min = 0.1, max = 9) Double>
-        importance, @ForAll @DoubleRange(min = 0.5, max = 6) double demand, @ForAll @IntRange(max = 1000) int seed) {
+    void theWorthierIsNeverWorseOff(@ForAll @Size(min = 2,
+        max = 4) List<@DoubleRange(min = 0.1, max = 9) Double> importance,
+                                    @ForAll @DoubleRange(min = 0.5, max = 6) double demand,
+                                    @ForAll @IntRange(max = 1000) int seed) {
         double[] taken = taken(admission(importance, seed), importance, demand, seed);
         for (int i = 0; i < taken.length; i++) {
             for (int j = 0; j < taken.length; j++) {
                 check(importance.get(i) <= importance.get(j) || taken[i] >= taken[j] - 0.05,
-                    "worth " + importance.get(i) + " taken in to " + taken[i] + ", worth " + importance.get(j) + " to "
-                    + taken[j]);
+                    "worth " + importance.get(i) + " taken in to " + taken[i] + ", worth " + importance.get(j)
+                        + " to "
+                        + taken[j]);
             }
         }
     }
 
     /** Come-back times lie between zero and their bound, and the admitted part between its floor and one. */
     @Property(tries = 200, seed = "20261205")
-    void timesAndPartsStayWithinTheirBounds(@ForAll @Size(min = 1, max = 60) List<@DoubleRange(max = 5) Double> used,
+    void timesAndPartsStayWithinTheirBounds(@ForAll @Size(min = 1,
+        max = 60) List<@DoubleRange(max = 5) Double> used,
                                             @ForAll @IntRange(max = 1000) int seed) {
         Admission a = admission(List.of(1.0, 2.0), seed);
         long now = 50 * S;
--- a/core/src/test/java/spurroad/admission/AdmissionTest.java
+++ b/core/src/test/java/spurroad/admission/AdmissionTest.java
@@ -8,7 +8,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A proxy in numbers only: it can bear so many queries a second, and a rejection costs it a twentieth of one. */
+/**
+ * A proxy in numbers only: it can bear so many queries a second, and a rejection costs it a twentieth of one.
+ */
 public class AdmissionTest {
     private static final long STEP = Admission.INTERVAL_NS, S = 1_000_000_000L, AGE = 75_000_000L;
     private static final int READ = 0, PAY = 1; // tracks; the second is worth five times as much
@@ -22,7 +24,9 @@
         return new Admission(new double[] {1, 5}, new double[] {100, 100_000}, AGE, 150_000_000L, 2 * S, 3);
     }
 
-    /** Plays so many seconds, the second customer sending what the first does not; queries served a second. */
+    /**
+     * Plays so many seconds, the second customer sending what the first does not; queries served a second.
+     */
     private double play(double seconds, double perSecond, double ofFirst, double capacity, boolean cold) {
         double served = 0, backlog = 0;
         came[0] = came[1] = taken[0] = taken[1] = 0;
@@ -40,7 +44,8 @@
             }
             backlog = Math.max(0, work - room);
             now += STEP;
-            admission.measured(now, new Means(Math.min(1, work / room), (long) (backlog / capacity * S), 0.1), cold);
+            admission.measured(now, new Means(Math.min(1, work / room), (long) (backlog / capacity * S), 0.1),
+                cold);
         }
         return (served - backlog) / seconds;
     }
@@ -69,7 +74,10 @@
             served + " a second of " + rest + " at " + admission.level());
     }
 
-    /** Reload day: a proxy refused half of all with 12% of its means used, its customers all beyond their shares. */
+    /**
+     * Reload day: a proxy refused half of all with 12% of its means used, its customers all beyond their
+     * shares.
+     */
     @Test
     public void aLevelDoesNotKeepItselfUpByWhatTheProcessDoesAnyway() {
         admission = fresh();
--- a/core/src/test/java/spurroad/admission/LevelsProperties.java
+++ b/core/src/test/java/spurroad/admission/LevelsProperties.java
@@ -8,18 +8,21 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** What holds for the level of service on any course of demand, shrunk to the shortest one where it does not. */
+/**
+ * What holds for the level of service on any course of demand, shrunk to the shortest one where it does not.
+ */
 class LevelsProperties {
     private static final long STEP = Admission.INTERVAL_NS, S = 1_000_000_000L;
 
     /** Some demand for a while. */
-    record Stretch(int intervals, double pressure, boolean cold) { }
+    record Stretch(int intervals, double pressure, boolean cold) {}
 
     @Provide
     Arbitrary<List<Stretch>> courses() {
         Arbitrary<Double> pressure = Arbitraries.oneOf(Arbitraries.doubles().between(0, 40),
             Arbitraries.of(0.0, 0.84, 1.05, 1.12, 1.4, 6.4, 8.0, 16.0, 20.0));
-        return Combinators.combine(Arbitraries.integers().between(1, 60), pressure, Arbitraries.of(true, false))
+        return Combinators
+            .combine(Arbitraries.integers().between(1, 60), pressure, Arbitraries.of(true, false))
             .as(Stretch::new).list().ofMinSize(1).ofMaxSize(40);
     }
 
@@ -44,7 +47,10 @@
         }
     }
 
-    /** Whatever came before, with nothing demanded there is ordinary service again within the bound that is told. */
+    /**
+     * Whatever came before, with nothing demanded there is ordinary service again within the bound that is
+     * told.
+     */
     @Property(tries = 300, seed = "20261202")
     void everyLevelIsLeftOnceDemandIsGone(@ForAll("courses") List<Stretch> course) {
         Levels levels = new Levels();
--- a/core/src/test/java/spurroad/admission/LevelsTest.java
+++ b/core/src/test/java/spurroad/admission/LevelsTest.java
@@ -88,7 +88,10 @@
         assertTrue(took[1] > 1.8 * took[0], took[0] + " and " + took[1] + " ns");
     }
 
-    /** For a thousand random courses: one step at a time, and never two levels in one least stay on the way out. */
+    /**
+     * For a thousand random courses: one step at a time, and never two levels in one least stay on the way
+     * out.
+     */
     @Test
     public void neverTwoLevelsInOneLeastStay() {
         for (int seed = 0; seed < 1000; seed++) {
--- a/proxy/src/main/java/spurroad/operation/AdminServer.java
+++ b/proxy/src/main/java/spurroad/operation/AdminServer.java
@@ -13,8 +13,9 @@
 import spurroad.transport.Threads;
 
 /**
- * The second address: hears calls of staff and of the platform on a loop and a thread of its own, so that no load of
- * queries delays an answer. Callers are bounded in number and time; those who say nothing make room for the next.
+ * The second address: hears calls of staff and of the platform on a loop and a thread of its own, so that no
+ * load of queries delays an answer. Callers are bounded in number and time; those who say nothing make room
+ * for the next.
  */
 public final class AdminServer implements Listener.Door {
     private static final int CALLERS = 16; // connections at a time; a descriptor each
@@ -27,12 +28,14 @@
     private final Set<Caller> callers = new LinkedHashSet<>(); // in the order of their coming
     private volatile Calls calls;
 
-    /** Listens from now on; until it is told what calls do, it answers that the process does not serve yet. */
+    /**
+     * Listens from now on; until it is told what calls do, it answers that the process does not serve yet.
+     */
     public AdminServer(InetSocketAddress at, Threads threads, EventLog log, Clock clock) throws IOException {
         loop = new Loop(log, clock);
         listener = new Listener(at, loop, new CallerPlaces(), this, log);
         threads.start("second address", loop);
-        listener.begin(() -> { });
+        listener.begin(() -> {});
     }
 
     /** What calls do from now on. */
--- a/proxy/src/main/java/spurroad/operation/Answer.java
+++ b/proxy/src/main/java/spurroad/operation/Answer.java
@@ -27,7 +27,8 @@
             default -> "Service Unavailable";
         };
         byte[] body = text.getBytes(StandardCharsets.UTF_8);
-        String head = "HTTP/1.1 " + status + " " + reason + "\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: "
+        String head = "HTTP/1.1 " + status + " " + reason
+            + "\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: "
             + body.length + "\r\nConnection: close\r\n\r\n";
         return (head + text).getBytes(StandardCharsets.UTF_8);
     }
--- a/proxy/src/main/java/spurroad/operation/Caller.java
+++ b/proxy/src/main/java/spurroad/operation/Caller.java
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void connected() { }
+    public void connected() {}
 
     @Override
     public void came(ByteBuffer bytes) {
--- a/proxy/src/main/java/spurroad/operation/Calls.java
+++ b/proxy/src/main/java/spurroad/operation/Calls.java
@@ -5,7 +5,10 @@
 
 /** What each call does: the one place that knows the paths. Who may call is not asked here. */
 public final class Calls {
-    /** Takes a cache node out of use, or gives it back, and tells from any thread whether such a one has been listed. */
+    /**
+     * Takes a cache node out of use, or gives it back, and tells from any thread whether such a one has been
+     * listed.
+     */
     public interface NodesByHand {
         void stands(String id, boolean out, Consumer<Boolean> known);
     }
@@ -30,14 +33,15 @@
         if (path.equals("/healthcheck") || path.equals("/stats")) {
             answer.accept(!call.method().equals("GET") ? new Answer(405, "expected GET " + path + "\n")
                 : path.equals("/stats") ? Answer.yes(figures.lines())
-                : serving.getAsBoolean() ? Answer.yes("serving\n") : Answer.notYet("not serving yet"));
+                    : serving.getAsBoolean() ? Answer.yes("serving\n") : Answer.notYet("not serving yet"));
         } else if (path.startsWith(NODES) && (path.endsWith(OUT) || path.endsWith(BACK))) {
             int end = path.lastIndexOf('/');
             String id = end < NODES.length() ? null : Call.decoded(path.substring(NODES.length(), end));
             if (!call.method().equals("POST")) {
                 answer.accept(new Answer(405, "expected POST " + path + "\n"));
             } else if (id == null || id.isEmpty() || id.chars().anyMatch(c -> c <= ' ' || c == '/')) {
-                answer.accept(Answer.badCall("expected the id of a cache node between /cache-nodes/ and the last /"));
+                answer.accept(
+                    Answer.badCall("expected the id of a cache node between /cache-nodes/ and the last /"));
             } else {
                 node(id, path.endsWith(OUT), answer);
             }
--- a/proxy/src/main/java/spurroad/operation/Figures.java
+++ b/proxy/src/main/java/spurroad/operation/Figures.java
@@ -11,7 +11,7 @@
     private static final String PREFIX = "proxy.";
 
     /** A name and what it stands at; counters only grow. */
-    public record Figure(String name, long value, boolean counter) { }
+    public record Figure(String name, long value, boolean counter) {}
 
     private final List<Supplier<List<Figure>>> sources = new ArrayList<>();
 
@@ -40,7 +40,8 @@
 
     String lines() {
         StringBuilder lines = new StringBuilder();
-        each(f -> lines.append(PREFIX).append(f.name).append(':').append(f.value).append(f.counter ? "|c\n" : "|g\n"));
+        each(f -> lines.append(PREFIX).append(f.name).append(':').append(f.value)
+            .append(f.counter ? "|c\n" : "|g\n"));
         return lines.toString();
     }
 }
--- a/proxy/src/main/java/spurroad/program/Handover.java
+++ b/proxy/src/main/java/spurroad/program/Handover.java
@@ -18,14 +18,16 @@
 import spurroad.transport.EventLog;
 
 /**
- * This process beside another that shares its listening socket: who serves, which cache nodes staff took out of use,
- * and how many descriptors each may hold. A thread of its own, which alone works the folder; docs/design/operation.md
- * tells the files.
+ * This process beside another that shares its listening socket: who serves, which cache nodes staff took out
+ * of use, and how many descriptors each may hold. A thread of its own, which alone works the folder;
+ * docs/design/operation.md tells the files.
  */
 public final class Handover implements Runnable {
     /** What it acts upon in this process. */
     interface Here {
-        /** Takes a cache node out of use or gives it back; tells from any thread whether such a one is known. */
+        /**
+         * Takes a cache node out of use or gives it back; tells from any thread whether such a one is known.
+         */
         void stands(String id, boolean out, boolean vouched, Consumer<Boolean> known);
 
         int placesHeld();
@@ -40,7 +42,7 @@
     private static final int LEAST = 24; // descriptors; fewer serve nobody
 
     /** A call that the others have not taken up yet. */
-    private record Call(String hash, boolean out, Consumer<Boolean> answer) { }
+    private record Call(String hash, boolean out, Consumer<Boolean> answer) {}
 
     private final SharedFolder folder;
     private final EventLog log;
@@ -79,13 +81,14 @@
     }
 
     /**
-     * The one of a proxy; null where its listening socket is its own, so that no other can be beside it, or where the
-     * folder can't be worked: then it serves alone, which is told.
+     * The one of a proxy; null where its listening socket is its own, so that no other can be beside it, or
+     * where the folder can't be worked: then it serves alone, which is told.
      */
     static Handover of(ProxyStart start, EventLog log) throws InterruptedException {
         try {
             return start.shared == null ? null
-                : new Handover(start.shared, ProcessHandle.current().pid(), start.places, start.ownSockets, log);
+                : new Handover(start.shared, ProcessHandle.current().pid(), start.places, start.ownSockets,
+                    log);
         } catch (IOException e) {
             log.trouble("no hand-over, the shared folder can't be worked", e);
             return null;
@@ -105,8 +108,8 @@
     // ---- told
 
     /**
-     * Before this process accepts: the others hear that it serves, and what staff said is taken up. Whatever is called
-     * to them from then on is confirmed by this process too. To be followed by its thread.
+     * Before this process accepts: the others hear that it serves, and what staff said is taken up. Whatever
+     * is called to them from then on is confirmed by this process too. To be followed by its thread.
      */
     void serves(Here by) throws IOException, InterruptedException {
         here = by;
@@ -171,18 +174,19 @@
         }
         ProcessState self = state();
         successorServes = others.entrySet().stream().anyMatch(o -> o.getValue() != null
-            && o.getValue().servingMs() > 0 && !o.getValue().ending() && o.getValue().after(self, o.getKey(), pid));
+            && o.getValue().servingMs() > 0 && !o.getValue().ending()
+            && o.getValue().after(self, o.getKey(), pid));
         places = bound();
         here.places(places);
         Map<String, String> said = folder.out();
         said.forEach((hash, id) -> {
             if (!out.containsKey(hash) && !underWay.contains(hash)) {
-                takeUp(id, true, true, known -> { });
+                takeUp(id, true, true, known -> {});
             }
         });
         for (String hash : List.copyOf(out.keySet())) {
             if (!said.containsKey(hash) && !underWay.contains(hash)) {
-                takeUp(out.get(hash), false, true, known -> { });
+                takeUp(out.get(hash), false, true, known -> {});
             }
         }
         tellOthers();
@@ -214,7 +218,7 @@
 
     /** Answers the calls that all who serve have taken up. */
     private void confirm() {
-        for (Iterator<Call> i = unconfirmed.iterator(); i.hasNext(); ) {
+        for (Iterator<Call> i = unconfirmed.iterator(); i.hasNext();) {
             Call c = i.next();
             boolean all = others.values().stream()
                 .allMatch(o -> o == null || o.servingMs() == 0 || o.out().contains(c.hash) == c.out);
@@ -227,9 +231,9 @@
     }
 
     /**
-     * What this process may hold. Those before may hold most while the last only starts, half once it serves, and
-     * little more than they do once they end; the last takes what they leave. Who holds more than it may tells so and
-     * takes no further one until it does not.
+     * What this process may hold. Those before may hold most while the last only starts, half once it serves,
+     * and little more than they do once they end; the last takes what they leave. Who holds more than it may
+     * tells so and takes no further one until it does not.
      */
     private int bound() {
         int all = allPlaces - others.size() * ownOfEach;
--- a/proxy/src/main/java/spurroad/program/LastingLogs.java
+++ b/proxy/src/main/java/spurroad/program/LastingLogs.java
@@ -6,5 +6,5 @@
 public final class LastingLogs extends LogManager {
     /** Would drop all handlers, as the library does on its own account when the process is told to end. */
     @Override
-    public void reset() { }
+    public void reset() {}
 }
--- a/proxy/src/main/java/spurroad/program/Life.java
+++ b/proxy/src/main/java/spurroad/program/Life.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * The beginning and the end of what serves. The end may come before, while or after it begins, from another thread: what
- * was accepted is answered, and nothing is accepted once it has come.
+ * The beginning and the end of what serves. The end may come before, while or after it begins, from another
+ * thread: what was accepted is answered, and nothing is accepted once it has come.
  */
 final class Life<S> {
     /** Has something begin to serve. */
--- a/proxy/src/main/java/spurroad/program/LineFormatter.java
+++ b/proxy/src/main/java/spurroad/program/LineFormatter.java
@@ -7,9 +7,10 @@
 import java.util.logging.LogRecord;
 
 /**
- * Log lines of the lean proxy: one plain line each, or one JSON object a line with the same fields: {@code time},
- * {@code level}, {@code event} (a fixed text for each kind), {@code about} and, where something was thrown,
- * {@code thrown}. The standard library's own formatter puts two lines for each and parses its pattern every time.
+ * Log lines of the lean proxy: one plain line each, or one JSON object a line with the same fields:
+ * {@code time}, {@code level}, {@code event} (a fixed text for each kind), {@code about} and, where something
+ * was thrown, {@code thrown}. The standard library's own formatter puts two lines for each and parses its
+ * pattern every time.
  */
 final class LineFormatter extends Formatter {
     private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSS");
@@ -25,12 +26,15 @@
     @Override
     public String format(LogRecord record) {
         String time = TIME.format(Instant.ofEpochMilli(record.getMillis()).atZone(zone));
-        String message = formatMessage(record), thrown = record.getThrown() == null ? "" : record.getThrown().toString();
+        String message = formatMessage(record),
+            thrown = record.getThrown() == null ? "" : record.getThrown().toString();
         if (!json) {
-            return time + " " + record.getLevel() + " " + message + (thrown.isEmpty() ? "" : " " + thrown) + "\n";
+            return time + " " + record.getLevel() + " " + message + (thrown.isEmpty() ? "" : " " + thrown)
+                + "\n";
         }
         int cut = message.indexOf(BETWEEN);
-        StringBuilder line = new StringBuilder(160).append("{\"time\":\"").append(time).append("\",\"level\":\"")
+        StringBuilder line = new StringBuilder(160).append("{\"time\":\"").append(time)
+            .append("\",\"level\":\"")
             .append(record.getLevel()).append('"');
         field(line, "event", cut < 0 ? message : message.substring(0, cut));
         field(line, "about", cut < 0 ? "" : message.substring(cut + BETWEEN.length()));
--- a/proxy/src/main/java/spurroad/program/Main.java
+++ b/proxy/src/main/java/spurroad/program/Main.java
@@ -10,11 +10,11 @@
 import spurroad.operation.AdminServer;
 import spurroad.start.FaultyKeyException;
 import spurroad.start.ProxyStart;
-import spurroad.wirehost.WireException;
-import spurroad.wirehost.WireHost;
 import spurroad.transport.Clock;
 import spurroad.transport.EventLog;
 import spurroad.transport.Threads;
+import spurroad.wirehost.WireException;
+import spurroad.wirehost.WireHost;
 import sun.misc.Signal;
 
 /** The command line. */
@@ -23,7 +23,7 @@
     private static final String LOG_PROPERTY = "spurroad.log"; // "json" for one JSON object a line
     private static final int FAILED = 1, MISUSED = 2; // exit codes
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) throws IOException, InterruptedException {
         switch (args.length == 1 ? args[0] : "") {
--- a/proxy/src/main/java/spurroad/program/Rehearsal.java
+++ b/proxy/src/main/java/spurroad/program/Rehearsal.java
@@ -33,9 +33,9 @@
 import spurroad.transport.Threads;
 
 /**
- * Plays queries through all of the program before it takes any, between peers that exist in memory only and with a
- * module of its own: in a fresh process each takes some thirty times as long as later, and on a part of a core the
- * first seconds' queries were late, were rejected and came back until nothing else was done.
+ * Plays queries through all of the program before it takes any, between peers that exist in memory only and
+ * with a module of its own: in a fresh process each takes some thirty times as long as later, and on a part
+ * of a core the first seconds' queries were late, were rejected and came back until nothing else was done.
  */
 final class Rehearsal {
     private static final int QUERIES = 800; // the quick compiler takes up what has run some hundred times
@@ -60,13 +60,13 @@
         Decider decider = new Decider(start, threads, loop, log, clock, new Descriptors(PLACES),
             (at, placeBack) -> connection(Rehearsal::node, placeBack), 0);
         Clients clients = new Clients(start, loop, log, decider, PLACES);
-        decider.follows(() -> { });
+        decider.follows(() -> {});
         decider.listed(new Members(1, true, nodes()));
         threads.start("rehearsal", decider);
         threads.start("rehearsal loop", loop);
         loop.tell(() -> {
             for (int i = 0; i < CLIENTS; i++) {
-                clients.accepted(connection(this::client, () -> { }), false);
+                clients.accepted(connection(this::client, () -> {}), false);
                 last.say(command(asked.getAndIncrement()));
             }
         });
@@ -101,8 +101,9 @@
         for (int i = 0; i <= NODES; i++) {
             KindId kind = i < NODES ? new KindId(Integer.MAX_VALUE) : origin;
             if (kind != null) {
-                nodes.add(new Member(new NodeEntry(new NodeId(i + 1), kind, new ZoneId(0), new CellId(0), 0, 1,
-                    Phase.READY), nowhere));
+                nodes
+                    .add(new Member(new NodeEntry(new NodeId(i + 1), kind, new ZoneId(0), new CellId(0), 0, 1,
+                        Phase.READY), nowhere));
             }
         }
         return nodes;
@@ -114,7 +115,8 @@
         int track = n % 16 == 0 ? tracks - 1 : 0;
         Effect effect = start.figures.deployment.tracks().get(track).effect();
         String customer = start.figures.customers.isEmpty() ? "" : ",t=" + start.figures.customers.get(0);
-        String extras = " O" + Long.toHexString(n) + " Pc=" + start.figures.tracks.get(track) + customer + ",d=5000"
+        String extras = " O" + Long.toHexString(n) + " Pc=" + start.figures.tracks.get(track) + customer
+            + ",d=5000"
             + (effect == Effect.DEDUPLICATED ? ",k=" + n : "") + ",h=1000,size=1.0\r\n";
         return effect == Effect.IDEMPOTENT ? "mg " + n % 256 + " v" + extras
             : "ms " + n % 256 + " " + VALUE.length() + extras + VALUE + "\r\n";
@@ -138,7 +140,7 @@
         String id = tokens[3];
         return message.startsWith("ms ") ? "HD " + id + " c1\r\n"
             : tokens[1].hashCode() % 4 == 0 ? "EN " + id + " h0\r\n"
-            : "VA " + VALUE.length() + " " + id + " h1\r\n" + VALUE + "\r\n";
+                : "VA " + VALUE.length() + " " + id + " h1\r\n" + VALUE + "\r\n";
     }
 
     /** A peer in memory behind two pipes: each thing that it hears whole it may answer at once. */
@@ -149,7 +151,7 @@
         /** With the other ends for the proxy. */
         private Peer(Pipe toPeer, Pipe fromPeer, Function<String, String> rule) {
             this.rule = rule;
-            connection = new Connection(loop, toPeer.source(), fromPeer.sink(), () -> { });
+            connection = new Connection(loop, toPeer.source(), fromPeer.sink(), () -> {});
         }
 
         private void say(String text) {
@@ -157,7 +159,7 @@
         }
 
         @Override
-        public void connected() { }
+        public void connected() {}
 
         @Override
         public void came(ByteBuffer bytes) {
@@ -168,9 +170,9 @@
         }
 
         @Override
-        public void drained() { }
+        public void drained() {}
 
         @Override
-        public void ended() { }
+        public void ended() {}
     }
 }
--- a/proxy/src/main/java/spurroad/program/Service.java
+++ b/proxy/src/main/java/spurroad/program/Service.java
@@ -152,9 +152,10 @@
     Figures figures() {
         Results results = decider.results();
         return new Figures().several(() -> results.byClass().entrySet().stream()
-                .flatMap(c -> Stream.of(result(c.getKey(), "succeeded", c.getValue().succeeded()),
-                    result(c.getKey(), "declined", c.getValue().declined()),
-                    result(c.getKey(), "aborted", c.getValue().aborted()))).toList())
+            .flatMap(c -> Stream.of(result(c.getKey(), "succeeded", c.getValue().succeeded()),
+                result(c.getKey(), "declined", c.getValue().declined()),
+                result(c.getKey(), "aborted", c.getValue().aborted())))
+            .toList())
             .counter("forwards", results::forwards)
             .gauge("outstanding", results::outstanding)
             .gauge("discovered", () -> decider.standings().listed())
@@ -167,7 +168,10 @@
         return new Figures.Figure("results." + track + "." + end, count, true);
     }
 
-    /** Reads what it is started with again; what it holds counts at once and whole, or not at all if it is faulty. */
+    /**
+     * Reads what it is started with again; what it holds counts at once and whole, or not at all if it is
+     * faulty.
+     */
     public synchronized void reload(Supplier<ProxyStart> file) {
         try {
             ProxyStart next = file.get();
@@ -179,7 +183,8 @@
             if (!next.discovery.equals(start.discovery)) {
                 list.moved(next.discovery);
             }
-            log.event("configuration read again", "discovery at " + next.discovery + ", classes " + next.figures.tracks);
+            log.event("configuration read again",
+                "discovery at " + next.discovery + ", classes " + next.figures.tracks);
             clients.deployed(next.figures);
             start = next;
             applied.incrementAndGet();
@@ -190,9 +195,10 @@
     }
 
     /**
-     * Goes on accepting for a while, then serves those who are connected for as long as what comes can be answered
-     * before it may be killed, answers all that was taken, and returns when no client is left. Where proxies are
-     * restarted one after another the next may end before the one before it is up again: for a second nobody served.
+     * Goes on accepting for a while, then serves those who are connected for as long as what comes can be
+     * answered before it may be killed, answers all that was taken, and returns when no client is left. Where
+     * proxies are restarted one after another the next may end before the one before it is up again: for a
+     * second nobody served.
      */
     public void end() throws InterruptedException {
         log.event("ending", clients.count() + " clients connected");
--- a/proxy/src/main/java/spurroad/program/SharedFolder.java
+++ b/proxy/src/main/java/spurroad/program/SharedFolder.java
@@ -20,9 +20,9 @@
 import spurroad.transport.EventLog;
 
 /**
- * The folder that the processes of one proxy share: who lives, what each tells, and the cache nodes out of use. Files
- * are written whole and renamed. A process lives while it holds the lock on its file, which the system gives back
- * however it dies. One thread works it.
+ * The folder that the processes of one proxy share: who lives, what each tells, and the cache nodes out of
+ * use. Files are written whole and renamed. A process lives while it holds the lock on its file, which the
+ * system gives back however it dies. One thread works it.
  */
 final class SharedFolder {
     private static final String LOCK = ".lock", STATE = ".state", OUT = "out-", PART = ".part";
@@ -80,10 +80,13 @@
         }
     }
 
-    /** Whether its lock is held; else it is cleared away. Never asked of its own: a close would give that back. */
+    /**
+     * Whether its lock is held; else it is cleared away. Never asked of its own: a close would give that
+     * back.
+     */
     private static boolean lives(Path lock) throws IOException {
         try (FileChannel channel = FileChannel.open(lock, StandardOpenOption.WRITE);
-             FileLock free = channel.tryLock()) {
+            FileLock free = channel.tryLock()) {
             if (free != null) {
                 Files.deleteIfExists(lock);
             }
@@ -117,7 +120,8 @@
             if (name.startsWith(OUT) && !name.endsWith(PART)) {
                 String hash = name.substring(OUT.length()), text = text(file);
                 String[] lines = text == null ? null : text.split("\n", -1);
-                if (lines != null && lines.length == 3 && lines[0].equals(OUT_FORM) && hash(lines[1]).equals(hash)) {
+                if (lines != null && lines.length == 3 && lines[0].equals(OUT_FORM)
+                    && hash(lines[1]).equals(hash)) {
                     out.put(hash, lines[1]);
                 } else if (text != null) {
                     log.trouble("a shared file is not believed", file);
@@ -159,7 +163,8 @@
     private void write(String name, String text) throws IOException {
         Path part = folder.resolve(name + "." + pid + PART);
         Files.writeString(part, text);
-        Files.move(part, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(part, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE,
+            StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** Gives its place up; else the end of the process does. */
--- a/proxy/src/main/java/spurroad/protocol/ByteSource.java
+++ b/proxy/src/main/java/spurroad/protocol/ByteSource.java
@@ -8,9 +8,9 @@
 import java.util.Arrays;
 
 /**
- * A stream read by lines and lengths, both bounded; its text is one character a byte, so nothing is lost. It reads from
- * a stream that waits, or is fed with what has come: then a {@link #message} that is not there whole is read again from
- * its beginning once enough more has come.
+ * A stream read by lines and lengths, both bounded; its text is one character a byte, so nothing is lost. It
+ * reads from a stream that waits, or is fed with what has come: then a {@link #message} that is not there
+ * whole is read again from its beginning once enough more has come.
  */
 public final class ByteSource {
     /** How a message is read. */
@@ -40,7 +40,9 @@
         buffer = NOTHING;
     }
 
-    /** Whether there is something to read; one that is not fed waits for it. False at the end of the stream. */
+    /**
+     * Whether there is something to read; one that is not fed waits for it. False at the end of the stream.
+     */
     public boolean await() throws IOException {
         if (from == to && in == null && !ended) {
             need = to - mark + 1;
@@ -100,7 +102,10 @@
         return available() > 0 && (ended || available() >= need);
     }
 
-    /** The next message, or null where it is not there whole. Where no other has begun, the buffer is given up. */
+    /**
+     * The next message, or null where it is not there whole. Where no other has begun, the buffer is given
+     * up.
+     */
     public <T> T message(Form<T> form) throws IOException {
         try {
             begin();
@@ -186,7 +191,10 @@
         return from < to || in != null && in.available() > 0;
     }
 
-    /** Goes on only if so many bytes are there, where it is fed; nothing is put aside for a value before it came. */
+    /**
+     * Goes on only if so many bytes are there, where it is fed; nothing is put aside for a value before it
+     * came.
+     */
     void need(int count) throws Underflow {
         if (in == null && !ended && to - from < count) {
             need = from - mark + count;
@@ -206,7 +214,7 @@
     public void bytes(byte[] into, int at, int count) throws IOException {
         need(count);
         int end = at + count;
-        for (int next = at; next < end; ) {
+        for (int next = at; next < end;) {
             int n = some(into, next, end - next);
             if (n < 0) {
                 throw new EOFException("the stream ended inside a value");
--- a/proxy/src/main/java/spurroad/protocol/Http.java
+++ b/proxy/src/main/java/spurroad/protocol/Http.java
@@ -38,7 +38,7 @@
         }
     }
 
-    private Http() { }
+    private Http() {}
 
     public static byte[] get(String target, String host) {
         return request("GET", target, host, Map.of(), 0, null);
@@ -48,7 +48,8 @@
     public static byte[] forOrigin(MetaCommand c, String host) {
         Map<String, String> headers = Map.of("X-Request-Id", c.id(), "X-Extras", c.extras());
         boolean write = c.kind == MetaCommand.Kind.WRITE;
-        return request(write ? "PUT" : "GET", "/" + encoded(c.key()), host, headers, c.length(), write ? c.value : null);
+        return request(write ? "PUT" : "GET", "/" + encoded(c.key()), host, headers, c.length(),
+            write ? c.value : null);
     }
 
     private static byte[] request(String method, String target, String host, Map<String, String> headers,
@@ -122,11 +123,13 @@
         LoadReport load = Pairs.load(Pairs.read(head.headers.getOrDefault("x-load", "")));
         if (passes) {
             byte[] line = MetaReply.text(MetaReply.valueLine(told, query.id()));
-            return new Reply(Outcome.COMPLETED, CacheNote.NONE, load, line, head.more(), new Reply.Rest(told, false));
+            return new Reply(Outcome.COMPLETED, CacheNote.NONE, load, line, head.more(),
+                new Reply.Rest(told, false));
         }
         boolean notRun = (head.status == 503 || head.status == 504)
             && "1".equals(head.headers.get("x-not-run"));
-        Outcome outcome = head.status == 200 ? Outcome.COMPLETED : notRun ? Outcome.TURNED_AWAY : Outcome.ERROR;
+        Outcome outcome = head.status == 200 ? Outcome.COMPLETED
+            : notRun ? Outcome.TURNED_AWAY : Outcome.ERROR;
         byte[] answer = null;
         if (outcome == Outcome.COMPLETED && query != null) {
             answer = query.kind == MetaCommand.Kind.READ ? MetaReply.value(body, query.id())
@@ -203,8 +206,8 @@
     }
 
     /**
-     * The next list of a stream of them, or an empty line; null at its end. A list is one object, which may come indented,
-     * over several lines.
+     * The next list of a stream of them, or an empty line; null at its end. A list is one object, which may
+     * come indented, over several lines.
      */
     public static String listText(ByteSource stream) throws IOException {
         String line = stream.line(MOST_LIST_LINE);
--- a/proxy/src/main/java/spurroad/protocol/Json.java
+++ b/proxy/src/main/java/spurroad/protocol/Json.java
@@ -55,19 +55,19 @@
         }
         space();
         switch (at < text.length() ? text.charAt(at) : 0) {
-            case '{':
+            case '{' :
                 return object(depth);
-            case '[':
+            case '[' :
                 return list(depth);
-            case '"':
+            case '"' :
                 return string();
-            case 't':
+            case 't' :
                 return word("true", true);
-            case 'f':
+            case 'f' :
                 return word("false", false);
-            case 'n':
+            case 'n' :
                 return word("null", null);
-            default:
+            default :
                 return number();
         }
     }
--- a/proxy/src/main/java/spurroad/protocol/Members.java
+++ b/proxy/src/main/java/spurroad/protocol/Members.java
@@ -16,7 +16,7 @@
 /** Discovery's list, whole or as changes. */
 public record Members(long revision, boolean whole, List<Member> members) {
     /** One entry, with where this proxy reaches it. */
-    public record Member(NodeEntry entry, InetSocketAddress endpoint) { }
+    public record Member(NodeEntry entry, InetSocketAddress endpoint) {}
 
     /** The names that become numbers, by their places, and whether sizes count. */
     public record Names(List<String> kinds, List<String> zones, boolean weighted) {
@@ -56,7 +56,8 @@
         };
         long started = (long) Math.max(0, number(entry, "boot_ms", 0)) * NS_PER_MS;
         return new Member(new NodeEntry(new NodeId(hash(word(entry, "uid"))),
-            new KindId(place(names.kinds, word(entry, "model"))), new ZoneId(place(names.zones, word(entry, "az"))),
+            new KindId(place(names.kinds, word(entry, "model"))),
+            new ZoneId(place(names.zones, word(entry, "az"))),
             new CellId((int) number(entry, "pod_group", 0)), started,
             names.weight(number(entry, "capacity_hint", 1)), phase), endpoint(word(entry, "endpoint")));
     }
@@ -67,7 +68,8 @@
         long port = cut < 0 ? -1 : Numbers.whole(text.substring(cut + 1));
         String host = cut < 0 ? "" : text.substring(0, cut);
         boolean literal = host.matches(IPV4) || host.matches(IPV6);
-        InetSocketAddress at = literal && port >= 0 && port <= 65535 ? new InetSocketAddress(host, (int) port) : null;
+        InetSocketAddress at = literal && port >= 0 && port <= 65535 ? new InetSocketAddress(host, (int) port)
+            : null;
         if (at == null || at.isUnresolved()) {
             throw new ProtocolException(text + " is no address and port");
         }
--- a/proxy/src/main/java/spurroad/protocol/MetaCommand.java
+++ b/proxy/src/main/java/spurroad/protocol/MetaCommand.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * One command of a client: a query with its line and its value as they came, `mn`, or a fault to be answered with a
- * line. The line is looked through once and its words are taken out only when they are asked for: most commands of a
- * crowd are turned away, and reading is most of what that costs.
+ * One command of a client: a query with its line and its value as they came, `mn`, or a fault to be answered
+ * with a line. The line is looked through once and its words are taken out only when they are asked for: most
+ * commands of a crowd are turned away, and reading is most of what that costs.
  */
 public final class MetaCommand {
     public enum Kind { READ, WRITE, READY, FAULT }
@@ -69,13 +69,13 @@
         line = line.substring(0, end);
         int cut = line.indexOf(' ');
         switch (cut < 0 ? line : line.substring(0, cut)) {
-            case "mn":
+            case "mn" :
                 return MN;
-            case "mg":
+            case "mg" :
                 return query(new MetaCommand(Kind.READ, null, false, line, NO_VALUE));
-            case "ms":
+            case "ms" :
                 return write(line, in);
-            default:
+            default :
                 return fault("ERROR", false);
         }
     }
@@ -188,7 +188,9 @@
         return end < 0 || end > listTo ? listTo : end;
     }
 
-    /** The place of the first part of the list with the name that stands at a place of the line, or is given. */
+    /**
+     * The place of the first part of the list with the name that stands at a place of the line, or is given.
+     */
     private int at(int nameFrom, int nameTo) {
         int part = listFrom, length = nameTo - nameFrom + 1; // with its sign
         while (!line.regionMatches(part, line, nameFrom, length)) {
@@ -291,7 +293,9 @@
         return Math.max(0, whole("h"));
     }
 
-    /** The command for a cache node: as it came, but for how long the proxy will wait; without a long value. */
+    /**
+     * The command for a cache node: as it came, but for how long the proxy will wait; without a long value.
+     */
     public byte[] forNode(long waitMs) {
         int at = valueAt("d");
         String changed = line.substring(0, at) + waitMs + line.substring(partEnd(at));
--- a/proxy/src/main/java/spurroad/protocol/MetaReply.java
+++ b/proxy/src/main/java/spurroad/protocol/MetaReply.java
@@ -14,7 +14,7 @@
     private static final int MOST_STATS = 64; // lines; a report has four fields at most
     private static final byte[] PROBE = "stats load\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-    private MetaReply() { }
+    private MetaReply() {}
 
     /** Reads what a node says to the query with the id; an answer to another query can't be used. */
     public static Reply read(ByteSource in, String id) throws IOException {
@@ -23,7 +23,7 @@
         LoadReport load = load(tokens);
         CacheNote note = note(tokens);
         switch (tokens[0]) {
-            case "VA":
+            case "VA" :
                 long length = tokens.length < 2 ? -1 : Numbers.whole(tokens[1]);
                 if (length < 0 || length > MetaCommand.MOST_VALUE) {
                     throw new ProtocolException("a value of impossible length, " + line);
@@ -39,16 +39,16 @@
                 in.lineEnd();
                 sameId(tokens, id);
                 return new Reply(Outcome.COMPLETED, note, load, answer, true);
-            case "HD":
+            case "HD" :
                 sameId(tokens, id);
                 return new Reply(Outcome.COMPLETED, note, load, receipt(id, flag(tokens, 'c')), true);
-            case "EN":
+            case "EN" :
                 sameId(tokens, id);
                 return new Reply(Outcome.MISS, note, load, null, true);
-            case "SERVER_ERROR":
+            case "SERVER_ERROR" :
                 boolean busy = tokens.length > 1 && tokens[1].equals("busy");
                 return new Reply(busy ? Outcome.TURNED_AWAY : Outcome.ERROR, note, load, null, true);
-            default:
+            default :
                 throw new ProtocolException("answered " + line);
         }
     }
--- a/proxy/src/main/java/spurroad/protocol/Numbers.java
+++ b/proxy/src/main/java/spurroad/protocol/Numbers.java
@@ -4,7 +4,7 @@
 final class Numbers {
     private static final int MOST_DIGITS = 15; // digits; more never occur, and a double holds these exactly
 
-    private Numbers() { }
+    private Numbers() {}
 
     static long whole(String text) {
         return text == null ? -1 : whole(text, 0, text.length());
--- a/proxy/src/main/java/spurroad/protocol/Pairs.java
+++ b/proxy/src/main/java/spurroad/protocol/Pairs.java
@@ -8,7 +8,7 @@
 public final class Pairs {
     private static final double MOST_QUEUED = 1e6; // queries; no node holds as many: such a report tells nothing
 
-    private Pairs() { }
+    private Pairs() {}
 
     public static Map<String, String> read(String text) {
         Map<String, String> pairs = new LinkedHashMap<>();
--- a/proxy/src/main/java/spurroad/protocol/PeerMessage.java
+++ b/proxy/src/main/java/spurroad/protocol/PeerMessage.java
@@ -5,8 +5,8 @@
 import spurroad.model.Word;
 
 /**
- * The bytes of what proxies say to one another, big-endian: a topic (u8), a subject (8 bytes), a value (f32) and, by
- * topic, a pace in microseconds (u32) and a share of keys (f32), and a key (8 bytes).
+ * The bytes of what proxies say to one another, big-endian: a topic (u8), a subject (8 bytes), a value (f32)
+ * and, by topic, a pace in microseconds (u32) and a share of keys (f32), and a key (8 bytes).
  */
 public final class PeerMessage {
     private static final int BYTES = 1 + 8 + 4, KEY_BYTES = 8, QUEUE_BYTES = 4 + 4;
@@ -14,7 +14,7 @@
     private static final long NS_PER_US = 1_000L, MAX_U32 = 0xffffffffL;
     private static final Word.Topic[] TOPICS = Word.Topic.values();
 
-    private PeerMessage() { }
+    private PeerMessage() {}
 
     private static boolean keyed(Word.Topic topic) {
         return topic == Word.Topic.HELD || topic == Word.Topic.ASK || topic == Word.Topic.KEPT;
--- a/proxy/src/main/java/spurroad/protocol/Reply.java
+++ b/proxy/src/main/java/spurroad/protocol/Reply.java
@@ -7,14 +7,15 @@
 /**
  * What a cache node or the origin said to one execution or probe.
  *
- * @param answer the message for the client where the query was completed, else null; without a long value and what
- *               follows that
- * @param more   whether the connection can carry another
- * @param rest   the long value that is still to come, else null
+ * @param answer the message for the client where the query was completed, else null; without a long value and
+ *     what follows that
+ * @param more whether the connection can carry another
+ * @param rest the long value that is still to come, else null
  */
-public record Reply(Outcome outcome, CacheNote note, LoadReport load, byte[] answer, boolean more, Rest rest) {
+public record Reply(Outcome outcome, CacheNote note, LoadReport load, byte[] answer, boolean more,
+                    Rest rest) {
     /** A value of so many bytes, and whether a line end follows it on the wire. */
-    public record Rest(long bytes, boolean lineEnd) { }
+    public record Rest(long bytes, boolean lineEnd) {}
 
     public Reply(Outcome outcome, CacheNote note, LoadReport load, byte[] answer, boolean more) {
         this(outcome, note, load, answer, more, null);
--- a/proxy/src/main/java/spurroad/protocol/Underflow.java
+++ b/proxy/src/main/java/spurroad/protocol/Underflow.java
@@ -2,7 +2,9 @@
 
 import java.io.IOException;
 
-/** A message is not there whole yet; only {@link ByteSource#message} needs to know. Not a fault of anybody. */
+/**
+ * A message is not there whole yet; only {@link ByteSource#message} needs to know. Not a fault of anybody.
+ */
 final class Underflow extends IOException {
     private static final long serialVersionUID = 1L;
     static final Underflow ONE = new Underflow();
--- a/proxy/src/main/java/spurroad/routing/CallTiming.java
+++ b/proxy/src/main/java/spurroad/routing/CallTiming.java
@@ -3,10 +3,11 @@
 import java.util.Random;
 
 /**
- * How long calls to discovery, and the waits between them, may take. A change counts as told 6 s after discovery had it and
- * could be reached, whatever became of the calls before, and a watch that falls silent counts as told 6 s after that. A call
- * takes {@link #callNs()} at most before another begins, so the waits before a call are bounded by the rest. All are drawn
- * from a range, as many proxies lose discovery at the same moment. All times are durations in nanoseconds.
+ * How long calls to discovery, and the waits between them, may take. A change counts as told 6 s after
+ * discovery had it and could be reached, whatever became of the calls before, and a watch that falls silent
+ * counts as told 6 s after that. A call takes {@link #callNs()} at most before another begins, so the waits
+ * before a call are bounded by the rest. All are drawn from a range, as many proxies lose discovery at the
+ * same moment. All times are durations in nanoseconds.
  */
 final class CallTiming {
     static final long TOLD_NS = 6_000_000_000L; // from when a change could be heard
@@ -29,12 +30,13 @@
     private final long callNs;
 
     /**
-     * @param pushed      whether lists are pushed, by an agent that serves this proxy alone
+     * @param pushed whether lists are pushed, by an agent that serves this proxy alone
      * @param askWithinNs for how long a list may be held to without a call
      */
     CallTiming(boolean pushed, long askWithinNs, Random random) {
         this.random = random;
-        meanPauseNs = pushed ? PUSHED_PAUSE_NS : Math.min(LONGEST_PAUSE_NS, (long) (PAUSE_SHARE * askWithinNs));
+        meanPauseNs = pushed ? PUSHED_PAUSE_NS
+            : Math.min(LONGEST_PAUSE_NS, (long) (PAUSE_SHARE * askWithinNs));
         callNs = Math.min(pushed ? PUSHED_CALL_NS : CALL_NS, (long) (CALL_SHARE * askWithinNs));
     }
 
--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -14,8 +14,9 @@
 import spurroad.transport.Connection;
 
 /**
- * One connection of a client; all of it is the loop's. It reads commands as they come, keeps the answers in order and
- * gives the place back when it closes. A guest, for whom there was no place, is turned away and let go.
+ * One connection of a client; all of it is the loop's. It reads commands as they come, keeps the answers in
+ * order and gives the place back when it closes. A guest, for whom there was no place, is turned away and let
+ * go.
  */
 final class ClientConnection implements Connection.User {
     private static final int MOST_WAITING = 16; // commands; read ahead of their answers
@@ -83,7 +84,7 @@
     // ---- commands
 
     @Override
-    public void connected() { }
+    public void connected() {}
 
     @Override
     public void came(ByteBuffer bytes) {
@@ -113,7 +114,8 @@
     /** Takes the commands that are there whole, as many as may wait for their answers. */
     private void work() {
         int taken = 0;
-        while (!over && !lost && !resting && upload == null && waiting() < MOST_WAITING && in.worthReading()) {
+        while (!over && !lost && !resting && upload == null && waiting() < MOST_WAITING
+            && in.worthReading()) {
             if (taken++ == AT_A_TURN) {
                 workAgain();
                 break;
@@ -130,14 +132,15 @@
         }
         if (!over) {
             boolean reads = !resting && !again && waiting() < MOST_WAITING && !noRoom;
-            begunAt = reads && !lost && in.available() > 0 ? Math.min(begunAt, clients.now()) : Long.MAX_VALUE;
+            begunAt = reads && !lost && in.available() > 0 ? Math.min(begunAt, clients.now())
+                : Long.MAX_VALUE;
             reading(reads || lost);
         }
     }
 
     /**
-     * Reads on, or lets what comes wait with the client. Then its end would not be seen, and its queries would go on to
-     * nodes: it is looked for now and then, as far as what comes before it fits here.
+     * Reads on, or lets what comes wait with the client. Then its end would not be seen, and its queries
+     * would go on to nodes: it is looked for now and then, as far as what comes before it fits here.
      */
     private void reading(boolean on) {
         connection.reading(on);
@@ -159,7 +162,8 @@
         boolean reads = connection.isReading();
         if (!over && (upload == null || noRoom)) {
             ahead = true;
-            while (in.available() < AHEAD_BYTES && connection.unread(AHEAD_BYTES - in.available()) && !gone()) {
+            while (in.available() < AHEAD_BYTES && connection.unread(AHEAD_BYTES - in.available())
+                && !gone()) {
                 continue;
             }
             ahead = false;
@@ -437,7 +441,9 @@
         }
     }
 
-    /** Lets the last answer arrive: a close while the client still sends would take back what it has not got. */
+    /**
+     * Lets the last answer arrive: a close while the client still sends would take back what it has not got.
+     */
     private void endOnceTaken() {
         connection.endOutput();
         clients.loop.after(HOLDING_NS, this::close);
@@ -502,10 +508,10 @@
     }
 
     /**
-     * Whether it stands between two commands; one that was just opened brings its first, which is not sent again. Not
-     * while its client may still be taking a long answer: a reset drops what the system has not sent on yet (answers of
-     * up to 400 KB were cut off so on the day of four times the queries, some 14 ms after their clients' time was over,
-     * and their queries lost).
+     * Whether it stands between two commands; one that was just opened brings its first, which is not sent
+     * again. Not while its client may still be taking a long answer: a reset drops what the system has not
+     * sent on yet (answers of up to 400 KB were cut off so on the day of four times the queries, some 14 ms
+     * after their clients' time was over, and their queries lost).
      */
     private boolean idle() {
         long now = clients.now();
@@ -513,8 +519,9 @@
     }
 
     /**
-     * Closes it between two commands, unless one has just come. By a reset: one may still be on its way, which the
-     * client has to send again; an ordered end would tell it that the command was taken (lost in the first incident).
+     * Closes it between two commands, unless one has just come. By a reset: one may still be on its way,
+     * which the client has to send again; an ordered end would tell it that the command was taken (lost in
+     * the first incident).
      */
     void closeIfIdle() {
         if (idle()) {
--- a/proxy/src/main/java/spurroad/routing/Clients.java
+++ b/proxy/src/main/java/spurroad/routing/Clients.java
@@ -27,7 +27,7 @@
     private static final long QUIET_NS = 1_000_000_000L; // ns; who has asked nothing for so long asks seldom
     private static final long MIB = 1 << 20, NS_PER_MS = 1_000_000L;
 
-    private record Overdue(ClientConnection connection, double by) { }
+    private record Overdue(ClientConnection connection, double by) {}
 
     final Loop loop;
     final EventLog log;
@@ -56,7 +56,8 @@
         this.places = places;
         results = decider.results();
         take(start.figures);
-        long memory = Math.min(start.memoryMb * MIB / ROOM_SHARE, Runtime.getRuntime().maxMemory() / HEAP_SHARE);
+        long memory = Math.min(start.memoryMb * MIB / ROOM_SHARE,
+            Runtime.getRuntime().maxMemory() / HEAP_SHARE);
         room = new Room(Math.min(memory, (long) start.figures.mostOpen * QUERY_BYTES));
         uploads = new Room(Math.max(MetaCommand.MOST_VALUE, memory / 2));
         gate = new Gate(start, loop, log, room, decider);
@@ -73,8 +74,8 @@
     }
 
     /**
-     * Puts other settings in force, between two commands: what is read from now on is numbered by them, and the module
-     * hears of them between what was numbered before and after.
+     * Puts other settings in force, between two commands: what is read from now on is numbered by them, and
+     * the module hears of them between what was numbered before and after.
      */
     public void deployed(StartFigures next) {
         loop.tell(() -> {
@@ -102,8 +103,9 @@
     }
 
     /**
-     * Who says nothing is closed after a while, and idle ones too where many are connected: some clients ask once and
-     * keep the connection for good, and those who share their limit with them then had none left (first incident).
+     * Who says nothing is closed after a while, and idle ones too where many are connected: some clients ask
+     * once and keep the connection for good, and those who share their limit with them then had none left
+     * (first incident).
      */
     private void tidy() {
         boolean crowded = CROWD * connections.size() > places;
@@ -147,7 +149,8 @@
     @Override
     public void placesNeeded() {
         log.trouble("no descriptor left for clients", connections.size() + " connected");
-        List<Overdue> overdue = connections.stream().map(c -> new Overdue(c, c.overdue())).filter(o -> o.by >= 1)
+        List<Overdue> overdue = connections.stream().map(c -> new Overdue(c, c.overdue()))
+            .filter(o -> o.by >= 1)
             .sorted(Comparator.comparingDouble(Overdue::by).reversed()).limit(AT_ONCE).toList();
         overdue.forEach(o -> o.connection.giveWay());
         if (overdue.isEmpty()) {
@@ -160,7 +163,9 @@
         count = connections.size();
     }
 
-    /** Takes room for an answer; where that leaves too little, clients that take theirs too slowly are closed. */
+    /**
+     * Takes room for an answer; where that leaves too little, clients that take theirs too slowly are closed.
+     */
     void owe(long bytes) {
         room.owe(bytes);
         if (room.overdrawn()) {
@@ -177,15 +182,18 @@
         return ending;
     }
 
-    /** Others serve from now on: each connection closes soon after the answer that it waits for, or once it is quiet. */
+    /**
+     * Others serve from now on: each connection closes soon after the answer that it waits for, or once it is
+     * quiet.
+     */
     public void letGo() {
         lettingGo = true;
         letGoQuiet();
     }
 
     /**
-     * Those who have asked nothing for so long that hardly a command crosses it are closed from now on, whether they
-     * never asked, sent half a command or had their answers.
+     * Those who have asked nothing for so long that hardly a command crosses it are closed from now on,
+     * whether they never asked, sent half a command or had their answers.
      */
     public void letGoQuiet() {
         loop.tell(this::closeQuiet);
@@ -205,7 +213,9 @@
         loop.tell(() -> List.copyOf(connections).forEach(ClientConnection::closeIfIdle));
     }
 
-    /** For how long a client's query can be worked on: what the client says, or less while this process ends. */
+    /**
+     * For how long a client's query can be worked on: what the client says, or less while this process ends.
+     */
     long waitNs(long waitMs) {
         if (waitMs > longestWaitMs) {
             longestWaitMs = waitMs;
@@ -220,8 +230,8 @@
     }
 
     /**
-     * The longest that a client waits for an answer, in nanoseconds: as the settings tell it, which whoever kills goes by
-     * too, whatever a single client says; as seen since the start where they don't.
+     * The longest that a client waits for an answer, in nanoseconds: as the settings tell it, which whoever
+     * kills goes by too, whatever a single client says; as seen since the start where they don't.
      */
     public long longestWaitNs() {
         return statementTimeoutNs > 0 ? statementTimeoutNs : longestWaitMs * NS_PER_MS;
--- a/proxy/src/main/java/spurroad/routing/Decider.java
+++ b/proxy/src/main/java/spurroad/routing/Decider.java
@@ -36,8 +36,8 @@
 import spurroad.transport.Threads;
 
 /**
- * The module's actor: the one thread that calls {@link Balance}, with what its mailbox brings and the time it is then,
- * and passes on what was decided. It owns the queries and knows the node actors.
+ * The module's actor: the one thread that calls {@link Balance}, with what its mailbox brings and the time it
+ * is then, and passes on what was decided. It owns the queries and knows the node actors.
  */
 public final class Decider implements Runnable {
     /** Asked to follow the list when the module wants it. */
@@ -134,7 +134,8 @@
     private boolean ended;
     private long queryCount, wakeNs = Long.MAX_VALUE;
 
-    public Decider(ProxyStart start, Threads threads, Loop loop, EventLog log, Clock clock, Descriptors descriptors,
+    public Decider(ProxyStart start, Threads threads, Loop loop, EventLog log, Clock clock,
+                   Descriptors descriptors,
                    Dialer dialer, long restNs) {
         figures = start.figures;
         this.threads = threads;
@@ -376,7 +377,8 @@
             if (list.whole()) {
                 Set.copyOf(nodes.keySet()).stream().filter(id -> !named.contains(id)).forEach(this::gone);
             }
-            balance.listed(clock.now(), list.members().stream().map(Member::entry).toList(), list.whole(), fresh());
+            balance.listed(clock.now(), list.members().stream().map(Member::entry).toList(), list.whole(),
+                fresh());
             carryOut();
         });
     }
@@ -411,8 +413,9 @@
     }
 
     /**
-     * Takes a cache node out of use, or gives it back. Tells, on the loop, whether such a cache node has been listed;
-     * by then nothing new begins at one that is out of use: not what waits for a connection to it either.
+     * Takes a cache node out of use, or gives it back. Tells, on the loop, whether such a cache node has been
+     * listed; by then nothing new begins at one that is out of use: not what waits for a connection to it
+     * either.
      *
      * @param vouched whether it is so even if it was never listed here: another process has heard of it
      */
@@ -435,7 +438,8 @@
         balance.byHand(clock.now(), id, out, fresh());
         carryOut();
         NodeActor n = nodes.get(id);
-        log.event(out ? "out of use by hand" : "given back by hand", n == null ? "a node that is not listed now" : n);
+        log.event(out ? "out of use by hand" : "given back by hand",
+            n == null ? "a node that is not listed now" : n);
         if (n != null) {
             forLoop.add(() -> n.held(out));
         }
@@ -506,7 +510,8 @@
             if (!q.over) {
                 q.over = true;
                 tally.answered(a.rejected());
-                byte[] answer = a.rejected() ? MetaReply.rejected(a.comeBackNs() / NS_PER_MS) : MetaReply.aborted();
+                byte[] answer = a.rejected() ? MetaReply.rejected(a.comeBackNs() / NS_PER_MS)
+                    : MetaReply.aborted();
                 forLoop.add(new Answered(q, answer, a.rejected() ? Results.End.DECLINED : Results.End.ABORTED,
                     null));
             }
@@ -518,7 +523,8 @@
                 mailbox.tell(() -> unknown(id)); // gone since the module last heard of it
                 continue;
             }
-            Errand probe = new Errand(null, 0, n, now + 2 * figures.connectNs, Long.MAX_VALUE, stalls.total());
+            Errand probe = new Errand(null, 0, n, now + 2 * figures.connectNs, Long.MAX_VALUE,
+                stalls.total());
             forLoop.add(() -> n.begin(probe));
         }
         for (NodeId id : decisions.closes) {
--- a/proxy/src/main/java/spurroad/routing/Dialect.java
+++ b/proxy/src/main/java/spurroad/routing/Dialect.java
@@ -9,7 +9,9 @@
 
 /** How a node is spoken to: one message out, one reply back. Another protocol would be one more of these. */
 interface Dialect {
-    /** The message for a query that is waited for that long, without a long value; null stands for a probe. */
+    /**
+     * The message for a query that is waited for that long, without a long value; null stands for a probe.
+     */
     byte[] message(MetaCommand query, long waitMs);
 
     /** What follows a long value that was sent after the message. */
--- a/proxy/src/main/java/spurroad/routing/Dialer.java
+++ b/proxy/src/main/java/spurroad/routing/Dialer.java
@@ -7,7 +7,10 @@
 
 /** Where sockets to nodes come from. */
 public interface Dialer {
-    /** One that is still to be connected, whose place is given back with the other thing; or to peers in memory. */
+    /**
+     * One that is still to be connected, whose place is given back with the other thing; or to peers in
+     * memory.
+     */
     Connection socket(Loop loop, Runnable placeBack) throws IOException;
 
     /** TCP. */
--- a/proxy/src/main/java/spurroad/routing/Errand.java
+++ b/proxy/src/main/java/spurroad/routing/Errand.java
@@ -9,7 +9,10 @@
     final int number;
     final NodeActor node;
     final long until;
-    /** By when its last byte has to go out, if at all: later a repeat is no repeat any more where it would run. */
+    /**
+     * By when its last byte has to go out, if at all: later a repeat is no repeat any more where it would
+     * run.
+     */
     final long sentBy;
     /** Whether its first byte has gone out, and whether its last may have. */
     boolean begun, written;
--- a/proxy/src/main/java/spurroad/routing/Gate.java
+++ b/proxy/src/main/java/spurroad/routing/Gate.java
@@ -13,8 +13,8 @@
 import spurroad.transport.Room;
 
 /**
- * Measures the proxy's own means for {@link Admission} and has queries turned away on its word, before they take
- * anything. The loop's.
+ * Measures the proxy's own means for {@link Admission} and has queries turned away on its word, before they
+ * take anything. The loop's.
  */
 final class Gate {
     private static final long NS_PER_MS = 1_000_000L;
@@ -24,7 +24,10 @@
     private static final int MOST_KEPT = 4096; // answers, one a millisecond; a client told of more comes after so much
     private static final long USUAL_SLO_NS = 1_000_000_000L; // ns; where no track is told
 
-    /** The answer to a query for which the proxy itself has no place: nothing was sent, and when to come again. */
+    /**
+     * The answer to a query for which the proxy itself has no place: nothing was sent, and when to come
+     * again.
+     */
     byte[] busy;
     private final Loop loop;
     private final EventLog log;
@@ -58,7 +61,10 @@
             (long) (AGE_SHARE * slo), back, figures.maxComeBackNs());
     }
 
-    /** Whether a query of a track and a customer is taken in, both by their numbers, an unknown customer as -1. */
+    /**
+     * Whether a query of a track and a customer is taken in, both by their numbers, an unknown customer as
+     * -1.
+     */
     boolean admits(int track, int customer) {
         boolean may = admission.admits(track, customer);
         turnedAway += may ? 0 : 1;
@@ -89,7 +95,8 @@
         if (admission.measured(now, means, decider.nodesAreCold(now))) {
             log.event("level of service", admission.level() + " after " + before + ", demand "
                 + Math.round(100 * admission.pressure()) + "% of what can be borne, processor "
-                + Math.round(100 * means.processor()) + "%, waiting " + means.ageNs() / NS_PER_MS + " ms, room "
+                + Math.round(100 * means.processor()) + "%, waiting " + means.ageNs() / NS_PER_MS
+                + " ms, room "
                 + Math.round(100 * means.room()) + "%");
         }
         decider.serves(admission.level(), admission.part(), turnedAway);
--- a/proxy/src/main/java/spurroad/routing/ListWatch.java
+++ b/proxy/src/main/java/spurroad/routing/ListWatch.java
@@ -15,15 +15,15 @@
 import spurroad.transport.Threads;
 
 /**
- * The list, worked on the loop: keeps its revision and one watch, or two while discovery moves, a watch is silent or a call
- * has no answer: such a one is kept beside the next call, as what it waits for may come at any moment.
- * Where lists are pushed, whoever pushes them is close and not asked by others: there it is followed from the start and
- * asked again soon. Elsewhere it is followed when the module says so.
+ * The list, worked on the loop: keeps its revision and one watch, or two while discovery moves, a watch is
+ * silent or a call has no answer: such a one is kept beside the next call, as what it waits for may come at
+ * any moment. Where lists are pushed, whoever pushes them is close and not asked by others: there it is
+ * followed from the start and asked again soon. Elsewhere it is followed when the module says so.
  */
 public final class ListWatch implements Decider.Follow {
     private static final int THREAD_MS = 10_000; // ms; longer than any alarm: no thread outlives a socket for long
     private static final int OK = 200;
-    private static final Runnable NOTHING = () -> { };
+    private static final Runnable NOTHING = () -> {};
 
     private final Members.Names names;
     private final Threads threads;
@@ -37,7 +37,7 @@
     private long revision;
     private Watch current, former;
     private Runnable firstList = NOTHING;
-    private Loop.Alarm again = () -> { }; // the next call at the latest
+    private Loop.Alarm again = () -> {}; // the next call at the latest
 
     public ListWatch(ProxyStart start, Threads threads, Loop loop, EventLog log, Decider decider) {
         this.threads = threads;
@@ -71,7 +71,10 @@
         });
     }
 
-    /** Discovery is reached elsewhere from now on; the watch that there is goes on until the new one has spoken. */
+    /**
+     * Discovery is reached elsewhere from now on; the watch that there is goes on until the new one has
+     * spoken.
+     */
     public void moved(InetSocketAddress to) {
         loop.tell(() -> {
             discovery = to;
@@ -131,7 +134,9 @@
         }
     }
 
-    /** A call that had no answer in time has got it after all: the one that was begun beside it is not needed. */
+    /**
+     * A call that had no answer in time has got it after all: the one that was begun beside it is not needed.
+     */
     private void becomesCurrent(Watch late) {
         again.cancel();
         if (current != null) {
@@ -149,7 +154,8 @@
             ended(watch, "nothing came"); // not left to its thread, which may hear of that later
             return;
         }
-        log.trouble(watch.spoke ? "a watch on the list has fallen silent" : "a call for the list has no answer yet",
+        log.trouble(
+            watch.spoke ? "a watch on the list has fallen silent" : "a call for the list has no answer yet",
             "asked anew, since revision " + revision);
         if (!watch.spoke && former != null && !former.silent) {
             watch.close(); // the watch at the former address is the better one to keep
@@ -185,7 +191,7 @@
         private boolean spoke;
         private boolean silent;
         private long listensNs; // duration; from its last line, or its beginning, until it passes for silent
-        private Loop.Alarm alarm = () -> { };
+        private Loop.Alarm alarm = () -> {};
 
         private Watch(InetSocketAddress at, long since) {
             this.at = at;
--- a/proxy/src/main/java/spurroad/routing/Neighbours.java
+++ b/proxy/src/main/java/spurroad/routing/Neighbours.java
@@ -14,7 +14,8 @@
     private final Datagrams datagrams;
 
     /** Hears the others from now on. */
-    public Neighbours(List<InetSocketAddress> proxies, int own, Threads threads, EventLog log, Decider decider) {
+    public Neighbours(List<InetSocketAddress> proxies, int own, Threads threads, EventLog log,
+                      Decider decider) {
         datagrams = new Datagrams(proxies, own, log, bytes -> {
             try {
                 decider.told(PeerMessage.read(bytes));
--- a/proxy/src/main/java/spurroad/routing/NodeActor.java
+++ b/proxy/src/main/java/spurroad/routing/NodeActor.java
@@ -16,13 +16,14 @@
 import spurroad.transport.Loop;
 
 /**
- * One cache node or the origin: owns the connections to it, and ends every errand that it was given once. All of it is
- * the loop's.
+ * One cache node or the origin: owns the connections to it, and ends every errand that it was given once. All
+ * of it is the loop's.
  */
 final class NodeActor {
     /** What all node actors share. */
-    record Surroundings(Loop loop, EventLog log, Descriptors descriptors, long connectNs, long idleNs, long restNs,
-                        Dialer dialer, Runnable closeIdleEverywhere, Ended ended, Runnable forwarded) { }
+    record Surroundings(Loop loop, EventLog log, Descriptors descriptors, long connectNs, long idleNs,
+                        long restNs,
+                        Dialer dialer, Runnable closeIdleEverywhere, Ended ended, Runnable forwarded) {}
 
     /** Hears how each errand ended. */
     interface Ended {
@@ -104,8 +105,8 @@
     }
 
     /**
-     * How an errand ends whose first byte is about to go out and must not; null where it may. Asked there and nowhere
-     * else: the news that forbids it may have come between the decision and a place or a connection.
+     * How an errand ends whose first byte is about to go out and must not; null where it may. Asked there and
+     * nowhere else: the news that forbids it may have come between the decision and a place or a connection.
      */
     Outcome forbids(Errand e) {
         if (e.unwanted() || now() >= e.sentBy) {
@@ -150,8 +151,9 @@
     }
 
     /**
-     * Nobody waits for it any more: what has gone out in part is not finished, whatever the deployment says of cancels, as it
-     * has never run. What waits for a connection ends when that is up, and leaves it to others.
+     * Nobody waits for it any more: what has gone out in part is not finished, whatever the deployment says
+     * of cancels, as it has never run. What waits for a connection ends when that is up, and leaves it to
+     * others.
      */
     void withdraw(Errand e) {
         if (e.begun && !e.written) {
@@ -194,11 +196,13 @@
         e.connection.connect(member.endpoint(), around.connectNs);
     }
 
-    /** The one used last, but not before what may follow its last answer has had time to arrive and close it. */
+    /**
+     * The one used last, but not before what may follow its last answer has had time to arrive and close it.
+     */
     private NodeConnection kept() {
         closeLongIdle();
         long restedSince = now() - around.restNs;
-        for (var i = idle.descendingIterator(); i.hasNext(); ) {
+        for (var i = idle.descendingIterator(); i.hasNext();) {
             NodeConnection c = i.next();
             if (c.lost() || c.idleSince <= restedSince) {
                 i.remove();
@@ -238,7 +242,8 @@
         } else if (!e.ended) {
             boolean tooLate = now() < e.until; // for its last byte alone: the node is not to blame
             leave(e);
-            end(e, without(e.written ? Outcome.TIMED_OUT : tooLate ? Outcome.NEVER_SENT : Outcome.NO_CONNECTION));
+            end(e, without(
+                e.written ? Outcome.TIMED_OUT : tooLate ? Outcome.NEVER_SENT : Outcome.NO_CONNECTION));
         }
     }
 
@@ -251,7 +256,8 @@
     private void end(Errand e, Reply reply) {
         e.ended = true;
         e.alarm.cancel();
-        if (reply.outcome() == Outcome.ERROR || !reply.outcome().answered() && reply.outcome() != Outcome.CANCELLED) {
+        if (reply.outcome() == Outcome.ERROR
+            || !reply.outcome().answered() && reply.outcome() != Outcome.CANCELLED) {
             around.log.trouble(e.query == null ? "a probe failed" : "an execution failed",
                 name + ", " + reply.outcome());
         }
@@ -281,7 +287,9 @@
         end(e, reply);
     }
 
-    /** An answer with a long value has begun: the errand has ended, its connection stays with the client's. */
+    /**
+     * An answer with a long value has begun: the errand has ended, its connection stays with the client's.
+     */
     void answers(NodeConnection c, Errand e, Reply reply) {
         if (!c.closed) {
             c.errand = null;
--- a/proxy/src/main/java/spurroad/routing/NodeConnection.java
+++ b/proxy/src/main/java/spurroad/routing/NodeConnection.java
@@ -13,8 +13,8 @@
 import spurroad.transport.Loop;
 
 /**
- * One connection to a node, with one errand at a time; all of it is the loop's. It connects, sends and takes replies
- * as they come; its node's actor owns it and may close it at any time.
+ * One connection to a node, with one errand at a time; all of it is the loop's. It connects, sends and takes
+ * replies as they come; its node's actor owns it and may close it at any time.
  */
 final class NodeConnection implements Connection.User {
     private static final String TO_NOTHING = "an answer to nothing";
@@ -210,8 +210,9 @@
     }
 
     /**
-     * It ended or broke. An answer that lasts as long as its connection is whole with an end in order, and with that alone:
-     * an origin's answers without a length were cut off by resets and passed on for whole (split and zone, lost).
+     * It ended or broke. An answer that lasts as long as its connection is whole with an end in order, and
+     * with that alone: an origin's answers without a length were cut off by resets and passed on for whole
+     * (split and zone, lost).
      */
     @Override
     public void ended() {
@@ -238,8 +239,9 @@
     }
 
     /**
-     * Whether nothing has come since its last answer, no end either: what the loop has not been told of is looked for.
-     * An idle connection may be closed at any time, or get a second answer, and what is written to it then is spoilt.
+     * Whether nothing has come since its last answer, no end either: what the loop has not been told of is
+     * looked for. An idle connection may be closed at any time, or get a second answer, and what is written
+     * to it then is spoilt.
      */
     boolean clean() {
         if (connection.unread()) {
--- a/proxy/src/main/java/spurroad/routing/Passage.java
+++ b/proxy/src/main/java/spurroad/routing/Passage.java
@@ -5,8 +5,9 @@
 import spurroad.protocol.Reply;
 
 /**
- * A long value on its way from a node's connection to a client's: what came goes on at once, and no more is read than
- * the client takes. All of it is the loop's. It ends once: whole, broken off by the node, or given up by the client.
+ * A long value on its way from a node's connection to a client's: what came goes on at once, and no more is
+ * read than the client takes. All of it is the loop's. It ends once: whole, broken off by the node, or given
+ * up by the client.
  */
 final class Passage {
     private final NodeConnection from;
--- a/proxy/src/main/java/spurroad/routing/Query.java
+++ b/proxy/src/main/java/spurroad/routing/Query.java
@@ -7,7 +7,9 @@
 import spurroad.model.TrackId;
 import spurroad.protocol.MetaCommand;
 
-/** One query on its way through the proxy: made by its client's actor, then the decider's until it is over. */
+/**
+ * One query on its way through the proxy: made by its client's actor, then the decider's until it is over.
+ */
 final class Query {
     final ClientConnection client;
     final MetaCommand command;
@@ -25,7 +27,8 @@
     int out;
     boolean over;
 
-    Query(ClientConnection client, MetaCommand command, TrackId track, Results.OfClass results, CustomerId customer,
+    Query(ClientConnection client, MetaCommand command, TrackId track, Results.OfClass results,
+          CustomerId customer,
           long takenAt, long waitNs) {
         this.client = client;
         this.command = command;
--- a/proxy/src/main/java/spurroad/routing/Results.java
+++ b/proxy/src/main/java/spurroad/routing/Results.java
@@ -4,19 +4,22 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 
 /**
- * The one place where it is counted what became of queries, by class, since the start of the process. Written by the
- * loop alone; any thread may read at any time, and stops nobody. What is outstanding is not counted but left over, so
- * that all ends and it make up what was taken. A class that the settings name no more keeps its counts.
+ * The one place where it is counted what became of queries, by class, since the start of the process. Written
+ * by the loop alone; any thread may read at any time, and stops nobody. What is outstanding is not counted
+ * but left over, so that all ends and it make up what was taken. A class that the settings name no more keeps
+ * its counts.
  */
 public final class Results {
     /** How a query ended; nobody heard of the end of one whose client had left. */
-    enum End { SUCCEEDED, DECLINED, ABORTED, LEFT }
+    enum End {
+        SUCCEEDED, DECLINED, ABORTED, LEFT
+    }
 
     /** The counts of one class. */
     public static final class OfClass {
         private volatile long taken, succeeded, declined, aborted, left;
 
-        private OfClass() { }
+        private OfClass() {}
 
         /** A query was taken; its end is to be told once. */
         @SuppressWarnings("NonAtomicOperationOnVolatileField") // the loop's alone
--- a/proxy/src/main/java/spurroad/routing/Tally.java
+++ b/proxy/src/main/java/spurroad/routing/Tally.java
@@ -33,7 +33,9 @@
         left++;
     }
 
-    /** The level of service now, the part that is admitted, and how many were turned away at the gate since. */
+    /**
+     * The level of service now, the part that is admitted, and how many were turned away at the gate since.
+     */
     void gate(Level now, double admitted, long more) {
         level = now;
         worst = now.atLeast(worst) ? now : worst;
@@ -51,10 +53,13 @@
         if (now - since < APART_NS || queries + executions.size() == 0) {
             return null;
         }
-        String line = queries + " queries in " + (now - since) / NS_PER_S + " s, " + completed + " completed, "
-            + rejected + " rejected, " + aborted + " aborted, " + left + " left by clients; executions " + executions
+        String line = queries + " queries in " + (now - since) / NS_PER_S + " s, " + completed
+            + " completed, "
+            + rejected + " rejected, " + aborted + " aborted, " + left + " left by clients; executions "
+            + executions
             + "; held up " + (stalled - stalledNs) / NS_PER_MS + " ms; level " + level
-            + (worst == level ? "" : ", worst " + worst) + ", " + Math.round(100 * part) + "% admitted, " + turnedAway
+            + (worst == level ? "" : ", worst " + worst) + ", " + Math.round(100 * part) + "% admitted, "
+            + turnedAway
             + " turned away at the gate";
         turnedAway = 0;
         worst = level;
--- a/proxy/src/main/java/spurroad/routing/Upload.java
+++ b/proxy/src/main/java/spurroad/routing/Upload.java
@@ -6,7 +6,10 @@
 import spurroad.protocol.MetaCommand;
 import spurroad.protocol.ProtocolException;
 
-/** The long value of a write as it comes in, held in pieces that are made as they are needed; then its line end. */
+/**
+ * The long value of a write as it comes in, held in pieces that are made as they are needed; then its line
+ * end.
+ */
 final class Upload {
     private static final int PIECE_BYTES = 64 * 1024; // bytes; what is read at once
 
--- a/proxy/src/main/java/spurroad/start/Figures.java
+++ b/proxy/src/main/java/spurroad/start/Figures.java
@@ -30,7 +30,8 @@
 
     private void flatten(String path, Object json) {
         if (json instanceof Map<?, ?> object) {
-            object.forEach((name, value) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, value));
+            object.forEach(
+                (name, value) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, value));
         } else if (json instanceof List<?> list && list.stream().anyMatch(Map.class::isInstance)) {
             values.put(path + ".count", Integer.toString(list.size()));
             for (int i = 0; i < list.size(); i++) {
--- a/proxy/src/main/java/spurroad/start/ProxyStart.java
+++ b/proxy/src/main/java/spurroad/start/ProxyStart.java
@@ -43,7 +43,10 @@
     public final InetSocketAddress admin;
     public final long seed;
     public final int memoryMb;
-    /** The number of the inherited descriptor that is the listening socket; empty where the program opens its own. */
+    /**
+     * The number of the inherited descriptor that is the listening socket; empty where the program opens its
+     * own.
+     */
     public final String listenDescriptor;
     /** What processes of one proxy share; null where the platform gives no folder. */
     public final Path shared;
@@ -93,11 +96,13 @@
         seed = seed(whole);
         listenDescriptor = environment.getOrDefault("BALANCER_LISTEN_FD", "");
         if (!listenDescriptor.isEmpty() && !listenDescriptor.equals("0")) {
-            throw new FaultyKeyException("BALANCER_LISTEN_FD is " + listenDescriptor + ": expected 0, the only "
-                + "descriptor that the virtual machine takes over");
+            throw new FaultyKeyException(
+                "BALANCER_LISTEN_FD is " + listenDescriptor + ": expected 0, the only "
+                    + "descriptor that the virtual machine takes over");
         }
         String temporary = environment.getOrDefault("TMPDIR", "");
-        shared = temporary.isEmpty() || listenDescriptor.isEmpty() ? null : Path.of(temporary, "spurroad-" + name);
+        shared = temporary.isEmpty() || listenDescriptor.isEmpty() ? null
+            : Path.of(temporary, "spurroad-" + name);
         Map<?, ?> limits = whole.get("limits") == null ? Map.of() : object(whole.get("limits"), "limits");
         memoryMb = (int) number(limits, "limits.", "memory_mb", MEMORY_MB, LEAST_MEMORY_MB);
         cores = number(limits, "limits.", "cores", CORES, LEAST_CORES);
@@ -116,8 +121,8 @@
     }
 
     /**
-     * The keys whose values differ in another and that count from a new start on: all but where discovery is and
-     * what of the settings {@link StartFigures} has taken up while the proxy runs.
+     * The keys whose values differ in another and that count from a new start on: all but where discovery is
+     * and what of the settings {@link StartFigures} has taken up while the proxy runs.
      */
     public List<String> changedForGood(ProxyStart other) {
         Set<Object> keys = new TreeSet<>(Comparator.comparing(String::valueOf));
@@ -132,8 +137,8 @@
     }
 
     /**
-     * Checks that another, read while this one counts, holds all that this one does: a key that is gone tells of a file
-     * that was not written whole. Classes and customers may come and go.
+     * Checks that another, read while this one counts, holds all that this one does: a key that is gone tells
+     * of a file that was not written whole. Classes and customers may come and go.
      */
     public void checkSuccessor(ProxyStart next) {
         missing("", whole, next.whole);
@@ -195,7 +200,10 @@
         }
     }
 
-    /** Where the proxies hear one another; as many as the settings say there are, each at an address of its own. */
+    /**
+     * Where the proxies hear one another; as many as the settings say there are, each at an address of its
+     * own.
+     */
     private static List<InetSocketAddress> proxies(Map<?, ?> whole, Fleet fleet) {
         if (!(whole.get("proxies") instanceof List<?> listed) || listed.size() != fleet.proxies()) {
             throw new FaultyKeyException("proxies does not list " + fleet.proxies()
@@ -203,9 +211,11 @@
         }
         List<InetSocketAddress> read = new ArrayList<>();
         for (Object at : listed) {
-            InetSocketAddress address = address(Map.of("proxies." + read.size(), at), "proxies." + read.size());
+            InetSocketAddress address = address(Map.of("proxies." + read.size(), at),
+                "proxies." + read.size());
             if (address.getPort() == 0 || read.contains(address)) {
-                throw new FaultyKeyException("proxies." + read.size() + " has no port or is that of another proxy");
+                throw new FaultyKeyException(
+                    "proxies." + read.size() + " has no port or is that of another proxy");
             }
             read.add(address);
         }
--- a/proxy/src/main/java/spurroad/start/StartFigures.java
+++ b/proxy/src/main/java/spurroad/start/StartFigures.java
@@ -15,8 +15,8 @@
 import spurroad.protocol.Members;
 
 /**
- * What a proxy is told of its deployment at start, turned into what the program uses; the same for the simulator's
- * lines and for a configuration file. Nothing else reads these figures.
+ * What a proxy is told of its deployment at start, turned into what the program uses; the same for the
+ * simulator's lines and for a configuration file. Nothing else reads these figures.
  */
 public final class StartFigures {
     private static final long NS_PER_US = 1_000L;
@@ -30,7 +30,9 @@
     public final Members.Names names;
     public final long connectNs;
     public final int mostOpen;
-    /** How long a client waits at most for the final answer, over all its tries; zero where that is not told. */
+    /**
+     * How long a client waits at most for the final answer, over all its tries; zero where that is not told.
+     */
     public final long statementTimeoutNs;
     /** For how long a list may be held to without a call to discovery; nanoseconds. */
     public final long askWithinNs;
@@ -126,7 +128,8 @@
     private static Fleet fleet(Figures figures, int proxies) {
         int zone = (int) figures.number("myZone", -1);
         boolean dear = figures.number("deductions.crossZone", 0) >= DEAR_CROSSING;
-        return new Fleet(zone < 0 || !dear ? null : new ZoneId(zone), (int) figures.number("index", 0), proxies,
+        return new Fleet(zone < 0 || !dear ? null : new ZoneId(zone), (int) figures.number("index", 0),
+            proxies,
             figures.flag("allowed.peers"));
     }
 
--- a/proxy/src/main/java/spurroad/transport/Connection.java
+++ b/proxy/src/main/java/spurroad/transport/Connection.java
@@ -13,9 +13,9 @@
 import java.util.Deque;
 
 /**
- * One socket and its place among the descriptors, worked by the loop: all methods are the loop's. What comes is told to
- * its user; what is written goes out at once as far as the system takes it, the rest when it takes more. The place is
- * given back once, when the system has the descriptor back.
+ * One socket and its place among the descriptors, worked by the loop: all methods are the loop's. What comes
+ * is told to its user; what is written goes out at once as far as the system takes it, the rest when it takes
+ * more. The place is given back once, when the system has the descriptor back.
  */
 public final class Connection {
     /** Whoever speaks over it. */
@@ -276,7 +276,10 @@
         return closed;
     }
 
-    /** Whether the peer has said that nothing follows; a connection that broke may have lost what was on its way. */
+    /**
+     * Whether the peer has said that nothing follows; a connection that broke may have lost what was on its
+     * way.
+     */
     public boolean endedInOrder() {
         return endedInOrder;
     }
--- a/proxy/src/main/java/spurroad/transport/Datagrams.java
+++ b/proxy/src/main/java/spurroad/transport/Datagrams.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 
 /**
- * Short messages between the proxies of a deployment, each one datagram. Nobody waits here: what finds no room or no
- * hearer is lost. What comes from any other address is dropped unread.
+ * Short messages between the proxies of a deployment, each one datagram. Nobody waits here: what finds no
+ * room or no hearer is lost. What comes from any other address is dropped unread.
  */
 public final class Datagrams implements Runnable {
     private static final int MOST_BYTES = 256; // bytes; the longest message that proxies may send one another
@@ -32,8 +32,8 @@
      * Opens nothing yet.
      *
      * @param proxies where each is heard, by its number
-     * @param own     this one's number
-     * @param heard   told each message, on this one's thread
+     * @param own this one's number
+     * @param heard told each message, on this one's thread
      */
     public Datagrams(List<InetSocketAddress> proxies, int own, EventLog log, Consumer<byte[]> heard) {
         this.log = log;
@@ -62,7 +62,9 @@
         }
     }
 
-    /** Hears the others, from when its address is free: at an upgrade the process before this one holds it. */
+    /**
+     * Hears the others, from when its address is free: at an upgrade the process before this one holds it.
+     */
     @Override
     public void run() {
         try (Selector selector = Selector.open()) {
--- a/proxy/src/main/java/spurroad/transport/Descriptors.java
+++ b/proxy/src/main/java/spurroad/transport/Descriptors.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * The one count of open sockets. Whoever opens one takes a place first and gives it back once it is closed. Neither
- * clients nor nodes can take all: each side has a reserve that the other can't touch, and what lies between is for
- * whoever comes first.
+ * The one count of open sockets. Whoever opens one takes a place first and gives it back once it is closed.
+ * Neither clients nor nodes can take all: each side has a reserve that the other can't touch, and what lies
+ * between is for whoever comes first.
  */
 public final class Descriptors {
     private static final double CLIENTS_MOST = 2 / 3.0; // of the places: many clients wait with nothing sent
@@ -27,7 +27,9 @@
         return Math.max(1, (int) (free * share));
     }
 
-    /** Makes them as many as that from now on; where more are held, none is taken until enough are given back. */
+    /**
+     * Makes them as many as that from now on; where more are held, none is taken until enough are given back.
+     */
     public void resize(int places) {
         int free = Math.max(2, places - LIST - GUESTS);
         all.resize(free);
--- a/proxy/src/main/java/spurroad/transport/Listener.java
+++ b/proxy/src/main/java/spurroad/transport/Listener.java
@@ -11,7 +11,10 @@
 
 /** Owns the listening socket, worked by the loop; it takes a place for a client before it accepts one. */
 public final class Listener {
-    /** Gets accepted connections, those of guests to be let go soon, and is asked for places when there is none. */
+    /**
+     * Gets accepted connections, those of guests to be let go soon, and is asked for places when there is
+     * none.
+     */
     public interface Door {
         void accepted(Connection c, boolean guest);
 
@@ -59,7 +62,8 @@
         this(inherited, false, loop, places, door, log);
     }
 
-    private Listener(ServerSocketChannel socket, boolean own, Loop loop, Places places, Door door, EventLog log) {
+    private Listener(ServerSocketChannel socket, boolean own, Loop loop, Places places, Door door,
+                     EventLog log) {
         this.socket = socket;
         this.own = own;
         this.loop = loop;
--- a/proxy/src/main/java/spurroad/transport/Loop.java
+++ b/proxy/src/main/java/spurroad/transport/Loop.java
@@ -15,11 +15,13 @@
 import java.util.function.Consumer;
 
 /**
- * The one thread that works all sockets of clients and nodes, and owns all that belongs to them: what it is told runs
- * there one after another, in order, so those fields need no locks. Nothing that runs there may block.
+ * The one thread that works all sockets of clients and nodes, and owns all that belongs to them: what it is
+ * told runs there one after another, in order, so those fields need no locks. Nothing that runs there may
+ * block.
  *
- * <p>One thread, not one a connection: a platform that holds a process to part of a core by stopping and continuing it
- * wakes every thread each time. 600 idle threads took 0.64 of a core at 90 stops a second (docs/design/overload.md).
+ * <p>One thread, not one a connection: a platform that holds a process to part of a core by stopping and
+ * continuing it wakes every thread each time. 600 idle threads took 0.64 of a core at 90 stops a second
+ * (docs/design/overload.md).
  */
 public final class Loop implements Runnable {
     /** Something at a channel that is worked when the channel is ready. */
@@ -36,7 +38,11 @@
     private static final long NS_PER_MS = 1_000_000L;
     private static final int LOOP_FAILED = 70; // exit code; the usual one for a fault of the program itself
 
-    private record Due(TreeSet<Due> timers, long at, long number, Runnable work) implements Comparable<Due>, Alarm {
+    private record Due(TreeSet<Due> timers, long at, long number,
+                       Runnable work)
+        implements
+            Comparable<Due>,
+            Alarm {
         @Override
         public void cancel() {
             timers.remove(this);
@@ -56,7 +62,8 @@
     private volatile boolean ended;
     private volatile Thread thread;
     // the loop's own
-    final ByteBuffer in = ByteBuffer.allocateDirect(CHUNK_BYTES), out = ByteBuffer.allocateDirect(CHUNK_BYTES);
+    final ByteBuffer in = ByteBuffer.allocateDirect(CHUNK_BYTES),
+        out = ByteBuffer.allocateDirect(CHUNK_BYTES);
     private final TreeSet<Due> timers = new TreeSet<>();
     private final List<Runnable> turnEnds = new ArrayList<>();
     private List<Runnable> afterSelect = new ArrayList<>();
@@ -169,7 +176,7 @@
         for (int n = told.size(); n > 0; n--) {
             safely(told.remove());
         }
-        for (long now = clock.now(); !timers.isEmpty() && timers.first().at <= now; ) {
+        for (long now = clock.now(); !timers.isEmpty() && timers.first().at <= now;) {
             safely(timers.pollFirst().work);
         }
         turnEnds.forEach(safely);
--- a/proxy/src/main/java/spurroad/transport/Permits.java
+++ b/proxy/src/main/java/spurroad/transport/Permits.java
@@ -2,7 +2,10 @@
 
 import java.util.concurrent.Semaphore;
 
-/** A semaphore whose permits may go below zero: what is owed, or was cut while it was held, is given back first. */
+/**
+ * A semaphore whose permits may go below zero: what is owed, or was cut while it was held, is given back
+ * first.
+ */
 final class Permits extends Semaphore {
     private static final long serialVersionUID = 1L;
     private int all;
--- a/proxy/src/main/java/spurroad/transport/Processor.java
+++ b/proxy/src/main/java/spurroad/transport/Processor.java
@@ -5,16 +5,19 @@
 import java.io.IOException;
 
 /**
- * The processor time that this process uses, as Linux tells it of each thread, to the nanosecond; the time of the whole
- * process is told in steps of 10 ms only, a quarter of what half a core gives within 100 ms. Elsewhere nothing is
- * known. Not for several threads at once.
+ * The processor time that this process uses, as Linux tells it of each thread, to the nanosecond; the time of
+ * the whole process is told in steps of 10 ms only, a quarter of what half a core gives within 100 ms.
+ * Elsewhere nothing is known. Not for several threads at once.
  */
 public final class Processor {
     private static final File TASKS = new File("/proc/self/task");
     private static final int LINE_BYTES = 64; // bytes; three numbers, of which the first counts
     private final byte[] line = new byte[LINE_BYTES];
 
-    /** What the threads that there are have used, in nanoseconds; what ended ones have used is lost. -1 if unknown. */
+    /**
+     * What the threads that there are have used, in nanoseconds; what ended ones have used is lost. -1 if
+     * unknown.
+     */
     public long usedNs() {
         String[] threads = TASKS.list();
         long sum = threads == null ? -1 : 0;
--- a/proxy/src/main/java/spurroad/transport/Room.java
+++ b/proxy/src/main/java/spurroad/transport/Room.java
@@ -21,7 +21,9 @@
         return free.tryAcquire(units(bytes));
     }
 
-    /** Takes room that is needed whether there is any or not; nothing more is let in until it is given back. */
+    /**
+     * Takes room that is needed whether there is any or not; nothing more is let in until it is given back.
+     */
     public void owe(long bytes) {
         free.owe(units(bytes));
     }
--- a/proxy/src/main/java/spurroad/transport/Stalls.java
+++ b/proxy/src/main/java/spurroad/transport/Stalls.java
@@ -1,8 +1,9 @@
 package spurroad.transport;
 
 /**
- * How long this process has been held up, all together: its share of a core used up, or its threads waiting for each
- * other. A thread that sleeps for a moment sees it by when it wakes. It tells the proxy's own delays from its peers'.
+ * How long this process has been held up, all together: its share of a core used up, or its threads waiting
+ * for each other. A thread that sleeps for a moment sees it by when it wakes. It tells the proxy's own delays
+ * from its peers'.
  */
 public final class Stalls implements Runnable {
     private static final long SLEEP_MS = 5; // ms; a hundredth of what queries take, and little work
@@ -15,7 +16,7 @@
     @Override
     public void run() {
         try {
-            for (long at = System.nanoTime(); !ended; ) {
+            for (long at = System.nanoTime(); !ended;) {
                 Thread.sleep(SLEEP_MS);
                 long now = System.nanoTime();
                 woke(now - at);
--- a/proxy/src/main/java/spurroad/transport/Threads.java
+++ b/proxy/src/main/java/spurroad/transport/Threads.java
@@ -1,6 +1,9 @@
 package spurroad.transport;
 
-/** Starts every thread of the program, all with small stacks; there is a handful, however many connections there are. */
+/**
+ * Starts every thread of the program, all with small stacks; there is a handful, however many connections
+ * there are.
+ */
 public final class Threads {
     private static final long STACK_BYTES = 144 * 1024; // bytes; parsers and actors go a few frames deep
 
@@ -14,8 +17,8 @@
     public void start(String name, Runnable work) {
         Thread t = new Thread(null, work, name, STACK_BYTES);
         t.setDaemon(true);
-        t.setUncaughtExceptionHandler((at, e) ->
-            log.trouble("a thread failed", at.getName() + ", " + EventLog.where(e)));
+        t.setUncaughtExceptionHandler(
+            (at, e) -> log.trouble("a thread failed", at.getName() + ", " + EventLog.where(e)));
         t.start();
     }
 }
--- a/proxy/src/main/java/spurroad/wirehost/WireHost.java
+++ b/proxy/src/main/java/spurroad/wirehost/WireHost.java
@@ -174,14 +174,14 @@
     private Runnable decode(int code, long now, ByteBuffer f, Hosted host) {
         Balance to = host.balance;
         switch (code) {
-            case ENDPOINTS: {
+            case ENDPOINTS : {
                 int scope = f.get();
                 f.getLong();
                 List<NodeEntry> entries = entries(f, host.names);
                 return scope == SCOPE_FAILED ? () -> to.listFailed(now, decisions)
                     : () -> to.listed(now, entries, scope != SCOPE_DELTA, decisions);
             }
-            case ASK: {
+            case ASK : {
                 QueryId query = new QueryId(f.getLong());
                 CustomerId customer = new CustomerId(f.getInt());
                 TrackId track = new TrackId(f.getShort() & 0xffff);
@@ -193,7 +193,7 @@
                 return () -> to.arrived(now, query, track, customer, key, (bits & WRITE_BIT) != 0,
                     (bits & HINT_BIT) != 0 ? work : 0, budget, decisions);
             }
-            case SETTLED: {
+            case SETTLED : {
                 QueryId query = new QueryId(f.getLong());
                 boolean last = f.get() != 0;
                 int execution = f.get() & 0xff;
@@ -204,14 +204,14 @@
                 LoadReport load = load(f, host.columns);
                 return () -> to.ended(now, query, execution, outcome, load, last, 0, decisions);
             }
-            case CHECKED: {
+            case CHECKED : {
                 NodeId node = node(f);
                 Outcome outcome = outcome(f);
                 f.getInt();
                 LoadReport load = load(f, host.columns);
                 return () -> to.probed(now, node, outcome, load, decisions);
             }
-            case MESSAGE: {
+            case MESSAGE : {
                 f.getShort();
                 byte[] bytes = new byte[Math.min(f.getShort() & 0xffff, f.remaining())];
                 f.get(bytes);
@@ -222,11 +222,11 @@
                     return () -> to.reached(now, decisions); // not ours: passed over
                 }
             }
-            case CLIENT_LEFT: {
+            case CLIENT_LEFT : {
                 QueryId query = new QueryId(f.getLong());
                 return () -> to.left(now, query, decisions);
             }
-            default:
+            default :
                 if (f.getLong() == host.armedNs) {
                     host.armedNs = Long.MAX_VALUE;
                 }
@@ -279,7 +279,7 @@
             switch (column) {
                 case "rif" -> inFlight = value;
                 case "q" -> queue = value;
-                default -> { }
+                default -> {}
             }
         }
         return new LoadReport(inFlight, queue);
@@ -316,7 +316,8 @@
         nodes(LET_GO, decisions.closes, instance);
         for (Decisions.Tell tell : decisions.tells) {
             byte[] bytes = PeerMessage.write(tell.word());
-            record(SHARE, 4 + 4 + 2 + bytes.length, instance).putInt(tell.proxy()).putShort((short) bytes.length)
+            record(SHARE, 4 + 4 + 2 + bytes.length, instance).putInt(tell.proxy())
+                .putShort((short) bytes.length)
                 .put(bytes);
         }
         if (decisions.follow) {
--- a/proxy/src/test/java/spurroad/Peers.java
+++ b/proxy/src/test/java/spurroad/Peers.java
@@ -19,11 +19,13 @@
 
 /** Peers on loopback that answer by a rule, clients, and the text that a proxy is started with. */
 public final class Peers {
-    private Peers() { }
+    private Peers() {}
 
     private static final int PATIENCE_MS = 20_000;
 
-    /** A peer on loopback: what it hears is kept, "closed" once a connection ends; a null answer is silence. */
+    /**
+     * A peer on loopback: what it hears is kept, "closed" once a connection ends; a null answer is silence.
+     */
     public static final class Peer implements AutoCloseable {
         public final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         public final AtomicInteger connections = new AtomicInteger();
@@ -97,7 +99,9 @@
             return whole.append('\n').append(new String(body, StandardCharsets.ISO_8859_1)).toString();
         }
 
-        /** Writes to the connection opened last, without being asked, once something was heard and answered. */
+        /**
+         * Writes to the connection opened last, without being asked, once something was heard and answered.
+         */
         public void say(String text) throws IOException, InterruptedException {
             // a proxy serves before it has reached discovery: what was said first found no connection (CI)
             assertTrue(answered.await(PATIENCE_MS, TimeUnit.MILLISECONDS), "nobody came");
@@ -182,17 +186,22 @@
     /** A list entry as discovery writes it. */
     public static String target(String uid, String model, int port, String state, long boot) {
         return ("{'uid':'" + uid + "','endpoint':'127.0.0.1:" + port + "','az':'a','model':'" + model
-            + "','pod_group':1,'state':'" + state + "','capacity_hint':1.0,'boot_ms':" + boot + "}").replace('\'', '"');
+            + "','pod_group':1,'state':'" + state + "','capacity_hint':1.0,'boot_ms':" + boot + "}")
+            .replace('\'', '"');
     }
 
     public static String list(long rev, boolean whole, String... targets) {
         return "{\"rev\":" + rev + ",\"all\":" + whole + ",\"targets\":[" + String.join(",", targets) + "]}";
     }
 
-    /** What a proxy is started with, a process of many tests never using up its share of cores: a read and a marked write, cache nodes before an origin. */
+    /**
+     * What a proxy is started with, a process of many tests never using up its share of cores: a read and a
+     * marked write, cache nodes before an origin.
+     */
     public static String start(int discovery, int sockets, String known) {
         return ("{'name':'n1','listen':'127.0.0.1:0','discovery':'127.0.0.1:" + discovery + "','seed':'7f',"
-            + "'limits':{'cores':64.0,'memory_mb':192,'sockets':" + sockets + "},'known':" + known + ",'settings':{"
+            + "'limits':{'cores':64.0,'memory_mb':192,'sockets':" + sockets + "},'known':" + known
+            + ",'settings':{"
             + "'tickUs':5000,'discovery':'on_request','kinds':['m1','origin'],'failureDomains':['a'],"
             + "'familyInfo':{'mode':'aside','originKind':1},'projects':[{'name':'acme','allowancePerS':1000}],"
             + "'allowed':{'cancel':true,'probes':true,'retryAfter':true,'maxRetryAfterUs':2000000,"
--- a/proxy/src/test/java/spurroad/bench/CommandBench.java
+++ b/proxy/src/test/java/spurroad/bench/CommandBench.java
@@ -23,15 +23,17 @@
 import spurroad.protocol.MetaReply;
 
 /**
- * What a command costs in the proxy without sockets, with the flags that operators start it with: taken apart, turned
- * away at the gate, or written anew for a node. {@code bin/bench} runs it; not part of the tests.
+ * What a command costs in the proxy without sockets, with the flags that operators start it with: taken
+ * apart, turned away at the gate, or written anew for a node. {@code bin/bench} runs it; not part of the
+ * tests.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
-@Fork(value = 3, jvmArgs = {"-Xms64m", "-Xmx64m", "-Xmn40m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xbatch"})
+@Fork(value = 3,
+    jvmArgs = {"-Xms64m", "-Xmx64m", "-Xmn40m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xbatch"})
 public class CommandBench {
     private static final long AGE_NS = 75_000_000L, BACK_NS = 150_000_000L, MOST_BACK_NS = 2_000_000_000L;
     private static final Map<String, Integer> TRACKS = Map.of("room-read", 0, "rent-post", 1);
@@ -48,7 +50,8 @@
     /** A gate that turns nearly everything away. */
     @Setup(Level.Iteration)
     public void press() throws IOException {
-        admission = new Admission(new double[] {1, 5}, new double[] {1e6, 1e6, 1e6}, AGE_NS, BACK_NS, MOST_BACK_NS, 7);
+        admission = new Admission(new double[] {1, 5}, new double[] {1e6, 1e6, 1e6}, AGE_NS, BACK_NS,
+            MOST_BACK_NS, 7);
         long now = 1;
         for (int i = 0; i < 100; i++) {
             for (int q = 0; q < 20; q++) {
@@ -73,7 +76,8 @@
     @Benchmark
     public byte[] turnedAway() throws IOException {
         MetaCommand c = read();
-        int track = TRACKS.getOrDefault(c.figure("c"), -1), customer = CUSTOMERS.getOrDefault(c.figure("t"), -1);
+        int track = TRACKS.getOrDefault(c.figure("c"), -1),
+            customer = CUSTOMERS.getOrDefault(c.figure("t"), -1);
         if (admission.admits(track, customer)) {
             return bytes;
         }
