--- a/proxy/src/test/java/spurroad/operation/AdminServerTest.java
+++ b/proxy/src/test/java/spurroad/operation/AdminServerTest.java
@@ -23,7 +23,8 @@
 
     static AdminServer server() throws IOException {
         EventLog log = new EventLog();
-        return new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Threads(log), log,
+        return new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Threads(log),
+            log,
             new Clock());
     }
 
@@ -60,11 +61,16 @@
         return new Object[][] {{"GET /healthcheck" + end, 200, "serving"},
             {"GET /stats" + end, 200, "proxy.outstanding:3|g\nproxy.forwards:8|c\n"},
             {"POST /cache-nodes/s-1/maint" + end, 200, "s-1 gets nothing new"},
-            {"POST /cache-nodes/a%2Db/ready HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", 200, "a-b is used again"},
-            {"POST /healthcheck" + end, 405, "expected GET"}, {"GET /cache-nodes/s-1/maint" + end, 405, "expected POST"},
-            {"GET /nothing" + end, 404, "/cache-nodes/ID/maint"}, {"POST /cache-nodes/maint" + end, 400, "the id"},
-            {"POST /cache-nodes//maint" + end, 400, "the id"}, {"POST /cache-nodes/%zz/maint" + end, 400, "the id"},
-            {"nonsense\r\n\r\n", 400, "METHOD /PATH"}, {"GET /stats HTTP/1.1\r\nno colon\r\n\r\n", 400, "NAME: VALUE"},
+            {"POST /cache-nodes/a%2Db/ready HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", 200,
+                "a-b is used again"},
+            {"POST /healthcheck" + end, 405, "expected GET"},
+            {"GET /cache-nodes/s-1/maint" + end, 405, "expected POST"},
+            {"GET /nothing" + end, 404, "/cache-nodes/ID/maint"},
+            {"POST /cache-nodes/maint" + end, 400, "the id"},
+            {"POST /cache-nodes//maint" + end, 400, "the id"},
+            {"POST /cache-nodes/%zz/maint" + end, 400, "the id"},
+            {"nonsense\r\n\r\n", 400, "METHOD /PATH"},
+            {"GET /stats HTTP/1.1\r\nno colon\r\n\r\n", 400, "NAME: VALUE"},
             {"GET /stats HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400, "Content-Length"},
             {"GET /" + "y".repeat(5000), 431, "2048"},
             {"GET /stats HTTP/1.1\r\n" + "a: b\r\n".repeat(100), 400, "64 headers"},
@@ -72,7 +78,8 @@
     }
 
     @Test(dataProvider = "texts")
-    public void eachCallIsAnsweredAtOnceOrToldWhatWasExpected(String text, int status, String word) throws Exception {
+    public void eachCallIsAnsweredAtOnceOrToldWhatWasExpected(String text, int status, String word)
+        throws Exception {
         AdminServer server = server();
         server.serves(calls(known -> known.accept(true)));
         String answer = call(server.port(), text);
@@ -93,7 +100,7 @@
     @Test
     public void anUnconfirmedCallIsANoWithinASecond() throws Exception {
         AdminServer server = server();
-        server.serves(calls(known -> { }));
+        server.serves(calls(known -> {}));
         long since = System.nanoTime();
         assertEquals(status(call(server.port(), "POST", "/cache-nodes/x/maint")), 503);
         assertTrue(System.nanoTime() - since < 1_000_000_000L);
--- a/proxy/src/test/java/spurroad/overload/Load.java
+++ b/proxy/src/test/java/spurroad/overload/Load.java
@@ -1,9 +1,9 @@
 package spurroad.overload;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
-import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -14,9 +14,9 @@
 import spurroad.transport.Loop;
 
 /**
- * Clients of one proxy, worked by one loop: queries fall due at a rate, whatever becomes of those before (open loop).
- * Each takes a kept connection or opens one, asks again when it is turned away, and gives up, closing its connection,
- * when its time is over. Latency counts from when a query was due.
+ * Clients of one proxy, worked by one loop: queries fall due at a rate, whatever becomes of those before
+ * (open loop). Each takes a kept connection or opens one, asks again when it is turned away, and gives up,
+ * closing its connection, when its time is over. Latency counts from when a query was due.
  */
 final class Load {
     /** When a client asks again that was turned away. */
@@ -25,13 +25,13 @@
     /**
      * What is asked for.
      *
-     * @param perSecond   queries that fall due a second
+     * @param perSecond queries that fall due a second
      * @param connections how many the clients hold at most
-     * @param aimNs       an answer counts as in time until then
-     * @param waitNs      how long a client waits over all tries
-     * @param tries       how often it asks at most
+     * @param aimNs an answer counts as in time until then
+     * @param waitNs how long a client waits over all tries
+     * @param tries how often it asks at most
      */
-    record Plan(double perSecond, int connections, long aimNs, long waitNs, int tries, Retry retry) { }
+    record Plan(double perSecond, int connections, long aimNs, long waitNs, int tries, Retry retry) {}
 
     /** What became of queries that fell due while counted. */
     static final class Result {
@@ -190,8 +190,9 @@
 
         private void send() {
             long waitMs = Math.max(1, (ask.due + plan.waitNs - loop.now()) / NS_PER_MS);
-            connection.write(("mg k" + ask.key + " v O" + Long.toHexString(++ids) + " Pc=read,t=acme,d=" + waitMs
-                + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+            connection
+                .write(("mg k" + ask.key + " v O" + Long.toHexString(++ids) + " Pc=read,t=acme,d=" + waitMs
+                    + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         }
 
         @Override
@@ -248,7 +249,7 @@
         }
 
         @Override
-        public void drained() { }
+        public void drained() {}
 
         @Override
         public void ended() {
--- a/proxy/src/test/java/spurroad/overload/Operation.java
+++ b/proxy/src/test/java/spurroad/overload/Operation.java
@@ -20,12 +20,13 @@
 import spurroad.transport.Threads;
 
 /**
- * Measures what staff rely on, at real proxies held to part of a core between stand-ins on loopback: how soon calls are
- * answered under load and silent callers, how soon a node out of use gets nothing, what an upgrade turns back and holds
- * in memory, and what slow readers of long values hold. It ends by itself, after some three minutes.
+ * Measures what staff rely on, at real proxies held to part of a core between stand-ins on loopback: how soon
+ * calls are answered under load and silent callers, how soon a node out of use gets nothing, what an upgrade
+ * turns back and holds in memory, and what slow readers of long values hold. It ends by itself, after some
+ * three minutes.
  *
- * <p>Properties: {@code jar}, {@code share} (of a core), {@code per} (queries a second at one time), {@code bans},
- * {@code upgrades}, {@code readers}.
+ * <p>Properties: {@code jar}, {@code share} (of a core), {@code per} (queries a second at one time),
+ * {@code bans}, {@code upgrades}, {@code readers}.
  */
 public final class Operation {
     private static final long MS = 1_000_000L;
@@ -53,7 +54,8 @@
         new Threads(log).start("clients", clients);
         List<String> targets = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            nodes.add(new StandIns.Server(servers, log, new StandIns.Pace(32, 64, 15 * MS, 0.15, 0.02), false, i));
+            nodes.add(
+                new StandIns.Server(servers, log, new StandIns.Pace(32, 64, 15 * MS, 0.15, 0.02), false, i));
             targets.add(Peers.target("s-" + i, "m1", nodes.get(i).port, "active", 0));
         }
         targets.add(Peers.target("s-o", "origin", new StandIns.Server(servers, log,
@@ -64,7 +66,8 @@
 
     private String configuration(int sockets, List<String> targets) {
         return Peers.start(1, sockets, Peers.list(1, true, targets.toArray(String[]::new)))
-            .replace("\"cores\":64.0", "\"cores\":" + share).replace("\"sloTimeUs\":8000000", "\"sloTimeUs\":300000")
+            .replace("\"cores\":64.0", "\"cores\":" + share)
+            .replace("\"sloTimeUs\":8000000", "\"sloTimeUs\":300000")
             .replace("\"memory_mb\":192", "\"memory_mb\":144")
             .replace("\"allowancePerS\":1000", "\"allowancePerS\":100000");
     }
@@ -84,7 +87,8 @@
 
     private Proxy proxy(String text) throws IOException, InterruptedException {
         Proxy p = platform.ready(text, command);
-        new ProcessBuilder("bin/hold-to-share", Long.toString(p.pid()), Double.toString(share), "10", "600").inheritIO()
+        new ProcessBuilder("bin/hold-to-share", Long.toString(p.pid()), Double.toString(share), "10", "600")
+            .inheritIO()
             .start();
         return p;
     }
@@ -100,7 +104,10 @@
         System.out.printf(Locale.ROOT, form + "%n", figures);
     }
 
-    /** Calls at sixteen times the load, with callers that say nothing and come again as soon as they are sent away. */
+    /**
+     * Calls at sixteen times the load, with callers that say nothing and come again as soon as they are sent
+     * away.
+     */
     private void calls() throws Exception {
         Proxy p = proxy(configuration);
         for (int i = 0; i < SILENT; i++) {
@@ -120,15 +127,17 @@
         }
         Load.Result r = Overload.call(clients, load::take);
         Arrays.sort(took);
-        tell("calls at %d queries a second, %d silent callers: longest %.0f ms, median %.0f ms, %d of %d wrong; served in "
-            + "time %d, rejections %d", (int) (16 * per), SILENT, took[took.length - 1], took[took.length / 2], wrong,
+        tell(
+            "calls at %d queries a second, %d silent callers: longest %.0f ms, median %.0f ms, %d of %d wrong; served in "
+                + "time %d, rejections %d",
+            (int) (16 * per), SILENT, took[took.length - 1], took[took.length / 2], wrong,
             took.length, r.inTime, r.rejections);
         p.kill();
         p.ended(10);
     }
 
     private static void silent(int port) {
-        for (long until = System.nanoTime() + 20_000 * MS; System.nanoTime() < until; ) {
+        for (long until = System.nanoTime() + 20_000 * MS; System.nanoTime() < until;) {
             try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 s.setSoTimeout(4_000);
                 s.getInputStream().read();
@@ -146,19 +155,23 @@
         int late = 0, unused = 0, wrong = 0;
         for (int i = 0; i < count; i++) {
             StandIns.Server node = nodes.get(i % NODES);
-            wrong += p.call("POST", "/cache-nodes/s-" + i % NODES + "/maint").startsWith("HTTP/1.1 200") ? 0 : 1;
+            wrong += p.call("POST", "/cache-nodes/s-" + i % NODES + "/maint").startsWith("HTTP/1.1 200") ? 0
+                : 1;
             long yes = clock.now();
             Thread.sleep(300);
             double after = (node.lastHeardNs - yes) / 1e6;
             longest = Math.max(longest, after);
             late += after > 0 ? 1 : 0;
-            wrong += p.call("POST", "/cache-nodes/s-" + i % NODES + "/ready").startsWith("HTTP/1.1 200") ? 0 : 1;
+            wrong += p.call("POST", "/cache-nodes/s-" + i % NODES + "/ready").startsWith("HTTP/1.1 200") ? 0
+                : 1;
             long back = clock.now();
             Thread.sleep(300);
             unused += node.lastHeardNs < back ? 1 : 0;
         }
-        tell("%d bans at %d queries a second: %d with a query after the yes, the latest %.1f ms after; %d wrong; %d times "
-            + "without a query 0.3 s after the call back", count, (int) per, late, longest, wrong, unused);
+        tell(
+            "%d bans at %d queries a second: %d with a query after the yes, the latest %.1f ms after; %d wrong; %d times "
+                + "without a query 0.3 s after the call back",
+            count, (int) per, late, longest, wrong, unused);
         p.kill();
         p.ended(10);
     }
@@ -182,8 +195,10 @@
             Thread.sleep(500);
         }
         Load.Result r = Overload.call(clients, load::take);
-        tell("%d upgrades at %d queries a second: %d of %d queries turned back unheard, %d failed, %d rejections; ready after "
-            + "%.1f s at most; both hold %.0f MiB at most", count, (int) per, r.broken, r.due, r.failed, r.rejections,
+        tell(
+            "%d upgrades at %d queries a second: %d of %d queries turned back unheard, %d failed, %d rejections; ready after "
+                + "%.1f s at most; both hold %.0f MiB at most",
+            count, (int) per, r.broken, r.due, r.failed, r.rejections,
             ready, most);
         Overload.call(clients, () -> {
             load.stop();
@@ -223,7 +238,8 @@
                 most = Math.max(most, p.residentMb());
                 Thread.sleep(50);
             }
-            tell("%d clients reading 4 MiB at some 200 KiB a second: %d whole; %.0f MiB at most, %.0f before", count, whole[0],
+            tell("%d clients reading 4 MiB at some 200 KiB a second: %d whole; %.0f MiB at most, %.0f before",
+                count, whole[0],
                 most, rest);
             p.kill();
         }
@@ -235,7 +251,8 @@
         ByteSource in = new ByteSource(s.getInputStream());
         for (String line = in.line(9000); line != null; line = in.line(9000)) {
             boolean read = line.startsWith("mg");
-            String head = read ? "VA " + LONG + " " + line.split(" ")[3] + "\r\n" : "STAT inflight 0\r\nEND\r\n";
+            String head = read ? "VA " + LONG + " " + line.split(" ")[3] + "\r\n"
+                : "STAT inflight 0\r\nEND\r\n";
             s.getOutputStream().write(head.getBytes(StandardCharsets.ISO_8859_1));
             if (read) {
                 s.getOutputStream().write(value);
@@ -253,7 +270,8 @@
             String line = "SERVER_ERROR busy";
             for (int i = 0; line != null && line.startsWith("SERVER_ERROR busy") && i < TRIES; i++) {
                 Thread.sleep(i == 0 ? 0 : 100);
-                s.getOutputStream().write(("mg k" + id + " v O" + id + "t" + i + " Pc=read,t=acme,d=9000\r\n").getBytes());
+                s.getOutputStream()
+                    .write(("mg k" + id + " v O" + id + "t" + i + " Pc=read,t=acme,d=9000\r\n").getBytes());
                 line = in.line(9000);
             }
             if (line == null || !line.startsWith("VA " + LONG)) {
--- a/proxy/src/test/java/spurroad/overload/Overload.java
+++ b/proxy/src/test/java/spurroad/overload/Overload.java
@@ -21,13 +21,14 @@
 import spurroad.transport.Threads;
 
 /**
- * Drives one real proxy, a process of its own held to part of a core, through loads of a multiple each, between
- * stand-ins on loopback, and tells what became of the queries and of the processor time. It ends by itself.
+ * Drives one real proxy, a process of its own held to part of a core, through loads of a multiple each,
+ * between stand-ins on loopback, and tells what became of the queries and of the processor time. It ends by
+ * itself.
  *
- * <p>Properties: {@code jar}, {@code share} (of a core; 0 for all of one), {@code per} (queries a second at one time),
- * {@code times} (multiples, in order), {@code seconds} (each), {@code retry}, {@code flags} (of the proxy's virtual
- * machine), {@code core} (number of the one that the proxy runs on, where {@code taskset} is), {@code stall} (seconds
- * for which the proxy is stopped in the middle of each load).
+ * <p>Properties: {@code jar}, {@code share} (of a core; 0 for all of one), {@code per} (queries a second at
+ * one time), {@code times} (multiples, in order), {@code seconds} (each), {@code retry}, {@code flags} (of
+ * the proxy's virtual machine), {@code core} (number of the one that the proxy runs on, where {@code taskset}
+ * is), {@code stall} (seconds for which the proxy is stopped in the middle of each load).
  */
 public final class Overload {
     private static final long MS = 1_000_000L;
@@ -36,7 +37,7 @@
     private static final String FLAGS = "-XX:-UsePerfData -Xms64m -Xmx64m -Xmn40m -XX:+UseSerialGC "
         + "-XX:TieredStopAtLevel=1 -Xbatch -Xss256k -XX:StackShadowPages=10";
 
-    private Overload() { }
+    private Overload() {}
 
     public static void main(String[] args) throws Exception {
         String jar = System.getProperty("jar", "proxy/target/spurroad.jar");
@@ -68,8 +69,9 @@
                 Double.toString(seconds * times.length + 30)).inheritIO().start();
         }
         Load load = new Load(clients, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 7);
-        System.out.println("times offered/s in-time/s late/s rejections/s timed-out/s failed/s no-conn/s opened/s "
-            + "broken cut-off p50ms p99ms cpu switches/s threads us/answer");
+        System.out
+            .println("times offered/s in-time/s late/s rejections/s timed-out/s failed/s no-conn/s opened/s "
+                + "broken cut-off p50ms p99ms cpu switches/s threads us/answer");
         for (String t : times) {
             double x = Double.parseDouble(t);
             call(clients, () -> {
@@ -88,9 +90,11 @@
             Thread.sleep((long) (seconds * 1000));
             Load.Result r = call(clients, load::take);
             double s = seconds + stall, used = cpu(proxy.pid()) - cpu;
-            System.out.printf(Locale.ROOT, "%s %.0f %.0f %.0f %.0f %.0f %.0f %.0f %.0f %d %d %.1f %.1f %.2f %.0f %d %.0f%n",
+            System.out.printf(Locale.ROOT,
+                "%s %.0f %.0f %.0f %.0f %.0f %.0f %.0f %.0f %d %d %.1f %.1f %.2f %.0f %d %.0f%n",
                 t, r.due / s, r.inTime / s, r.late / s, r.rejections / s, r.timedOut / s, r.failed / s,
-                r.noConnection / s, r.opened / s, r.broken, r.cutOff, r.latencyUs.getValueAtPercentile(50) / 1e3,
+                r.noConnection / s, r.opened / s, r.broken, r.cutOff,
+                r.latencyUs.getValueAtPercentile(50) / 1e3,
                 r.latencyUs.getValueAtPercentile(99) / 1e3, used / s, (switches(proxy.pid()) - switches) / s,
                 new File("/proc/" + proxy.pid() + "/task").list().length,
                 1e6 * used / Math.max(1, r.inTime + r.late + r.rejections));
@@ -116,10 +120,12 @@
         }
     }
 
-    private static Process proxy(String jar, int port, double share, List<String> targets) throws IOException {
+    private static Process proxy(String jar, int port, double share, List<String> targets)
+        throws IOException {
         String start = Peers.start(free(), 1024, Peers.list(1, true, targets.toArray(String[]::new)))
             .replace("\"cores\":64.0", "\"cores\":" + (share > 0 ? share : 1))
-            .replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\"").replace("\"sloTimeUs\":8000000", "\"sloTimeUs\":300000")
+            .replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\"")
+            .replace("\"sloTimeUs\":8000000", "\"sloTimeUs\":300000")
             .replace("\"allowancePerS\":1000", "\"allowancePerS\":100000")
             .replace("\"maxRetryAfterUs\":2000000", "\"maxRetryAfterUs\":500000");
         Path file = Files.createTempFile("spurroad", ".json");
--- a/proxy/src/test/java/spurroad/overload/Platform.java
+++ b/proxy/src/test/java/spurroad/overload/Platform.java
@@ -16,8 +16,9 @@
 import spurroad.operation.AdminServerTest;
 
 /**
- * Holds a listening socket as a platform does, and starts real proxies that inherit it as descriptor 0. Java can't hand
- * a socket to a process that it starts, so a few lines of Perl, which every Debian has, hold it and start what they are told.
+ * Holds a listening socket as a platform does, and starts real proxies that inherit it as descriptor 0. Java
+ * can't hand a socket to a process that it starts, so a few lines of Perl, which every Debian has, hold it
+ * and start what they are told.
  */
 public final class Platform implements AutoCloseable {
     private static final String HOLDER = String.join("\n", "use IO::Socket::INET;",
@@ -57,7 +58,8 @@
         public double residentMb() throws IOException {
             try {
                 return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
-                    .filter(l -> l.startsWith("VmRSS")).mapToDouble(l -> Double.parseDouble(l.replaceAll("\\D", "")) / 1024)
+                    .filter(l -> l.startsWith("VmRSS"))
+                    .mapToDouble(l -> Double.parseDouble(l.replaceAll("\\D", "")) / 1024)
                     .findFirst().orElse(0);
             } catch (IOException e) {
                 return 0;
@@ -75,7 +77,8 @@
 
     public Platform() throws IOException {
         folder = Files.createTempDirectory("platform");
-        holder = new ProcessBuilder("perl", "-e", HOLDER).redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        holder = new ProcessBuilder("perl", "-e", HOLDER).redirectError(ProcessBuilder.Redirect.INHERIT)
+            .start();
         told = new BufferedReader(new InputStreamReader(holder.getInputStream()));
         orders = new OutputStreamWriter(holder.getOutputStream());
         port = Integer.parseInt(told.readLine());
@@ -90,13 +93,14 @@
      * Starts one, and returns at once.
      *
      * @param configuration the text of its file
-     * @param command       what starts the virtual machine, up to the word before `serve`
+     * @param command what starts the virtual machine, up to the word before `serve`
      */
     public Proxy start(String configuration, String command) throws IOException {
         int admin = Overload.free();
         Path file = Files.writeString(Files.createTempFile(folder, "proxy", ".json"), configuration);
         Path log = Path.of(file + ".log");
-        Map<String, String> environment = Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR", folder.toString(),
+        Map<String, String> environment = Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR",
+            folder.toString(),
             "BALANCER_LISTEN_FD", "0", "BALANCER_ADMIN_ADDR", "127.0.0.1:" + admin);
         StringBuilder line = new StringBuilder();
         environment.forEach((name, value) -> line.append(name).append('=').append(value).append(' '));
@@ -127,7 +131,8 @@
     /** The classes of the proxy as they stand, on this machine's Java with the flags of a small one. */
     public static String fromClasses() {
         return String.join(" ", List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-Djava.net.preferIPv4Stack=true", "-cp",
+            "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-Djava.net.preferIPv4Stack=true",
+            "-cp",
             System.getProperty("java.class.path").replace(File.pathSeparator, ":"), "spurroad.program.Main"));
     }
 
--- a/proxy/src/test/java/spurroad/overload/StandIns.java
+++ b/proxy/src/test/java/spurroad/overload/StandIns.java
@@ -18,24 +18,27 @@
 import spurroad.transport.Listener;
 import spurroad.transport.Loop;
 
-/** Cache nodes and an origin on loopback, worked by one loop: some commands at once, the rest wait or are turned away. */
+/**
+ * Cache nodes and an origin on loopback, worked by one loop: some commands at once, the rest wait or are
+ * turned away.
+ */
 final class StandIns {
     /**
      * How a server does its work.
      *
-     * @param slots   how many commands it works on at once
+     * @param slots how many commands it works on at once
      * @param waiting how many may wait for a slot; one more is answered busy
-     * @param meanNs  mean time of a command, exponentially distributed; nanoseconds
-     * @param misses  share of reads that a cache node has not got
+     * @param meanNs mean time of a command, exponentially distributed; nanoseconds
+     * @param misses share of reads that a cache node has not got
      * @param longOnes share of the values that are long
      */
-    record Pace(int slots, int waiting, long meanNs, double misses, double longOnes) { }
+    record Pace(int slots, int waiting, long meanNs, double misses, double longOnes) {}
 
     private static final int SHORT_BYTES = 500, LONG_BYTES = 200 * 1024; // bytes
     private static final int PLACES = 100_000; // connections; its own limit is never the bottleneck
     private static final byte[] SHORT = value(SHORT_BYTES), LONG = value(LONG_BYTES);
 
-    private StandIns() { }
+    private StandIns() {}
 
     private static byte[] value(int bytes) {
         byte[] value = new byte[bytes];
@@ -62,7 +65,7 @@
             random = new Random(seed);
             Listener listener = new Listener(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), loop,
                 new Descriptors(PLACES).forClients(), this, log);
-            listener.begin(() -> { });
+            listener.begin(() -> {});
             port = listener.port();
         }
 
@@ -72,7 +75,7 @@
         }
 
         @Override
-        public void placesNeeded() { }
+        public void placesNeeded() {}
 
         /** Has a command done when its turn comes; false where it is turned away. */
         private boolean begin(Runnable done) {
@@ -133,7 +136,7 @@
         }
 
         @Override
-        public void connected() { }
+        public void connected() {}
 
         @Override
         public void came(ByteBuffer bytes) {
@@ -152,7 +155,8 @@
         private boolean cache() throws IOException {
             MetaCommand c = in.message(MetaCommand::read);
             if (c != null && c.kind == MetaCommand.Kind.FAULT) {
-                connection.write(MetaReply.text("STAT inflight " + (server.working + server.queue.size()) + "\r\nEND"));
+                connection.write(
+                    MetaReply.text("STAT inflight " + (server.working + server.queue.size()) + "\r\nEND"));
             } else if (c != null && !server.begin(() -> connection.write(server.answer(c)))) {
                 connection.write(MetaReply.rejected(0));
             }
@@ -180,9 +184,9 @@
         }
 
         @Override
-        public void drained() { }
+        public void drained() {}
 
         @Override
-        public void ended() { }
+        public void ended() {}
     }
 }
--- a/proxy/src/test/java/spurroad/program/LeavingClientsTest.java
+++ b/proxy/src/test/java/spurroad/program/LeavingClientsTest.java
@@ -110,7 +110,9 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv";
     }
 
-    /** A node that takes no connections, or reads nothing, until the gate opens; then it hears whole commands. */
+    /**
+     * A node that takes no connections, or reads nothing, until the gate opens; then it hears whole commands.
+     */
     private int raw(boolean accepts) throws IOException {
         ServerSocket server = opened(new ServerSocket());
         server.setReceiveBufferSize(2048);
@@ -161,11 +163,12 @@
         targets[NODES] = Peers.target("s-o", "origin", opened(new Peer(this::origin)).port, "active", 0);
         int sockets = waits == Waits.PLACE ? 340 : 1024; // so that some hundred are left for nodes
         int discovery = opened(new Peer(m -> ServiceTest.WATCH)).port;
-        return ServiceTest.service(new ProxyStart(Peers.start(discovery, sockets, Peers.list(1, true, targets))
-            .replace("\"connectTimeoutUs\":250000", "\"connectTimeoutUs\":5000000")
-            .replace("\"sloTimeUs\"", "\"statementTimeoutUs\":600000,\"sloTimeUs\"") // which sets when an end is over
-            .replace("\"cancel\":true", "\"cancel\":" + cancels)
-            .replace("aside", waits == Waits.LAST_BYTE ? "through" : "aside")));
+        return ServiceTest
+            .service(new ProxyStart(Peers.start(discovery, sockets, Peers.list(1, true, targets))
+                .replace("\"connectTimeoutUs\":250000", "\"connectTimeoutUs\":5000000")
+                .replace("\"sloTimeUs\"", "\"statementTimeoutUs\":600000,\"sloTimeUs\"") // which sets when an end is over
+                .replace("\"cancel\":true", "\"cancel\":" + cancels)
+                .replace("aside", waits == Waits.LAST_BYTE ? "through" : "aside")));
     }
 
     @DataProvider
@@ -179,8 +182,8 @@
     }
 
     /**
-     * Where a deployment has no cancels, what waited for a connection, or for its last bytes to be taken, went out for
-     * clients long gone.
+     * Where a deployment has no cancels, what waited for a connection, or for its last bytes to be taken,
+     * went out for clients long gone.
      */
     @Test(dataProvider = "waits", timeOut = 60_000)
     public void nothingIsSentOnForClientsThatLeft(Waits waits, boolean cancels) throws Exception {
@@ -219,12 +222,16 @@
         while ((System.nanoTime() - opened) / MS < wait && late(known).isEmpty()) {
             Thread.sleep(10);
         }
-        assertEquals(late(known), List.of(), "sent on long after its client left; the last " + latest(left) + " ms");
-        assertTrue(waits != Waits.CONNECTION || cancels || came.get() > 2 * NODES, "no connection came up: " + came);
+        assertEquals(late(known), List.of(),
+            "sent on long after its client left; the last " + latest(left) + " ms");
+        assertTrue(waits != Waits.CONNECTION || cancels || came.get() > 2 * NODES,
+            "no connection came up: " + came);
         assertTrue(waits != Waits.LAST_BYTE || begun, "none was begun");
     }
 
-    /** What waited for a connection was answered before the kill, and went out all the same when that came up. */
+    /**
+     * What waited for a connection was answered before the kill, and went out all the same when that came up.
+     */
     @Test(timeOut = 60_000)
     public void nothingIsSentOnOnceTheEndHasAnsweredIt() throws Exception {
         begin(false);
@@ -254,7 +261,8 @@
     }
 
     private List<String> late(long known) {
-        return sentOn.keySet().stream().filter(id -> id.matches(OF + plays + "n\\d+") && sentOn.get(id) > known)
+        return sentOn.keySet().stream()
+            .filter(id -> id.matches(OF + plays + "n\\d+") && sentOn.get(id) > known)
             .sorted().toList();
     }
 
--- a/proxy/src/test/java/spurroad/program/LineFormatterTest.java
+++ b/proxy/src/test/java/spurroad/program/LineFormatterTest.java
@@ -24,7 +24,8 @@
     }
 
     @Test(dataProvider = "messages")
-    public void jsonLinesHoldTheSameFields(String message, String event, String about) throws ProtocolException {
+    public void jsonLinesHoldTheSameFields(String message, String event, String about)
+        throws ProtocolException {
         String line = new LineFormatter(true).format(record(message));
         assertEquals(line.indexOf('\n'), line.length() - 1, "one line");
         Map<?, ?> read = (Map<?, ?>) Json.read(line.strip());
--- a/proxy/src/test/java/spurroad/program/LongValueTest.java
+++ b/proxy/src/test/java/spurroad/program/LongValueTest.java
@@ -81,7 +81,8 @@
     }
 
     private static Service proxy(int node, int origin) throws Exception {
-        return ServiceTest.proxy(new Peer(m -> ServiceTest.WATCH), 256, Peers.target("s-1", "m1", node, "active", 0),
+        return ServiceTest.proxy(new Peer(m -> ServiceTest.WATCH), 256,
+            Peers.target("s-1", "m1", node, "active", 0),
             Peers.target("s-o", "origin", origin, "active", 0));
     }
 
@@ -97,7 +98,7 @@
         Node[] n = new Node[1];
         try (Node node = n[0] = new Node((s, id) -> {
             byte[] whole = concat(line("VA " + length + " O" + id + " h1\r\n"), value, line("\r\n"));
-            for (int at = 0; at < whole.length; ) {
+            for (int at = 0; at < whole.length;) {
                 int to = Math.min(whole.length, at + 1 + random.nextInt(100_000));
                 n[0].give(s, whole, at, to);
                 Thread.sleep(random.nextInt(3));
@@ -135,7 +136,8 @@
         byte[] value = value(LONG);
         Node[] n = new Node[1];
         try (Node node = n[0] = new Node((s, id) -> {
-            n[0].give(s, line("VA " + LONG + " O" + id + "\r\n"), 0, ("VA " + LONG + " O" + id + "\r\n").length());
+            n[0].give(s, line("VA " + LONG + " O" + id + "\r\n"), 0,
+                ("VA " + LONG + " O" + id + "\r\n").length());
             n[0].give(s, value, 0, 100);
             seen.await();
             n[0].give(s, value, 100, LONG);
@@ -187,7 +189,9 @@
         }
     }
 
-    /** What a client does not take stays with its node: no more is read than is held for it and by the system. */
+    /**
+     * What a client does not take stays with its node: no more is read than is held for it and by the system.
+     */
     @Test
     public void aSlowClientHoldsUpItsNodeAndNotTheProxy() throws Exception {
         byte[] value = value(LONG);
@@ -226,11 +230,12 @@
     public void aLongWriteIsHeldAndGoesOnWhole() throws Exception {
         byte[] value = value(1_000_003);
         try (Peer origin = new Peer(m -> "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1");
-             Peer node = new Peer(m -> null)) {
+            Peer node = new Peer(m -> null)) {
             Service s = proxy(node.port, origin.port);
             try (Socket c = new Socket(InetAddress.getLoopbackAddress(), s.port())) {
                 c.setSoTimeout(20_000);
-                byte[] whole = concat(line("ms k " + value.length + " O1 Pc=put,t=acme,d=9000,k=5\r\n"), value,
+                byte[] whole = concat(line("ms k " + value.length + " O1 Pc=put,t=acme,d=9000,k=5\r\n"),
+                    value,
                     line("\r\nmn\r\n"));
                 for (int at = 0; at < whole.length; at += 50_000) {
                     c.getOutputStream().write(whole, at, Math.min(50_000, whole.length - at));
@@ -240,7 +245,8 @@
                 assertEquals(in.line(100), "HD O1 cr1");
                 assertEquals(in.line(100), "MN");
                 String heard = origin.await("PUT /k HTTP/1.1");
-                assertTrue(heard.endsWith("\n" + new String(value, StandardCharsets.ISO_8859_1)), "as it was");
+                assertTrue(heard.endsWith("\n" + new String(value, StandardCharsets.ISO_8859_1)),
+                    "as it was");
             }
         }
     }
@@ -248,8 +254,10 @@
     @DataProvider
     Object[][] badWrites() {
         return new Object[][] {{"ms k 4194305 O1 Pc=put,t=acme,d=9000,k=5\r\n", "CLIENT_ERROR bad length"},
-            {"ms k 70000 O1 Pc=put,t=acme,d=9000,k=5\r\n" + "x".repeat(70_001) + "\r\n", "CLIENT_ERROR bad data chunk"},
-            {"ms k 70000 O1 Pc=nothing,t=acme,d=9000,k=5\r\n" + "x".repeat(70_000) + "\r\n", "CLIENT_ERROR unknown class"}};
+            {"ms k 70000 O1 Pc=put,t=acme,d=9000,k=5\r\n" + "x".repeat(70_001) + "\r\n",
+                "CLIENT_ERROR bad data chunk"},
+            {"ms k 70000 O1 Pc=nothing,t=acme,d=9000,k=5\r\n" + "x".repeat(70_000) + "\r\n",
+                "CLIENT_ERROR unknown class"}};
     }
 
     @Test(dataProvider = "badWrites")
--- a/proxy/src/test/java/spurroad/program/MixedShapesTest.java
+++ b/proxy/src/test/java/spurroad/program/MixedShapesTest.java
@@ -23,8 +23,8 @@
 import spurroad.start.ProxyStart;
 
 /**
- * The move: proxies of the old shape (they share nothing) and of the new one (they talk) before the same cache nodes and
- * origin, while one node answers nothing, one starts cold and one is drained.
+ * The move: proxies of the old shape (they share nothing) and of the new one (they talk) before the same
+ * cache nodes and origin, while one node answers nothing, one starts cold and one is drained.
  */
 public class MixedShapesTest {
     private static final int NODES = 8, SILENT = 2, DRAINED = 3, COLD = 4;
@@ -43,7 +43,8 @@
 
     /** What became of the queries of one kind of proxy. */
     private static final class Kind {
-        private final AtomicInteger asked = new AtomicInteger(), completed = new AtomicInteger(), wrong = new AtomicInteger();
+        private final AtomicInteger asked = new AtomicInteger(), completed = new AtomicInteger(),
+            wrong = new AtomicInteger();
 
         private double share() {
             return (double) completed.get() / asked.get();
@@ -65,7 +66,9 @@
     private String node(int number, String message) {
         if (message.startsWith("mg")) {
             reads[number].incrementAndGet();
-            late.addAndGet(number == DRAINED && (message.contains(AFTER + " Pc=") || sinceMs() > toldMs + GRACE_MS) ? 1 : 0);
+            late.addAndGet(
+                number == DRAINED && (message.contains(AFTER + " Pc=") || sinceMs() > toldMs + GRACE_MS) ? 1
+                    : 0);
             silentLater.addAndGet(number == SILENT && sinceMs() > DRAINS_MS ? 1 : 0);
         }
         return number == SILENT && message.startsWith("mg") ? null : ServiceTest.hit("v").apply(message);
@@ -101,7 +104,8 @@
             reads[i] = new AtomicInteger();
             Peer n = new Peer(m -> node(number, m));
             open.add(n);
-            targets[i] = Peers.target("s-" + i, "m1", n.port, "active", i == COLD ? System.currentTimeMillis() : 0);
+            targets[i] = Peers.target("s-" + i, "m1", n.port, "active",
+                i == COLD ? System.currentTimeMillis() : 0);
             drained = i == DRAINED ? targets[i].replace("active", "leaving") : drained;
         }
         Peer origin = new Peer(this::origin);
@@ -117,8 +121,10 @@
             String text = Peers.start(discovery.port, 512, Peers.list(1, true, targets))
                 .replace("8000000", "400000").replace("\"allowed\":{", "\"obligations\":{\"coldUs\":60000000,"
                     + "\"startCapacity\":0.3},\"allowed\":{" + (i < old ? "" : "\"peers\":true,"))
-                .replace("\"settings\":{", (i < old ? "" : "\"proxies\":[" + String.join(",", addresses) + "],")
-                    + "\"settings\":{\"balancers\":" + (i < old ? old : talking) + ",\"index\":" + (i < old ? i : i - old) + ",");
+                .replace("\"settings\":{",
+                    (i < old ? "" : "\"proxies\":[" + String.join(",", addresses) + "],")
+                        + "\"settings\":{\"balancers\":" + (i < old ? old : talking) + ",\"index\":"
+                        + (i < old ? i : i - old) + ",");
             proxies.add(ServiceTest.service(new ProxyStart(text)));
         }
         Kind[] kinds = {new Kind(), new Kind()};
@@ -167,7 +173,8 @@
             boolean write = q % 10 == 9;
             String tag = mark + "q" + q + (toldMs > sinceMs() ? "" : AFTER);
             kind.asked.incrementAndGet();
-            client.say(write ? "ms k" + random.nextInt(400) + " 1 O" + tag + " Pc=put,t=acme,d=1500,k=" + tag + "\r\na\r\n"
+            client.say(write
+                ? "ms k" + random.nextInt(400) + " 1 O" + tag + " Pc=put,t=acme,d=1500,k=" + tag + "\r\na\r\n"
                 : "mg k" + random.nextInt(400) + " v O" + tag + " Pc=read,t=acme,d=1500\r\n");
             String line = client.line();
             boolean value = line != null && line.startsWith("VA");
@@ -175,7 +182,8 @@
                 client.line();
             }
             kind.completed.addAndGet(value || line != null && line.startsWith("HD") ? 1 : 0);
-            kind.wrong.addAndGet(line == null || !line.contains(tag) && !line.startsWith("SERVER_ERROR") ? 1 : 0);
+            kind.wrong
+                .addAndGet(line == null || !line.contains(tag) && !line.startsWith("SERVER_ERROR") ? 1 : 0);
             Thread.sleep(APART_MS);
         }
     }
@@ -183,9 +191,11 @@
     private void check(Kind[] kinds) {
         int marks = kinds[0].asked.get() / 10 + kinds[1].asked.get() / 10;
         assertEquals(kinds[0].wrong.get() + kinds[1].wrong.get(), 0, "one answer each, and its own");
-        assertTrue(written.size() <= marks && written.values().stream().allMatch(n -> n == 1), "no effect twice");
+        assertTrue(written.size() <= marks && written.values().stream().allMatch(n -> n == 1),
+            "no effect twice");
         assertEquals(late.get(), 0, "nothing new to a drained node");
-        assertTrue(2 * reads[COLD].get() < reads[0].get() + reads[1].get(), "a cold node gets less: " + reads[COLD]);
+        assertTrue(2 * reads[COLD].get() < reads[0].get() + reads[1].get(),
+            "a cold node gets less: " + reads[COLD]);
     }
 
     @Test(timeOut = 120_000)
@@ -196,7 +206,8 @@
         int sentLater = silentLater.get();
         close();
         Kind[] mixed = play(2, 3);
-        String told = "old " + oldAlone + ", new " + newAlone + ", together " + mixed[0].share() + " and " + mixed[1].share()
+        String told = "old " + oldAlone + ", new " + newAlone + ", together " + mixed[0].share() + " and "
+            + mixed[1].share()
             + ", later at the silent node " + sentLater;
         assertTrue(mixed[0].share() > 0.9 * oldAlone && mixed[1].share() > 0.9 * newAlone, told);
         // keys leave a silent node at half of them a second where proxies talk: most of the eighth that it has, in this time
--- a/proxy/src/test/java/spurroad/program/NarrowMomentsTest.java
+++ b/proxy/src/test/java/spurroad/program/NarrowMomentsTest.java
@@ -55,12 +55,13 @@
     }
 
     /**
-     * A restart with hung nodes: whoever kills waits for the longest statement timeout, 3 s at most, and 0.7 s; queries that
-     * could wait longer were answered after that (roll+term+brink, a broken rule on five of ten seeds). So were all, once
-     * one client had said that it would wait longer than the settings have it.
+     * A restart with hung nodes: whoever kills waits for the longest statement timeout, 3 s at most, and 0.7
+     * s; queries that could wait longer were answered after that (roll+term+brink, a broken rule on five of
+     * ten seeds). So were all, once one client had said that it would wait longer than the settings have it.
      */
     @Test(dataProvider = "kills")
-    public void allThatWasTakenIsAnsweredBeforeTheKillHoweverLongItCouldWait(long timeoutMs, long killMs) throws Exception {
+    public void allThatWasTakenIsAnsweredBeforeTheKillHoweverLongItCouldWait(long timeoutMs, long killMs)
+        throws Exception {
         try (Peer hung = new Peer(m -> null); Peer discovery = new Peer(m -> ServiceTest.WATCH)) {
             Service s = proxy(start(discovery, hung).replace("\"sloTimeUs\":8000000",
                 "\"statementTimeoutUs\":" + timeoutMs * 1000 + ",\"sloTimeUs\":8000000"));
@@ -82,7 +83,8 @@
     @Test
     public void whoCameBeforeItServedIsAnsweredAtItsEnd() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        try (Peer silent = new Peer(m -> held(never, ServiceTest.WATCH)); Peer node = new Peer(ServiceTest.hit("v"))) {
+        try (Peer silent = new Peer(m -> held(never, ServiceTest.WATCH));
+            Peer node = new Peer(ServiceTest.hit("v"))) {
             Service s = proxy(start(silent, node).replace("on_request", "pushed"));
             try (Client c = new Client(s.port())) {
                 c.say(read("1"));
@@ -104,19 +106,22 @@
     }
 
     /**
-     * SIGHUP, twice at once, and SIGTERM right behind, with queries on their way: classes change their numbers, may be
-     * repeated no more, have less time and fewer executions. What was taken under the former settings is answered.
+     * SIGHUP, twice at once, and SIGTERM right behind, with queries on their way: classes change their
+     * numbers, may be repeated no more, have less time and fewer executions. What was taken under the former
+     * settings is answered.
      */
     @Test
     public void settingsThatChangeRightBeforeTheEndLoseNothingThatWasTaken() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Peer node = new Peer(m -> held(go, ServiceTest.hit("v").apply(m)));
-             Peer discovery = new Peer(m -> ServiceTest.WATCH)) {
+            Peer discovery = new Peer(m -> ServiceTest.WATCH)) {
             String text = start(discovery, node);
             String read = text.replaceFirst("(?s).*'tracks':\\[(\\{.*?\\}),.*".replace('\'', '"'), "$1");
             String other = text.replace(read + ",", "").replace("\"sloTimeUs\":8000000,\"importance\":5}",
-                "\"statementTimeoutUs\":800000,\"sloTimeUs\":400000,\"importance\":5}," + read.replace("read", "late")
-                    + "," + read.replace("retryable", "fragile")).replace("\"mostExecutions\":6", "\"mostExecutions\":1");
+                "\"statementTimeoutUs\":800000,\"sloTimeUs\":400000,\"importance\":5},"
+                    + read.replace("read", "late")
+                    + "," + read.replace("retryable", "fragile"))
+                .replace("\"mostExecutions\":6", "\"mostExecutions\":1");
             Service s = proxy(text);
             try (Client before = new Client(s.port()); Client after = new Client(s.port())) {
                 before.say(read("1"));
@@ -132,7 +137,8 @@
                 // the loop has them in force before it reads on
                 assertEquals(after.say("mn\r\n").line(), "MN");
                 Thread end = ServiceTest.ending(s);
-                after.say(read("2") + read("3").replace("c=read", "c=late") + read("4").replace("c=read", "c=none"));
+                after.say(read("2") + read("3").replace("c=read", "c=late")
+                    + read("4").replace("c=read", "c=none"));
                 assertNotNull(node.await("mg"));
                 go.countDown();
                 assertEquals(before.line() + before.line(), "VA 1 O1v");
@@ -153,7 +159,8 @@
 
     /** 7 s passed for a silence; what it missed counts after 6 s (calm+brink, the rule on drains). */
     @Test(dataProvider = "quiet")
-    public void aWatchThatFallsSilentIsAskedAnewInTimeAndKeptUntilTheNewOneSpeaks(boolean trickles) throws Exception {
+    public void aWatchThatFallsSilentIsAskedAnewInTimeAndKeptUntilTheNewOneSpeaks(boolean trickles)
+        throws Exception {
         AtomicInteger calls = new AtomicInteger();
         CountDownLatch go = new CountDownLatch(1);
         try (Peer a = new Peer(ServiceTest.hit("a")); Peer b = new Peer(ServiceTest.hit("b"))) {
@@ -161,7 +168,7 @@
             String drained = Peers.list(3, true, Peers.target("s-a", "m1", a.port, "leaving", 0),
                 Peers.target("s-b", "m1", b.port, "active", 0));
             try (Peer discovery = new Peer(m -> ServiceTest.WATCH
-                    + (calls.incrementAndGet() == 1 ? chunk(both) : held(go, chunk(drained))))) {
+                + (calls.incrementAndGet() == 1 ? chunk(both) : held(go, chunk(drained))))) {
                 Service s = proxy(start(discovery, a));
                 assertNotNull(discovery.await("GET"));
                 long since = System.nanoTime();
@@ -191,7 +198,10 @@
         }
     }
 
-    /** A proxy whose lists are pushed never opened a watch: it sent to nodes that drained for as long as it lived. */
+    /**
+     * A proxy whose lists are pushed never opened a watch: it sent to nodes that drained for as long as it
+     * lived.
+     */
     @Test
     public void whereListsArePushedNothingIsSentBeforeTheFirstIsHeard() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -213,20 +223,23 @@
 
     @DataProvider
     Object[][] impatient() {
-        return new Object[][] {{"\"tickUs\"", "\"obligations\":{\"askWithinUs\":500000},\"tickUs\"", 20, 9000},
+        return new Object[][] {
+            {"\"tickUs\"", "\"obligations\":{\"askWithinUs\":500000},\"tickUs\"", 20, 9000},
             {"on_request", "pushed", 12, 5000}};
     }
 
     /**
-     * The module's pauses grow to 12 s, past the 10 s for which a list may be held to on jaffna-student-housing. Where lists
-     * are pushed, what their agent has after a while away counts at its return.
+     * The module's pauses grow to 12 s, past the 10 s for which a list may be held to on
+     * jaffna-student-housing. Where lists are pushed, what their agent has after a while away counts at its
+     * return.
      */
     @Test(dataProvider = "impatient")
-    public void discoveryIsAskedAgainWithinTheTimeThatTheSettingsGive(String key, String with, int calls, long ms)
+    public void discoveryIsAskedAgainWithinTheTimeThatTheSettingsGive(String key, String with, int calls,
+                                                                      long ms)
         throws Exception {
         AtomicInteger came = new AtomicInteger();
         try (Peer node = new Peer(ServiceTest.hit("a"));
-             Peer discovery = new Peer(m -> came.incrementAndGet() < calls ? "" : ServiceTest.WATCH)) {
+            Peer discovery = new Peer(m -> came.incrementAndGet() < calls ? "" : ServiceTest.WATCH)) {
             long since = System.nanoTime();
             proxy(start(discovery, node).replace(key, with));
             for (int i = 0; i < calls; i++) {
@@ -238,7 +251,9 @@
 
     // ---- a client that leaves
 
-    /** A client with sixteen commands waiting is not read from; its end came to light with the first answer. */
+    /**
+     * A client with sixteen commands waiting is not read from; its end came to light with the first answer.
+     */
     @Test
     public void theEndOfAClientThatIsNotReadFromIsSeen() throws Exception {
         try (Peer silent = new Peer(m -> null); Peer discovery = new Peer(m -> ServiceTest.WATCH)) {
@@ -249,7 +264,8 @@
             c.close();
             assertEquals(silent.await("closed"), "closed", "called off");
             assertTrue(msSince(since) < 2000, "seen after " + msSince(since) + " ms");
-            assertTrue(silent.heard.stream().noneMatch(m -> m.startsWith("mg")), "those behind them were not sent on");
+            assertTrue(silent.heard.stream().noneMatch(m -> m.startsWith("mg")),
+                "those behind them were not sent on");
         }
     }
 
--- a/proxy/src/test/java/spurroad/program/OperationTest.java
+++ b/proxy/src/test/java/spurroad/program/OperationTest.java
@@ -44,10 +44,12 @@
 
     @Test
     public void nothingNewReachesANodeThatStaffTookOutUntilTheyGiveItBack() throws Exception {
-        try (Peer a = new Peer(ServiceTest.hit("a")); Peer b = new Peer(ServiceTest.hit("b"));
-             Peer discovery = new Peer(m -> ServiceTest.WATCH)) {
-            String first = Peers.target("s-1", "m1", a.port, "active", 0), second = Peers.target("s-2", "m1", b.port,
-                "active", 0);
+        try (Peer a = new Peer(ServiceTest.hit("a"));
+            Peer b = new Peer(ServiceTest.hit("b"));
+            Peer discovery = new Peer(m -> ServiceTest.WATCH)) {
+            String first = Peers.target("s-1", "m1", a.port, "active", 0),
+                second = Peers.target("s-2", "m1", b.port,
+                    "active", 0);
             Service s = ServiceTest.proxy(discovery, 256, first, second);
             try (Client c = new Client(s.port())) {
                 assertTrue(!stands(s, "s-9", true), "never listed");
@@ -57,7 +59,8 @@
                 for (int i = 0; i < 100; i++) {
                     assertEquals(read(c, "k" + i), "b");
                 }
-                assertTrue(a.heard.stream().noneMatch(m -> m.startsWith("mg")), "nothing, whatever the list says");
+                assertTrue(a.heard.stream().noneMatch(m -> m.startsWith("mg")),
+                    "nothing, whatever the list says");
                 assertTrue(figures(s).contains("discovered=2 ejected=1"), figures(s));
                 assertTrue(stands(s, "s-1", false));
                 boolean used = false;
@@ -75,8 +78,10 @@
     @Test
     public void figuresAddUp() throws Exception {
         Random random = new Random(5);
-        try (Peer n = new Peer(m -> random.nextInt(4) == 0 ? null : random.nextInt(3) == 0 ? "SERVER_ERROR failed\r\n"
-            : ServiceTest.hit("v").apply(m)); Peer discovery = new Peer(m -> ServiceTest.WATCH)) {
+        try (Peer n = new Peer(
+            m -> random.nextInt(4) == 0 ? null : random.nextInt(3) == 0 ? "SERVER_ERROR failed\r\n"
+                : ServiceTest.hit("v").apply(m));
+            Peer discovery = new Peer(m -> ServiceTest.WATCH)) {
             Service s = ServiceTest.proxy(discovery, 256, Peers.target("s-1", "m1", n.port, "active", 0));
             int taken = 0;
             for (int i = 0; i < 20; i++) {
@@ -92,7 +97,8 @@
             Thread.sleep(500);
             int sum = 0;
             for (String f : figures(s).split(" ")) {
-                sum += f.startsWith("results.read") || f.startsWith("outstanding") ? Integer.parseInt(f.split("=")[1]) : 0;
+                sum += f.startsWith("results.read") || f.startsWith("outstanding")
+                    ? Integer.parseInt(f.split("=")[1]) : 0;
             }
             assertTrue(sum > 0 && sum <= taken, "all but those that clients left: " + figures(s));
             assertTrue(figures(s).contains("outstanding=0"), figures(s));
@@ -104,15 +110,18 @@
         try (Peer n = new Peer(ServiceTest.hit("v")); Peer discovery = new Peer(m -> ServiceTest.WATCH)) {
             String known = Peers.list(1, true, Peers.target("s-1", "m1", n.port, "active", 0));
             String first = Peers.start(discovery.port, 256, known);
-            String other = first.replace("{\"name\":\"read\",", "{\"name\":\"look\",\"statementTimeoutUs\":9000000,")
+            String other = first
+                .replace("{\"name\":\"read\",", "{\"name\":\"look\",\"statementTimeoutUs\":9000000,")
                 .replace("\"mostExecutions\":6", "\"mostExecutions\":2");
             Service s = ServiceTest.service(new ProxyStart(first));
             try (Client c = new Client(s.port())) {
                 assertEquals(read(c, "k"), "v");
                 for (String faulty : new String[] {"", other.substring(0, other.length() - 2), "[]",
-                    other.replace("9000000,", "0,"), other.replace("\"mostExecutions\":2", "\"mostExecutions\":0"),
+                    other.replace("9000000,", "0,"),
+                    other.replace("\"mostExecutions\":2", "\"mostExecutions\":0"),
                     other.replace("\"mostExecutions\":2,", ""), other.replace("\"seed\":\"7f\",", ""),
-                    other.replace("\"name\":\"put\"", "\"name\":\"look\""), other.replace("\"importance\":1", "\"x\":1"),
+                    other.replace("\"name\":\"put\"", "\"name\":\"look\""),
+                    other.replace("\"importance\":1", "\"x\":1"),
                     other.replace("\"cancel\":true", "\"cancel\":1")}) {
                     s.reload(() -> new ProxyStart(faulty));
                     assertEquals(read(c, "k"), "v", faulty);
@@ -130,7 +139,9 @@
                 assertEquals(line, "VA 1 O1");
                 c.line();
                 assertEquals(c.say(ServiceTest.READ).line(), "CLIENT_ERROR unknown class", "it has vanished");
-                assertTrue(figures(s).contains("results.look.succeeded=1") && figures(s).contains("results.read.succeeded=11"),
+                assertTrue(
+                    figures(s).contains("results.look.succeeded=1")
+                        && figures(s).contains("results.read.succeeded=11"),
                     "and keeps its counts: " + figures(s));
             }
         }
--- a/proxy/src/test/java/spurroad/program/OverloadTest.java
+++ b/proxy/src/test/java/spurroad/program/OverloadTest.java
@@ -19,7 +19,10 @@
 import spurroad.protocol.MetaCommand;
 import spurroad.start.ProxyStart;
 
-/** The whole proxy where there is too much of something; what it does by its own means is tested in numbers only. */
+/**
+ * The whole proxy where there is too much of something; what it does by its own means is tested in numbers
+ * only.
+ */
 public class OverloadTest {
     private static final int LONG_BYTES = 400_000;
 
@@ -31,7 +34,10 @@
         return Peers.target("s-1", "m1", node.port, "active", 0);
     }
 
-    /** Answers of up to 400 KB were cut off by the reset of a connection that passed for idle, their queries lost. */
+    /**
+     * Answers of up to 400 KB were cut off by the reset of a connection that passed for idle, their queries
+     * lost.
+     */
     @Test
     public void aLongAnswerThatItsClientTakesSlowlyArrivesWholeWhereManyAreConnected() throws Exception {
         try (Peer discovery = new Peer(m -> null); Peer node = new Peer(hit("x".repeat(LONG_BYTES)))) {
@@ -149,7 +155,10 @@
         }
     }
 
-    /** Whoever comes with more than its means turns clients away at once, and takes them again when there is room. */
+    /**
+     * Whoever comes with more than its means turns clients away at once, and takes them again when there is
+     * room.
+     */
     @Test
     public void whatCannotBeTakenInIsTurnedAwayAtOnceWithATimeToComeBack() throws Exception {
         try (Peer discovery = new Peer(m -> null); Peer node = new Peer(hit("v"))) {
--- a/proxy/src/test/java/spurroad/program/ServiceTest.java
+++ b/proxy/src/test/java/spurroad/program/ServiceTest.java
@@ -88,8 +88,10 @@
         Function<String, String> miss = m -> "EN O" + id(m) + "\r\n";
         Function<String, String> origin = m -> ok("body");
         String write = "ms k 3 O1 Pc=put,t=acme,d=9000,k=5\r\na\nb\r\n", big = "x".repeat(65536);
-        return new Object[][] {{READ, hit("v"), origin, "VA 1 O1\r\nv\r\n"}, {READ, hit(""), origin, "VA 0 O1\r\n\r\n"},
-            {READ, hit(big), origin, "VA 65536 O1\r\n" + big + "\r\n"}, {READ, miss, origin, "VA 4 O1\r\nbody\r\n"},
+        return new Object[][] {{READ, hit("v"), origin, "VA 1 O1\r\nv\r\n"},
+            {READ, hit(""), origin, "VA 0 O1\r\n\r\n"},
+            {READ, hit(big), origin, "VA 65536 O1\r\n" + big + "\r\n"},
+            {READ, miss, origin, "VA 4 O1\r\nbody\r\n"},
             {write, miss, origin, "HD O1 cbody\r\n"},
             {write.replace("3 O", "65536 O").replace("a\nb", big), miss, origin, "HD O1 cbody\r\n"},
             {write, miss, (Function<String, String>) m -> "", "SERVER_ERROR"},
@@ -111,8 +113,10 @@
             assertEquals(answer.endsWith("\n") ? next : c.line(), "MN", "one answer and no more");
             if (query.startsWith("ms")) {
                 String heard = o.await("PUT /k HTTP/1.1");
-                assertTrue(heard.contains("X-Request-Id: 1\n") && heard.contains("c=put,t=acme,d=9000,k=5"), heard);
-                assertTrue(heard.endsWith("\n" + query.substring(query.indexOf("\r\n") + 2, query.length() - 2)));
+                assertTrue(heard.contains("X-Request-Id: 1\n") && heard.contains("c=put,t=acme,d=9000,k=5"),
+                    heard);
+                assertTrue(
+                    heard.endsWith("\n" + query.substring(query.indexOf("\r\n") + 2, query.length() - 2)));
             }
         }
     }
@@ -123,13 +127,15 @@
             {READ.replace("c=read", "c=x"), "CLIENT_ERROR unknown class", true},
             {READ.replace("acme", "x"), "CLIENT_ERROR unknown tenant", true},
             {READ.replace("d=9000", "q=1"), "CLIENT_ERROR no time to wait", true},
-            {READ.replace("mg k v", "ms k 0").replace("read", "put") + "\r\n", "CLIENT_ERROR no idempotency key", true},
+            {READ.replace("mg k v", "ms k 0").replace("read", "put") + "\r\n",
+                "CLIENT_ERROR no idempotency key", true},
             {"ms k x O1\r\n", "CLIENT_ERROR bad length", false},
             {"y".repeat(5000), "CLIENT_ERROR line too long", false}};
     }
 
     @Test(dataProvider = "faulty")
-    public void badInputEndsItsOwnConnectionAtMostAndReachesNoNode(String command, String answer, boolean goesOn)
+    public void badInputEndsItsOwnConnectionAtMostAndReachesNoNode(String command, String answer,
+                                                                   boolean goesOn)
         throws Exception {
         try (Peer n = new Peer(hit("v")); Peer o = new Peer(m -> ok(""))) {
             int port = proxy(n, o).port();
@@ -153,7 +159,9 @@
             }
             return hit("v").apply(m);
         };
-        try (Peer n = new Peer(rule); Peer o = new Peer(m -> ok("")); Client c = new Client(proxy(n, o).port())) {
+        try (Peer n = new Peer(rule);
+            Peer o = new Peer(m -> ok(""));
+            Client c = new Client(proxy(n, o).port())) {
             c.say(READ + READ.replace("O1", "O2") + "mn\r\n");
             assertEquals(List.of(c.line(), c.line(), c.line(), c.line(), c.line()),
                 List.of("VA 1 O1", "v", "VA 1 O2", "v", "MN"));
@@ -191,25 +199,26 @@
     public void theListIsFollowedAndAskedForAgain() throws Exception {
         List<String> asked = new ArrayList<>();
         try (Peer n = new Peer(hit("v"));
-             Peer discovery = new Peer(m -> {
-                 asked.add(m.split("\n")[0]);
-                 String line = Peers.list(7, true, Peers.target("s-1", "m1", n.port, "active", 0));
-                 return switch (asked.size()) {
-                     case 1 -> "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
-                     case 2 -> WATCH + "a\r\n{\"rev\":8}\n\r\n";
-                     case 3 -> WATCH + "5\r\n{\"rev\r\n0\r\n\r\n";
-                     case 4 -> WATCH + chunk(line) + "0\r\n\r\n";
-                     default -> WATCH;
-                 };
-             });
-             Client c = new Client(proxy(discovery, 256).port())) {
+            Peer discovery = new Peer(m -> {
+                asked.add(m.split("\n")[0]);
+                String line = Peers.list(7, true, Peers.target("s-1", "m1", n.port, "active", 0));
+                return switch (asked.size()) {
+                    case 1 -> "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
+                    case 2 -> WATCH + "a\r\n{\"rev\":8}\n\r\n";
+                    case 3 -> WATCH + "5\r\n{\"rev\r\n0\r\n\r\n";
+                    case 4 -> WATCH + chunk(line) + "0\r\n\r\n";
+                    default -> WATCH;
+                };
+            });
+            Client c = new Client(proxy(discovery, 256).port())) {
             String line = c.say(READ).line();
             while (line.startsWith("SERVER_ERROR busy")) {
                 line = c.say(READ).line(); // no node is known yet
             }
             assertEquals(line, "VA 1 O1");
             for (String since : List.of("1", "1", "1", "1", "7")) {
-                assertTrue(discovery.await("GET").startsWith("GET /catalog/members?follow=1&since=" + since + " "));
+                assertTrue(
+                    discovery.await("GET").startsWith("GET /catalog/members?follow=1&since=" + since + " "));
             }
         }
     }
@@ -217,12 +226,14 @@
     @Test
     public void aNodeThatLeavesGetsNothingNewAndOneThatLeftIsLetGo() throws Exception {
         CountDownLatch watched = new CountDownLatch(1);
-        try (Peer a = new Peer(hit("a")); Peer b = new Peer(hit("b"));
-             Peer discovery = new Peer(m -> {
-                 watched.countDown();
-                 return null;
-             });
-             Client c = new Client(proxy(discovery, 256, Peers.target("s-a", "m1", a.port, "active", 0)).port())) {
+        try (Peer a = new Peer(hit("a"));
+            Peer b = new Peer(hit("b"));
+            Peer discovery = new Peer(m -> {
+                watched.countDown();
+                return null;
+            });
+            Client c = new Client(
+                proxy(discovery, 256, Peers.target("s-a", "m1", a.port, "active", 0)).port())) {
             assertEquals(c.say(READ).line() + c.line(), "VA 1 O1a");
             watched.await();
             discovery.say(WATCH + chunk(Peers.list(2, false, Peers.target("s-a", "m1", a.port, "leaving", 0),
@@ -241,9 +252,13 @@
     /** The program ended on SIGHUP. Discovery moves twice at once, once to where nobody answers yet. */
     @Test
     public void aNewAddressOfDiscoveryIsFollowedAtOnceAndAFaultyFileChangesNothing() throws Exception {
-        try (Peer a = new Peer(hit("a")); Peer b = new Peer(hit("b")); Peer silent = new Peer(m -> null);
-             Peer second = new Peer(m -> WATCH + chunk(Peers.list(9, true, Peers.target("s-b", "m1", b.port, "active", 0))));
-             Peer first = new Peer(m -> WATCH + chunk(Peers.list(7, true, Peers.target("s-a", "m1", a.port, "active", 0))))) {
+        try (Peer a = new Peer(hit("a"));
+            Peer b = new Peer(hit("b"));
+            Peer silent = new Peer(m -> null);
+            Peer second = new Peer(
+                m -> WATCH + chunk(Peers.list(9, true, Peers.target("s-b", "m1", b.port, "active", 0))));
+            Peer first = new Peer(
+                m -> WATCH + chunk(Peers.list(7, true, Peers.target("s-a", "m1", a.port, "active", 0))))) {
             Service s = proxy(first, 256, Peers.target("s-a", "m1", a.port, "active", 0));
             try (Client c = new Client(s.port())) {
                 assertEquals(c.say(READ).line() + c.line(), "VA 1 O1a");
@@ -254,7 +269,8 @@
                 s.reload(() -> new ProxyStart(Peers.start(silent.port, 256, Peers.list(1, true))));
                 s.reload(() -> new ProxyStart(Peers.start(second.port, 256, Peers.list(1, true))));
                 assertNotNull(second.await("GET /catalog/members?follow=1&since="));
-                assertEquals(first.await("closed"), "closed", "the old watch ends once the new one has spoken");
+                assertEquals(first.await("closed"), "closed",
+                    "the old watch ends once the new one has spoken");
                 String line = c.say(READ).line() + c.line();
                 for (int i = 0; i < 2000 && !line.equals("VA 1 O1b"); i++) {
                     assertEquals(line, "VA 1 O1a", "no query notices");
@@ -330,8 +346,9 @@
     public void whoSaysNothingOrHalfACommandIsClosedAndWhoAskedOnceIsNot() throws Exception {
         try (Peer n = new Peer(hit("v")); Peer o = new Peer(m -> ok(""))) {
             Service s = proxy(n, o);
-            try (Client asked = new Client(s.port()); Client silent = new Client(s.port());
-                 Client half = new Client(s.port()).say("mg k v O2 Pc=re")) {
+            try (Client asked = new Client(s.port());
+                Client silent = new Client(s.port());
+                Client half = new Client(s.port()).say("mg k v O2 Pc=re")) {
                 assertEquals(asked.say(READ).line() + asked.line(), "VA 1 O1v");
                 assertNull(silent.line());
                 assertNull(half.line());
@@ -340,7 +357,9 @@
         }
     }
 
-    /** First incident: clients that ask once and stay held all the connections that they and others may have. */
+    /**
+     * First incident: clients that ask once and stay held all the connections that they and others may have.
+     */
     @Test
     public void whereManyAreConnectedIdleOnesAreClosedSoonAndByAReset() throws Exception {
         try (Peer n = new Peer(hit("v")); Peer o = new Peer(m -> ok(""))) {
@@ -360,7 +379,9 @@
     /** Bad clients: a close upon unread bytes took the error away from those who were still sending. */
     @Test
     public void anErrorReachesAClientThatIsStillSending() throws Exception {
-        try (Peer n = new Peer(hit("v")); Peer o = new Peer(m -> ok("")); Client c = new Client(proxy(n, o).port())) {
+        try (Peer n = new Peer(hit("v"));
+            Peer o = new Peer(m -> ok(""));
+            Client c = new Client(proxy(n, o).port())) {
             c.say("ms k 60000000 O1 Pc=put,t=acme,d=9000,k=5\r\n" + "x".repeat(200_000));
             assertEquals(c.line(), "CLIENT_ERROR bad length");
             assertNull(c.line());
--- a/proxy/src/test/java/spurroad/program/UpgradeTest.java
+++ b/proxy/src/test/java/spurroad/program/UpgradeTest.java
@@ -34,7 +34,8 @@
     /** Clients that open a connection for each few queries; counts those that were turned back unheard. */
     private static final class Load {
         private final AtomicBoolean on = new AtomicBoolean(true);
-        private final AtomicInteger served = new AtomicInteger(), unheard = new AtomicInteger(), wrong = new AtomicInteger();
+        private final AtomicInteger served = new AtomicInteger(), unheard = new AtomicInteger(),
+            wrong = new AtomicInteger();
         private final List<Thread> threads = new ArrayList<>();
         private final Set<String> answers = new ConcurrentSkipListSet<>();
 
@@ -48,7 +49,7 @@
         }
 
         private void run(int port, int number) {
-            for (int n = 0; on.get(); ) {
+            for (int n = 0; on.get();) {
                 int i = 0;
                 try (Client c = new Client(port)) {
                     for (; i < 10 && on.get(); i++, n++) {
@@ -83,8 +84,10 @@
 
     @Test
     public void twoUpgradesUnderLoadTurnNobodyBackAndKeepWhatStaffSaid() throws Exception {
-        try (Peer a = new Peer(ServiceTest.hit("v")); Peer b = new Peer(ServiceTest.hit("v"));
-             Peer discovery = new Peer(m -> ServiceTest.WATCH); Platform platform = new Platform()) {
+        try (Peer a = new Peer(ServiceTest.hit("v"));
+            Peer b = new Peer(ServiceTest.hit("v"));
+            Peer discovery = new Peer(m -> ServiceTest.WATCH);
+            Platform platform = new Platform()) {
             String configuration = configuration(discovery, a, b);
             Proxy old = platform.ready(configuration, Platform.fromClasses());
             assertTrue(old.call("POST", "/cache-nodes/s-0/maint").startsWith("HTTP/1.1 200"));
@@ -100,9 +103,11 @@
             }
             Thread.sleep(300);
             load.end();
-            assertTrue(a.heard.stream().noneMatch(m -> m.startsWith("mg")), "nothing new to the node that is out");
-            assertEquals(load.unheard.get() + load.wrong.get(), 0, load.served + " served, turned back " + load.unheard
-                + ", otherwise " + load.answers);
+            assertTrue(a.heard.stream().noneMatch(m -> m.startsWith("mg")),
+                "nothing new to the node that is out");
+            assertEquals(load.unheard.get() + load.wrong.get(), 0,
+                load.served + " served, turned back " + load.unheard
+                    + ", otherwise " + load.answers);
             assertTrue(load.served.get() > 100, "under load: " + load.served);
             assertTrue(old.call("POST", "/cache-nodes/s-0/ready").startsWith("HTTP/1.1 200"));
         }
@@ -110,8 +115,9 @@
 
     @Test
     public void aNewOneThatDiesBeforeItServesChangesNothing() throws Exception {
-        try (Peer a = new Peer(ServiceTest.hit("v")); Peer discovery = new Peer(m -> ServiceTest.WATCH);
-             Platform platform = new Platform()) {
+        try (Peer a = new Peer(ServiceTest.hit("v"));
+            Peer discovery = new Peer(m -> ServiceTest.WATCH);
+            Platform platform = new Platform()) {
             String configuration = configuration(discovery, a);
             Proxy old = platform.ready(configuration, Platform.fromClasses());
             Proxy killed = platform.start(configuration, Platform.fromClasses());
--- a/proxy/src/test/java/spurroad/protocol/LargeListsTest.java
+++ b/proxy/src/test/java/spurroad/protocol/LargeListsTest.java
@@ -88,7 +88,8 @@
         Set<NodeId> used = new HashSet<>();
         for (long query = 0; query < 30 * MANY; query++) {
             decided.clear();
-            balance.arrived(now, new QueryId(query), new TrackId(0), new CustomerId(0), new CacheKey(query + 1), false, 0,
+            balance.arrived(now, new QueryId(query), new TrackId(0), new CustomerId(0),
+                new CacheKey(query + 1), false, 0,
                 4_000_000_000L, decided);
             decided.starts.forEach(s -> used.add(s.node()));
             decided.clear();
--- a/proxy/src/test/java/spurroad/protocol/ParsersTest.java
+++ b/proxy/src/test/java/spurroad/protocol/ParsersTest.java
@@ -74,8 +74,9 @@
                     case FAULT -> c.fault;
                 });
             }
-            assertEquals(read, List.of(READ.replace("480", "77"), "ready", WRITE.replace("480", "77"), "ERROR",
-                READ.replace("480", "77")));
+            assertEquals(read,
+                List.of(READ.replace("480", "77"), "ready", WRITE.replace("480", "77"), "ERROR",
+                    READ.replace("480", "77")));
         }
     }
 
@@ -92,19 +93,23 @@
             List.of("k", "1", 480L, 900L, "read"));
         assertEquals(text(c.forNode(5)), "mg k v O1 Pc=read,t=acme,d=5,r=1,h=900,size=20\r\n");
         assertEquals(text(Http.forOrigin(c, "h:1")).split("\r\n")[0], "GET /k HTTP/1.1");
-        assertTrue(text(Http.forOrigin(c, "h:1")).contains("X-Extras: c=read,t=acme,d=480,r=1,h=900,size=20\r\n"));
+        assertTrue(
+            text(Http.forOrigin(c, "h:1")).contains("X-Extras: c=read,t=acme,d=480,r=1,h=900,size=20\r\n"));
     }
 
     @DataProvider
     Object[][] faultyCommands() {
-        return new Object[][] {{"get a\r\n", "ERROR", false}, {"\r\n", "ERROR", false}, {" \r\n", "ERROR", false},
-            {"mg\r\n", "CLIENT_ERROR bad key", false}, {"mg k v Pd=5\r\n", "CLIENT_ERROR no request id", false},
+        return new Object[][] {{"get a\r\n", "ERROR", false}, {"\r\n", "ERROR", false},
+            {" \r\n", "ERROR", false},
+            {"mg\r\n", "CLIENT_ERROR bad key", false},
+            {"mg k v Pd=5\r\n", "CLIENT_ERROR no request id", false},
             {"mg k v O1\r\n", "CLIENT_ERROR no time to wait", false},
             {"mg k v O1 Pd=-5\r\n", "CLIENT_ERROR no time to wait", false},
             {"mg k v O1 Pd=99999999999999999999\r\n", "CLIENT_ERROR no time to wait", false},
             {"mg " + "k".repeat(251) + " v O1 Pd=5\r\n", "CLIENT_ERROR bad key", false},
             {"ms k 2 O1\r\nab\r\n", "CLIENT_ERROR no time to wait", false},
-            {"ms k\r\n", "CLIENT_ERROR bad length", true}, {"ms k x O1 Pd=5\r\n", "CLIENT_ERROR bad length", true},
+            {"ms k\r\n", "CLIENT_ERROR bad length", true},
+            {"ms k x O1 Pd=5\r\n", "CLIENT_ERROR bad length", true},
             {"ms k 4194305 O1 Pd=5\r\n", "CLIENT_ERROR bad length", true},
             {"ms k 1 O1 Pd=5\r\nabcd\r\n", "CLIENT_ERROR bad data chunk", true},
             {"mg k v O" + "1".repeat(33) + " Pd=5\r\n", "CLIENT_ERROR no request id", false},
@@ -131,8 +136,10 @@
         String big = "VA 65536 O1\r\n" + LONG.substring(0, 65536) + "\r\n";
         String large = "VA 70000 O1\r\n" + LONG + "\r\n"; // its value follows in pieces
         return new Object[][] {{"VA 0 O1\r\n\r\n", Outcome.COMPLETED, CacheNote.NONE, "VA 0 O1\r\n\r\n"},
-            {"VA 2 O1 h1 Linflight=7,queue=2\r\nab\r\n", Outcome.COMPLETED, CacheNote.HIT, "VA 2 O1\r\nab\r\n"},
-            {big, Outcome.COMPLETED, CacheNote.NONE, big}, {large, Outcome.COMPLETED, CacheNote.NONE, "VA 70000 O1\r\n"},
+            {"VA 2 O1 h1 Linflight=7,queue=2\r\nab\r\n", Outcome.COMPLETED, CacheNote.HIT,
+                "VA 2 O1\r\nab\r\n"},
+            {big, Outcome.COMPLETED, CacheNote.NONE, big},
+            {large, Outcome.COMPLETED, CacheNote.NONE, "VA 70000 O1\r\n"},
             {"HD O1 cff\r\n", Outcome.COMPLETED, CacheNote.NONE, "HD O1 cff\r\n"},
             {"EN O1 h0\r\n", Outcome.MISS, CacheNote.MISS, null},
             {"EN O1 h0 Z\r\n", Outcome.MISS, CacheNote.FETCH_OUT, null},
@@ -141,7 +148,8 @@
     }
 
     @Test(dataProvider = "replies")
-    public void aNodesReplyIsReadWhereverItIsSplit(String reply, Outcome outcome, CacheNote note, String answer)
+    public void aNodesReplyIsReadWhereverItIsSplit(String reply, Outcome outcome, CacheNote note,
+                                                   String answer)
         throws IOException {
         for (int split = 1; split < Math.min(100, reply.length()); split++) {
             Reply r = MetaReply.read(source(reply, split), "1");
@@ -154,8 +162,10 @@
 
     @DataProvider
     Object[][] faultyReplies() {
-        return new Object[][] {{""}, {"VA 2 O2\r\nab\r\n"}, {"VA 2\r\nab\r\n"}, {"VA x O1\r\n"}, {"VA 4194305 O1\r\n"},
-            {"VA 2 O1\r\nabc\r\n"}, {"VA 2 O1\r\na"}, {"EN O2\r\n"}, {"HD O2 c1\r\n"}, {"HD O1\r\n"}, {"CLIENT_ERROR no\r\n"},
+        return new Object[][] {{""}, {"VA 2 O2\r\nab\r\n"}, {"VA 2\r\nab\r\n"}, {"VA x O1\r\n"},
+            {"VA 4194305 O1\r\n"},
+            {"VA 2 O1\r\nabc\r\n"}, {"VA 2 O1\r\na"}, {"EN O2\r\n"}, {"HD O2 c1\r\n"}, {"HD O1\r\n"},
+            {"CLIENT_ERROR no\r\n"},
             {LONG}, {"VA 2 O1"}};
     }
 
@@ -167,7 +177,8 @@
     @Test
     public void aProbeIsAnsweredByFieldsOfWhichTheUnknownAreSkipped() throws IOException {
         Reply r = MetaReply.readProbe(source("STAT util 0.5\r\nSTAT inflight 3\r\nSTAT queue 1\r\nEND\r\n"));
-        assertEquals(List.of(r.outcome(), r.load().inFlight(), r.load().queue()), List.of(Outcome.COMPLETED, 3.0, 1.0));
+        assertEquals(List.of(r.outcome(), r.load().inFlight(), r.load().queue()),
+            List.of(Outcome.COMPLETED, 3.0, 1.0));
         assertEquals(MetaReply.readProbe(source("SERVER_ERROR busy\r\n")).outcome(), Outcome.ERROR);
         assertThrows(IOException.class, () -> MetaReply.readProbe(source("STAT a 1\r\n".repeat(100))));
     }
@@ -175,9 +186,11 @@
     @DataProvider
     Object[][] origins() {
         String ok = "HTTP/1.1 200 OK\r\n";
-        return new Object[][] {{READ, ok + "Content-Length: 2\r\nX-Load: queue=4\r\n\r\nab", Outcome.COMPLETED,
+        return new Object[][] {
+            {READ, ok + "Content-Length: 2\r\nX-Load: queue=4\r\n\r\nab", Outcome.COMPLETED,
                 "VA 2 O9b1f\r\nab\r\n", true},
-            {READ, ok + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n2;x=y\r\nbc\r\n0\r\n\r\n", Outcome.COMPLETED,
+            {READ, ok + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n2;x=y\r\nbc\r\n0\r\n\r\n",
+                Outcome.COMPLETED,
                 "VA 3 O9b1f\r\nabc\r\n", true},
             {READ, ok + "\r\nabc", Outcome.COMPLETED, "VA 3 O9b1f\r\nabc\r\n", false},
             {READ, "HTTP/1.1 100 Continue\r\n\r\n" + ok + "Connection: close\r\nContent-Length: 0\r\n\r\n",
@@ -185,14 +198,19 @@
             {WRITE, ok + "content-length: 2\r\n\r\nff", Outcome.COMPLETED, "HD O9b1f cff\r\n", true},
             {WRITE, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR, null, true},
             {WRITE, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR, null, true},
-            {WRITE, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", Outcome.TURNED_AWAY, null, true},
-            {READ, "HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 1\r\n\r\nx", Outcome.TURNED_AWAY, null, true},
-            {READ, "HTTP/1.1 500 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR, null, true}};
+            {WRITE, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", Outcome.TURNED_AWAY, null,
+                true},
+            {READ, "HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 1\r\n\r\nx", Outcome.TURNED_AWAY, null,
+                true},
+            {READ, "HTTP/1.1 500 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR, null,
+                true}};
     }
 
     @Test(dataProvider = "origins")
-    public void theOriginsReplyIsReadWhereverItIsSplit(String command, String reply, Outcome outcome, String answer,
-                                                       boolean more) throws IOException {
+    public void theOriginsReplyIsReadWhereverItIsSplit(String command, String reply, Outcome outcome,
+                                                       String answer,
+                                                       boolean more)
+        throws IOException {
         MetaCommand c = MetaCommand.read(source(command));
         for (int split = 1; split < reply.length(); split++) {
             Reply r = Http.read(source(reply, split), c);
@@ -206,9 +224,12 @@
     @DataProvider
     Object[][] faultyOrigins() {
         String ok = "HTTP/1.1 200 OK\r\n";
-        return new Object[][] {{""}, {"SSH-2.0\r\n\r\n"}, {"HTTP/1.1 x\r\n\r\n"}, {ok + "Content-Length: 3\r\n\r\nab"},
-            {ok + "Content-Length: 4194305\r\n\r\n"}, {ok + "Content-Length: -1\r\n\r\n"}, {ok + ": x\r\n\r\n"},
-            {ok + "Transfer-Encoding: chunked\r\n\r\nzz\r\n"}, {ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n"},
+        return new Object[][] {{""}, {"SSH-2.0\r\n\r\n"}, {"HTTP/1.1 x\r\n\r\n"},
+            {ok + "Content-Length: 3\r\n\r\nab"},
+            {ok + "Content-Length: 4194305\r\n\r\n"}, {ok + "Content-Length: -1\r\n\r\n"},
+            {ok + ": x\r\n\r\n"},
+            {ok + "Transfer-Encoding: chunked\r\n\r\nzz\r\n"},
+            {ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n"},
             {ok + "Content-Length: -1\r\nContent-Length: 1\r\n\r\na"},
             {ok + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"},
             {ok + "A: b\r\n".repeat(200)}, {ok + "A: " + LONG}, {ok + "\r\n" + LONG}};
@@ -247,7 +268,8 @@
 
     @DataProvider
     Object[][] json() {
-        return new Object[][] {{"{}", Map.of()}, {" [1, -2.5e1 ,\"a\\u0041\\n\\\"\"] ", List.of(1.0, -25.0, "aA\n\"")},
+        return new Object[][] {{"{}", Map.of()},
+            {" [1, -2.5e1 ,\"a\\u0041\\n\\\"\"] ", List.of(1.0, -25.0, "aA\n\"")},
             {"{\"a\":{\"b\":[true,false]}}", Map.of("a", Map.of("b", List.of(true, false)))}, {"null", null}};
     }
 
@@ -258,7 +280,8 @@
 
     @DataProvider
     Object[][] faultyJson() {
-        return new Object[][] {{""}, {"{"}, {"{\"a\"}"}, {"[1,]"}, {"[1 2]"}, {"\"a"}, {"\"\\x\""}, {"\"\\u00g0\""},
+        return new Object[][] {{""}, {"{"}, {"{\"a\"}"}, {"[1,]"}, {"[1 2]"}, {"\"a"}, {"\"\\x\""},
+            {"\"\\u00g0\""},
             {"tru"}, {"1 2"}, {"--1"}, {"1e999"}, {"{\"a\":1"}, {"[".repeat(100)}, {"\"\n\""}};
     }
 
@@ -270,13 +293,16 @@
     @Test
     public void entriesHaveTheSameNumbersWhereverTheyAreReached() throws IOException {
         Members.Names names = new Members.Names(List.of("m1", "origin"), List.of("a"), true);
-        Members one = Members.read(Json.read(Peers.list(41, true, Peers.target("s-1", "origin", 80, "active", 5),
-            Peers.target("s-2", "m9", 81, "leaving", 0))), names);
-        Members two = Members.read(Json.read(Peers.list(42, false, Peers.target("s-1", "origin", 99, "left", 5))), names);
+        Members one = Members
+            .read(Json.read(Peers.list(41, true, Peers.target("s-1", "origin", 80, "active", 5),
+                Peers.target("s-2", "m9", 81, "leaving", 0))), names);
+        Members two = Members
+            .read(Json.read(Peers.list(42, false, Peers.target("s-1", "origin", 99, "left", 5))), names);
         assertEquals(List.of(one.revision(), one.whole(), two.whole()), List.of(41L, true, false));
         var first = one.members().get(0);
         assertEquals(first.entry().id(), two.members().get(0).entry().id());
-        assertEquals(List.of(first.entry().kind().value(), first.entry().startedNs(), first.endpoint().getPort()),
+        assertEquals(
+            List.of(first.entry().kind().value(), first.entry().startedNs(), first.endpoint().getPort()),
             List.of(1, 5_000_000L, 80));
         assertEquals(List.of(first.entry().phase(), one.members().get(1).entry().phase(),
             two.members().get(0).entry().phase()), List.of(Phase.READY, Phase.DRAINING, Phase.GONE));
--- a/proxy/src/test/java/spurroad/protocol/PeerMessageTest.java
+++ b/proxy/src/test/java/spurroad/protocol/PeerMessageTest.java
@@ -16,9 +16,12 @@
     @DataProvider
     Object[][] words() {
         CacheKey key = new CacheKey(Long.MIN_VALUE + 7);
-        return new Object[][] {{new Word(Topic.HELD, Long.MIN_VALUE, 1, key), 21}, {new Word(Topic.HELD, 5, -0.25, key), 21},
-            {new Word(Topic.HELD, 5, 0.25, key), 21}, {new Word(Topic.ASK, 5, 419, key), 21}, {new Word(Topic.KEPT, 5, 12.5, 35_000_000, 0, key), 29},
-            {new Word(Topic.KEPT, 5, 0, 0, 1, key), 29}, {Word.written(true), 13}, {new Word(Topic.ORIGIN, 0, 0.25), 13},
+        return new Object[][] {{new Word(Topic.HELD, Long.MIN_VALUE, 1, key), 21},
+            {new Word(Topic.HELD, 5, -0.25, key), 21},
+            {new Word(Topic.HELD, 5, 0.25, key), 21}, {new Word(Topic.ASK, 5, 419, key), 21},
+            {new Word(Topic.KEPT, 5, 12.5, 35_000_000, 0, key), 29},
+            {new Word(Topic.KEPT, 5, 0, 0, 1, key), 29}, {Word.written(true), 13},
+            {new Word(Topic.ORIGIN, 0, 0.25), 13},
             {new Word(Topic.QUEUE, 1L << 47, 12.5, 35_000_000, 0.25), 21}, {new Word(Topic.ASKED, 3, 1), 13},
             {new Word(Topic.BEYOND, 0, 0.5), 13}};
     }
@@ -32,21 +35,26 @@
             byte[] part = Arrays.copyOf(message, cut);
             assertThrows(ProtocolException.class, () -> PeerMessage.read(part));
         }
-        assertThrows(ProtocolException.class, () -> PeerMessage.read(Arrays.copyOf(message, message.length + 1)));
+        assertThrows(ProtocolException.class,
+            () -> PeerMessage.read(Arrays.copyOf(message, message.length + 1)));
     }
 
     @DataProvider
     Object[][] impossible() {
         return new Object[][] {{0, 0f, 1f}, {0, 2f, 1f}, {0, -1.5f, 1f}, {0, Float.NaN, 1f}, {1, -1f, 1f},
-            {1, Float.POSITIVE_INFINITY, 1f}, {1, 2e6f, 1f}, {1, 5f, 0f}, {1, 5f, 1.01f}, {1, 5f, -0.5f}, {1, 5f, Float.NaN},
-            {2, 0f, 1f}, {2, 7f, 1f}, {3, 1.5f, 1f}, {3, -0.1f, 1f}, {4, 0.5f, 1f}, {5, 1.5f, 1f}, {5, -0.1f, 1f},
-            {6, -1f, 1f}, {6, 1.5f, 1f}, {6, 2e6f, 1f}, {7, -1f, 1f}, {7, 2e6f, 0f}, {7, 5f, 0.5f}, {7, 5f, Float.NaN}, {8, 1f, 1f}, {-1, 1f, 1f}};
+            {1, Float.POSITIVE_INFINITY, 1f}, {1, 2e6f, 1f}, {1, 5f, 0f}, {1, 5f, 1.01f}, {1, 5f, -0.5f},
+            {1, 5f, Float.NaN},
+            {2, 0f, 1f}, {2, 7f, 1f}, {3, 1.5f, 1f}, {3, -0.1f, 1f}, {4, 0.5f, 1f}, {5, 1.5f, 1f},
+            {5, -0.1f, 1f},
+            {6, -1f, 1f}, {6, 1.5f, 1f}, {6, 2e6f, 1f}, {7, -1f, 1f}, {7, 2e6f, 0f}, {7, 5f, 0.5f},
+            {7, 5f, Float.NaN}, {8, 1f, 1f}, {-1, 1f, 1f}};
     }
 
     @Test(dataProvider = "impossible")
     public void whatNobodyCanMeanIsNoMessage(int topic, float value, float kept) {
         boolean keyed = topic == 0 || topic == 6 || topic == 7, queue = topic == 1 || topic == 7;
-        ByteBuffer bytes = ByteBuffer.allocate(13 + (queue ? 8 : 0) + (keyed ? 8 : 0)).put((byte) topic).putLong(1).putFloat(value);
+        ByteBuffer bytes = ByteBuffer.allocate(13 + (queue ? 8 : 0) + (keyed ? 8 : 0)).put((byte) topic)
+            .putLong(1).putFloat(value);
         byte[] message = (queue ? bytes.putInt(1000).putFloat(kept) : bytes).array();
         assertThrows(ProtocolException.class, () -> PeerMessage.read(message));
     }
--- a/proxy/src/test/java/spurroad/routing/CallTimingTest.java
+++ b/proxy/src/test/java/spurroad/routing/CallTimingTest.java
@@ -14,7 +14,8 @@
     /** Whether lists are pushed, and the time for asking in ms. */
     @DataProvider
     Object[][] settings() {
-        return new Object[][] {{false, 200}, {false, 500}, {false, 1000}, {false, 2900}, {false, 4000}, {false, 10_000},
+        return new Object[][] {{false, 200}, {false, 500}, {false, 1000}, {false, 2900}, {false, 4000},
+            {false, 10_000},
             {false, 20_000}, {false, 3_600_000}, {true, 20_000}, {true, 500}};
     }
 
@@ -25,8 +26,10 @@
         for (int i = 0; i < DRAWS; i++) {
             long silent = timing.silentNs();
             assertTrue(timing.pauseNs() + timing.callNs() <= CallTiming.TOLD_NS);
-            assertTrue(timing.connectMs() * MS + timing.pauseNs() <= CallTiming.TOLD_NS - 1000 * MS, "1 s is left");
-            assertTrue(silent + timing.callAfterSilenceNs(silent) <= CallTiming.TOLD_NS - 1500 * MS, "1.5 s are left");
+            assertTrue(timing.connectMs() * MS + timing.pauseNs() <= CallTiming.TOLD_NS - 1000 * MS,
+                "1 s is left");
+            assertTrue(silent + timing.callAfterSilenceNs(silent) <= CallTiming.TOLD_NS - 1500 * MS,
+                "1.5 s are left");
         }
     }
 
@@ -36,7 +39,8 @@
         CallTiming timing = new CallTiming(pushed, askWithinMs * MS, new Random(2));
         for (int i = 0; i < DRAWS; i++) {
             assertTrue(timing.pauseNs() <= askWithinMs * MS, "after a call that was answered");
-            assertTrue(timing.callNs() + timing.pauseNs() <= 4 * askWithinMs * MS, "after one without an answer");
+            assertTrue(timing.callNs() + timing.pauseNs() <= 4 * askWithinMs * MS,
+                "after one without an answer");
         }
     }
 
--- a/proxy/src/test/java/spurroad/routing/DiscoveryReturnsTest.java
+++ b/proxy/src/test/java/spurroad/routing/DiscoveryReturnsTest.java
@@ -30,8 +30,8 @@
 import spurroad.transport.Threads;
 
 /**
- * Discovery is away in every way there is, and returns: on real connections, how long it takes until the list is known. Each
- * play has a discovery of its own; all are played at the same time.
+ * Discovery is away in every way there is, and returns: on real connections, how long it takes until the list
+ * is known. Each play has a discovery of its own; all are played at the same time.
  */
 public class DiscoveryReturnsTest {
     private static final long MS = 1_000_000L;
@@ -194,7 +194,7 @@
                         tell(s, 2);
                     }
                 }
-                default -> { } // it hangs
+                default -> {} // it hangs
             }
             waitForEnd(s);
         }
@@ -258,7 +258,8 @@
                     same.add(discovery);
                     discovery.begin();
                     ProxyStart start = settings.start(discovery.port);
-                    Decider decider = new Decider(start, threads, loop, log, clock, new Descriptors(64), Dialer.TCP, MS);
+                    Decider decider = new Decider(start, threads, loop, log, clock, new Descriptors(64),
+                        Dialer.TCP, MS);
                     new ListWatch(start, threads, loop, log, decider).follow(); // by itself: no module asks
                 }
                 plays.get(settings).put(away, same);
@@ -297,7 +298,8 @@
         for (Discovery discovery : plays.get(settings).get(away)) {
             longest = Math.max(longest, discovery.tookMs());
         }
-        System.out.println("list known after its return, " + settings + ", " + away + ": " + longest + " ms at most");
+        System.out.println(
+            "list known after its return, " + settings + ", " + away + ": " + longest + " ms at most");
         assertTrue(longest < MOST_MS, longest + " ms");
     }
 }
--- a/proxy/src/test/java/spurroad/routing/NodeActorTest.java
+++ b/proxy/src/test/java/spurroad/routing/NodeActorTest.java
@@ -63,8 +63,10 @@
     }
 
     private NodeActor node(int port, boolean origin, Descriptors descriptors, long restNs) {
-        return new NodeActor(new NodeActor.Surroundings(loop, log, descriptors, SHORT_NS, LONG_NS, restNs, Dialer.TCP,
-            () -> { }, (e, reply) -> ended.add(reply), forwarded::incrementAndGet), member(port, 0), origin);
+        return new NodeActor(
+            new NodeActor.Surroundings(loop, log, descriptors, SHORT_NS, LONG_NS, restNs, Dialer.TCP,
+                () -> {}, (e, reply) -> ended.add(reply), forwarded::incrementAndGet),
+            member(port, 0), origin);
     }
 
     private static Member member(int port, long started) {
@@ -72,8 +74,10 @@
     }
 
     private static Member member(int port, long started, Phase phase) {
-        return new Member(new NodeEntry(new NodeId(1), new KindId(0), new ZoneId(0), new CellId(0), started, 1,
-            phase), new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+        return new Member(
+            new NodeEntry(new NodeId(1), new KindId(0), new ZoneId(0), new CellId(0), started, 1,
+                phase),
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
     private Errand begin(NodeActor node, long allowNs) throws IOException {
@@ -102,11 +106,15 @@
     @DataProvider
     Object[][] ends() {
         String head = "HTTP/1.1 ";
-        return new Object[][] {{false, "VA 1 O1\r\na\r\n", Outcome.COMPLETED}, {false, "EN O1\r\n", Outcome.MISS},
-            {false, "SERVER_ERROR failed\r\n", Outcome.ERROR}, {false, "SERVER_ERROR busy\r\n", Outcome.TURNED_AWAY},
-            {false, "", Outcome.DROPPED}, {false, null, Outcome.TIMED_OUT}, {false, "VA 5 O1\r\na", Outcome.TIMED_OUT},
+        return new Object[][] {{false, "VA 1 O1\r\na\r\n", Outcome.COMPLETED},
+            {false, "EN O1\r\n", Outcome.MISS},
+            {false, "SERVER_ERROR failed\r\n", Outcome.ERROR},
+            {false, "SERVER_ERROR busy\r\n", Outcome.TURNED_AWAY},
+            {false, "", Outcome.DROPPED}, {false, null, Outcome.TIMED_OUT},
+            {false, "VA 5 O1\r\na", Outcome.TIMED_OUT},
             {false, "VA 1 O2\r\na\r\n", Outcome.DROPPED}, {false, "CLIENT_ERROR x\r\n", Outcome.DROPPED},
-            {false, "x".repeat(9000), Outcome.DROPPED}, {true, "", Outcome.DROPPED}, {true, null, Outcome.TIMED_OUT},
+            {false, "x".repeat(9000), Outcome.DROPPED}, {true, "", Outcome.DROPPED},
+            {true, null, Outcome.TIMED_OUT},
             {true, head + "200 OK\r\nContent-Length: 1\r\n\r\na", Outcome.COMPLETED},
             {true, head + "500 No\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR},
             {true, head + "504 No\r\nContent-Length: 0\r\nX-Not-Run: 1\r\n\r\n", Outcome.TURNED_AWAY},
@@ -114,9 +122,11 @@
     }
 
     @Test(dataProvider = "ends")
-    public void whatComesBackDecidesTheOutcome(boolean origin, String answer, Outcome outcome) throws Exception {
+    public void whatComesBackDecidesTheOutcome(boolean origin, String answer, Outcome outcome)
+        throws Exception {
         try (Peers.Peer peer = new Peers.Peer(message -> answer)) {
-            begin(node(peer.port, origin, new Descriptors(100)), outcome == Outcome.TIMED_OUT ? SHORT_NS : LONG_NS);
+            begin(node(peer.port, origin, new Descriptors(100)),
+                outcome == Outcome.TIMED_OUT ? SHORT_NS : LONG_NS);
             assertEquals(outcome(), outcome);
             assertTrue(peer.await(origin ? "GET /k" : "mg k v O1 Pc=read,d=").length() > 5);
             if (outcome == Outcome.TIMED_OUT || outcome == Outcome.DROPPED) {
@@ -128,8 +138,10 @@
     @DataProvider
     Object[][] endings() {
         String head = "HTTP/1.1 200 OK\r\n";
-        return new Object[][] {{head + "\r\nhalf", false, Outcome.COMPLETED}, {head + "\r\nhalf", true, Outcome.DROPPED},
-            {head + "\r\n", true, Outcome.DROPPED}, {head + "Content-Length: 8\r\n\r\nhalf", false, Outcome.DROPPED},
+        return new Object[][] {{head + "\r\nhalf", false, Outcome.COMPLETED},
+            {head + "\r\nhalf", true, Outcome.DROPPED},
+            {head + "\r\n", true, Outcome.DROPPED},
+            {head + "Content-Length: 8\r\n\r\nhalf", false, Outcome.DROPPED},
             {head + "Content-Length: 8\r\n\r\nhalf", true, Outcome.DROPPED},
             {head + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false, Outcome.DROPPED},
             {head + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", true, Outcome.DROPPED},
@@ -208,7 +220,10 @@
         }
     }
 
-    /** Bad nodes, first score: a second answer of the origin, which names no id, was passed on for the next query. */
+    /**
+     * Bad nodes, first score: a second answer of the origin, which names no id, was passed on for the next
+     * query.
+     */
     @Test
     public void anAnswerWithMoreBehindItCountsAndItsConnectionServesNoOther() throws Exception {
         String once = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na";
@@ -285,7 +300,7 @@
                 case STARTED_ANEW -> node.listed(member(peer.port, 5), false);
                 case MOVED -> node.listed(member(other.port, 0), false);
                 case CALLED_OFF, LEFT_AND_CALLED_OFF -> node.stop(e);
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -302,7 +317,8 @@
     /** The connect has begun in the same turn of the loop, so it comes up after the news each time. */
     @Test(dataProvider = "news")
     public void nothingBeginsOnAConnectionThatComesUpAfterTheNews(News news) throws Exception {
-        try (Peers.Peer peer = new Peers.Peer(message -> null); Peers.Peer other = new Peers.Peer(message -> null)) {
+        try (Peers.Peer peer = new Peers.Peer(message -> null);
+            Peers.Peer other = new Peers.Peer(message -> null)) {
             NodeActor node = node(peer.port, false, new Descriptors(100));
             Errand e = errand(node, SHORT_NS);
             loop.tell(() -> {
@@ -317,10 +333,12 @@
     /** The place comes free in the same turn as the news. */
     @Test(dataProvider = "news")
     public void nothingBeginsAtAPlaceThatComesFreeAfterTheNews(News news) throws Exception {
-        try (Peers.Peer holds = new Peers.Peer(message -> null); Peers.Peer peer = new Peers.Peer(message -> null);
-             Peers.Peer other = new Peers.Peer(message -> null)) {
+        try (Peers.Peer holds = new Peers.Peer(message -> null);
+            Peers.Peer peer = new Peers.Peer(message -> null);
+            Peers.Peer other = new Peers.Peer(message -> null)) {
             Descriptors descriptors = new Descriptors(2 + 8 + 2);
-            NodeActor holder = node(holds.port, false, descriptors), node = node(peer.port, false, descriptors);
+            NodeActor holder = node(holds.port, false, descriptors),
+                node = node(peer.port, false, descriptors);
             Errand first = begin(holder, LONG_NS), e = errand(node, LONG_NS);
             assertNotNull(holds.await("mg"));
             loop.tell(() -> {
@@ -335,21 +353,25 @@
         }
     }
 
-    /** How a repeat is held up until its time to go out is over: by its connect, or by all places being taken. */
+    /**
+     * How a repeat is held up until its time to go out is over: by its connect, or by all places being taken.
+     */
     @DataProvider
     Object[][] heldUp() {
         return new Object[][] {{false}, {true}};
     }
 
     /**
-     * A repeat was decided on while nodes knew it for one, and went out when its connection came up, after that (zone+brink,
-     * sent again outside its window).
+     * A repeat was decided on while nodes knew it for one, and went out when its connection came up, after
+     * that (zone+brink, sent again outside its window).
      */
     @Test(dataProvider = "heldUp")
     public void aRepeatDoesNotGoOutOnceItIsNoneAnyMore(boolean place) throws Exception {
-        try (Peers.Peer holds = new Peers.Peer(message -> null); Peers.Peer peer = new Peers.Peer(message -> null)) {
+        try (Peers.Peer holds = new Peers.Peer(message -> null);
+            Peers.Peer peer = new Peers.Peer(message -> null)) {
             Descriptors descriptors = new Descriptors(place ? 2 + 8 + 2 : 100);
-            NodeActor holder = node(holds.port, false, descriptors), node = node(peer.port, false, descriptors);
+            NodeActor holder = node(holds.port, false, descriptors),
+                node = node(peer.port, false, descriptors);
             Errand first = begin(holder, LONG_NS), e = errand(node, LONG_NS, clock.now() + SHORT_NS / 2);
             assertNotNull(holds.await("mg"));
             loop.tell(() -> {
@@ -401,10 +423,13 @@
     @DataProvider
     Object[][] whatComesToAnIdleConnection() {
         String again = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb";
-        return new Object[][] {{false, null}, {true, null}, {false, "VA 1 O1\r\nb\r\n"}, {true, again}, {true, "x"}};
+        return new Object[][] {{false, null}, {true, null}, {false, "VA 1 O1\r\nb\r\n"}, {true, again},
+            {true, "x"}};
     }
 
-    /** The loop is held up while it comes, so it can't have been told of it when the next query is written. */
+    /**
+     * The loop is held up while it comes, so it can't have been told of it when the next query is written.
+     */
     @Test(dataProvider = "whatComesToAnIdleConnection")
     public void whatStandsUnreadOnAnIdleConnectionIsSeenBeforeAQueryIsRiskedOnIt(boolean origin, String comes)
         throws Exception {
@@ -433,19 +458,26 @@
         }
     }
 
-    /** What meets while the loop is held up: an alarm that is due goes off first, then sockets are read, then what is told. */
+    /**
+     * What meets while the loop is held up: an alarm that is due goes off first, then sockets are read, then
+     * what is told.
+     */
     @DataProvider
     Object[][] meetings() {
         String answer = "EN O1\r\n";
         return new Object[][] {{answer, false, false, Outcome.MISS}, {answer, true, false, Outcome.MISS},
-            {answer, false, true, Outcome.TIMED_OUT}, {answer, true, true, Outcome.TIMED_OUT}, {"", false, false, Outcome.DROPPED},
-            {"", true, false, Outcome.CANCELLED}, {"", false, true, Outcome.TIMED_OUT}, {"", true, true, Outcome.TIMED_OUT},
-            {null, true, false, Outcome.CANCELLED}, {null, true, true, Outcome.TIMED_OUT}, {null, false, true, Outcome.TIMED_OUT}};
+            {answer, false, true, Outcome.TIMED_OUT}, {answer, true, true, Outcome.TIMED_OUT},
+            {"", false, false, Outcome.DROPPED},
+            {"", true, false, Outcome.CANCELLED}, {"", false, true, Outcome.TIMED_OUT},
+            {"", true, true, Outcome.TIMED_OUT},
+            {null, true, false, Outcome.CANCELLED}, {null, true, true, Outcome.TIMED_OUT},
+            {null, false, true, Outcome.TIMED_OUT}};
     }
 
     /** An answer or an end, a call off and the time being over, all together: one end of the errand. */
     @Test(dataProvider = "meetings")
-    public void whateverMeetsInOneTurnAnErrandEndsOnce(String says, boolean calledOff, boolean late, Outcome outcome)
+    public void whateverMeetsInOneTurnAnErrandEndsOnce(String says, boolean calledOff, boolean late,
+                                                       Outcome outcome)
         throws Exception {
         CountDownLatch held = new CountDownLatch(1), went = new CountDownLatch(1);
         try (Peers.Peer peer = new Peers.Peer(message -> null)) {
--- a/proxy/src/test/java/spurroad/routing/ResultsTest.java
+++ b/proxy/src/test/java/spurroad/routing/ResultsTest.java
@@ -8,7 +8,10 @@
 import org.testng.annotations.Test;
 
 public class ResultsTest {
-    /** Any order of ends, classes that appear, vanish and come back: ends and what is outstanding make up what was taken. */
+    /**
+     * Any order of ends, classes that appear, vanish and come back: ends and what is outstanding make up what
+     * was taken.
+     */
     @Test
     public void endsAndWhatIsOutstandingMakeUpWhatWasTaken() {
         for (long seed = 0; seed < 200; seed++) {
--- a/proxy/src/test/java/spurroad/start/ProxyStartTest.java
+++ b/proxy/src/test/java/spurroad/start/ProxyStartTest.java
@@ -16,7 +16,8 @@
 import spurroad.model.ZoneId;
 
 public class ProxyStartTest {
-    private static final String GOOD = Peers.start(8500, 1024, Peers.list(41, true, Peers.target("s", "m1", 1, "active", 0)));
+    private static final String GOOD = Peers.start(8500, 1024,
+        Peers.list(41, true, Peers.target("s", "m1", 1, "active", 0)));
 
     @Test
     public void figuresAreDerivedAsFromTheSimulatorsLines() {
@@ -33,7 +34,7 @@
         assertEquals(lines.deployment.originKind(), new KindId(1));
         assertEquals(lines.deployment.tracks().get(1).effect(), Effect.DEDUPLICATED);
         assertEquals(List.of(start.figures.tracks, start.figures.customers,
-                start.figures.names.kinds(), start.figures.names.zones()),
+            start.figures.names.kinds(), start.figures.names.zones()),
             List.of(List.of("read", "put"), List.of("acme"), List.of("m1", "origin"), List.of("a")));
         assertEquals(List.of(start.name, start.seed, start.known.revision()), List.of("n1", 0x7fL, 41L));
     }
@@ -73,13 +74,16 @@
             {GOOD.replace("\"tracks\"", "\"x\""), "tracks", "missing"},
             {GOOD.replace("\"retryable\"", "\"often\""), "tracks.0.effect", "unknown"},
             {GOOD.replace("\"sloTimeUs\":8000000", "\"x\":1"), "tracks.0.sloTimeUs", "missing"},
-            {GOOD.replace("\"allowancePerS\":1000", "\"allowancePerS\":\"x\""), "projects.0.allowancePerS", "number"},
+            {GOOD.replace("\"allowancePerS\":1000", "\"allowancePerS\":\"x\""), "projects.0.allowancePerS",
+                "number"},
             {GOOD.replace("\"tickUs\":5000", "\"tickUs\":true"), "tickUs", "number"},
             {GOOD.replace("\"seed\"", "\"admin_addr\":\"here\",\"seed\""), "admin_addr", "address"},
             {GOOD.replace("\"seed\"", "\"admin_addr\":7,\"seed\""), "admin_addr", "text"},
-            {GOOD.replace("\"mostExecutions\":6", "\"mostExecutions\":0"), "allowed.mostExecutions", "over 0"},
+            {GOOD.replace("\"mostExecutions\":6", "\"mostExecutions\":0"), "allowed.mostExecutions",
+                "over 0"},
             {GOOD.replace("\"sloTimeUs\":8000000", "\"sloTimeUs\":-1"), "tracks.0.sloTimeUs", "over 0"},
-            {GOOD.replace("\"importance\":5", "\"statementTimeoutUs\":0"), "tracks.1.statementTimeoutUs", "over 0"},
+            {GOOD.replace("\"importance\":5", "\"statementTimeoutUs\":0"), "tracks.1.statementTimeoutUs",
+                "over 0"},
             {GOOD.replace("\"put\"", "\"read\""), "tracks.1.name", "another class"},
             {GOOD.replace("\"probes\":true", "\"probes\":1"), "allowed.probes", "true nor false"}};
     }
@@ -136,13 +140,15 @@
         assertEquals(new ProxyStart(file).admin.getPort(), 7);
         assertEquals(new ProxyStart(file, Map.of("BALANCER_ADMIN_ADDR", "127.0.0.1:8")).admin.getPort(), 8);
         assertTrue(new ProxyStart(file).places < new ProxyStart(GOOD).places, "its callers hold descriptors");
-        assertTrue(expectThrows(FaultyKeyException.class, () -> new ProxyStart(GOOD, Map.of("BALANCER_LISTEN_FD", "3")))
+        assertTrue(expectThrows(FaultyKeyException.class,
+            () -> new ProxyStart(GOOD, Map.of("BALANCER_LISTEN_FD", "3")))
             .getMessage().contains("BALANCER_LISTEN_FD"));
     }
 
     @Test
     public void theFileIsTheOneThatTheEnvironmentNames() {
-        for (Map<String, String> environment : List.of(Map.<String, String>of(), Map.of("BALANCER_CONFIG", "/none"))) {
+        for (Map<String, String> environment : List.of(Map.<String, String>of(),
+            Map.of("BALANCER_CONFIG", "/none"))) {
             assertTrue(expectThrows(FaultyKeyException.class, () -> ProxyStart.ofEnvironment(environment))
                 .getMessage().contains("BALANCER_CONFIG"));
         }
--- a/proxy/src/test/java/spurroad/transport/HeldBytesTest.java
+++ b/proxy/src/test/java/spurroad/transport/HeldBytesTest.java
@@ -14,7 +14,10 @@
 public class HeldBytesTest {
     private static final int PIECE = 64 * 1024, PIECES = 60;
 
-    /** Whoever passes on only while all has been taken has one piece held at most, however slowly that is read. */
+    /**
+     * Whoever passes on only while all has been taken has one piece held at most, however slowly that is
+     * read.
+     */
     @Test
     public void whatIsPassedOnOnlyOnceAllWasTakenIsNeverMoreThanAPiece() throws Exception {
         for (long seed = 0; seed < 5; seed++) {
@@ -25,16 +28,16 @@
             Pipe back = Pipe.open(), there = Pipe.open();
             AtomicLong most = new AtomicLong(), sent = new AtomicLong();
             CountDownLatch all = new CountDownLatch(1);
-            Connection c = new Connection(loop, back.source(), there.sink(), () -> { });
+            Connection c = new Connection(loop, back.source(), there.sink(), () -> {});
             ByteBuffer piece = ByteBuffer.allocateDirect(PIECE);
             Connection.User user = new Connection.User() {
                 private int pieces;
 
                 @Override
-                public void connected() { }
+                public void connected() {}
 
                 @Override
-                public void came(ByteBuffer bytes) { }
+                public void came(ByteBuffer bytes) {}
 
                 @Override
                 public void drained() {
@@ -51,7 +54,7 @@
                 }
 
                 @Override
-                public void ended() { }
+                public void ended() {}
             };
             loop.tell(() -> {
                 c.open(user);
--- a/proxy/src/test/java/spurroad/transport/TransportTest.java
+++ b/proxy/src/test/java/spurroad/transport/TransportTest.java
@@ -97,7 +97,8 @@
             assertEquals(d.takeForClient(), i < 3, "what is left");
         }
         d.giveFromNode();
-        assertEquals(List.of(d.takeForClient(), d.takeForClient(), d.takeForNode()), List.of(true, false, false));
+        assertEquals(List.of(d.takeForClient(), d.takeForClient(), d.takeForNode()),
+            List.of(true, false, false));
         for (int i = 0; i < 4; i++) {
             d.giveFromClient();
         }
--- a/proxy/src/test/java/spurroad/wirehost/WireHostTest.java
+++ b/proxy/src/test/java/spurroad/wirehost/WireHostTest.java
@@ -19,8 +19,9 @@
     private static final String LAUNCH = record(10, "00000003 0000000000000009" + text(SETTINGS));
     private static final String LIST = record(20, "00000003 02 0000000000000029 00000001"
         + "00 00 0000000000000000 3f800000 0a124a07 1f93 03 0000");
-    private static final String ASK = record(30, "00000003 000bba465d3a91c4 00000000 0000 00 00000000 00002ee0"
-        + "91f03b7c55d20a64 0003a980");
+    private static final String ASK = record(30,
+        "00000003 000bba465d3a91c4 00000000 0000 00 00000000 00002ee0"
+            + "91f03b7c55d20a64 0003a980");
 
     private static String text(String s) {
         return String.format("%08x", s.length()) + HexFormat.of().formatHex(s.getBytes());
--- a/rig/src/main/java/spurroad/rig/judge/Judge.java
+++ b/rig/src/main/java/spurroad/rig/judge/Judge.java
@@ -19,11 +19,12 @@
 import spurroad.rig.scenario.Scenario.Rules;
 
 /**
- * Holds proxies to the four rules by what crossed the sockets, and by nothing that they say of themselves: it is told
- * what clients sent and were answered, what came to servers and had its effect, and what proxies were told of nodes.
+ * Holds proxies to the four rules by what crossed the sockets, and by nothing that they say of themselves: it
+ * is told what clients sent and were answered, what came to servers and had its effect, and what proxies were
+ * told of nodes.
  *
- * <p>A query is remembered until {@link #FORGET_NS} after its client's last wait is over; what a server does for it
- * later than that is not seen. One thread only, that of the world's timeline.
+ * <p>A query is remembered until {@link #FORGET_NS} after its client's last wait is over; what a server does
+ * for it later than that is not seen. One thread only, that of the world's timeline.
  */
 public final class Judge implements Witness {
     private static final long FORGET_NS = 5_000_000_000L; // ns; longer than any queue before a server
@@ -56,7 +57,7 @@
         }
     }
 
-    private record Leaving(long toldAt, String how) { }
+    private record Leaving(long toldAt, String how) {}
 
     private final Rules rules;
     private final Map<String, Case> cases = new HashMap<>();
@@ -238,7 +239,8 @@
     }
 
     private boolean isExcused(long at, Case c) {
-        return heldSince.containsKey(c.t.proxy) || heldUntil.getOrDefault(c.t.proxy, Long.MIN_VALUE) >= c.takenAt;
+        return heldSince.containsKey(c.t.proxy)
+            || heldUntil.getOrDefault(c.t.proxy, Long.MIN_VALUE) >= c.takenAt;
     }
 
     // ---- time
--- a/rig/src/main/java/spurroad/rig/judge/Tally.java
+++ b/rig/src/main/java/spurroad/rig/judge/Tally.java
@@ -10,8 +10,8 @@
 import spurroad.rig.scenario.Scenario;
 
 /**
- * What became of queries: by second of when they fell due, by track and by customer, with latency from when they were
- * due. What falls due before the counted time is left out of all but the seconds.
+ * What became of queries: by second of when they fell due, by track and by customer, with latency from when
+ * they were due. What falls due before the counted time is left out of all but the seconds.
  */
 public final class Tally implements Population.Book {
     private static final long MOST_US = 600_000_000L; // us; a latency above ten minutes counts as that
--- a/rig/src/main/java/spurroad/rig/model/CacheNode.java
+++ b/rig/src/main/java/spurroad/rig/model/CacheNode.java
@@ -8,8 +8,9 @@
 import spurroad.rig.time.Timeline;
 
 /**
- * A cache node: copies of keys with their ages, servers with a queue, a speed that comes up slowly after a start, and
- * what can be wrong with it. It knows nothing of how queries reach it. One thread only, that of its timeline.
+ * A cache node: copies of keys with their ages, servers with a queue, a speed that comes up slowly after a
+ * start, and what can be wrong with it. It knows nothing of how queries reach it. One thread only, that of
+ * its timeline.
  */
 public final class CacheNode {
     /** Whether a peer can reach it. */
@@ -28,7 +29,7 @@
     private static final int LEAST_STRIKES = 16; // queries; turned away by a cold one, so many at least push it over
     private static final long FALLEN_NS = 3_000_000_000L; // ns; one that fell over is up again after that, cold
 
-    private record Copy(int version, long until) { }
+    private record Copy(int version, long until) {}
 
     public final String uid;
     public final NodeGroup group;
@@ -39,7 +40,7 @@
     private final Chance chance;
     private final Servers servers;
     private final Map<Integer, Copy> copies;
-    private Runnable reachChanged = () -> { };
+    private Runnable reachChanged = () -> {};
     private Reach reach = Reach.UP;
     private boolean silent, cutBack;
     private double speed = 1, failing, spoilt;
@@ -48,7 +49,8 @@
     private long hits, reads;
 
     /** One that has been up for long, and holds nothing yet. */
-    public CacheNode(String uid, NodeGroup group, Load load, Timeline timeline, Ledger ledger, Witness witness,
+    public CacheNode(String uid, NodeGroup group, Load load, Timeline timeline, Ledger ledger,
+                     Witness witness,
                      Chance chance) {
         this.uid = uid;
         this.group = group;
@@ -84,7 +86,8 @@
             @Override
             public long begins() {
                 double cost = group.service().meanNs() / (group.speed() * speed * warmth());
-                return chance.time(cost, group.service().spread()) + (request.fresh() ? group.connectNs() : 0);
+                return chance.time(cost, group.service().spread())
+                    + (request.fresh() ? group.connectNs() : 0);
             }
 
             @Override
--- a/rig/src/main/java/spurroad/rig/model/Chance.java
+++ b/rig/src/main/java/spurroad/rig/model/Chance.java
@@ -4,7 +4,9 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** What one part of a world draws by chance: a stream of its own, so that a change in one part moves no other. */
+/**
+ * What one part of a world draws by chance: a stream of its own, so that a change in one part moves no other.
+ */
 public final class Chance {
     private final UniformRandomProvider source;
     private final ZigguratSampler.Exponential exponential;
--- a/rig/src/main/java/spurroad/rig/model/Origin.java
+++ b/rig/src/main/java/spurroad/rig/model/Origin.java
@@ -9,8 +9,9 @@
 import spurroad.rig.time.Timeline;
 
 /**
- * The slow origin: reads and writes with servers and a queue of its own. It remembers the marks of deduplicated
- * writes for as long as their track says, and drops repeats. One thread only, that of its timeline.
+ * The slow origin: reads and writes with servers and a queue of its own. It remembers the marks of
+ * deduplicated writes for as long as their track says, and drops repeats. One thread only, that of its
+ * timeline.
  */
 public final class Origin {
     public static final String UID = "origin";
@@ -27,7 +28,8 @@
     private long sweptAt;
     private double speed = 1;
 
-    public Origin(Service service, Load load, Timeline timeline, Ledger ledger, Witness witness, Chance chance) {
+    public Origin(Service service, Load load, Timeline timeline, Ledger ledger, Witness witness,
+                  Chance chance) {
         this.service = service;
         this.load = load;
         this.timeline = timeline;
--- a/rig/src/main/java/spurroad/rig/model/Popularity.java
+++ b/rig/src/main/java/spurroad/rig/model/Popularity.java
@@ -4,7 +4,10 @@
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 import spurroad.rig.scenario.Scenario.Load;
 
-/** Which key a query asks for: by Zipf's law, the ranks moving on over the keys with time, and one hot key at times. */
+/**
+ * Which key a query asks for: by Zipf's law, the ranks moving on over the keys with time, and one hot key at
+ * times.
+ */
 final class Popularity {
     private final Load load;
     private final Chance chance;
@@ -15,7 +18,8 @@
     Popularity(Load load, Chance chance) {
         this.load = load;
         this.chance = chance;
-        ranks = load.zipf() > 0 ? RejectionInversionZipfSampler.of(chance.source(), load.keys(), load.zipf()) : null;
+        ranks = load.zipf() > 0 ? RejectionInversionZipfSampler.of(chance.source(), load.keys(), load.zipf())
+            : null;
     }
 
     /** The key of a query at a time. */
--- a/rig/src/main/java/spurroad/rig/model/Population.java
+++ b/rig/src/main/java/spurroad/rig/model/Population.java
@@ -9,9 +9,9 @@
 import spurroad.rig.time.Timeline;
 
 /**
- * All clients: queries fall due at a rate, whatever became of those before (open loop), and each is asked for until it
- * is served, may not be asked again, or its client's patience is over. It knows nothing of how tries reach a proxy. One
- * thread only, that of its timeline.
+ * All clients: queries fall due at a rate, whatever became of those before (open loop), and each is asked for
+ * until it is served, may not be asked again, or its client's patience is over. It knows nothing of how tries
+ * reach a proxy. One thread only, that of its timeline.
  */
 public final class Population {
     /** What carries tries to proxies. */
@@ -130,13 +130,17 @@
         over(t);
         long now = timeline.now();
         switch (answer.kind()) {
-            case VALUE, RECEIPT -> end(t.ask, now - t.ask.due <= t.ask.track.sloNs() ? Ask.End.IN_TIME : Ask.End.LATE);
+            case VALUE, RECEIPT ->
+                end(t.ask, now - t.ask.due <= t.ask.track.sloNs() ? Ask.End.IN_TIME : Ask.End.LATE);
             case REJECTED -> again(t, Ask.End.REJECTED, true, answer.comeBackNs());
             case FAILED -> again(t, Ask.End.FAILED, t.ask.track.effect() == Effect.IDEMPOTENT, 0);
         }
     }
 
-    /** Told by the gateway: the connection ended without an answer. Whether the proxy had taken it is not known. */
+    /**
+     * Told by the gateway: the connection ended without an answer. Whether the proxy had taken it is not
+     * known.
+     */
     public void broken(Try t, boolean sent) {
         if (!t.over) {
             over(t);
--- a/rig/src/main/java/spurroad/rig/model/Request.java
+++ b/rig/src/main/java/spurroad/rig/model/Request.java
@@ -5,9 +5,9 @@
 /**
  * One execution as a server sees it.
  *
- * @param id    of the client's try
- * @param key   by its number
- * @param mark  of a deduplicated write, else empty
+ * @param id of the client's try
+ * @param key by its number
+ * @param mark of a deduplicated write, else empty
  * @param fresh whether its connection has just been opened for it
  */
-public record Request(String id, int key, Track track, String mark, boolean fresh) { }
+public record Request(String id, int key, Track track, String mark, boolean fresh) {}
--- a/rig/src/main/java/spurroad/rig/net/Address.java
+++ b/rig/src/main/java/spurroad/rig/net/Address.java
@@ -5,12 +5,12 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
+import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.group.ChannelGroup;
 import io.netty.channel.group.DefaultChannelGroup;
-import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
@@ -21,8 +21,8 @@
 import java.util.function.Function;
 
 /**
- * One port on loopback at which something listens, or does not: it can refuse connections, or let them hang, and
- * come back at the same port. The loop's, but for opening it the first time.
+ * One port on loopback at which something listens, or does not: it can refuse connections, or let them hang,
+ * and come back at the same port. The loop's, but for opening it the first time.
  */
 final class Address {
     private static final int BACKLOG = 512, HANGING_BACKLOG = 1; // connections
--- a/rig/src/main/java/spurroad/rig/net/ClientSide.java
+++ b/rig/src/main/java/spurroad/rig/net/ClientSide.java
@@ -24,8 +24,8 @@
 import spurroad.rig.world.World;
 
 /**
- * Carries tries to proxies over connections that clients keep, one try on each at a time, and opens more up to a bound;
- * tries for which there is none wait. The loop's.
+ * Carries tries to proxies over connections that clients keep, one try on each at a time, and opens more up
+ * to a bound; tries for which there is none wait. The loop's.
  */
 final class ClientSide implements Population.Gateway {
     private static final long NS_PER_MS = 1_000_000L;
@@ -153,7 +153,8 @@
             opened++;
             at = first;
             channel = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel c) {
@@ -189,7 +190,8 @@
             String list = "c=" + t.ask.track.name() + ",t=" + t.ask.customer.name() + ",d=" + waitMs
                 + (t.ask.mark.isEmpty() ? "" : ",k=" + t.ask.mark) + (t.number > 1 ? ",r=1" : "");
             String line = t.ask.track.write()
-                ? "ms k" + t.ask.key + " " + VALUE_BYTES + " O" + t.id + " P" + list + "\r\n" + "w".repeat(VALUE_BYTES)
+                ? "ms k" + t.ask.key + " " + VALUE_BYTES + " O" + t.id + " P" + list + "\r\n"
+                    + "w".repeat(VALUE_BYTES)
                 : "mg k" + t.ask.key + " v O" + t.id + " P" + list;
             return Unpooled.copiedBuffer(line + "\r\n", StandardCharsets.ISO_8859_1);
         }
@@ -213,20 +215,21 @@
 
         private Answer answer(Try t, MetaDecoder.Message m) {
             switch (m.words()[0]) {
-                case "VA":
+                case "VA" :
                     String[] made = Values.read(m.value());
                     boolean named = m.flag('O').equals(t.id);
-                    return new Answer(Answer.Kind.VALUE, 0, named ? made[0] : "O" + m.flag('O'), version(made[2]));
-                case "HD":
+                    return new Answer(Answer.Kind.VALUE, 0, named ? made[0] : "O" + m.flag('O'),
+                        version(made[2]));
+                case "HD" :
                     return new Answer(Answer.Kind.RECEIPT, 0, m.flag('O').equals(t.id) ? m.flag('c')
                         : "O" + m.flag('O'), 0);
-                case "SERVER_ERROR":
+                case "SERVER_ERROR" :
                     if (m.words().length > 1 && m.words()[1].equals("busy")) {
                         long ms = m.words().length > 2 ? Long.parseLong(m.words()[2]) : 0;
                         return new Answer(Answer.Kind.REJECTED, ms * NS_PER_MS, "", 0);
                     }
                     return new Answer(Answer.Kind.FAILED, 0, "", 0);
-                default:
+                default :
                     return new Answer(Answer.Kind.FAILED, 0, "", 0);
             }
         }
--- a/rig/src/main/java/spurroad/rig/net/DiscoveryServer.java
+++ b/rig/src/main/java/spurroad/rig/net/DiscoveryServer.java
@@ -10,9 +10,9 @@
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.DefaultHttpResponse;
+import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpObjectAggregator;
-import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpServerCodec;
@@ -27,8 +27,8 @@
 import spurroad.rig.world.World;
 
 /**
- * Discovery as one proxy sees it, at an address of that proxy's own, so that the judge knows who was told what and
- * when: whole lists, and watches that say what changed. The loop's.
+ * Discovery as one proxy sees it, at an address of that proxy's own, so that the judge knows who was told
+ * what and when: whole lists, and watches that say what changed. The loop's.
  */
 final class DiscoveryServer {
     private static final long BEAT_S = 2; // s; between empty lines of a watch on which nothing changes
@@ -89,7 +89,8 @@
             };
             follower.accept(world.members.revision());
             world.members.follow(follower);
-            ScheduledFuture<?> beat = channel.eventLoop().scheduleAtFixedRate(() -> line(channel, ""), BEAT_S, BEAT_S,
+            ScheduledFuture<?> beat = channel.eventLoop().scheduleAtFixedRate(() -> line(channel, ""), BEAT_S,
+                BEAT_S,
                 TimeUnit.SECONDS);
             channel.closeFuture().addListener(closed -> {
                 world.members.unfollow(follower);
--- a/rig/src/main/java/spurroad/rig/net/Figures.java
+++ b/rig/src/main/java/spurroad/rig/net/Figures.java
@@ -31,6 +31,7 @@
         if (track == null || !key.matches("k[0-9]{1,9}") || id.isEmpty()) {
             return null;
         }
-        return new Request(id, Integer.parseInt(key.substring(1)), track, figures.getOrDefault("k", ""), fresh);
+        return new Request(id, Integer.parseInt(key.substring(1)), track, figures.getOrDefault("k", ""),
+            fresh);
     }
 }
--- a/rig/src/main/java/spurroad/rig/net/MetaDecoder.java
+++ b/rig/src/main/java/spurroad/rig/net/MetaDecoder.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Cuts what comes into lines of the meta commands, each with the value that belongs to it. The rig's own: it shares
- * nothing with the proxy's parsers, so that a fault of those can't hide here.
+ * Cuts what comes into lines of the meta commands, each with the value that belongs to it. The rig's own: it
+ * shares nothing with the proxy's parsers, so that a fault of those can't hide here.
  */
 final class MetaDecoder extends ByteToMessageDecoder {
     /** One command or answer; its value is empty where it has none. */
@@ -69,7 +69,8 @@
 
     /** The length of the value that follows; -1 for none. */
     private static int valueBytes(String[] words) {
-        int at = words.length > 2 && words[0].equals("ms") ? 2 : words.length > 1 && words[0].equals("VA") ? 1 : 0;
+        int at = words.length > 2 && words[0].equals("ms") ? 2
+            : words.length > 1 && words[0].equals("VA") ? 1 : 0;
         if (at == 0) {
             return -1;
         }
--- a/rig/src/main/java/spurroad/rig/net/OriginServer.java
+++ b/rig/src/main/java/spurroad/rig/net/OriginServer.java
@@ -72,10 +72,12 @@
             }
         }
 
-        private void write(ChannelHandlerContext context, HttpResponseStatus status, byte[] body, boolean notRun) {
+        private void write(ChannelHandlerContext context, HttpResponseStatus status, byte[] body,
+                           boolean notRun) {
             FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 Unpooled.wrappedBuffer(body));
-            response.headers().set("Content-Length", body.length).set("X-Load", "inflight=" + origin.inFlight());
+            response.headers().set("Content-Length", body.length).set("X-Load",
+                "inflight=" + origin.inFlight());
             if (notRun) {
                 response.headers().set("X-Not-Run", "1");
             }
--- a/rig/src/main/java/spurroad/rig/net/ProcessFigures.java
+++ b/rig/src/main/java/spurroad/rig/net/ProcessFigures.java
@@ -11,7 +11,7 @@
     private static final int USER_AT = 11, SYSTEM_AT = 12; // fields behind the name
     private static final int PAGE_KB = 4;
 
-    private ProcessFigures() { }
+    private ProcessFigures() {}
 
     /** Processor time that it has used, in seconds; in steps of 10 ms. */
     static double cpuSeconds(long pid) {
--- a/rig/src/main/java/spurroad/rig/net/ProxyProcess.java
+++ b/rig/src/main/java/spurroad/rig/net/ProxyProcess.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One real proxy as a process of its own: started, stopped and continued, held to a part of a core, killed and started
- * again. Its log and configuration stand in the run's folder. Signals are sent from any thread.
+ * One real proxy as a process of its own: started, stopped and continued, held to a part of a core, killed
+ * and started again. Its log and configuration stand in the run's folder. Signals are sent from any thread.
  */
 final class ProxyProcess {
     private static final long READY_MS = 30_000; // ms; a start takes one second on a whole core
@@ -63,7 +63,8 @@
                 Thread.sleep(20);
             }
         }
-        throw new IOException("p-" + number + " was not ready within " + READY_MS / 1000 + " s; its log is " + log);
+        throw new IOException(
+            "p-" + number + " was not ready within " + READY_MS / 1000 + " s; its log is " + log);
     }
 
     boolean isAlive() {
@@ -80,7 +81,9 @@
         process.destroyForcibly();
     }
 
-    /** Holds it to a part of a core, by stopping and continuing it, until another part is set; 1 lets it run. */
+    /**
+     * Holds it to a part of a core, by stopping and continuing it, until another part is set; 1 lets it run.
+     */
     void share(double part) {
         boolean was = share < 1;
         share = part;
--- a/rig/src/main/java/spurroad/rig/net/Signals.java
+++ b/rig/src/main/java/spurroad/rig/net/Signals.java
@@ -5,13 +5,16 @@
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 
-/** Sends signals to the rig's own children, through one shell that is kept: a process for each would be late. */
+/**
+ * Sends signals to the rig's own children, through one shell that is kept: a process for each would be late.
+ */
 final class Signals implements AutoCloseable {
     private final Process shell;
     private final Writer in;
 
     Signals() throws IOException {
-        shell = new ProcessBuilder("sh").redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD)
+        shell = new ProcessBuilder("sh").redirectErrorStream(true)
+            .redirectOutput(ProcessBuilder.Redirect.DISCARD)
             .start();
         in = shell.outputWriter(StandardCharsets.ISO_8859_1);
     }
--- a/rig/src/main/java/spurroad/rig/net/SocketWorld.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketWorld.java
@@ -23,18 +23,19 @@
 import spurroad.rig.world.World;
 
 /**
- * A scenario on loopback sockets in real time: the same models as in simulated time, on one thread that works all
- * sockets, round real proxies that are processes of their own. Everything that it has opened or started is ended by
- * {@link #close}.
+ * A scenario on loopback sockets in real time: the same models as in simulated time, on one thread that works
+ * all sockets, round real proxies that are processes of their own. Everything that it has opened or started
+ * is ended by {@link #close}.
  */
 public final class SocketWorld implements ProxyControl, AutoCloseable {
     private static final int LOOK_MS = 500; // ms; between looks at what proxies hold
 
     /** What one proxy took. */
-    public record Used(int proxy, double cpuSeconds, double memoryMb, int descriptors) { }
+    public record Used(int proxy, double cpuSeconds, double memoryMb, int descriptors) {}
 
     private final Scenario scenario;
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
+        NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final SocketTimeline timeline = new SocketTimeline(loop);
     private final Signals signals;
@@ -53,7 +54,7 @@
      * Opens all servers; proxies are started by {@link #play}.
      *
      * @param command how a proxy is started, without its configuration
-     * @param folder  where configurations and logs of proxies are put
+     * @param folder where configurations and logs of proxies are put
      */
     public SocketWorld(Scenario scenario, long seed, List<String> command, Path folder, Consumer<String> log)
         throws IOException {
@@ -67,7 +68,8 @@
             nodes.add(new NodeServer(loop, figures, n));
         }
         world.onAppeared(n -> nodes.get(place(n.uid) - 1).serve(n));
-        file = new ProxyFile(world, place -> "127.0.0.1:" + (place == 0 ? origin.port() : nodes.get(place - 1).port()),
+        file = new ProxyFile(world,
+            place -> "127.0.0.1:" + (place == 0 ? origin.port() : nodes.get(place - 1).port()),
             () -> epochMs);
         int[] ports = new int[scenario.world().proxies()];
         for (int i = 0; i < ports.length; i++) {
@@ -102,7 +104,9 @@
         }
     }
 
-    /** Starts the proxies and the faults, and leaves the load to others; where each of them can be reached. */
+    /**
+     * Starts the proxies and the faults, and leaves the load to others; where each of them can be reached.
+     */
     public List<String> open() throws IOException, InterruptedException {
         startProxies();
         loop.execute(() -> {
@@ -112,8 +116,9 @@
         });
         List<String> where = new ArrayList<>();
         proxies.forEach(p -> where.add("proxy p-" + p.number + " 127.0.0.1:" + p.port));
-        world.members.entries().forEach(e -> where.add((e.place() == 0 ? "origin " : "cache node " + e.uid() + " ")
-            + "127.0.0.1:" + (e.place() == 0 ? origin.port() : nodes.get(e.place() - 1).port())));
+        world.members.entries()
+            .forEach(e -> where.add((e.place() == 0 ? "origin " : "cache node " + e.uid() + " ")
+                + "127.0.0.1:" + (e.place() == 0 ? origin.port() : nodes.get(e.place() - 1).port())));
         discoveries.forEach(d -> where.add("discovery 127.0.0.1:" + d.port()));
         return where;
     }
@@ -130,7 +135,8 @@
             }
         });
         long most = world.endNs() / 1_000_000L + 10_000;
-        for (long until = System.nanoTime() + most * 1_000_000L; !done.isDone() && System.nanoTime() < until;) {
+        for (long until = System.nanoTime() + most * 1_000_000L; !done.isDone()
+            && System.nanoTime() < until;) {
             proxies.forEach(ProxyProcess::look);
             Thread.sleep(LOOK_MS);
         }
@@ -171,7 +177,8 @@
 
     /** What each proxy took so far. */
     public List<Used> used() {
-        return proxies.stream().map(p -> new Used(p.number, p.cpuSeconds(), p.mostMemoryMb(), p.mostDescriptors()))
+        return proxies.stream()
+            .map(p -> new Used(p.number, p.cpuSeconds(), p.mostMemoryMb(), p.mostDescriptors()))
             .toList();
     }
 
--- a/rig/src/main/java/spurroad/rig/net/Values.java
+++ b/rig/src/main/java/spurroad/rig/net/Values.java
@@ -5,9 +5,11 @@
 import spurroad.rig.model.Reply;
 import spurroad.rig.model.Request;
 
-/** Values say for which try and in which version they were made, so that whoever is served with one can tell. */
+/**
+ * Values say for which try and in which version they were made, so that whoever is served with one can tell.
+ */
 final class Values {
-    private Values() { }
+    private Values() {}
 
     static byte[] of(Request request, Reply reply) {
         byte[] head = (request.id() + " k" + request.key() + " " + reply.version() + " ")
--- a/rig/src/main/java/spurroad/rig/play/Comparison.java
+++ b/rig/src/main/java/spurroad/rig/play/Comparison.java
@@ -6,21 +6,22 @@
 import java.util.Random;
 
 /**
- * Two builds or policies on the same scenario, paired by seed. The interval of the mean difference is a percentile
- * bootstrap over the pairs (Efron, 1979): no shape of the differences is assumed.
+ * Two builds or policies on the same scenario, paired by seed. The interval of the mean difference is a
+ * percentile bootstrap over the pairs (Efron, 1979): no shape of the differences is assumed.
  *
- * @param pairs      goodput of the first and the second, by seed
+ * @param pairs goodput of the first and the second, by seed
  * @param difference mean of second less first
- * @param from       lower end of its 95% interval
- * @param to         upper end
+ * @param from lower end of its 95% interval
+ * @param to upper end
  */
-public record Comparison(String first, String second, List<Pair> pairs, double difference, double from, double to) {
+public record Comparison(String first, String second, List<Pair> pairs, double difference, double from,
+                         double to) {
     private static final int DRAWS = 10_000; // times that the pairs are drawn anew
     private static final double TAIL = 0.025;
     private static final long SEED = 20_261_201; // the same interval for the same pairs
 
     /** One seed. */
-    public record Pair(long seed, double first, double second, int firstBroken, int secondBroken) { }
+    public record Pair(long seed, double first, double second, int firstBroken, int secondBroken) {}
 
     /** Of results that belong together by their places. */
     public static Comparison of(List<Result> first, List<Result> second) {
--- a/rig/src/main/java/spurroad/rig/play/Player.java
+++ b/rig/src/main/java/spurroad/rig/play/Player.java
@@ -25,7 +25,7 @@
      * Plays it to its end.
      *
      * @param folder for logs and configurations of proxies
-     * @param log    is told a line for each fault
+     * @param log is told a line for each fault
      */
     Result play(Scenario scenario, long seed, Path folder, Consumer<String> log)
         throws IOException, InterruptedException;
@@ -47,7 +47,10 @@
 
     /** On sockets, with a proxy's jar and the flags of its virtual machine. */
     final class Sockets implements Player {
-        /** As operators start it on a small machine; the archive of classes is left out, which not every jar has. */
+        /**
+         * As operators start it on a small machine; the archive of classes is left out, which not every jar
+         * has.
+         */
         public static final List<String> FLAGS = List.of("-XX:-UsePerfData", "-Xms64m", "-Xmx64m", "-Xmn40m",
             "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xbatch", "-Xss256k", "-XX:StackShadowPages=10");
         private static final int HASH_DIGITS = 12;
@@ -60,7 +63,10 @@
             this(jar, flags, "");
         }
 
-        /** With all proxies on some of the machine's cores, such as "3" or "2-3"; anywhere where none are named. */
+        /**
+         * With all proxies on some of the machine's cores, such as "3" or "2-3"; anywhere where none are
+         * named.
+         */
         public Sockets(Path jar, List<String> flags, String cores) throws IOException {
             this.jar = jar.toAbsolutePath();
             this.flags = List.copyOf(flags);
@@ -92,8 +98,10 @@
                 Runtime.getRuntime().addShutdownHook(last);
                 World world = sockets.play();
                 Runtime.getRuntime().removeShutdownHook(last);
-                List<Result.Proxy> used = sockets.used().stream().map(u -> new Result.Proxy(u.proxy(), u.cpuSeconds(),
-                    u.memoryMb(), u.descriptors())).toList();
+                List<Result.Proxy> used = sockets.used().stream()
+                    .map(u -> new Result.Proxy(u.proxy(), u.cpuSeconds(),
+                        u.memoryMb(), u.descriptors()))
+                    .toList();
                 return Result.of(world, "sockets", build, voidFor(world, sockets.failure()), used,
                     sockets.clientConnections(), (System.nanoTime() - from) / 1e9);
             }
@@ -101,7 +109,8 @@
 
         /** How a proxy is started, without its configuration. */
         public List<String> command() {
-            List<String> command = new ArrayList<>(cores.isEmpty() ? List.of() : List.of("taskset", "-c", cores));
+            List<String> command = new ArrayList<>(
+                cores.isEmpty() ? List.of() : List.of("taskset", "-c", cores));
             command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
             command.addAll(flags);
             command.addAll(List.of("-jar", jar.toString(), "serve"));
@@ -114,8 +123,10 @@
             }
             Rules rules = world.scenario.rules();
             double lateUs = world.tally.lateUs().getValueAtPercentile(99);
-            return lateUs * 1000 > rules.lateNs() ? "the rig ran late: " + lateUs / 1000 + " ms at the 99th percentile,"
-                + " more than " + rules.lateNs() / 1e6 + " ms" : "";
+            return lateUs * 1000 > rules.lateNs()
+                ? "the rig ran late: " + lateUs / 1000 + " ms at the 99th percentile,"
+                    + " more than " + rules.lateNs() / 1e6 + " ms"
+                : "";
         }
     }
 }
--- a/rig/src/main/java/spurroad/rig/play/Report.java
+++ b/rig/src/main/java/spurroad/rig/play/Report.java
@@ -24,7 +24,10 @@
 import spurroad.rig.scenario.ScenarioFile;
 import spurroad.toml.FaultyFileException;
 
-/** All results of a folder as one HTML page that needs nothing else: tables, plots as SVG, breaches with stories. */
+/**
+ * All results of a folder as one HTML page that needs nothing else: tables, plots as SVG, breaches with
+ * stories.
+ */
 public final class Report {
     private static final int WIDTH = 900, HEIGHT = 260; // of a plot, in pixels
     private static final double SPREAD = 1.2; // times; loads that differ by less are one load
@@ -36,7 +39,7 @@
 
     private final StringBuilder page = new StringBuilder();
 
-    private Report() { }
+    private Report() {}
 
     /** Writes the page; runs that were cut off are named on it. */
     public static void write(Path file, List<Result> results, ResultFolder folder) throws IOException {
@@ -46,8 +49,10 @@
     }
 
     private void all(List<Result> results, ResultFolder folder) throws IOException {
-        page.append("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>spurroad: results</title>"
-            + "<style>").append(STYLE).append("</style></head><body><h1>Results</h1>\n");
+        page.append(
+            "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>spurroad: results</title>"
+                + "<style>")
+            .append(STYLE).append("</style></head><body><h1>Results</h1>\n");
         for (Path p : folder.partial()) {
             page.append("<p class=\"bad\">cut off: ").append(escaped(p.toString())).append("</p>\n");
         }
@@ -60,9 +65,11 @@
             List<Fault> faults = faults(e.getValue().get(0), folder);
             for (int i = 0; i < faults.size(); i++) {
                 Fault f = faults.get(i);
-                page.append(String.format(Locale.ROOT, "<div>%d: %s%s, from %.1f to %.1f s</div>%n", i + 1, f.kind(),
-                    f.targets().isEmpty() ? "" : " at " + escaped(String.join(", ", f.targets())), f.atNs() / 1e9,
-                    (f.atNs() + f.forNs()) / 1e9));
+                page.append(
+                    String.format(Locale.ROOT, "<div>%d: %s%s, from %.1f to %.1f s</div>%n", i + 1, f.kind(),
+                        f.targets().isEmpty() ? "" : " at " + escaped(String.join(", ", f.targets())),
+                        f.atNs() / 1e9,
+                        (f.atNs() + f.forNs()) / 1e9));
             }
             plot("goodput by second of when queries fell due", e.getValue(), faults, Result.Second::goodput);
             plot("latency at the 99th percentile, ms", e.getValue(), faults, Result.Second::p99);
@@ -81,10 +88,14 @@
         for (Result r : results) {
             String rules = !r.voidFor().isEmpty() ? "void: " + r.voidFor()
                 : r.broken() == 0 ? "kept" : r.broken() + " breaches";
-            page.append("<tr><td>").append(escaped(r.scenario())).append("</td><td>").append(escaped(r.build()))
-                .append(String.format(Locale.ROOT, "</td><td>%d</td><td>%.4f</td><td>%d</td><td>%d</td><td>%d</td>"
-                    + "<td>%d</td><td>%.1f</td><td%s>%s</td></tr>%n", r.seed(), r.goodput(), r.all().inTime(),
-                    r.all().late(), r.all().rejected(), r.all().failed() + r.all().unanswered(), r.latencyMs().p99(),
+            page.append("<tr><td>").append(escaped(r.scenario())).append("</td><td>")
+                .append(escaped(r.build()))
+                .append(String.format(Locale.ROOT,
+                    "</td><td>%d</td><td>%.4f</td><td>%d</td><td>%d</td><td>%d</td>"
+                        + "<td>%d</td><td>%.1f</td><td%s>%s</td></tr>%n",
+                    r.seed(), r.goodput(), r.all().inTime(),
+                    r.all().late(), r.all().rejected(), r.all().failed() + r.all().unanswered(),
+                    r.latencyMs().p99(),
                     rules.equals("kept") ? "" : " class=\"bad\"", escaped(rules)));
         }
         page.append("</table>\n");
@@ -98,12 +109,16 @@
             double seconds = Math.max(1, r.seconds().size());
             double offered = r.seconds().stream().mapToLong(Result.Second::due).sum() / seconds;
             double inTime = r.seconds().stream().mapToLong(Result.Second::inTime).sum() / seconds;
-            byBase.computeIfAbsent(cut < 0 ? r.scenario() : r.scenario().substring(0, cut), b -> new LinkedHashMap<>())
+            byBase
+                .computeIfAbsent(cut < 0 ? r.scenario() : r.scenario().substring(0, cut),
+                    b -> new LinkedHashMap<>())
                 .computeIfAbsent(r.build(), b -> new TreeMap<>()).put(offered, inTime);
         }
-        byBase.forEach((base, builds) -> builds.values().removeIf(points -> points.lastKey() < SPREAD * points.firstKey()));
+        byBase.forEach((base, builds) -> builds.values()
+            .removeIf(points -> points.lastKey() < SPREAD * points.firstKey()));
         for (Map.Entry<String, Map<String, TreeMap<Double, Double>>> e : byBase.entrySet()) {
-            XYChart chart = chart(e.getKey() + ": in time a second against offered a second", "offered a second");
+            XYChart chart = chart(e.getKey() + ": in time a second against offered a second",
+                "offered a second");
             e.getValue().forEach((build, points) -> chart.addSeries(build, new ArrayList<>(points.keySet()),
                 new ArrayList<>(points.values())));
             show(chart);
@@ -112,14 +127,16 @@
 
     private static List<Fault> faults(Result r, ResultFolder folder) {
         try {
-            Scenario s = ScenarioFile.read(folder.of(r.scenario(), r.build(), r.seed()).resolve("scenario.toml"));
+            Scenario s = ScenarioFile
+                .read(folder.of(r.scenario(), r.build(), r.seed()).resolve("scenario.toml"));
             return s.faults();
         } catch (FaultyFileException e) {
             return List.of(); // its scenario was of another version: the plots are without marks
         }
     }
 
-    private void plot(String title, List<Result> results, List<Fault> faults, ToDoubleFunction<Result.Second> value)
+    private void plot(String title, List<Result> results, List<Fault> faults,
+                      ToDoubleFunction<Result.Second> value)
         throws IOException {
         XYChart chart = chart(title, "s");
         double most = 0;
@@ -136,7 +153,8 @@
         }
         for (int i = 0; i < faults.size(); i++) {
             Fault f = faults.get(i);
-            double at = f.atNs() / 1e9, to = at + f.forNs() / 1e9, level = -0.03 * (i + 1) * Math.max(1e-9, most);
+            double at = f.atNs() / 1e9, to = at + f.forNs() / 1e9,
+                level = -0.03 * (i + 1) * Math.max(1e-9, most);
             chart.addSeries((i + 1) + ": " + f.kind(), new double[] {at, to}, new double[] {level, level})
                 .setMarker(SeriesMarkers.NONE).setLineWidth(5);
         }
@@ -144,15 +162,18 @@
     }
 
     private static XYChart chart(String title, String below) {
-        XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle(below).build();
-        chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideE).setChartBackgroundColor(Color.WHITE);
+        XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle(below)
+            .build();
+        chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideE)
+            .setChartBackgroundColor(Color.WHITE);
         return chart;
     }
 
     private void show(XYChart chart) throws IOException {
         if (!chart.getSeriesMap().isEmpty()) {
             ByteArrayOutputStream svg = new ByteArrayOutputStream();
-            VectorGraphicsEncoder.saveVectorGraphic(chart, svg, VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
+            VectorGraphicsEncoder.saveVectorGraphic(chart, svg,
+                VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
             String text = svg.toString(StandardCharsets.UTF_8);
             page.append(text.substring(Math.max(0, text.indexOf("<svg")))).append('\n');
         }
@@ -160,8 +181,10 @@
 
     private void breaches(Result r) {
         for (Breach b : r.stories().subList(0, Math.min(MOST_BREACHES, r.stories().size()))) {
-            page.append("<h3 class=\"bad\">").append(b.rule()).append(", seed ").append(r.seed()).append(String.format(
-                Locale.ROOT, ", at %.3f s: ", b.atNs() / 1e9)).append(escaped(b.about() + ", " + b.what()))
+            page.append("<h3 class=\"bad\">").append(b.rule()).append(", seed ").append(r.seed())
+                .append(String.format(
+                    Locale.ROOT, ", at %.3f s: ", b.atNs() / 1e9))
+                .append(escaped(b.about() + ", " + b.what()))
                 .append("</h3><pre>").append(escaped(String.join("\n", b.story()))).append("</pre>\n");
         }
     }
--- a/rig/src/main/java/spurroad/rig/play/ResultFolder.java
+++ b/rig/src/main/java/spurroad/rig/play/ResultFolder.java
@@ -13,9 +13,9 @@
 import java.util.stream.Stream;
 
 /**
- * Where results are kept: a folder for each scenario, build and seed, with the scenario's text, logs and the result. A
- * result is put there in one step when its run is over; a folder without one holds a run that was cut off, and is
- * played again.
+ * Where results are kept: a folder for each scenario, build and seed, with the scenario's text, logs and the
+ * result. A result is put there in one step when its run is over; a folder without one holds a run that was
+ * cut off, and is played again.
  */
 public final class ResultFolder {
     private static final String RESULT = "result.json", SCENARIO = "scenario.toml", PARTIAL = "PARTIAL";
@@ -61,7 +61,8 @@
     }
 
     /** The result of a run that is done with the same scenario, to the letter. */
-    public Optional<Result> find(String scenario, String build, long seed, String scenarioText) throws IOException {
+    public Optional<Result> find(String scenario, String build, long seed, String scenarioText)
+        throws IOException {
         Path folder = of(scenario, build, seed);
         Path result = folder.resolve(RESULT);
         boolean same = Files.exists(result) && Files.exists(folder.resolve(SCENARIO))
@@ -74,7 +75,8 @@
         List<Result> all = new ArrayList<>();
         if (Files.isDirectory(root)) {
             try (Stream<Path> files = Files.walk(root)) {
-                for (Path p : files.filter(f -> f.getFileName().toString().equals(RESULT)).sorted().toList()) {
+                for (Path p : files.filter(f -> f.getFileName().toString().equals(RESULT)).sorted()
+                    .toList()) {
                     all.add(read(p));
                 }
             }
@@ -88,7 +90,8 @@
             return List.of();
         }
         try (Stream<Path> files = Files.walk(root)) {
-            return files.filter(f -> f.getFileName().toString().equals(PARTIAL)).map(Path::getParent).sorted().toList();
+            return files.filter(f -> f.getFileName().toString().equals(PARTIAL)).map(Path::getParent).sorted()
+                .toList();
         }
     }
 
--- a/rig/src/main/java/spurroad/rig/play/ScenarioText.java
+++ b/rig/src/main/java/spurroad/rig/play/ScenarioText.java
@@ -9,7 +9,7 @@
 
 /** A scenario's text with other faults and seeds, all else to the letter as it stood. */
 public final class ScenarioText {
-    private ScenarioText() { }
+    private ScenarioText() {}
 
     /** The text without its faults and seeds, and these instead. */
     public static String with(String text, String name, List<Fault> faults, List<Long> seeds) {
@@ -29,9 +29,10 @@
     }
 
     private static String fault(Fault f) {
-        return "[[faults]]\nkind = \"" + Table.name(f.kind()) + "\"\nat = \"" + time(f.atNs()) + "\"\nfor = \""
+        return "[[faults]]\nkind = \"" + Table.name(f.kind()) + "\"\nat = \"" + time(f.atNs())
+            + "\"\nfor = \""
             + time(f.forNs()) + "\"\n" + (f.targets().isEmpty() ? "" : "targets = [" + f.targets().stream()
-            .map(t -> "\"" + t + "\"").collect(Collectors.joining(", ")) + "]\n")
+                .map(t -> "\"" + t + "\"").collect(Collectors.joining(", ")) + "]\n")
             + (f.kind().hasFactor ? "factor = " + f.factor() + "\n" : "");
     }
 
--- a/rig/src/main/java/spurroad/rig/play/Search.java
+++ b/rig/src/main/java/spurroad/rig/play/Search.java
@@ -10,15 +10,15 @@
 import spurroad.rig.scenario.Scenario.Fault;
 
 /**
- * Looks, in simulated time, for the seed and the times of faults on which a policy does worst, then makes the script as
- * short as it can be and still do as badly. A broken rule is worse than any goodput.
+ * Looks, in simulated time, for the seed and the times of faults on which a policy does worst, then makes the
+ * script as short as it can be and still do as badly. A broken rule is worse than any goodput.
  */
 public final class Search {
     private static final double NEAR = 0.25; // of the loss found: a shorter script may lose so much less
     private static final long LEAST_NS = 100_000_000L; // ns; a fault is not made shorter than that
 
     /** A script and what it scored: its goodput, less one for each broken rule. */
-    public record Found(Scenario scenario, long seed, double score, Result result) { }
+    public record Found(Scenario scenario, long seed, double score, Result result) {}
 
     private final Policy.Kind policy;
     private final Consumer<String> log;
@@ -53,7 +53,8 @@
         List<Fault> faults = new ArrayList<>();
         for (Fault f : s.faults()) {
             long lasts = Math.max(LEAST_NS, (long) (f.forNs() * 2 * random.nextDouble()));
-            long at = s.warmNs() + (long) (random.nextDouble() * Math.max(0, s.lengthNs() - s.warmNs() - LEAST_NS));
+            long at = s.warmNs()
+                + (long) (random.nextDouble() * Math.max(0, s.lengthNs() - s.warmNs() - LEAST_NS));
             faults.add(new Fault(f.kind(), whole(at), whole(Math.min(lasts, s.lengthNs() - at)), f.targets(),
                 f.factor()));
         }
@@ -66,13 +67,17 @@
     }
 
     private static Scenario with(Scenario s, List<Fault> faults) {
-        return new Scenario(s.name(), s.about(), s.warmNs(), s.lengthNs(), s.world(), s.load(), List.copyOf(faults),
+        return new Scenario(s.name(), s.about(), s.warmNs(), s.lengthNs(), s.world(), s.load(),
+            List.copyOf(faults),
             s.rules(), s.seeds());
     }
 
-    /** The shortest script that still does nearly as badly: faults left out, targets left out, times halved. */
+    /**
+     * The shortest script that still does nearly as badly: faults left out, targets left out, times halved.
+     */
     public Found shrink(Found found, double calm) {
-        ToDoubleFunction<Found> excess = f -> f.score - (found.score + NEAR * Math.max(0, calm - found.score));
+        ToDoubleFunction<Found> excess = f -> f.score
+            - (found.score + NEAR * Math.max(0, calm - found.score));
         Found best = found;
         for (boolean again = true; again;) {
             again = false;
@@ -106,8 +111,9 @@
                     f.factor()))));
             }
             if (f.forNs() / 2 >= LEAST_NS) {
-                smaller.add(with(s, replaced(faults, i, new Fault(f.kind(), f.atNs(), whole(f.forNs() / 2), f.targets(),
-                    f.factor()))));
+                smaller.add(with(s,
+                    replaced(faults, i, new Fault(f.kind(), f.atNs(), whole(f.forNs() / 2), f.targets(),
+                        f.factor()))));
             }
         }
         return smaller;
@@ -122,7 +128,7 @@
     /** Plays one script. */
     public Found play(Scenario scenario, long seed) {
         played++;
-        Result r = new Player.Simulated(policy).play(scenario, seed, null, line -> { });
+        Result r = new Player.Simulated(policy).play(scenario, seed, null, line -> {});
         return new Found(scenario, seed, r.goodput() - r.broken(), r);
     }
 }
--- a/rig/src/main/java/spurroad/rig/policy/Baseline.java
+++ b/rig/src/main/java/spurroad/rig/policy/Baseline.java
@@ -22,9 +22,10 @@
 import spurroad.model.TrackId;
 
 /**
- * A plain policy to compare with: it chooses a node by one rule, brings misses and writes to the origin, tries three
- * times where that is allowed, and knows of no load but its own queries out. It keeps the first three rules, as a
- * baseline that breaks them would say nothing; nothing is turned away but what failed three times.
+ * A plain policy to compare with: it chooses a node by one rule, brings misses and writes to the origin,
+ * tries three times where that is allowed, and knows of no load but its own queries out. It keeps the first
+ * three rules, as a baseline that breaks them would say nothing; nothing is turned away but what failed three
+ * times.
  */
 final class Baseline implements Policy {
     private static final int TRIES = 3; // executions at cache nodes; as many as the mechanism has candidates
@@ -193,7 +194,7 @@
     }
 
     @Override
-    public void probed(long at, NodeId id, Outcome outcome, LoadReport load, Decisions into) { }
+    public void probed(long at, NodeId id, Outcome outcome, LoadReport load, Decisions into) {}
 
     @Override
     public void left(long at, QueryId id, Decisions into) {
@@ -208,5 +209,5 @@
     }
 
     @Override
-    public void reached(long at, Decisions into) { }
+    public void reached(long at, Decisions into) {}
 }
--- a/rig/src/main/java/spurroad/rig/policy/Policy.java
+++ b/rig/src/main/java/spurroad/rig/policy/Policy.java
@@ -14,16 +14,18 @@
 import spurroad.model.TrackId;
 
 /**
- * What decides in a simulated proxy: the decision module, or a baseline that it is compared with. The calls are those
- * of {@link Balance}, which says what each means.
+ * What decides in a simulated proxy: the decision module, or a baseline that it is compared with. The calls
+ * are those of {@link Balance}, which says what each means.
  */
 public interface Policy {
     void listed(long at, List<NodeEntry> entries, boolean complete, Decisions into);
 
-    void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write, long budgetNs,
+    void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
+                 long budgetNs,
                  Decisions into);
 
-    void ended(long at, QueryId id, int execution, Outcome outcome, LoadReport load, boolean last, Decisions into);
+    void ended(long at, QueryId id, int execution, Outcome outcome, LoadReport load, boolean last,
+               Decisions into);
 
     void probed(long at, NodeId id, Outcome outcome, LoadReport load, Decisions into);
 
@@ -65,7 +67,8 @@
         }
 
         @Override
-        public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
+        public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
+                            boolean write,
                             long budgetNs, Decisions into) {
             balance.arrived(at, id, track, customer, key, write, 0, budgetNs, into);
         }
--- a/rig/src/main/java/spurroad/rig/scenario/ScenarioFile.java
+++ b/rig/src/main/java/spurroad/rig/scenario/ScenarioFile.java
@@ -27,7 +27,7 @@
     private static final long US = 1_000L, MS = 1_000_000L, S = 1_000_000_000L, HOUR = 3600 * S;
     private static final double PARTS = 1e-6; // parts of a whole have to come to one but for rounding
 
-    private ScenarioFile() { }
+    private ScenarioFile() {}
 
     /** Reads and checks a file; all that is wrong with it is told at once. */
     public static Scenario read(Path path) throws FaultyFileException {
@@ -46,8 +46,9 @@
             file.set(e.getKey(), e.getValue());
         }
         Scenario s = read(file);
-        return set.isEmpty() ? s : new Scenario(s.name() + set, s.about(), s.warmNs(), s.lengthNs(), s.world(),
-            s.load(), s.faults(), s.rules(), s.seeds());
+        return set.isEmpty() ? s
+            : new Scenario(s.name() + set, s.about(), s.warmNs(), s.lengthNs(), s.world(),
+                s.load(), s.faults(), s.rules(), s.seeds());
     }
 
     private static Scenario read(TomlFile file) throws FaultyFileException {
@@ -87,7 +88,8 @@
             t.fault("nodes", "is missing; expected at least one [[world.nodes]]");
         }
         return new World(t.whole("proxies", 1, 1, 1000), t.number("cores", 1, 0.01, 64),
-            t.whole("memory-mb", 192, 64, 1 << 16), t.whole("sockets", 1024, 64, 1 << 20), List.copyOf(groups),
+            t.whole("memory-mb", 192, 64, 1 << 16), t.whole("sockets", 1024, 64, 1 << 20),
+            List.copyOf(groups),
             service(t.table("origin"), 32, 128, 30 * MS), t.time("list-delay", 100 * MS, 0, HOUR),
             t.time("one-way", 200 * US, 0, S));
     }
@@ -95,7 +97,8 @@
     private static NodeGroup group(Table t) {
         return new NodeGroup(t.needText("name"), t.whole("count", 1, 1, 10_000), t.text("zone", "z1"),
             t.text("kind", "m1"), t.number("weight", 1, 0.01, 1000), t.number("speed", 1, 0.001, 1000),
-            service(t, 8, 64, 5 * MS), t.whole("keys", 5000, 0, 100_000_000), t.time("keep", 60 * S, MS, 100 * HOUR),
+            service(t, 8, 64, 5 * MS), t.whole("keys", 5000, 0, 100_000_000),
+            t.time("keep", 60 * S, MS, 100 * HOUR),
             t.whole("connections", 512, 1, 1 << 20), t.time("connect-cost", MS, 0, S),
             t.time("report-age", 100 * MS, 0, HOUR),
             t.time("warm-up", 9 * S, 0, HOUR), t.number("start-share", 0.3, 0.01, 1));
@@ -144,7 +147,8 @@
         long slo = t.time("slo", 300 * MS, MS, HOUR);
         long timeout = t.time("timeout", 1000 * MS, MS, HOUR);
         if (timeout < slo) {
-            t.fault("timeout", "is shorter than the SLO time, " + Table.time(slo) + "; expected as much at least");
+            t.fault("timeout",
+                "is shorter than the SLO time, " + Table.time(slo) + "; expected as much at least");
         }
         return new Track(t.needText("name"), t.needNumber("part", 0, 1), effect,
             t.flag("write", effect != Effect.IDEMPOTENT), slo, timeout,
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedProxy.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedProxy.java
@@ -20,11 +20,14 @@
 import spurroad.rig.time.Timeline;
 
 /**
- * One proxy in simulated time: what decides, alone, with a pool of connections to each node that costs nothing of
- * its own. What a real proxy's processor, sockets and gate add is not here.
+ * One proxy in simulated time: what decides, alone, with a pool of connections to each node that costs
+ * nothing of its own. What a real proxy's processor, sockets and gate add is not here.
  */
 final class SimulatedProxy {
-    /** Where the policy's time begins; its figures fade from zero, and nodes that started "long ago" are at zero. */
+    /**
+     * Where the policy's time begins; its figures fade from zero, and nodes that started "long ago" are at
+     * zero.
+     */
     static final long EPOCH_NS = 1_000_000_000_000L;
     private static final long CONNECT_NS = 250_000_000L; // ns; how long a connection may take to come up
 
@@ -137,7 +140,8 @@
         queries.put(t, q);
         byId.put(q.id, q);
         long budget = t.until - timeline.now() - oneWay - world.deployment.tickNs();
-        policy.arrived(now(), q.id, new TrackId(world.track(t.ask.track)), new CustomerId(world.customer(t.ask.customer)),
+        policy.arrived(now(), q.id, new TrackId(world.track(t.ask.track)),
+            new CustomerId(world.customer(t.ask.customer)),
             world.key(t.ask.key), t.ask.track.write(), Math.max(0, budget), fresh());
         carryOut();
     }
@@ -189,7 +193,8 @@
         for (Decisions.Answer a : answers) {
             Query q = byId.get(a.query());
             if (q != null) {
-                answer(q, new Answer(a.rejected() ? Answer.Kind.REJECTED : Answer.Kind.FAILED, a.comeBackNs(), "", 0));
+                answer(q, new Answer(a.rejected() ? Answer.Kind.REJECTED : Answer.Kind.FAILED, a.comeBackNs(),
+                    "", 0));
             }
         }
         probes.forEach(this::probe);
@@ -310,8 +315,9 @@
         finish(e, !outcome.answered());
         boolean last = outcome == Outcome.COMPLETED && !q.over;
         if (last) {
-            answer(q, new Answer(r.kind() == Reply.Kind.VALUE ? Answer.Kind.VALUE : Answer.Kind.RECEIPT, 0, q.t.id,
-                r.version()));
+            answer(q,
+                new Answer(r.kind() == Reply.Kind.VALUE ? Answer.Kind.VALUE : Answer.Kind.RECEIPT, 0, q.t.id,
+                    r.version()));
         }
         policy.ended(now(), q.id, e.number, outcome, new LoadReport(inFlight, Double.NaN), last, fresh());
         carryOut();
--- a/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
+++ b/rig/src/main/java/spurroad/rig/sim/SimulatedWorld.java
@@ -31,8 +31,8 @@
 import spurroad.start.ProxyStart;
 
 /**
- * A scenario in simulated time: the models of a world round what decides in each proxy, with messages that take a
- * fixed time. Deterministic: the same scenario and seed give the same run, in every process.
+ * A scenario in simulated time: the models of a world round what decides in each proxy, with messages that
+ * take a fixed time. Deterministic: the same scenario and seed give the same run, in every process.
  */
 public final class SimulatedWorld implements Population.Gateway, ProxyControl {
     final SimulatedTimeline timeline = new SimulatedTimeline();
@@ -127,14 +127,15 @@
             uids.put(id, e.uid());
             boolean isOrigin = e.uid().equals(Origin.UID);
             List<String> kinds = scenario.world().kinds(), zones = scenario.world().zones();
-            entries.add(new NodeEntry(id, new KindId(isOrigin ? kinds.size() : kinds.indexOf(e.group().kind())),
-                new ZoneId(isOrigin ? 0 : zones.indexOf(e.group().zone())), new CellId(isOrigin ? 0 : 1),
-                e.startedAt() < 0 ? 0 : SimulatedProxy.EPOCH_NS + e.startedAt(),
-                isOrigin ? 1 : e.group().weight(), switch (e.state()) {
-                    case ACTIVE -> Phase.READY;
-                    case LEAVING -> Phase.DRAINING;
-                    case LEFT -> Phase.GONE;
-                }));
+            entries
+                .add(new NodeEntry(id, new KindId(isOrigin ? kinds.size() : kinds.indexOf(e.group().kind())),
+                    new ZoneId(isOrigin ? 0 : zones.indexOf(e.group().zone())), new CellId(isOrigin ? 0 : 1),
+                    e.startedAt() < 0 ? 0 : SimulatedProxy.EPOCH_NS + e.startedAt(),
+                    isOrigin ? 1 : e.group().weight(), switch (e.state()) {
+                        case ACTIVE -> Phase.READY;
+                        case LEAVING -> Phase.DRAINING;
+                        case LEFT -> Phase.GONE;
+                    }));
         }
         return entries;
     }
--- a/rig/src/main/java/spurroad/rig/time/SimulatedTimeline.java
+++ b/rig/src/main/java/spurroad/rig/time/SimulatedTimeline.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** Time that passes from one piece of work to the next, as fast as these run; the same each time they are the same. */
+/**
+ * Time that passes from one piece of work to the next, as fast as these run; the same each time they are the
+ * same.
+ */
 public final class SimulatedTimeline implements Timeline {
     private static final class Due implements Alarm, Comparable<Due> {
         private final long at, number;
--- a/rig/src/main/java/spurroad/rig/time/Timeline.java
+++ b/rig/src/main/java/spurroad/rig/time/Timeline.java
@@ -1,9 +1,9 @@
 package spurroad.rig.time;
 
 /**
- * The clock that a world runs by, and the work that waits for a moment on it: one thread runs all of it, in the order
- * of its times and, at the same time, in the order in which it was asked for. The same models run on simulated and on
- * real time.
+ * The clock that a world runs by, and the work that waits for a moment on it: one thread runs all of it, in
+ * the order of its times and, at the same time, in the order in which it was asked for. The same models run
+ * on simulated and on real time.
  */
 public interface Timeline {
     /** Work that waits; cancelling it twice, or after it ran, does nothing. */
--- a/rig/src/main/java/spurroad/rig/world/FaultDriver.java
+++ b/rig/src/main/java/spurroad/rig/world/FaultDriver.java
@@ -8,7 +8,9 @@
 import spurroad.rig.scenario.Scenario.Fault;
 import spurroad.rig.world.Membership.State;
 
-/** Does to a world what its scenario says, each fault at its time, and undoes it when its duration is over. */
+/**
+ * Does to a world what its scenario says, each fault at its time, and undoes it when its duration is over.
+ */
 public final class FaultDriver {
     private static final long NOTICE_NS = 4_000_000_000L; // ns; discovery strikes out a silent node after that
     private static final long FLAP_NS = 500_000_000L; // ns; down so long, then up as long
@@ -56,7 +58,7 @@
                 .filter(n -> !on || n.reach() == CacheNode.Reach.UP).toList().forEach(n -> lost(n, on));
             case DRAIN -> nodes(f, n -> drain(n, on));
             case REPLACED -> replaced(f, on);
-            case FLUSHED -> nodes(f, on ? CacheNode::flush : n -> { });
+            case FLUSHED -> nodes(f, on ? CacheNode::flush : n -> {});
             case LATE_LIST -> world.members.late(on);
             case PROXY_STOPPED -> proxies(f, proxies::stopped, on);
             case PROXY_KILLED -> proxies(f, proxies::killed, on);
--- a/rig/src/main/java/spurroad/rig/world/Membership.java
+++ b/rig/src/main/java/spurroad/rig/world/Membership.java
@@ -10,8 +10,8 @@
 import spurroad.rig.time.Timeline;
 
 /**
- * Discovery's list of cache nodes and the origin, with a revision for each change. Changes reach those who follow it
- * after a delay, or once nothing holds them back any more. One thread only, that of its timeline.
+ * Discovery's list of cache nodes and the origin, with a revision for each change. Changes reach those who
+ * follow it after a delay, or once nothing holds them back any more. One thread only, that of its timeline.
  */
 public final class Membership {
     public enum State { ACTIVE, LEAVING, LEFT }
@@ -19,10 +19,10 @@
     /**
      * One entry.
      *
-     * @param place     number of the address; another node may have it later
+     * @param place number of the address; another node may have it later
      * @param startedAt on the world's timeline; negative for long ago
      */
-    public record Entry(String uid, NodeGroup group, int place, State state, long startedAt, long revision) { }
+    public record Entry(String uid, NodeGroup group, int place, State state, long startedAt, long revision) {}
 
     private final Timeline timeline;
     private final long delayNs;
--- a/rig/src/main/java/spurroad/rig/world/ProxyFile.java
+++ b/rig/src/main/java/spurroad/rig/world/ProxyFile.java
@@ -30,7 +30,7 @@
      * For one world.
      *
      * @param endpoint address and port of a place
-     * @param epochMs  Unix time at which the world's timeline began, in milliseconds
+     * @param epochMs Unix time at which the world's timeline began, in milliseconds
      */
     public ProxyFile(World world, IntFunction<String> endpoint, LongSupplier epochMs) {
         this.world = world;
@@ -104,7 +104,8 @@
         settings.put("projects", s.load().customers().stream()
             .map(c -> Map.of("name", c.name(), "allowancePerS", c.share())).toList());
         settings.put("allowed", Map.of("cancel", true, "probes", true, "retryAfter", true, "maxRetryAfterUs",
-            COME_BACK_US, "mostExecutions", MOST_EXECUTIONS, "connectTimeoutUs", CONNECT_US, "idleCloseUs", IDLE_US,
+            COME_BACK_US, "mostExecutions", MOST_EXECUTIONS, "connectTimeoutUs", CONNECT_US, "idleCloseUs",
+            IDLE_US,
             "maxOpen", MOST_OPEN));
         settings.put("obligations", Map.of("coldUs", first.warmUpNs() / NS_PER_US,
             "startCapacity", first.startShare()));
--- a/rig/src/main/java/spurroad/rig/world/World.java
+++ b/rig/src/main/java/spurroad/rig/world/World.java
@@ -18,7 +18,10 @@
 import spurroad.rig.time.Timeline;
 import spurroad.rig.world.Membership.State;
 
-/** The models of a scenario put together on one timeline: all that there is but the proxies and the way to them. */
+/**
+ * The models of a scenario put together on one timeline: all that there is but the proxies and the way to
+ * them.
+ */
 public final class World {
     private static final long SWEEP_NS = 100_000_000L; // ns; between looks of the judge
     private static final long LOOK_NS = 1_000_000_000L; // ns; between looks at queues
@@ -36,7 +39,7 @@
     /** Those that there are or were, by uid. */
     public final Map<String, CacheNode> nodes = new LinkedHashMap<>();
     private final List<Queues> queues = new ArrayList<>();
-    private Consumer<CacheNode> appeared = n -> { };
+    private Consumer<CacheNode> appeared = n -> {};
 
     public World(Scenario scenario, long seed, Timeline timeline) {
         this.scenario = scenario;
@@ -58,7 +61,8 @@
     }
 
     private CacheNode make(String uid, NodeGroup group) {
-        CacheNode node = new CacheNode(uid, group, scenario.load(), timeline, ledger, judge, new Chance(seed, uid));
+        CacheNode node = new CacheNode(uid, group, scenario.load(), timeline, ledger, judge,
+            new Chance(seed, uid));
         nodes.put(uid, node);
         return node;
     }
@@ -121,7 +125,8 @@
         if (timeline.now() < ns) {
             int[] inFlight = nodes.values().stream().filter(n -> n.reach() != CacheNode.Reach.DOWN)
                 .mapToInt(CacheNode::inFlight).toArray();
-            queues.add(new Queues(Arrays.stream(inFlight).average().orElse(0), Arrays.stream(inFlight).max().orElse(0),
+            queues.add(new Queues(Arrays.stream(inFlight).average().orElse(0),
+                Arrays.stream(inFlight).max().orElse(0),
                 origin.inFlight()));
             timeline.after(LOOK_NS, () -> lookUntil(ns));
         }
@@ -133,7 +138,7 @@
     }
 
     /** At one moment: of cache nodes the mean and the most, and the origin. */
-    public record Queues(double mean, int most, int origin) { }
+    public record Queues(double mean, int most, int origin) {}
 
     public Population population(Population.Gateway gateway) {
         return new Population(scenario, seed, timeline, gateway, tally);
--- a/rig/src/test/java/spurroad/rig/Worlds.java
+++ b/rig/src/test/java/spurroad/rig/Worlds.java
@@ -8,9 +8,11 @@
 
 /** Scenarios for tests, as texts with what a test changes. */
 public final class Worlds {
-    private Worlds() { }
+    private Worlds() {}
 
-    /** Four cache nodes in two data centres, two proxies, 200 queries a second, a fifth of them marked writes. */
+    /**
+     * Four cache nodes in two data centres, two proxies, 200 queries a second, a fifth of them marked writes.
+     */
     public static Scenario small(String length, String more) {
         return of("""
             name = "small"
@@ -53,7 +55,8 @@
 
     /** One fault as it stands in a file. */
     public static String fault(String kind, String at, String lasts, String rest) {
-        return "[[faults]]\nkind = \"" + kind + "\"\nat = \"" + at + "\"\nfor = \"" + lasts + "\"\n" + rest + "\n";
+        return "[[faults]]\nkind = \"" + kind + "\"\nat = \"" + at + "\"\nfor = \"" + lasts + "\"\n" + rest
+            + "\n";
     }
 
     /** A kind of fault as a file names it. */
--- a/rig/src/test/java/spurroad/rig/judge/JudgeTest.java
+++ b/rig/src/test/java/spurroad/rig/judge/JudgeTest.java
@@ -45,7 +45,7 @@
             }
 
             @Override
-            public void leave(Try t) { }
+            public void leave(Try t) {}
         };
         new Population(scenario, 1, timeline, gateway, new Tally(scenario)).begin(S);
         timeline.runUntil(S);
--- a/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
+++ b/rig/src/test/java/spurroad/rig/model/CacheNodeTest.java
@@ -50,7 +50,8 @@
         effect = "deduplicated"
         dedup-window = "1s"
         """);
-    private final Scenario.Track read = scenario.load().tracks().get(0), put = scenario.load().tracks().get(1);
+    private final Scenario.Track read = scenario.load().tracks().get(0),
+        put = scenario.load().tracks().get(1);
     private SimulatedTimeline timeline;
     private CacheNode a, b;
     private Origin origin;
@@ -66,7 +67,7 @@
         fell = new ArrayList<>();
         Witness witness = new Witness() {
             @Override
-            public void begun(long at, String uid, Request request) { }
+            public void begun(long at, String uid, Request request) {}
 
             @Override
             public void ended(long at, String uid, Request request, Reply reply) {
@@ -141,17 +142,18 @@
         fetch(b, 7);
         Request write = new Request("w1", 7, put, "m1", false);
         seen.clear();
-        origin.offer(write, r -> { });
+        origin.offer(write, r -> {});
         timeline.runUntil(timeline.now() + 100 * MS);
-        origin.offer(write, r -> { });
+        origin.offer(write, r -> {});
         timeline.runUntil(timeline.now() + 100 * MS);
         assertEquals(seen.stream().filter(s -> s.equals("effect m1")).count(), 1);
         assertEquals(ask(a, 7).kind(), Reply.Kind.MISS);
         assertEquals(ask(b, 7).kind(), Reply.Kind.MISS);
         timeline.runUntil(timeline.now() + S);
-        origin.offer(write, r -> { });
+        origin.offer(write, r -> {});
         timeline.runUntil(timeline.now() + 100 * MS);
-        assertEquals(seen.stream().filter(s -> s.equals("effect m1")).count(), 2, "past the window it is another");
+        assertEquals(seen.stream().filter(s -> s.equals("effect m1")).count(), 2,
+            "past the window it is another");
     }
 
     @Test
@@ -187,7 +189,7 @@
     public void theLoadThatItTellsIsAsOldAsItMayBe() {
         assertEquals(a.report(), 0);
         for (int i = 0; i < 4; i++) {
-            a.offer(request("r" + i, i, false), r -> { });
+            a.offer(request("r" + i, i, false), r -> {});
         }
         assertEquals(a.report(), 0, "told a moment ago");
         timeline.runUntil(timeline.now() + 5 * MS);
@@ -205,7 +207,7 @@
         timeline.runUntil(from + S);
         assertEquals(done[0], 40 * MS, "a quarter of its speed");
         for (int i = 0; i < 40; i++) {
-            a.offer(request("p" + i, i, false), r -> { });
+            a.offer(request("p" + i, i, false), r -> {});
         }
         assertEquals(fell, List.of("a-0"));
         assertEquals(a.reach(), CacheNode.Reach.DOWN);
@@ -213,7 +215,7 @@
         assertEquals(a.reach(), CacheNode.Reach.UP);
         timeline.runUntil(timeline.now() + 5 * S);
         for (int i = 0; i < 40; i++) {
-            a.offer(request("w" + i, i, false), r -> { });
+            a.offer(request("w" + i, i, false), r -> {});
         }
         assertEquals(fell.size(), 1, "a warm one only turns away");
     }
--- a/rig/src/test/java/spurroad/rig/model/PopulationTest.java
+++ b/rig/src/test/java/spurroad/rig/model/PopulationTest.java
@@ -121,9 +121,11 @@
         long first = sent.stream().filter(t -> t.ask.due < S / 10).filter(t -> t.ask.key == 0).count();
         long all = sent.stream().filter(t -> t.ask.due < S / 10).count();
         assertTrue(first > all / 20, first + " of " + all + " for the first key: 0.13 are due to it");
-        long moved = sent.stream().filter(t -> t.ask.due > 39 * S).filter(t -> t.ask.key >= 390 && t.ask.key < 400)
+        long moved = sent.stream().filter(t -> t.ask.due > 39 * S)
+            .filter(t -> t.ask.key >= 390 && t.ask.key < 400)
             .count();
         long then = sent.stream().filter(t -> t.ask.due > 39 * S).count();
-        assertTrue(moved > then / 5, moved + " of " + then + " for the first ten ranks, which have moved on by 390 keys");
+        assertTrue(moved > then / 5,
+            moved + " of " + then + " for the first ten ranks, which have moved on by 390 keys");
     }
 }
--- a/rig/src/test/java/spurroad/rig/net/ClientSideTest.java
+++ b/rig/src/test/java/spurroad/rig/net/ClientSideTest.java
@@ -27,7 +27,10 @@
 public class ClientSideTest {
     private static final long S = 1_000_000_000L;
 
-    /** Plays for a second before a proxy that answers each read by a rule from its id; null ends the connection. */
+    /**
+     * Plays for a second before a proxy that answers each read by a rule from its id; null ends the
+     * connection.
+     */
     private static World play(UnaryOperator<String> rule) throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
@@ -80,8 +83,9 @@
     }
 
     private static void serve(Socket s, UnaryOperator<String> rule) {
-        try (s; BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(),
-            StandardCharsets.ISO_8859_1))) {
+        try (s;
+            BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(),
+                StandardCharsets.ISO_8859_1))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String answer = rule.apply(line.split(" ")[3].substring(1));
                 if (answer == null) {
--- a/rig/src/test/java/spurroad/rig/net/SocketWorldTest.java
+++ b/rig/src/test/java/spurroad/rig/net/SocketWorldTest.java
@@ -26,7 +26,10 @@
         player = new Player.Sockets(JAR, Player.Sockets.FLAGS);
     }
 
-    /** A run on which the machine was too busy says nothing: it is played again, as whoever uses the rig would. */
+    /**
+     * A run on which the machine was too busy says nothing: it is played again, as whoever uses the rig
+     * would.
+     */
     private Result play(Scenario scenario) throws IOException, InterruptedException {
         Result r = once(scenario);
         for (int more = 0; more < 2 && r.voidFor().startsWith("the rig ran late"); more++) {
@@ -36,7 +39,7 @@
     }
 
     private Result once(Scenario scenario) throws IOException, InterruptedException {
-        return player.play(scenario, 1, Files.createTempDirectory("rig-test"), line -> { });
+        return player.play(scenario, 1, Files.createTempDirectory("rig-test"), line -> {});
     }
 
     private static long children() {
@@ -85,7 +88,8 @@
     }
 
     @Test
-    public void aProxyThatIsKilledIsStartedAgainAndWhatItHadTakenIsExcused() throws IOException, InterruptedException {
+    public void aProxyThatIsKilledIsStartedAgainAndWhatItHadTakenIsExcused()
+        throws IOException, InterruptedException {
         Result r = play(Worlds.small("8s", Worlds.fault("proxy-killed", "2s", "2s", "targets = [\"p-1\"]")));
         assertEquals(r.voidFor(), "");
         assertEquals(r.broken(), 0, r.stories().toString());
@@ -103,7 +107,7 @@
         Scenario s = Worlds.small("2s", "");
         Player none = new Player.Sockets(JAR, List.of("-Xmx1m")); // no such machine starts
         try {
-            Result r = none.play(s, 1, Files.createTempDirectory("rig-test"), line -> { });
+            Result r = none.play(s, 1, Files.createTempDirectory("rig-test"), line -> {});
             assertFalse(r.voidFor().isEmpty());
         } catch (IOException e) {
             assertTrue(e.getMessage().contains("was not ready"), e.getMessage());
--- a/rig/src/test/java/spurroad/rig/scenario/ScenarioFileTest.java
+++ b/rig/src/test/java/spurroad/rig/scenario/ScenarioFileTest.java
@@ -52,17 +52,22 @@
             at = "1s"
             targets = ["a-0"]
             """;
-        List<String> faults = expectThrows(FaultyFileException.class, () -> ScenarioFile.of("x.toml", text)).faults()
-            .stream().map(Fault::toString).map(f -> f.substring(0, f.indexOf(':', f.indexOf(": ") + 2))).toList();
-        assertEquals(faults, List.of("x.toml:3: warm", "x.toml:5: world.proxy", "x.toml:8: world.nodes[0].slots",
-            "x.toml:10: world.nodes[1].name", "x.toml:11: load.tracks", "x.toml:17: load.tracks[0].timeout",
-            "x.toml:19: faults[0].kind", "x.toml:23: faults[1].at",
-            "x.toml:24: faults[1].targets", "x.toml:25: faults[2].factor"));
+        List<String> faults = expectThrows(FaultyFileException.class, () -> ScenarioFile.of("x.toml", text))
+            .faults()
+            .stream().map(Fault::toString).map(f -> f.substring(0, f.indexOf(':', f.indexOf(": ") + 2)))
+            .toList();
+        assertEquals(faults,
+            List.of("x.toml:3: warm", "x.toml:5: world.proxy", "x.toml:8: world.nodes[0].slots",
+                "x.toml:10: world.nodes[1].name", "x.toml:11: load.tracks",
+                "x.toml:17: load.tracks[0].timeout",
+                "x.toml:19: faults[0].kind", "x.toml:23: faults[1].at",
+                "x.toml:24: faults[1].targets", "x.toml:25: faults[2].factor"));
     }
 
     /** All that come with the project can be read, and are of many kinds. */
     @Test
-    public void allScenariosThatComeWithTheProjectAreAsTheyShouldBe() throws IOException, FaultyFileException {
+    public void allScenariosThatComeWithTheProjectAreAsTheyShouldBe()
+        throws IOException, FaultyFileException {
         Set<FaultKind> kinds = new HashSet<>();
         int files = 0;
         try (Stream<Path> all = Files.list(ALL)) {
@@ -92,7 +97,8 @@
             rate = 100
             """;
         Scenario s = Worlds.of(text);
-        Scenario.Fault f = new Scenario.Fault(FaultKind.SLOW, 1_500_000_000L, 250_000_000L, List.of("a-0"), 0.25);
+        Scenario.Fault f = new Scenario.Fault(FaultKind.SLOW, 1_500_000_000L, 250_000_000L, List.of("a-0"),
+            0.25);
         Scenario other = ScenarioFile.of("y.toml", ScenarioText.with(text, "y", List.of(f), List.of(9L)));
         assertEquals(other, new Scenario("y", "", s.warmNs(), s.lengthNs(), s.world(), s.load(), List.of(f),
             s.rules(), List.of(9L)));
--- a/rig/src/test/java/spurroad/rig/sim/SimulatedWorldTest.java
+++ b/rig/src/test/java/spurroad/rig/sim/SimulatedWorldTest.java
@@ -35,11 +35,12 @@
 /** Whole worlds in simulated time: what they keep to, and that planted faults of a proxy are seen. */
 public class SimulatedWorldTest {
     private static World play(Scenario scenario, long seed, Policy.Maker policy) {
-        return new SimulatedWorld(scenario, seed, policy, line -> { }).play();
+        return new SimulatedWorld(scenario, seed, policy, line -> {}).play();
     }
 
     private static String print(World w) {
-        return w.tally.all().inTime + " " + w.tally.all().due + " " + w.tally.latencyUs().getTotalCount() + " "
+        return w.tally.all().inTime + " " + w.tally.all().due + " " + w.tally.latencyUs().getTotalCount()
+            + " "
             + w.tally.latencyUs().getMean() + " " + w.judge.executions() + " " + w.judge.taken();
     }
 
@@ -85,9 +86,12 @@
         Scenario s = Worlds.small("8s", "[load.clients]\ntries = 1\npatience = \"5s\"\n"
             + Worlds.fault("proxy-stopped", "3s", "2s", "targets = [\"p-0\"]"));
         Scenario patient = new Scenario(s.name(), s.about(), s.warmNs(), s.lengthNs(), s.world(),
-            new Scenario.Load(s.load().perSecond(), s.load().keys(), s.load().zipf(), 0, s.load().connections(), 200, 0,
+            new Scenario.Load(s.load().perSecond(), s.load().keys(), s.load().zipf(), 0,
+                s.load().connections(), 200, 0,
                 200, s.load().customers(), List.of(new Scenario.Track("read", 1, Effect.IDEMPOTENT,
-                false, 300_000_000L, 4_000_000_000L, 0, 1, 0.3)), s.load().clients()), s.faults(), s.rules(), s.seeds());
+                    false, 300_000_000L, 4_000_000_000L, 0, 1, 0.3)),
+                s.load().clients()),
+            s.faults(), s.rules(), s.seeds());
         World w = play(patient, 1, Policy.Kind.RANDOM);
         double most = w.tally.latencyUs().getMaxValue() / 1e6;
         assertTrue(most > 1.8 && most < 2.3, most + " s at most");
@@ -114,7 +118,8 @@
         }
 
         @Override
-        public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
+        public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
+                            boolean write,
                             long budgetNs, Decisions into) {
             right.arrived(at, id, track, customer, key, write, budgetNs, into);
         }
@@ -158,11 +163,13 @@
         Scenario s = Worlds.small("9s", Worlds.fault("drain", "2s", "6s", "targets = [\"a-1\"]"));
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
-            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
+            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
+                                boolean write,
                                 long budgetNs, Decisions into) {
                 super.arrived(at, id, track, customer, key, write, budgetNs, into);
-                divert(into, entries.stream().filter(e -> e.phase() == Phase.DRAINING).map(NodeEntry::id).findFirst()
-                    .orElse(null));
+                divert(into,
+                    entries.stream().filter(e -> e.phase() == Phase.DRAINING).map(NodeEntry::id).findFirst()
+                        .orElse(null));
             }
         });
         assertTrue(w.judge.count(Rule.NOTHING_TO_LEAVING) > 10);
@@ -189,7 +196,8 @@
         assertEquals(play(s, 1, Policy.Kind.MECHANISM).judge.count(Rule.NO_COLD_PUSHED_OVER), 0);
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
-            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
+            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
+                                boolean write,
                                 long budgetNs, Decisions into) {
                 super.arrived(at, id, track, customer, key, write, budgetNs, into);
                 divert(into, entries.stream().filter(e -> e.startedNs() > 0).map(NodeEntry::id).findFirst()
@@ -205,7 +213,8 @@
         Map<QueryId, Boolean> unsafe = new HashMap<>();
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
-            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
+            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
+                                boolean write,
                                 long budgetNs, Decisions into) {
                 super.arrived(at, id, track, customer, key, write, budgetNs, into);
                 for (Decisions.Start start : List.copyOf(into.starts)) {
--- a/toml/src/main/java/spurroad/toml/Lines.java
+++ b/toml/src/main/java/spurroad/toml/Lines.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Where the keys of a TOML text stand. The parser that reads values keeps no places, so this goes over the lines once
- * more and notes tables and keys; what stands inside an inline table or an array is told as standing where that begins.
- * Only for texts that the parser has taken.
+ * Where the keys of a TOML text stand. The parser that reads values keeps no places, so this goes over the
+ * lines once more and notes tables and keys; what stands inside an inline table or an array is told as
+ * standing where that begins. Only for texts that the parser has taken.
  */
 final class Lines {
     private final Map<String, Integer> lines = new HashMap<>();
@@ -92,7 +92,10 @@
         return -1;
     }
 
-    /** Follows a value over its brackets, texts and comments, to know whether the next line still belongs to it. */
+    /**
+     * Follows a value over its brackets, texts and comments, to know whether the next line still belongs to
+     * it.
+     */
     private void goOn(String value) {
         for (int i = 0; i < value.length(); i++) {
             char c = value.charAt(i);
--- a/toml/src/main/java/spurroad/toml/Table.java
+++ b/toml/src/main/java/spurroad/toml/Table.java
@@ -18,13 +18,15 @@
 import java.util.stream.Collectors;
 
 /**
- * One table of a TOML file. Each method reads one key; a value that is not allowed is noted as a fault of the file, and
- * the default (or the least that is allowed) is given back, so that reading goes on and all faults are found.
+ * One table of a TOML file. Each method reads one key; a value that is not allowed is noted as a fault of the
+ * file, and the default (or the least that is allowed) is given back, so that reading goes on and all faults
+ * are found.
  */
 public final class Table {
     private static final int FAR = 3; // letters; a key that differs by more is no slip of the pen
     private static final Pattern TIME = Pattern.compile("(\\d+(?:\\.\\d+)?)(us|ms|s|min|h)");
-    private static final Map<String, Double> NS = Map.of("us", 1e3, "ms", 1e6, "s", 1e9, "min", 60e9, "h", 3600e9);
+    private static final Map<String, Double> NS = Map.of("us", 1e3, "ms", 1e6, "s", 1e9, "min", 60e9, "h",
+        3600e9);
     private static final String TIME_FORM = "a time such as \"250ms\", \"2s\" or \"5min\"";
 
     private final TomlFile file;
@@ -284,8 +286,9 @@
             if (!known.contains(name)) {
                 String nearest = known.stream().filter(k -> distance(k, name) <= FAR)
                     .min((a, b) -> distance(a, name) - distance(b, name)).orElse(null);
-                file.fault(path(name), "is not known here; " + (nearest != null ? "did you mean " + nearest + "?"
-                    : known.isEmpty() ? "expected nothing" : "expected " + String.join(", ", known)));
+                file.fault(path(name),
+                    "is not known here; " + (nearest != null ? "did you mean " + nearest + "?"
+                        : known.isEmpty() ? "expected nothing" : "expected " + String.join(", ", known)));
             }
         }
         inner.forEach(Table::refuseUnknown);
--- a/toml/src/main/java/spurroad/toml/TomlFile.java
+++ b/toml/src/main/java/spurroad/toml/TomlFile.java
@@ -13,9 +13,9 @@
 import java.util.List;
 
 /**
- * One TOML file as it is read: values are asked of its {@link #root} with what is allowed, all that is wrong is
- * gathered, and {@link #check} tells it at once. What was never asked for is unknown, and refused with the nearest key
- * that was. Not for several threads.
+ * One TOML file as it is read: values are asked of its {@link #root} with what is allowed, all that is wrong
+ * is gathered, and {@link #check} tells it at once. What was never asked for is unknown, and refused with the
+ * nearest key that was. Not for several threads.
  */
 public final class TomlFile {
     private final String name;
@@ -54,7 +54,7 @@
     /**
      * Puts another value in the place of a key, before anything is read.
      *
-     * @param path  such as {@code load.rate} or {@code world.nodes[0].count}; its tables must be there
+     * @param path such as {@code load.rate} or {@code world.nodes[0].count}; its tables must be there
      * @param value as it would stand in the file
      */
     public void set(String path, String value) throws FaultyFileException {
@@ -72,11 +72,13 @@
         JsonNode at = root.json();
         String[] parts = path.replace("[", ".[").split("\\.");
         for (int i = 0; i < parts.length - 1 && at != null; i++) {
-            at = parts[i].startsWith("[") ? at.get(Integer.parseInt(parts[i].substring(1, parts[i].length() - 1)))
+            at = parts[i].startsWith("[")
+                ? at.get(Integer.parseInt(parts[i].substring(1, parts[i].length() - 1)))
                 : at.get(parts[i]);
         }
         if (!(at instanceof ObjectNode table) || parts[parts.length - 1].startsWith("[")) {
-            throw new FaultyFileException(List.of(new Fault(name, 0, path, "can't be set: there is no such table")));
+            throw new FaultyFileException(
+                List.of(new Fault(name, 0, path, "can't be set: there is no such table")));
         }
         table.set(parts[parts.length - 1], read);
     }
