--- a/toml/src/test/java/spurroad/toml/TomlFileTest.java
+++ b/toml/src/test/java/spurroad/toml/TomlFileTest.java
@@ -20,7 +20,8 @@
     }
 
     private static List<String> faults(TomlFile file) {
-        return expectThrows(FaultyFileException.class, file::check).faults().stream().map(Fault::toString).toList();
+        return expectThrows(FaultyFileException.class, file::check).faults().stream().map(Fault::toString)
+            .toList();
     }
 
     @Test
@@ -50,7 +51,8 @@
 
     @DataProvider
     Object[][] times() {
-        return new Object[][] {{"2s", 2000 * MS}, {"1.5ms", 1_500_000L}, {"300us", 300_000L}, {"2min", 120_000 * MS}};
+        return new Object[][] {{"2s", 2000 * MS}, {"1.5ms", 1_500_000L}, {"300us", 300_000L},
+            {"2min", 120_000 * MS}};
     }
 
     @Test(dataProvider = "times")
@@ -61,8 +63,9 @@
     /** All faults at once, each with its file, line and key and what was expected. */
     @Test
     public void allFaultsAreToldAtOnceByLineAndKey() throws FaultyFileException {
-        TomlFile f = file("n = 30\n# a comment\nt = 5\nc = \"green\"\n[in]\nlenght = 3\n\n[[row]]\ni = 1\n[[row]]\n"
-            + "text = '''\n[not.a.table]\n'''\ni = \"two\"\n");
+        TomlFile f = file(
+            "n = 30\n# a comment\nt = 5\nc = \"green\"\n[in]\nlenght = 3\n\n[[row]]\ni = 1\n[[row]]\n"
+                + "text = '''\n[not.a.table]\n'''\ni = \"two\"\n");
         Table t = f.root();
         t.whole("n", 0, 0, 9);
         t.needTime("t", 0, 1000 * MS);
@@ -105,7 +108,8 @@
 
     @Test
     public void aFileThatIsNotThereIsNamed() {
-        FaultyFileException e = expectThrows(FaultyFileException.class, () -> TomlFile.read(Path.of("no/such.toml")));
+        FaultyFileException e = expectThrows(FaultyFileException.class,
+            () -> TomlFile.read(Path.of("no/such.toml")));
         assertTrue(e.getMessage().startsWith("no/such.toml: can't be read"), e.getMessage());
     }
 
