--- a/cli/src/main/java/spurroad/cli/Spurroad.java
+++ b/cli/src/main/java/spurroad/cli/Spurroad.java
@@ -12,13 +12,16 @@
     sortOptions = false,
     description = "A proxy that spreads keys over cache nodes before a slow origin, and what belongs to it.",
     subcommands = {ServeCommand.class, CheckCommand.class, ExplainCommand.class, RigCommand.class,
-        Version.class,
-        AutoComplete.GenerateCompletion.class},
+        ScaleCommand.class,
+        Version.class, AutoComplete.GenerateCompletion.class},
     exitCodeListHeading = "%nExit codes:%n",
     exitCodeList = {" 0:done; all rules kept", " 1:it failed, or a rule was broken",
         " 2:wrong use, or a file that is not as it should be", " 3:a run that is worth nothing, as it says"})
 public final class Spurroad implements Runnable {
-    static final int FAILED = 1, MISUSED = 2, VOID = 3; // exit codes
+    // exit codes
+    static final int FAILED = 1;
+    static final int MISUSED = 2;
+    static final int VOID = 3;
 
     @Spec
     private CommandSpec spec;
@@ -28,6 +31,7 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
     }
 
+    /** Runs one command and ends the process with its exit code. */
     public static void main(String[] args) {
         System.exit(line().execute(args));
     }
--- a/cli/src/test/java/spurroad/cli/ArchitectureTest.java
+++ b/cli/src/test/java/spurroad/cli/ArchitectureTest.java
@@ -45,10 +45,25 @@
             .orShould().callMethod(System.class, "currentTimeMillis").check(ALL);
     }
 
+    @Test
+    public void distributionDecidesWithoutInputOutputClockOrThread() {
+        classes().that().resideInAPackage("spurroad.control.distribution").should().onlyDependOnClassesThat()
+            .resideInAnyPackage("spurroad.control.distribution", "java.lang", "java.lang.runtime",
+                "java.lang.invoke",
+                "java.util", "java.util.function", "java.util.stream", "java.util.zip", "java.nio",
+                "java.nio.charset")
+            .check(ALL);
+        noClasses().that().resideInAPackage("spurroad.control.distribution").should()
+            .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
+            .check(ALL);
+    }
+
     @Test
     public void modelsOfTheRigTouchNoInputOutputClockOrThread() {
-        noClasses().that().resideInAnyPackage("spurroad.rig.model", "spurroad.rig.judge", "spurroad.rig.time",
-            "spurroad.rig.sim", "spurroad.rig.policy").should().dependOnClassesThat()
+        noClasses().that()
+            .resideInAnyPackage("spurroad.rig.model", "spurroad.rig.checker", "spurroad.rig.time",
+                "spurroad.rig.sim", "spurroad.rig.policy")
+            .should().dependOnClassesThat()
             .resideInAnyPackage("java.io", "java.net", "java.nio..", "io.netty..").orShould()
             .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
             .orShould().accessClassesThat().areAssignableTo(Thread.class).check(ALL);
@@ -89,10 +104,10 @@
             .check(ALL);
     }
 
-    /** A judge that read with the proxy's parsers would not see their faults. */
+    /** A checker that read with the proxy's parsers would not see their faults. */
     @Test
     public void theJudgeIsNoPartOfTheProxy() {
-        noClasses().that().resideInAnyPackage("spurroad.rig.judge", "spurroad.rig.net").should()
+        noClasses().that().resideInAnyPackage("spurroad.rig.checker", "spurroad.rig.net").should()
             .dependOnClassesThat()
             .resideInAnyPackage(PROXY).orShould().dependOnClassesThat()
             .haveFullyQualifiedName("spurroad.Balance")
--- a/core/src/main/java/spurroad/Node.java
+++ b/core/src/main/java/spurroad/Node.java
@@ -26,14 +26,14 @@
     int sentSince, trickle, trickleLeft, trickleGood;
     boolean probing, proven = true;
     // as its keeper: the first goes at once
-    private final Words words = new Words(Double.MAX_VALUE, Balance.SAY_NS);
+    private final UpdateBudget words = new UpdateBudget(Double.MAX_VALUE, Balance.SAY_NS);
     double saidPace; // ns; by its keeper, with the last report
     double kept = 1, keptSaid = 1; // share of its keys, by its keeper; what we said last as its keeper
     long keptAt = Long.MIN_VALUE / 2;
     final Fading held = new Fading(Balance.HELD_NS); // as its keeper: executions out over all proxies
     final Fading heldPace = new Fading(Balance.MEMORY_NS);
     private long heardSince = Long.MAX_VALUE;
-    private final Recent keys = new Recent(KEYS); // where we are its keeper: what it keeps, as far as heard
+    private final RecentKeySet keys = new RecentKeySet(KEYS); // where we are its keeper: what it keeps, as far as heard
     final List<Exec> out = new ArrayList<>();
     // times of completed queries over the figures they met, by whether those were the stand-in or reported
     final Fading[] pace;
--- a/proxy/src/main/java/spurroad/routing/Clients.java
+++ b/proxy/src/main/java/spurroad/routing/Clients.java
@@ -214,13 +214,11 @@
     }
 
     /**
-     * For how long a client's query can be worked on: what the client says, or less while this process ends.
+     * Until when a client's request can be worked on: what the client says, or less while this process ends.
      */
-    long waitNs(long waitMs) {
-        if (waitMs > longestWaitMs) {
-            longestWaitMs = waitMs;
-        }
-        return Math.min(waitMs * NS_PER_MS, answeredBy - now());
+    long endsAt(long arrivedAt, long waitMs) {
+        longestWaitMs = Math.max(longestWaitMs, waitMs);
+        return Math.min(arrivedAt + waitMs * NS_PER_MS, answeredBy);
     }
 
     /** All that was taken and all that comes is answered within this time from now, in nanoseconds. */
--- a/rig/src/main/java/spurroad/rig/world/World.java
+++ b/rig/src/main/java/spurroad/rig/world/World.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import spurroad.rig.judge.Judge;
-import spurroad.rig.judge.Tally;
+import spurroad.rig.checker.OutcomeStatistics;
+import spurroad.rig.checker.RuleChecker;
 import spurroad.rig.model.CacheNode;
-import spurroad.rig.model.Chance;
 import spurroad.rig.model.Ledger;
+import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.model.Origin;
-import spurroad.rig.model.Population;
+import spurroad.rig.model.RandomStream;
 import spurroad.rig.scenario.Scenario;
 import spurroad.rig.scenario.Scenario.NodeGroup;
 import spurroad.rig.time.Timeline;
@@ -23,16 +23,18 @@
  * them.
  */
 public final class World {
-    private static final long SWEEP_NS = 100_000_000L; // ns; between looks of the judge
+    private static final long SWEEP_NS = 100_000_000L; // ns; between looks of the rule checker
     private static final long LOOK_NS = 1_000_000_000L; // ns; between looks at queues
-    private static final long DRAIN_NS = 1_000_000_000L; // ns; after the last client's patience: late answers are seen
-    private static final long DONE_NS = 60_000_000_000L; // ns; by then the judge has forgotten all that is over
+    // ns; after the last client's patience: late answers are seen
+    private static final long DRAIN_NS = 1_000_000_000L;
+    // ns; by then the rule checker has forgotten all that is over
+    private static final long DONE_NS = 60_000_000_000L;
 
     public final Scenario scenario;
     public final long seed;
     public final Timeline timeline;
-    public final Judge judge;
-    public final Tally tally;
+    public final RuleChecker checker;
+    public final OutcomeStatistics outcomes;
     public final Ledger ledger = new Ledger();
     public final Origin origin;
     public final Membership members;
@@ -41,14 +43,15 @@
     private final List<Queues> queues = new ArrayList<>();
     private Consumer<CacheNode> appeared = n -> {};
 
+    /** A scenario's models on a timeline, before anything happens. */
     public World(Scenario scenario, long seed, Timeline timeline) {
         this.scenario = scenario;
         this.seed = seed;
         this.timeline = timeline;
-        judge = new Judge(scenario.rules());
-        tally = new Tally(scenario);
-        origin = new Origin(scenario.world().origin(), scenario.load(), timeline, ledger, judge,
-            new Chance(seed, Origin.UID));
+        checker = new RuleChecker(scenario.rules());
+        outcomes = new OutcomeStatistics(scenario);
+        origin = new Origin(scenario.world().origin(), scenario.load(), timeline, ledger, checker,
+            new RandomStream(seed, Origin.UID));
         members = new Membership(timeline, scenario.world().listNs());
         int place = 0;
         members.begin(Origin.UID, null, place++);
@@ -61,8 +64,8 @@
     }
 
     private CacheNode make(String uid, NodeGroup group) {
-        CacheNode node = new CacheNode(uid, group, scenario.load(), timeline, ledger, judge,
-            new Chance(seed, uid));
+        CacheNode node = new CacheNode(uid, group, scenario.load(), timeline, ledger, checker,
+            new RandomStream(seed, uid));
         nodes.put(uid, node);
         return node;
     }
@@ -85,10 +88,10 @@
     }
 
     /** Begins the load, and to look at queues and for what was never answered; at the timeline's zero. */
-    public void begin(Population population) {
+    public void begin(LoadGenerator generator) {
         sweepUntil(endNs());
         lookUntil(endNs());
-        population.begin(scenario.lengthNs());
+        generator.begin(scenario.lengthNs());
     }
 
     /** When all is over: the last client's patience, and a bit. */
@@ -98,13 +101,13 @@
 
     /** To be called then: what is not answered by now never is. */
     public void end() {
-        judge.sweep(endNs() + DONE_NS);
+        checker.sweep(endNs() + DONE_NS);
     }
 
     /** A proxy is told now what has changed in the list after a revision. */
     public void told(int proxy, long since) {
         for (Membership.Entry e : members.since(since)) {
-            judge.told(timeline.now(), proxy, e.uid(), switch (e.state()) {
+            checker.told(timeline.now(), proxy, e.uid(), switch (e.state()) {
                 case ACTIVE -> null;
                 case LEAVING -> "draining";
                 case LEFT -> "gone";
@@ -115,7 +118,7 @@
     private void sweepUntil(long ns) {
         if (timeline.now() < ns) {
             timeline.after(SWEEP_NS, () -> {
-                judge.sweep(timeline.now());
+                checker.sweep(timeline.now());
                 sweepUntil(ns);
             });
         }
@@ -140,7 +143,8 @@
     /** At one moment: of cache nodes the mean and the most, and the origin. */
     public record Queues(double mean, int most, int origin) {}
 
-    public Population population(Population.Gateway gateway) {
-        return new Population(scenario, seed, timeline, gateway, tally);
+    /** The load of the world's scenario, sent through a gateway. */
+    public LoadGenerator generator(LoadGenerator.Gateway gateway) {
+        return new LoadGenerator(scenario, seed, timeline, gateway, outcomes);
     }
 }
