--- /dev/null
+++ b/proxy/src/test/java/spurroad/routing/DiscoveryMovesTest.java
@@ -0,0 +1,66 @@
+package spurroad.routing;
+
+import static org.testng.Assert.assertTrue;
+
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import spurroad.Peers;
+import spurroad.routing.ScriptedDiscovery.Away;
+import spurroad.start.ProxyStart;
+import spurroad.transport.Clock;
+import spurroad.transport.Descriptors;
+import spurroad.transport.EventLog;
+import spurroad.transport.Loop;
+import spurroad.transport.Threads;
+
+/**
+ * A reload that moves discovery, followed by a change at once: what only the new address tells is known in
+ * time.
+ */
+public class DiscoveryMovesTest {
+    private static final long MS = 1_000_000L;
+    private static final long RETURNS_AFTER_MS = 700;
+    private static final long MOST_MS = 4000; // from then on what comes after a reload counts as told
+
+    /**
+     * Whether lists are pushed, and how the new address is away at first; all but where it hangs it is soon
+     * there.
+     */
+    @DataProvider
+    Object[][] moves() {
+        return new Object[][] {{false, Away.NEVER}, {false, Away.REFUSES}, {false, Away.RESETS},
+            {false, Away.ANSWERS_503},
+            {false, Away.HANGS}, {true, Away.NEVER}, {true, Away.REFUSES}, {true, Away.RESETS},
+            {true, Away.ANSWERS_503},
+            {true, Away.HANGS}};
+    }
+
+    @Test(dataProvider = "moves")
+    public void whatTheNewAddressTellsIsKnownInTime(boolean pushed, Away away) throws Exception {
+        EventLog log = new EventLog();
+        Clock clock = new Clock();
+        Threads threads = new Threads(log);
+        Loop loop = new Loop(log, clock);
+        try (ScriptedDiscovery former = new ScriptedDiscovery(Away.NEVER, 0);
+            ScriptedDiscovery next = new ScriptedDiscovery(away, RETURNS_AFTER_MS)) {
+            former.begin();
+            String text = Peers.start(former.port, 256, Peers.list(0, true));
+            ProxyStart start = new ProxyStart(pushed ? text.replace("on_request", "pushed") : text);
+            Decider decider = new Decider(start, threads, loop, log, clock, new Descriptors(64), Dialer.TCP,
+                MS);
+            ListWatch list = new ListWatch(start, threads, loop, log, decider);
+            threads.start("loop", loop);
+            list.follow();
+            assertTrue(former.toldAt() > 0);
+            next.begin();
+            long movedAt = System.nanoTime();
+            list.moved(new InetSocketAddress(InetAddress.getLoopbackAddress(), next.port));
+            long tookMs = (next.toldAt() - movedAt) / MS;
+            assertTrue(tookMs >= 0 && tookMs < MOST_MS, "known " + tookMs + " ms after the reload");
+        } finally {
+            loop.end();
+        }
+    }
+}
