--- a/cli/src/main/java/spurroad/cli/FleetCommand.java
+++ b/cli/src/main/java/spurroad/cli/FleetCommand.java
@@ -22,11 +22,11 @@
     "Plays in simulated time how changes and purges reach a fleet of hollow proxies, on a quiet day and in",
     "failures, and prints latencies, traffic and memory as Markdown tables."})
 final class FleetCommand implements Callable<Integer> {
-    private static final int CUT_SECONDS = 20;
+    private static final int HOUR_PROXIES = 600;
     private static final int HOUR_SECONDS = 3_600;
 
     @Option(names = "--proxies", paramLabel = "N", split = ",",
-        description = "Sizes of the fleet (${DEFAULT-VALUE}); other sizes than 16000 play a quiet day and a burst.")
+        description = "Sizes (${DEFAULT-VALUE}); all but 16000 play a quiet day and a burst only.")
     private List<Integer> sizes = List.of(6_800, 16_000, 32_000);
     @Option(names = "--scenario", paramLabel = "NAME", split = ",",
         description = "Only these, at every size: ${COMPLETION-CANDIDATES}.")
@@ -35,7 +35,7 @@
         description = "One run for each (${DEFAULT-VALUE}).")
     private List<Long> seeds = List.of(1L);
     @Option(names = "--hour",
-        description = "Plays a cut of a whole hour, on a fleet of 600 proxies, and nothing else.")
+        description = "Plays only a cut of a whole hour, on a fleet of 600 proxies.")
     private boolean hour;
     @Spec
     private CommandSpec spec;
@@ -43,25 +43,25 @@
     @Override
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
-        List<FleetFootprint> footprints = hour ? List.of()
-            : sizes.stream().map(size -> FleetFootprint.measure(FleetShape.of(size))).toList(); // in a fresh heap
+        List<FleetFootprint> footprints = new ArrayList<>();
+        if (!hour) {
+            // in a fresh heap
+            sizes.forEach(size -> footprints.add(FleetFootprint.measure(FleetShape.of(size))));
+            FleetTables.memory(out, footprints);
+            out.println();
+        }
+        FleetTables.latencyHead(out);
+        out.flush();
         List<FleetResult> results = new ArrayList<>();
         if (hour) {
-            seeds.forEach(
-                seed -> results.add(FleetRun.play(FleetShape.small(600), FleetScenario.REGION_CUT, seed,
-                    HOUR_SECONDS)));
+            seeds.forEach(seed -> add(results, FleetRun.play(FleetShape.small(HOUR_PROXIES),
+                FleetScenario.REGION_CUT, seed, HOUR_SECONDS)));
         } else {
             playSizes(results);
         }
-        out.println();
-        FleetTables.latencies(out, results);
         FleetTables.cuts(out, results);
         out.println();
         FleetTables.traffic(out, results);
-        if (!footprints.isEmpty()) {
-            out.println();
-            FleetTables.memory(out, footprints);
-        }
         out.flush();
         return results.stream().anyMatch(FleetCommand::isBroken) ? Spurroad.FAILED : 0;
     }
@@ -69,20 +69,21 @@
     private void playSizes(List<FleetResult> results) {
         for (int size : sizes) {
             for (FleetScenario scenario : scenariosAt(size)) {
-                for (long seed : seeds) {
-                    FleetResult result = FleetRun.play(FleetShape.of(size), scenario, seed, CUT_SECONDS);
-                    results.add(result);
-                    spec.commandLine().getErr().printf(Locale.ROOT,
-                        "%,d proxies, %s, seed %d: %.0f s simulated in %.0f"
-                            + " s of processor time%n",
-                        size, scenario.title(), seed, result.simulatedSeconds(),
-                        result.cpuSeconds());
-                    spec.commandLine().getErr().flush();
-                }
+                seeds.forEach(seed -> add(results, FleetRun.play(FleetShape.of(size), scenario, seed)));
             }
         }
     }
 
+    private void add(List<FleetResult> results, FleetResult result) {
+        results.add(result);
+        FleetTables.latency(spec.commandLine().getOut(), result);
+        spec.commandLine().getOut().flush();
+        spec.commandLine().getErr().printf(Locale.ROOT,
+            "seed %d: %.0f s simulated in %.0f s of processor time%n",
+            result.seed(), result.simulatedSeconds(), result.cpuSeconds());
+        spec.commandLine().getErr().flush();
+    }
+
     private List<FleetScenario> scenariosAt(int size) {
         if (!scenarios.isEmpty()) {
             return scenarios;
