--- a/core/src/main/java/spurroad/Ring.java
+++ b/core/src/main/java/spurroad/Ring.java
@@ -2,6 +2,7 @@
 
 import java.util.Arrays;
 import java.util.List;
+import spurroad.model.SplitMix64;
 
 /** A consistent hash ring: each node owns some points, and a key's nodes lie clockwise from its hash. */
 final class Ring {
@@ -54,11 +55,8 @@
         return (mix(hash) >>> 11) * 0x1p-53;
     }
 
-    /** Spreads the bits of an id evenly (the finisher of SplitMix64). */
+    /** Spreads the bits of an id evenly. */
     static long mix(long x) {
-        long z = x + 0x9e3779b97f4a7c15L;
-        z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-        return z ^ z >>> 31;
+        return SplitMix64.finish(x + SplitMix64.GAMMA);
     }
 }
--- a/rig/src/main/java/spurroad/rig/net/DiscoveryServer.java
+++ b/rig/src/main/java/spurroad/rig/net/DiscoveryServer.java
@@ -3,7 +3,6 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
@@ -12,10 +11,8 @@
 import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.nio.charset.StandardCharsets;
@@ -43,8 +40,7 @@
         this.world = world;
         this.file = file;
         this.proxy = proxy;
-        listener = new FaultyListener(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
-            new HttpObjectAggregator(MOST_BODY), new ConnectionHandler()});
+        listener = FaultyListener.http(loop, MOST_BODY, ConnectionHandler::new);
     }
 
     int port() {
--- a/rig/src/main/java/spurroad/rig/net/FaultyListener.java
+++ b/rig/src/main/java/spurroad/rig/net/FaultyListener.java
@@ -14,11 +14,14 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
+import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpServerCodec;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
+import java.util.function.Supplier;
 
 /**
  * One port on loopback at which something listens, or does not: it can refuse connections, or let them hang,
@@ -48,6 +51,12 @@
         port = ((InetSocketAddress) first.localAddress()).getPort();
     }
 
+    /** One for HTTP/1.1, whose handler is given whole requests with bodies up to so many bytes. */
+    static FaultyListener http(EventLoop loop, int mostBody, Supplier<ChannelHandler> handler) {
+        return new FaultyListener(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
+            new HttpObjectAggregator(mostBody), handler.get()});
+    }
+
     private ChannelFuture bind(int at, int backlog, boolean accepts) {
         return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, backlog)
--- a/rig/src/main/java/spurroad/rig/net/OriginServer.java
+++ b/rig/src/main/java/spurroad/rig/net/OriginServer.java
@@ -1,16 +1,13 @@
 package spurroad.rig.net;
 
 import io.netty.buffer.Unpooled;
-import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 import spurroad.rig.model.Origin;
@@ -29,8 +26,7 @@
     OriginServer(EventLoop loop, CommandFields figures, Origin origin) {
         this.origin = origin;
         this.figures = figures;
-        listener = new FaultyListener(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
-            new HttpObjectAggregator(MOST_BODY), new ConnectionHandler()});
+        listener = FaultyListener.http(loop, MOST_BODY, ConnectionHandler::new);
     }
 
     int port() {
--- a/rig/src/main/java/spurroad/rig/policy/BaselinePolicy.java
+++ b/rig/src/main/java/spurroad/rig/policy/BaselinePolicy.java
@@ -18,6 +18,7 @@
 import spurroad.model.Outcome;
 import spurroad.model.Phase;
 import spurroad.model.QueryId;
+import spurroad.model.SplitMix64;
 import spurroad.model.Track;
 import spurroad.model.TrackId;
 
@@ -81,7 +82,7 @@
             } else if (e.phase() == Phase.READY) {
                 ready.add(e.id());
                 for (int i = 0; i < POINTS; i++) {
-                    ring.put(mix(e.id().value() + i * 0x9e3779b97f4a7c15L), e.id());
+                    ring.put(SplitMix64.finish(e.id().value() + i * SplitMix64.GAMMA), e.id());
                 }
             }
         }
@@ -89,13 +90,6 @@
         following = true;
     }
 
-    /** The finisher of SplitMix64. */
-    private static long mix(long x) {
-        long z = (x ^ x >>> 30) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-        return z ^ z >>> 31;
-    }
-
     @Override
     public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
                         long budgetNs, Decisions into) {
@@ -146,7 +140,7 @@
 
     /** The first node clockwise that has not been tried and would not hold more than a bound. */
     private NodeId onRing(Query q, double most) {
-        long point = mix(q.key.value());
+        long point = SplitMix64.finish(q.key.value());
         for (NodeId n : ring.tailMap(point).values()) {
             if (!q.targets.contains(n) && queries(n) + 1 <= most) {
                 return n;
--- a/toml/src/main/java/spurroad/toml/Table.java
+++ b/toml/src/main/java/spurroad/toml/Table.java
@@ -13,6 +13,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Function;
+import java.util.function.Predicate;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
@@ -70,12 +71,9 @@
 
     /** A number that must be there. */
     public double needNumber(String key, double least, double most) {
-        JsonNode value = need(key, "a number" + range(least, most));
-        if (value != null && value.isNumber() && value.asDouble() >= least && value.asDouble() <= most) {
-            return value.asDouble();
-        }
-        wrong(key, value, "a number" + range(least, most));
-        return least;
+        JsonNode value = checked(key, "a number" + range(least, most),
+            v -> v.isNumber() && v.asDouble() >= least && v.asDouble() <= most);
+        return value != null ? value.asDouble() : least;
     }
 
     /** A whole number between two bounds, both allowed; the other where it is missing. */
@@ -85,13 +83,9 @@
 
     /** A whole number that must be there. */
     public int needWhole(String key, int least, int most) {
-        JsonNode value = need(key, "a whole number" + range(least, most));
-        if (value != null && value.canConvertToInt() && value.isIntegralNumber() && value.asInt() >= least
-            && value.asInt() <= most) {
-            return value.asInt();
-        }
-        wrong(key, value, "a whole number" + range(least, most));
-        return least;
+        JsonNode value = checked(key, "a whole number" + range(least, most), v -> v.isIntegralNumber()
+            && v.canConvertToInt() && v.asInt() >= least && v.asInt() <= most);
+        return value != null ? value.asInt() : least;
     }
 
     /** A time in nanoseconds, written with its unit; the other where it is missing. */
@@ -262,6 +256,16 @@
         return json.get(key);
     }
 
+    /** The value of a key that must be there; null, and noted, where it is not or doesn't fit its form. */
+    private JsonNode checked(String key, String form, Predicate<JsonNode> fits) {
+        JsonNode value = need(key, form);
+        if (value == null || fits.test(value)) {
+            return value;
+        }
+        wrong(key, value, form);
+        return null;
+    }
+
     private void wrong(String key, JsonNode value, String form) {
         if (value != null) {
             file.fault(path(key), "is " + shown(value) + "; expected " + form);
