--- /dev/null
+++ b/core/src/test/java/spurroad/FollowPauseTest.java
@@ -0,0 +1,37 @@
+package spurroad;
+
+import static org.testng.Assert.assertTrue;
+import static spurroad.Rig.MS;
+
+import org.testng.annotations.Test;
+import spurroad.model.DedupScope;
+import spurroad.model.Fleet;
+
+/** How long the module waits before it follows the list again. */
+public class FollowPauseTest {
+    private static final long TOLD_MS = 6000; // a change counts as told so long after the list could be reached
+    private static final long CALL_MS = 3100; // a call that is answered takes no longer
+
+    /**
+     * However often it failed, a pause and a call are over before a change counts as told; and instances
+     * differ.
+     */
+    @Test
+    public void aPauseAndACallAreOverBeforeAChangeCounts() {
+        long shortest = Long.MAX_VALUE;
+        long longest = 0;
+        for (int instance = 0; instance < 200; instance++) {
+            Rig rig = new Rig(false, DedupScope.ALL, instance, Fleet.ALONE);
+            for (int failures = 1; failures <= 12; failures++) {
+                rig.decided.clear();
+                rig.balance.listFailed(rig.now, rig.decided);
+                long pauseMs = (rig.decided.wakeNs - rig.now) / MS;
+                assertTrue(pauseMs + CALL_MS <= TOLD_MS, pauseMs + " ms after " + failures + " failures");
+                shortest = failures == 12 ? Math.min(shortest, pauseMs) : shortest;
+                longest = failures == 12 ? Math.max(longest, pauseMs) : longest;
+                rig.after(pauseMs + 1);
+            }
+        }
+        assertTrue(longest > 2.5 * shortest, shortest + " to " + longest + " ms");
+    }
+}
