--- a/core/src/main/java/spurroad/Exec.java
+++ b/core/src/main/java/spurroad/Exec.java
@@ -4,10 +4,12 @@
 final class Exec {
     final Qry qry;
     final Node node;
-    final int number, scope;
+    final int number;
+    final int scope;
     final long sentAt;
     final double depth;
-    boolean out = true, stopped;
+    boolean out = true;
+    boolean stopped;
 
     Exec(Qry qry, Node node, int number, long sentAt, int scope, double depth) {
         this.qry = qry;
--- a/core/src/main/java/spurroad/Fading.java
+++ b/core/src/main/java/spurroad/Fading.java
@@ -3,8 +3,10 @@
 /** Two sums that lose their weight evenly with time, brought up to date when read. */
 final class Fading {
     private final double memory;
-    private long at, passedAt;
-    double top, bottom;
+    private long at;
+    private long passedAt;
+    double top;
+    double bottom;
 
     Fading(long memoryNs) {
         memory = memoryNs;
--- a/core/src/main/java/spurroad/Node.java
+++ b/core/src/main/java/spurroad/Node.java
@@ -13,8 +13,10 @@
     private static final int KEYS = 4_000; // known of one node: minutes of what hundreds of proxies ask
     private static final long SHORT_NS = 1_000_000L; // ns; no execution is told of as shorter
     private static final int TRICKLE_END = 8; // queries; a trickle doubled beyond this is an ordinary flow
-    private static final long OWED_NS = 2_000_000_000L; // ns; by then a node given back has work, where there is any
-    private static final long OWED_APART_NS = 500_000_000L; // ns; mean, over all proxies: all hear it at the same moment
+    // ns; by then a node given back has work, where there is any
+    private static final long OWED_NS = 2_000_000_000L;
+    // ns; mean, over all proxies: all hear it at the same moment
+    private static final long OWED_APART_NS = 500_000_000L;
     private static final long LONGEST_PAUSE_NS = 4_000_000_000L; // ns; well again, it waits no longer
     NodeEntry entry;
     boolean banned; // by hand
@@ -22,25 +24,36 @@
     long owedFrom; // where they did and nothing went there since: when any query may
     double reported = Double.NaN;
     long reportedAt = Long.MIN_VALUE / 2;
-    long lastAnswerAt, probeFailedAt, asideUntil, pause;
-    int sentSince, trickle, trickleLeft, trickleGood;
-    boolean probing, proven = true;
+    long lastAnswerAt;
+    long probeFailedAt;
+    long asideUntil;
+    long pause;
+    int sentSince;
+    int trickle;
+    int trickleLeft;
+    int trickleGood;
+    boolean probing;
+    boolean proven = true;
     // as its keeper: the first goes at once
     private final UpdateBudget words = new UpdateBudget(Double.MAX_VALUE, Balance.SAY_NS);
     double saidPace; // ns; by its keeper, with the last report
-    double kept = 1, keptSaid = 1; // share of its keys, by its keeper; what we said last as its keeper
+    // share of its keys, by its keeper; what we said last as its keeper
+    double kept = 1;
+    double keptSaid = 1;
     long keptAt = Long.MIN_VALUE / 2;
     final Fading held = new Fading(Balance.HELD_NS); // as its keeper: executions out over all proxies
     final Fading heldPace = new Fading(Balance.MEMORY_NS);
     private long heardSince = Long.MAX_VALUE;
-    private final RecentKeySet keys = new RecentKeySet(KEYS); // where we are its keeper: what it keeps, as far as heard
+    // where we are its keeper: what it keeps, as far as heard
+    private final RecentKeySet keys = new RecentKeySet(KEYS);
     final List<Exec> out = new ArrayList<>();
     // times of completed queries over the figures they met, by whether those were the stand-in or reported
     final Fading[] pace;
     Fading bad;
     final Fading asked; // queries whose key falls to it, sent or not
     private long bornAt; // when this start of it was listed or given back; of the queries until then:
-    private double askedBefore, arrivedBefore;
+    private double askedBefore;
+    private double arrivedBefore;
     double part = 1; // of the ring
 
     Node(NodeEntry entry, long memoryNs, long longMemoryNs, long pause) {
@@ -71,7 +84,8 @@
         backNs = givenBackNs;
         bornAt = now;
         arrivedBefore = arrived;
-        if (former != null && !former.banned) { // where it was out by hand that is long ago, and no query fell to it since
+        // where it was out by hand that is long ago, and no query fell to it since
+        if (former != null && !former.banned) {
             askedBefore = former.asked.at(now).top;
             asked.add(now, askedBefore, 0);
         }
@@ -144,7 +158,8 @@
      * one that fails is quick. What ended well is kept there; what is written, or ended badly, is not.
      */
     void hold(Word word, long now, double usualPace) {
-        double change = word.value(), before = held.at(now).top;
+        double change = word.value();
+        double before = held.at(now).top;
         heardSince = Math.min(heardSince, now);
         keys.forget(word.key());
         double took = -Balance.HELD_NS * Math.log(Math.abs(change));
--- a/core/src/main/java/spurroad/OriginBacklog.java
+++ b/core/src/main/java/spurroad/OriginBacklog.java
@@ -4,8 +4,10 @@
 final class OriginBacklog {
     private final Fading late = new Fading(Balance.HELD_NS); // where we are its keeper: writes of all proxies
     private final UpdateBudget words = new UpdateBudget(0, Balance.SAY_NS);
-    private double share = 1, said = 1;
-    private long steeredAt, saidAt = Long.MIN_VALUE / 2;
+    private double share = 1;
+    private double said = 1;
+    private long steeredAt;
+    private long saidAt = Long.MIN_VALUE / 2;
 
     /**
      * As its keeper: a write ended. The share falls while too many end late, and else grows. Tells whether a
--- a/core/src/main/java/spurroad/Qry.java
+++ b/core/src/main/java/spurroad/Qry.java
@@ -15,12 +15,21 @@
     final Track track;
     final CacheKey key;
     final boolean write;
-    final long order, point, sloAt, endAt;
-    final double luck, turn; // by chance for the query, and of its key
+    final long order;
+    final long point;
+    final long sloAt;
+    final long endAt;
+    // by chance for the query, and of its key
+    final double luck;
+    final double turn;
     final int mostExecutions;
-    boolean beyondShare, missed, served, done;
+    boolean beyondShare;
+    boolean missed;
+    boolean served;
+    boolean done;
     final List<Exec> execs = new ArrayList<>(2);
-    int out, holds;
+    int out;
+    int holds;
     Exec mayHaveRun;
     Hold hold = Hold.NONE;
     List<Node> candidates = List.of();
--- a/core/src/main/java/spurroad/Stage.java
+++ b/core/src/main/java/spurroad/Stage.java
@@ -4,7 +4,8 @@
 
 /** A link of the chain: queries pass forward, ended executions come back. */
 abstract class Stage {
-    Stage next, previous;
+    Stage next;
+    Stage previous;
 
     static void link(Stage... chain) {
         for (int i = 0; i + 1 < chain.length; i++) {
--- a/core/src/main/java/spurroad/admission/Admission.java
+++ b/core/src/main/java/spurroad/admission/Admission.java
@@ -20,15 +20,19 @@
     private static final double AIM = 0.97; // of its means: at the limit the platform would stop it
     private static final double FREE = 0.9; // of its means: below it more is admitted
     private static final double STEP = 0.05; // of all that comes; more an interval: from half to all in 1 s
-    private static final double GENTLE = 6; // times the part: of under a sixth a whole step may be all that is borne
+    // times the part: of under a sixth a whole step may be all that is borne
+    private static final double GENTLE = 6;
     private static final double PLENTY = 0.6; // of its means used: there is room whatever is turned away
     private static final double LEAST_CUT = 0.5; // of the part: one bad interval does not shut the proxy
-    private static final double CUT = 0.92; // of the part: no more is ever used than there is, however much is demanded
+    // of the part: no more is ever used than there is, however much is demanded
+    private static final double CUT = 0.92;
     private static final double LEAST = 0.01; // of all that comes: always some, which show what can be borne
     private static final double REJECTING = 0.1; // of the cost of a query: what turning one away may cost
-    private static final double KEEP = 0.8; // of the counts, an interval: some half a second's worth is remembered
+    // of the counts, an interval: some half a second's worth is remembered
+    private static final double KEEP = 0.8;
     private static final double BEYOND = 1.2; // times its share: less is chance
-    private static final double DEVIATIONS = 3; // of chance, and as many queries, which a customer may be over that
+    // of chance, and as many queries, which a customer may be over that
+    private static final double DEVIATIONS = 3;
     private static final long FADE_INTERVALS = 10; // intervals; over which a customer's rate is taken
 
     private final ServiceLevels levels = new ServiceLevels();
@@ -37,11 +41,17 @@
     private double best;
     private double[] customerPace; // queries a second, this proxy's part of each customer's share
     private double[] customerSent = {}; // faded counts
-    private long mostAgeNs, maxComeBackNs, comeBackNs;
+    private long mostAgeNs;
+    private long maxComeBackNs;
+    private long comeBackNs;
     private int classes;
     private double[] came; // faded counts by class, the worthiest first
     private int[] rank; // of a track among tracks
-    private double part = 1, admitted, rejected, pressure, usedLately;
+    private double part = 1;
+    private double admitted;
+    private double rejected;
+    private double pressure;
+    private double usedLately;
 
     /** One for a proxy, with its figures as {@link #figures} takes them. */
     public Admission(double[] importance, double[] pace, long mostAge, long comeBack, long maxComeBack,
@@ -77,6 +87,7 @@
         came = classes == before ? came : new double[classes];
     }
 
+    /** How much service there is now. */
     public ServiceLevel level() {
         return levels.level();
     }
@@ -126,7 +137,8 @@
 
     /** The part of a class that fits: all that is worth more comes first. */
     private double share(int c) {
-        double all = 0, better = 0;
+        double all = 0;
+        double better = 0;
         for (int i = 0; i < classes; i++) {
             all += came[i];
             better += i < c ? came[i] : 0;
@@ -149,8 +161,9 @@
             part = Math.min(1, part + STEP * Math.min(1, GENTLE * part));
         }
         double work = admitted + REJECTING * rejected;
-        // with so much free it is not worth asking what the rest would cost: what a process does anyway passed for the
-        // cost of the few that it admits, and a level kept itself up (reload day, 12% used and half refused)
+        // with so much free it is not worth asking what the rest would cost: what a process does anyway
+        // passed for the cost of the few that it admits, and a level kept itself up (reload day, 12% used and
+        // half refused)
         pressure = usedLately < PLENTY || work < 1 ? used : used * (admitted + rejected) / work;
         admitted *= KEEP;
         rejected *= KEEP;
--- a/core/src/main/java/spurroad/admission/ServiceLevels.java
+++ b/core/src/main/java/spurroad/admission/ServiceLevels.java
@@ -9,27 +9,35 @@
  * boundary changes the level ever more seldom. No I/O, no clock: it is told the time.
  */
 public final class ServiceLevels {
-    // what is demanded over what can be borne at which a level begins, by their order. The last two are for when
-    // turning away alone uses up the means: before that the best part of what comes is worth more than one track
+    // what is demanded over what can be borne at which a level begins, by their order. The last two are for
+    // when turning away alone uses up the means: before that the best part of what comes is worth more than
+    // one track
     private static final double[] IN = {0, 1.05, 1.4, 8, 20};
     private static final double OUT = 0.8; // of the way in: further apart than a measure of 100 ms swings
     private static final long WORSE_NS = 300_000_000L; // ns; three intervals in a row: not one burst
-    private static final long STAY_NS = 1_000_000_000L; // ns; the least that a level lasts before there is more service
+    // ns; the least that a level lasts before there is more service
+    private static final long STAY_NS = 1_000_000_000L;
     private static final long LONGEST_NS = 16_000_000_000L; // ns; the least stay is not doubled beyond this
-    private static final long SOON_NS = 10_000_000_000L; // ns; a level that begins again within it came back too early
-    private static final int COLD_STAYS = 2; // times as long a stay while nodes are cold: they warm up in between
+    // ns; a level that begins again within it came back too early
+    private static final long SOON_NS = 10_000_000_000L;
+    // times as long a stay while nodes are cold: they warm up in between
+    private static final int COLD_STAYS = 2;
 
     private final long[] stay = new long[ServiceLevel.values().length];
     private final long[] leftAt = new long[ServiceLevel.values().length];
     private final boolean[] left = new boolean[ServiceLevel.values().length];
     private ServiceLevel level = ServiceLevel.ORDINARY;
-    private long since = Long.MIN_VALUE / 2, aboveSince = Long.MAX_VALUE, belowSince = Long.MAX_VALUE;
+    private long since = Long.MIN_VALUE / 2;
+    private long aboveSince = Long.MAX_VALUE;
+    private long belowSince = Long.MAX_VALUE;
     private long changes;
 
+    /** Begins with all service, each level at its least stay. */
     public ServiceLevels() {
         Arrays.fill(stay, STAY_NS);
     }
 
+    /** How much service there is now. */
     public ServiceLevel level() {
         return level;
     }
--- a/core/src/main/java/spurroad/model/Decisions.java
+++ b/core/src/main/java/spurroad/model/Decisions.java
@@ -38,6 +38,7 @@
     /** When the module wants to be called next; Long.MAX_VALUE for never. */
     public long wakeNs = Long.MAX_VALUE;
 
+    /** Empties all lists, to be filled by the next call. */
     public void clear() {
         starts.clear();
         stops.clear();
--- a/core/src/main/java/spurroad/model/Word.java
+++ b/core/src/main/java/spurroad/model/Word.java
@@ -10,14 +10,17 @@
  * @param key with {@link Topic#HELD}, {@link Topic#ASK} and {@link Topic#KEPT} only
  */
 public record Word(Topic topic, long subject, double value, long paceNs, double kept, CacheKey key) {
+    /** One without a pace, a share or a key. */
     public Word(Topic topic, long subject, double value) {
         this(topic, subject, value, 0, 1, CacheKey.NONE);
     }
 
+    /** One about a key. */
     public Word(Topic topic, long subject, double value, CacheKey key) {
         this(topic, subject, value, 0, 1, key);
     }
 
+    /** One with the figures of a node. */
     public Word(Topic topic, long subject, double value, long paceNs, double kept) {
         this(topic, subject, value, paceNs, kept, CacheKey.NONE);
     }
--- a/proxy/src/main/java/spurroad/operation/AdminServer.java
+++ b/proxy/src/main/java/spurroad/operation/AdminServer.java
@@ -43,6 +43,7 @@
         calls = by;
     }
 
+    /** The port that it listens at. */
     public int port() {
         return listener.port();
     }
--- a/proxy/src/main/java/spurroad/operation/Caller.java
+++ b/proxy/src/main/java/spurroad/operation/Caller.java
@@ -8,7 +8,8 @@
 
 /** One connection with one call; all of it is the loop's of the second address. */
 final class Caller implements Connection.User {
-    private static final long PATIENCE_NS = 2_000_000_000L; // ns; a call that is not there whole by then is none
+    // ns; a call that is not there whole by then is none
+    private static final long PATIENCE_NS = 2_000_000_000L;
     private static final long ANSWER_NS = 800_000_000L; // ns; an answer is due within 1 s
     private static final long TAKING_NS = 500_000_000L; // ns; for the answer to arrive before the close
     private static final int OVER_LONG = 431; // status; a head over its bounds
@@ -18,7 +19,9 @@
     private final Connection connection;
     private final ByteSource in = new ByteSource();
     private Loop.Alarm alarm;
-    private boolean called, answered, over;
+    private boolean called;
+    private boolean answered;
+    private boolean over;
     final long since;
 
     Caller(AdminServer server, Loop loop, Connection connection) {
--- a/proxy/src/main/java/spurroad/operation/Calls.java
+++ b/proxy/src/main/java/spurroad/operation/Calls.java
@@ -10,11 +10,15 @@
      * listed.
      */
     public interface NodesByHand {
+        /** Takes the node out of use or gives it back, and then tells whether it is known. */
         void stands(String id, boolean out, Consumer<Boolean> known);
     }
 
-    private static final String NODES = "/cache-nodes/", OUT = "/maint", BACK = "/ready";
-    private static final String PATHS = "expected /healthcheck, /stats, /cache-nodes/ID/maint or /cache-nodes/ID/ready";
+    private static final String NODES = "/cache-nodes/";
+    private static final String OUT = "/maint";
+    private static final String BACK = "/ready";
+    private static final String PATHS = "expected /healthcheck, /stats, /cache-nodes/ID/maint or "
+        + "/cache-nodes/ID/ready";
 
     private final BooleanSupplier serving;
     private final Figures figures;
--- a/proxy/src/main/java/spurroad/program/Handover.java
+++ b/proxy/src/main/java/spurroad/program/Handover.java
@@ -35,10 +35,13 @@
         void places(int most);
     }
 
-    private static final long BESIDE_MS = 50; // ms; between looks while another lives: short beside the 1 s for an answer
-    private static final long ALONE_MS = 250; // ms; between looks for another: it takes longer to begin to serve
+    // ms; between looks while another lives: short beside the 1 s for an answer
+    private static final long BESIDE_MS = 50;
+    // ms; between looks for another: it takes longer to begin to serve
+    private static final long ALONE_MS = 250;
     private static final int SLACK = 16; // descriptors; beyond those held, for what comes until the next look
-    private static final double MOST = 0.75; // of all descriptors: for one before, as long as it has all the queries
+    // of all descriptors: for one before, as long as it has all the queries
+    private static final double MOST = 0.75;
     private static final int LEAST = 24; // descriptors; fewer serve nobody
 
     /** A call that the others have not taken up yet. */
@@ -46,19 +49,25 @@
 
     private final SharedFolder folder;
     private final EventLog log;
-    private final long pid, begunMs;
-    private final int allPlaces, ownOfEach;
-    private final BlockingQueue<Runnable> told = new LinkedBlockingQueue<>(); // bounded by the callers at a time
+    private final long pid;
+    private final long begunMs;
+    private final int allPlaces;
+    private final int ownOfEach;
+    // bounded by the callers at a time
+    private final BlockingQueue<Runnable> told = new LinkedBlockingQueue<>();
     // the thread's
-    private final Map<String, String> out = new HashMap<>(); // that this process holds out of use: ids by their hashes
-    private final List<String> underWay = new ArrayList<>(); // hashes; of calls that this process is taking up
+    // that this process holds out of use: ids by their hashes
+    private final Map<String, String> out = new HashMap<>();
+    // hashes; of calls that this process is taking up
+    private final List<String> underWay = new ArrayList<>();
     private final List<Call> unconfirmed = new ArrayList<>();
     private Map<Long, ProcessState> others = new TreeMap<>();
     private ProcessState lastTold;
     private Here here;
     private int places;
     private long servingMs;
-    private boolean ending, ended;
+    private boolean ending;
+    private boolean ended;
     private volatile boolean successorServes;
 
     /**
@@ -243,7 +252,8 @@
         ProcessState self = state();
         boolean last = others.entrySet().stream()
             .noneMatch(o -> o.getValue() != null && o.getValue().after(self, o.getKey(), pid));
-        int held = here == null ? 0 : here.placesHeld(), most = (int) (MOST * all);
+        int held = here == null ? 0 : here.placesHeld();
+        int most = (int) (MOST * all);
         int wanted = last ? all - others.values().stream().mapToInt(o -> o == null ? 0 : o.places()).sum()
             : ending ? Math.min(most, held + SLACK) : successorServes ? all / 2 : most;
         return Math.max(LEAST, Math.min(wanted, all - LEAST));
--- a/proxy/src/main/java/spurroad/program/LineFormatter.java
+++ b/proxy/src/main/java/spurroad/program/LineFormatter.java
@@ -26,8 +26,8 @@
     @Override
     public String format(LogRecord record) {
         String time = TIME.format(Instant.ofEpochMilli(record.getMillis()).atZone(zone));
-        String message = formatMessage(record),
-            thrown = record.getThrown() == null ? "" : record.getThrown().toString();
+        String message = formatMessage(record);
+        String thrown = record.getThrown() == null ? "" : record.getThrown().toString();
         if (!json) {
             return time + " " + record.getLevel() + " " + message + (thrown.isEmpty() ? "" : " " + thrown)
                 + "\n";
--- a/proxy/src/main/java/spurroad/program/Main.java
+++ b/proxy/src/main/java/spurroad/program/Main.java
@@ -21,10 +21,13 @@
 public final class Main {
     private static final String USAGE = "usage: spurroad serve | rehearse | wirehost";
     private static final String LOG_PROPERTY = "spurroad.log"; // "json" for one JSON object a line
-    private static final int FAILED = 1, MISUSED = 2; // exit codes
+    // exit codes
+    private static final int FAILED = 1;
+    private static final int MISUSED = 2;
 
     private Main() {}
 
+    /** Runs what the only argument names: serve, rehearse or wirehost. */
     public static void main(String[] args) throws IOException, InterruptedException {
         switch (args.length == 1 ? args[0] : "") {
             case "serve" -> serve();
@@ -45,7 +48,8 @@
         for (Handler handler : Logger.getLogger("").getHandlers()) {
             handler.setFormatter(lines);
         }
-        // both from the first moment: the default is to end, and under load this thread may be late to say otherwise
+        // both from the first moment: the default is to end, and under load this thread may be late to say
+        // otherwise
         Life<Service> life = new Life<>(Service::end);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             if (life.end()) {
@@ -59,7 +63,8 @@
             ProxyStart start = ProxyStart.ofEnvironment(System.getenv());
             try {
                 EventLog log = new EventLog();
-                log.event("starting", start.name); // the first line takes longest, and no query is to wait for it
+                // the first line takes longest, and no query is to wait for it
+                log.event("starting", start.name);
                 Threads threads = new Threads(log);
                 Clock clock = new Clock();
                 AdminServer admin = start.admin == null ? null : admin(start, threads, log, clock);
--- a/proxy/src/main/java/spurroad/program/ProcessState.java
+++ b/proxy/src/main/java/spurroad/program/ProcessState.java
@@ -17,7 +17,8 @@
  * @param out the cache nodes that it holds out of use, by the hash of their ids in hexadecimal digits
  */
 record ProcessState(long begunMs, long servingMs, boolean ending, int places, Set<String> out) {
-    private static final String FORM = "spurroad-process 1", LAST = "end";
+    private static final String FORM = "spurroad-process 1";
+    private static final String LAST = "end";
 
     String text() {
         return String.join("\n", FORM, "begun " + begunMs, "serving " + servingMs, "ending " + ending,
--- a/proxy/src/main/java/spurroad/program/Rehearsal.java
+++ b/proxy/src/main/java/spurroad/program/Rehearsal.java
@@ -41,7 +41,9 @@
     private static final int QUERIES = 800; // the quick compiler takes up what has run some hundred times
     private static final int CLIENTS = 4; // at once: queries meet each other, as later
     private static final long LONGEST_MS = 4_000; // ms; a process so slow is better cold than late
-    private static final int NODES = 4, PLACES = 200; // cache nodes; connections, which all fit
+    // cache nodes; connections, which all fit
+    private static final int NODES = 4;
+    private static final int PLACES = 200;
     private static final String VALUE = "8c1f30d27a5be964";
 
     private final ProxyStart start;
@@ -80,7 +82,8 @@
     /** The proxy's side of a connection to a new peer. */
     private Connection connection(Function<String, String> rule, Runnable placeBack) {
         try {
-            Pipe toPeer = Pipe.open(), fromPeer = Pipe.open();
+            Pipe toPeer = Pipe.open();
+            Pipe fromPeer = Pipe.open();
             last = new Peer(toPeer, fromPeer, rule);
             last.connection.open(last);
             return new Connection(loop, fromPeer.source(), toPeer.sink(), placeBack);
--- a/proxy/src/main/java/spurroad/program/Service.java
+++ b/proxy/src/main/java/spurroad/program/Service.java
@@ -31,17 +31,21 @@
 
 /** One real proxy: puts its parts together, and ends it in order. */
 public final class Service implements Handover.Here {
-    private static final long STILL_ACCEPT_NS = 500_000_000L; // ns; new connections go on coming for up to 400 ms
+    // ns; new connections go on coming for up to 400 ms
+    private static final long STILL_ACCEPT_NS = 500_000_000L;
     private static final long CLOSING_MS = 200; // ms; for those whom the system has accepted
     private static final long MOST_WAIT_NS = 3_000_000_000L; // ns; whoever kills waits for no longer one
-    private static final long GRACE_NS = 500_000_000L; // ns; after that wait it may be killed 0.7 s later; and a busy moment
+    // ns; after that wait it may be killed 0.7 s later; and a busy moment
+    private static final long GRACE_NS = 500_000_000L;
     private static final long LAST_NS = 400_000_000L; // ns; what comes last still has so long for its answer
     private static final long MOST_ON_NS = 2_500_000_000L; // ns; whoever takes over is up by then
     private static final long LOOK_MS = 5; // ms; how often it is looked whether all clients are gone
     private static final long LONGEST_END_NS = 10_000_000_000L; // ns; longer than clients wait
 
-    private static final long FIRST_LIST_NS = 3_000_000_000L; // ns; a list that is pushed comes within milliseconds
-    private static final long REST_NS = 10_000_000L; // ns; of a node's connection: what follows an answer comes in less
+    // ns; a list that is pushed comes within milliseconds
+    private static final long FIRST_LIST_NS = 3_000_000_000L;
+    // ns; of a node's connection: what follows an answer comes in less
+    private static final long REST_NS = 10_000_000L;
 
     private final EventLog log;
     private final Descriptors descriptors;
@@ -52,7 +56,9 @@
     private final ListWatch list;
     private final Decider decider;
     private final Clock clock;
-    private final AtomicLong applied = new AtomicLong(), rejected = new AtomicLong(); // files read at SIGHUP
+    // files read at SIGHUP
+    private final AtomicLong applied = new AtomicLong();
+    private final AtomicLong rejected = new AtomicLong();
     private final AtomicBoolean opened = new AtomicBoolean();
     private ProxyStart start;
 
@@ -88,7 +94,8 @@
             threads.start("hand-over", handover);
         }
         if (list.pushed()) {
-            // what there is to know counts from now on: nothing is taken before it has been heard, or can't be
+            // what there is to know counts from now on: nothing is taken before it has been heard, or can't
+            // be
             loop.tell(() -> loop.after(FIRST_LIST_NS, this::open));
             list.begin(this::open);
         } else {
@@ -111,6 +118,7 @@
         throw new IOException("descriptor 0 is no listening socket, as BALANCER_LISTEN_FD says it is");
     }
 
+    /** The port that clients are heard at. */
     public int port() {
         return listener.port();
     }
@@ -204,7 +212,8 @@
         log.event("ending", clients.count() + " clients connected");
         open(); // who waits in the system's queue is answered too
         long since = System.nanoTime();
-        // by their own time queries of longer waits were answered after the kill (lost in restarts with hung nodes)
+        // by their own time queries of longer waits were answered after the kill (lost in restarts with hung
+        // nodes)
         long killed = Math.min(MOST_WAIT_NS, clients.longestWaitNs()) + GRACE_NS;
         clients.allAnsweredWithin(killed);
         if (handover != null) {
--- a/proxy/src/main/java/spurroad/program/SharedFolder.java
+++ b/proxy/src/main/java/spurroad/program/SharedFolder.java
@@ -25,7 +25,10 @@
  * system gives back however it dies. One thread works it.
  */
 final class SharedFolder {
-    private static final String LOCK = ".lock", STATE = ".state", OUT = "out-", PART = ".part";
+    private static final String LOCK = ".lock";
+    private static final String STATE = ".state";
+    private static final String OUT = "out-";
+    private static final String PART = ".part";
     private static final String OUT_FORM = "spurroad-out 1";
     private static final int TRIES = 100; // of a lock that a tidying neighbour may hold for a moment
     private static final long AGAIN_MS = 5; // ms; between them
@@ -118,7 +121,8 @@
         for (Path file : named("")) {
             String name = file.getFileName().toString();
             if (name.startsWith(OUT) && !name.endsWith(PART)) {
-                String hash = name.substring(OUT.length()), text = text(file);
+                String hash = name.substring(OUT.length());
+                String text = text(file);
                 String[] lines = text == null ? null : text.split("\n", -1);
                 if (lines != null && lines.length == 3 && lines[0].equals(OUT_FORM)
                     && hash(lines[1]).equals(hash)) {
--- a/proxy/src/main/java/spurroad/protocol/ByteSource.java
+++ b/proxy/src/main/java/spurroad/protocol/ByteSource.java
@@ -23,9 +23,12 @@
     private static final byte[] NOTHING = {};
     private final InputStream in;
     private byte[] buffer;
-    private int from, to;
-    // of one that is fed: where the message being read begins, how much of it is there at least, and whether it ended
-    private int mark, need;
+    private int from;
+    private int to;
+    // of one that is fed: where the message being read begins, how much of it is there at least, and whether
+    // it ended
+    private int mark;
+    private int need;
     private boolean ended;
 
     /** One that reads from a stream and waits for it. */
--- a/proxy/src/main/java/spurroad/protocol/Http.java
+++ b/proxy/src/main/java/spurroad/protocol/Http.java
@@ -18,8 +18,10 @@
     private static final int MOST_HEAD_LINE = 8192; // bytes; the usual bound of servers
     private static final int MOST_HEADERS = 100; // lines; the usual bound of servers
     private static final int MOST_LIST_LINE = 4 * 1024 * 1024; // bytes; 1,024 nodes, indented, of long names
-    private static final int MOST_UNTOLD = MetaCommand.LONG_VALUE; // bytes; of a body whose length is not told ahead
-    private static final Set<String> FRAMING = Set.of("content-length", "transfer-encoding"); // where a body ends
+    // bytes; of a body whose length is not told ahead
+    private static final int MOST_UNTOLD = MetaCommand.LONG_VALUE;
+    // where a body ends
+    private static final Set<String> FRAMING = Set.of("content-length", "transfer-encoding");
     private static final String PLAIN = "-._~"; // besides letters and digits, what a path holds as it is
 
     /** The first line and the headers of an answer, by their names in small letters. */
@@ -40,6 +42,7 @@
 
     private Http() {}
 
+    /** A GET request without a body. */
     public static byte[] get(String target, String host) {
         return request("GET", target, host, Map.of(), 0, null);
     }
--- a/proxy/src/main/java/spurroad/protocol/Members.java
+++ b/proxy/src/main/java/spurroad/protocol/Members.java
@@ -31,9 +31,12 @@
     private static final long FNV_TIMES = 0x100000001b3L;
     private static final String BYTE = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])"; // of an address
     private static final String IPV4 = "(" + BYTE + "\\.){3}" + BYTE;
-    private static final String IPV6 = "\\[[0-9a-fA-F:.]+\\]"; // what is none of these is refused without a look-up
-    private static final int OTHERS = 1 << 16; // numbers from here on stand for names that are not in the figures
+    // what is none of these is refused without a look-up
+    private static final String IPV6 = "\\[[0-9a-fA-F:.]+\\]";
+    // numbers from here on stand for names that are not in the figures
+    private static final int OTHERS = 1 << 16;
 
+    /** Checks a whole list as discovery sends it. */
     public static Members read(Object json, Names names) throws ProtocolException {
         if (!(json instanceof Map<?, ?> list) || !(list.get("targets") instanceof List<?> targets)) {
             throw new ProtocolException("a list without targets");
--- a/proxy/src/main/java/spurroad/protocol/MetaCommand.java
+++ b/proxy/src/main/java/spurroad/protocol/MetaCommand.java
@@ -11,6 +11,7 @@
  * commands of a crowd are turned away, and reading is most of what that costs.
  */
 public final class MetaCommand {
+    /** What a command asks for, or that it can't be used. */
     public enum Kind { READ, WRITE, READY, FAULT }
 
     public static final int MOST_VALUE = 4 * 1024 * 1024; // bytes; the longest that clients and nodes have
@@ -20,7 +21,8 @@
     private static final int MOST_KEY = 250; // bytes; memcache's
     private static final int MOST_ID = 32; // bytes; memcache's
     private static final long MOST_WAIT_MS = 3_600_000; // ms; no client waits an hour
-    private static final int WORDS = 5; // of a query: command, key, `v` or the length, id and list in either order
+    // of a query: command, key, `v` or the length, id and list in either order
+    private static final int WORDS = 5;
     private static final int FEW = 16; // names of a list; so many are compared with each other without a set
     private static final byte[] NO_VALUE = {};
     private static final MetaCommand MN = new MetaCommand(Kind.READY, null, false, "mn", NO_VALUE);
@@ -35,7 +37,16 @@
     private int longLength;
     private final String line;
     // places in the line: the words of a query, the id and the list without the letters that mark them
-    private int words, keyFrom, keyTo, thirdFrom, thirdTo, idAt, idFrom, idTo, listFrom, listTo;
+    private int words;
+    private int keyFrom;
+    private int keyTo;
+    private int thirdFrom;
+    private int thirdTo;
+    private int idAt;
+    private int idFrom;
+    private int idTo;
+    private int listFrom;
+    private int listTo;
     private boolean printable = true;
     private String id;
 
@@ -164,7 +175,8 @@
         int names = 0;
         Set<String> known = null;
         for (int from = listFrom; from <= listTo; names++) {
-            int end = partEnd(from), cut = line.indexOf('=', from);
+            int end = partEnd(from);
+            int cut = line.indexOf('=', from);
             if (cut <= from || cut >= end - 1) {
                 return false;
             }
@@ -192,7 +204,9 @@
      * The place of the first part of the list with the name that stands at a place of the line, or is given.
      */
     private int at(int nameFrom, int nameTo) {
-        int part = listFrom, length = nameTo - nameFrom + 1; // with its sign
+        // with its sign
+        int part = listFrom;
+        int length = nameTo - nameFrom + 1;
         while (!line.regionMatches(part, line, nameFrom, length)) {
             part = partEnd(part) + 1;
         }
@@ -255,6 +269,7 @@
         return pieces;
     }
 
+    /** The key as the client wrote it. */
     public String key() {
         return line.substring(keyFrom, keyTo);
     }
--- a/proxy/src/main/java/spurroad/protocol/MetaReply.java
+++ b/proxy/src/main/java/spurroad/protocol/MetaReply.java
@@ -69,6 +69,7 @@
         throw new ProtocolException("an endless report");
     }
 
+    /** The command that asks a cache node for its load. */
     public static byte[] probe() {
         return PROBE;
     }
@@ -135,10 +136,12 @@
         return text(comeBackMs > 0 ? "SERVER_ERROR busy " + comeBackMs : "SERVER_ERROR busy");
     }
 
+    /** The answer to a request that failed. */
     public static byte[] aborted() {
         return text("SERVER_ERROR failed");
     }
 
+    /** The answer that says that the proxy serves. */
     public static byte[] ready() {
         return text("MN");
     }
--- a/proxy/src/main/java/spurroad/protocol/Pairs.java
+++ b/proxy/src/main/java/spurroad/protocol/Pairs.java
@@ -6,10 +6,12 @@
 
 /** Lists of names and values, as in `inflight=7,queue=2`. */
 public final class Pairs {
-    private static final double MOST_QUEUED = 1e6; // queries; no node holds as many: such a report tells nothing
+    // queries; no node holds as many: such a report tells nothing
+    private static final double MOST_QUEUED = 1e6;
 
     private Pairs() {}
 
+    /** The pairs of a text, in its order. */
     public static Map<String, String> read(String text) {
         Map<String, String> pairs = new LinkedHashMap<>();
         for (String pair : text.split(",")) {
--- a/proxy/src/main/java/spurroad/protocol/PeerMessage.java
+++ b/proxy/src/main/java/spurroad/protocol/PeerMessage.java
@@ -9,9 +9,12 @@
  * and, by topic, a pace in microseconds (u32) and a share of keys (f32), and a key (8 bytes).
  */
 public final class PeerMessage {
-    private static final int BYTES = 1 + 8 + 4, KEY_BYTES = 8, QUEUE_BYTES = 4 + 4;
+    private static final int BYTES = 1 + 8 + 4;
+    private static final int KEY_BYTES = 8;
+    private static final int QUEUE_BYTES = 4 + 4;
     private static final double MOST = 1e6; // of any value: beyond it nobody counts
-    private static final long NS_PER_US = 1_000L, MAX_U32 = 0xffffffffL;
+    private static final long NS_PER_US = 1_000L;
+    private static final long MAX_U32 = 0xffffffffL;
     private static final Word.Topic[] TOPICS = Word.Topic.values();
 
     private PeerMessage() {}
@@ -28,6 +31,7 @@
         return BYTES + (keyed(topic) ? KEY_BYTES : 0) + (queue(topic) ? QUEUE_BYTES : 0);
     }
 
+    /** The bytes of a message to another proxy. */
     public static byte[] write(Word word) {
         ByteBuffer bytes = ByteBuffer.allocate(length(word.topic()));
         bytes.put((byte) word.topic().ordinal()).putLong(word.subject()).putFloat((float) word.value());
--- a/proxy/src/main/java/spurroad/protocol/ProtocolException.java
+++ b/proxy/src/main/java/spurroad/protocol/ProtocolException.java
@@ -6,6 +6,7 @@
 public final class ProtocolException extends IOException {
     private static final long serialVersionUID = 1L;
 
+    /** Tells what was expected and what came. */
     public ProtocolException(String message) {
         super(message);
     }
--- a/proxy/src/main/java/spurroad/protocol/Reply.java
+++ b/proxy/src/main/java/spurroad/protocol/Reply.java
@@ -17,6 +17,7 @@
     /** A value of so many bytes, and whether a line end follows it on the wire. */
     public record Rest(long bytes, boolean lineEnd) {}
 
+    /** One without the last component. */
     public Reply(Outcome outcome, CacheNote note, LoadReport load, byte[] answer, boolean more) {
         this(outcome, note, load, answer, more, null);
     }
--- a/proxy/src/main/java/spurroad/routing/CallTiming.java
+++ b/proxy/src/main/java/spurroad/routing/CallTiming.java
@@ -11,17 +11,22 @@
  */
 final class CallTiming {
     static final long TOLD_NS = 6_000_000_000L; // from when a change could be heard
-    private static final long CALL_NS = 3_100_000_000L; // until the first line; discovery may let a call wait for 3 s
-    private static final long PUSHED_CALL_NS = 2_000_000_000L; // the same where lists are pushed: their agent is close
-    private static final long LONGEST_PAUSE_NS = 1_900_000_000L; // mean; half as much again and a call are under 6 s
+    // until the first line; discovery may let a call wait for 3 s
+    private static final long CALL_NS = 3_100_000_000L;
+    // the same where lists are pushed: their agent is close
+    private static final long PUSHED_CALL_NS = 2_000_000_000L;
+    // mean; half as much again and a call are under 6 s
+    private static final long LONGEST_PAUSE_NS = 1_900_000_000L;
     private static final long PUSHED_PAUSE_NS = 100_000_000L; // mean, where lists are pushed
-    private static final double PAUSE_SHARE = 0.4; // of the time that the settings give for asking: the call takes some
+    // of the time that the settings give for asking: the call takes some
+    private static final double PAUSE_SHARE = 0.4;
     private static final double CALL_SHARE = 2; // of the same; after a call that failed it counts four times
-    // A watch says something every 2 s. By 7 s drains that followed upon a silence were learned of too late (all watches
-    // silent at once).
+    // A watch says something every 2 s. By 7 s drains that followed upon a silence were learned of too late
+    // (all watches silent at once).
     private static final long SILENT_NS = 2_600_000_000L; // a beat and a third; a call too many costs little
     private static final long SILENT_SPREAD_NS = 800_000_000L;
-    private static final long SECOND_CALL_NS = 4_500_000_000L; // after a silent watch's last line: 1.5 s are left to answer
+    // after a silent watch's last line: 1.5 s are left to answer
+    private static final long SECOND_CALL_NS = 4_500_000_000L;
     private static final long CONNECT_NS = 2_000_000_000L; // a lost packet is sent again after 1 s
     private static final long NS_PER_MS = 1_000_000L;
 
--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -23,21 +23,30 @@
     private static final int AT_A_TURN = 16; // commands; who sends hundreds at once holds up nobody
     private static final long SLOW_NS = 10_000_000_000L; // ns; a client that takes nothing so long is gone
     private static final long REST_NS = 50_000_000L; // ns; a client that goes on at once has done so by then
-    private static final long ASKS_ON_NS = 5_000_000L; // ns; a client that has a next query waiting asks within that
-    private static final long FRESH_NS = 250_000_000L; // ns; who opens a connection for a query sends it sooner
-    private static final long HOLDING_NS = 1_000_000_000L; // ns; for guests, and for answers where memory is short
-    private static final long IDLE_NS = 2_200_000_000L; // ns; without a byte of a command: owed a close; heads take 2 s
+    // ns; a client that has a next query waiting asks within that
+    private static final long ASKS_ON_NS = 5_000_000L;
+    // ns; who opens a connection for a query sends it sooner
+    private static final long FRESH_NS = 250_000_000L;
+    // ns; for guests, and for answers where memory is short
+    private static final long HOLDING_NS = 1_000_000_000L;
+    // ns; without a byte of a command: owed a close; heads take 2 s
+    private static final long IDLE_NS = 2_200_000_000L;
     private static final long LONGEST_NS = 20_000_000_000L; // ns; for a command without a long value
     private static final long ROOM_NS = 20_000_000L; // ns; between looks for room for a long value
-    private static final long CROWDED_NS = 300_000_000L; // ns; the same after an answer where many are connected
-    private static final long FAULT_REST_NS = 100_000_000L; // ns; who sends nonsense again at once costs others nothing
+    // ns; the same after an answer where many are connected
+    private static final long CROWDED_NS = 300_000_000L;
+    // ns; who sends nonsense again at once costs others nothing
+    private static final long FAULT_REST_NS = 100_000_000L;
     private static final long LOOK_NS = 100_000_000L; // ns; between looks for its end while nothing is read
     private static final int AHEAD_BYTES = 64 * 1024; // bytes; kept here unread at most, as of one reading
-    private static final int PASSING_BYTES = 64 * 1024; // bytes; of a long value that wait for the client, at most
+    // bytes; of a long value that wait for the client, at most
+    private static final int PASSING_BYTES = 64 * 1024;
     private static final int SYSTEM_BYTES = 128 * 1024; // bytes; of a long value; the system takes twice that
     private static final long TAKING_NS = 30_000_000_000L; // ns; for those to be taken, at 10 KB a second
-    private static final int LONG_BYTES = 16 * 1024; // bytes; a shorter answer fits whole into the client's buffers
-    private static final int LAST_BYTES = 256 * 1024; // bytes; read on after a last answer, so that it arrives
+    // bytes; a shorter answer fits whole into the client's buffers
+    private static final int LONG_BYTES = 16 * 1024;
+    // bytes; read on after a last answer, so that it arrives
+    private static final int LAST_BYTES = 256 * 1024;
 
     /** The place of one command's answer in the order of answers. */
     private static final class Slot {
@@ -46,7 +55,8 @@
         private Results.End end;
         private StreamedResponse streamed; // the long value that follows the answer
         private long uploadRoom;
-        private long queryRoom, answerRoom;
+        private long queryRoom;
+        private long answerRoom;
         private byte[] answer;
         private boolean last;
     }
@@ -60,10 +70,21 @@
     private final Deque<Slot> slots = new ArrayDeque<>();
     private Slot writing; // answered, and not yet taken whole by the system
     private long takingUntil; // while a long answer may still stand in the system's buffers here
-    private long idleSince, cameAt, begunAt = Long.MAX_VALUE, writingSince = Long.MAX_VALUE;
-    private boolean answered, resting, lost, again, looking, ahead, over;
+    private long idleSince;
+    private long cameAt;
+    private long begunAt = Long.MAX_VALUE;
+    private long writingSince = Long.MAX_VALUE;
+    private boolean answered;
+    private boolean resting;
+    private boolean lost;
+    private boolean again;
+    private boolean looking;
+    private boolean ahead;
+    private boolean over;
     private Upload upload; // the long value that is coming in
-    private long uploadRoom, seen; // what it holds; bytes that the client had taken at the last look
+    // what it holds; bytes that the client had taken at the last look
+    private long uploadRoom;
+    private long seen;
     private boolean noRoom;
     private int dropped;
 
@@ -99,7 +120,8 @@
         }
         cameAt = clients.now();
         if (upload != null) {
-            upload(bytes, connection.arrivedAt()); // all of them: what follows may read on, into the same buffer
+            // all of them: what follows may read on, into the same buffer
+            upload(bytes, connection.arrivedAt());
         } else if (!over) {
             feed(bytes, connection.arrivedAt());
             if (!ahead) {
@@ -308,7 +330,8 @@
 
     /** In the order of what it costs: most of a crowd gets no further than the gate, and takes nothing. */
     private byte[] query(Slot slot, MetaCommand command, long arrivedAt) {
-        int track = clients.track(command), customer = clients.customer(command);
+        int track = clients.track(command);
+        int customer = clients.customer(command);
         String refusal = clients.refusal(command, track, customer);
         if (refusal != null) {
             return fault(slot, refusal, false);
--- a/proxy/src/main/java/spurroad/routing/Clients.java
+++ b/proxy/src/main/java/spurroad/routing/Clients.java
@@ -21,11 +21,14 @@
     static final int QUERY_BYTES = 8192; // bytes; what a query without a value holds on its way, with room
     private static final int ROOM_SHARE = 8; // one part in so many of the memory is for queries under way
     private static final int HEAP_SHARE = 3; // one part in so many of the heap; answers and buffers take more
-    private static final int AT_ONCE = 4; // connections; closed at a shortage, so that it is not one again at once
+    // connections; closed at a shortage, so that it is not one again at once
+    private static final int AT_ONCE = 4;
     private static final int CROWD = 4; // one part in so many of the places: as many open queries are rare
-    private static final long TIDY_NS = 100_000_000L; // ns; between looks at who says nothing; some microseconds each
+    // ns; between looks at who says nothing; some microseconds each
+    private static final long TIDY_NS = 100_000_000L;
     private static final long QUIET_NS = 1_000_000_000L; // ns; who has asked nothing for so long asks seldom
-    private static final long MIB = 1 << 20, NS_PER_MS = 1_000_000L;
+    private static final long MIB = 1 << 20;
+    private static final long NS_PER_MS = 1_000_000L;
 
     private record Overdue(ClientConnection connection, double by) {}
 
@@ -42,13 +45,17 @@
     private final Results results;
     private StartFigures figures; // the loop's
     private List<Results.OfClass> counts = List.of(); // by track
-    private Map<String, Integer> tracks, customers; // their numbers by name
+    // their numbers by name
+    private Map<String, Integer> tracks;
+    private Map<String, Integer> customers;
     private final int places;
-    private volatile boolean lettingGo, ending;
+    private volatile boolean lettingGo;
+    private volatile boolean ending;
     private volatile long statementTimeoutNs; // the loop's; for other threads
     private volatile long longestWaitMs; // the loop's; for other threads
     private volatile long answeredBy = Long.MAX_VALUE;
 
+    /** For so many places; registers nothing yet. */
     public Clients(ProxyStart start, Loop loop, EventLog log, Decider decider, int places) {
         this.loop = loop;
         this.log = log;
@@ -224,7 +231,8 @@
     /** All that was taken and all that comes is answered within this time from now, in nanoseconds. */
     public void allAnsweredWithin(long ns) {
         answeredBy = now() + ns;
-        loop.tell(() -> loop.after(ns, decider::answerAll)); // what was taken before may wait longer than that
+        // what was taken before may wait longer than that
+        loop.tell(() -> loop.after(ns, decider::answerAll));
     }
 
     /**
@@ -235,6 +243,7 @@
         return statementTimeoutNs > 0 ? statementTimeoutNs : longestWaitMs * NS_PER_MS;
     }
 
+    /** Connections that are open. */
     public int count() {
         return count;
     }
--- a/proxy/src/main/java/spurroad/routing/Decider.java
+++ b/proxy/src/main/java/spurroad/routing/Decider.java
@@ -42,10 +42,12 @@
 public final class Decider implements Runnable {
     /** Asked to follow the list when the module wants it. */
     public interface Follow {
+        /** Asks discovery for the list, and follows its changes. */
         void follow();
     }
 
-    // The messages of each query are classes: the quick compiler makes a call into the machine of each lambda's birth.
+    // The messages of each query are classes: the quick compiler makes a call into the machine of each
+    // lambda's birth.
     private record Arrived(Decider decider, Query q) implements Runnable {
         @Override
         public void run() {
@@ -100,9 +102,11 @@
         }
     }
 
-    private static final int AT_ONCE = 32; // messages; nothing decided waits for more than a millisecond's work
+    // messages; nothing decided waits for more than a millisecond's work
+    private static final int AT_ONCE = 32;
     private static final int MAILBOX = 1 << 16; // messages; a dozen for each query that there is room for
-    private static final long NS_PER_MS = 1_000_000L, NS_PER_US = 1_000L;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long NS_PER_US = 1_000L;
     private static final int MOST_LISTED = 8192; // ids; that staff may name, those of a year of releases
     private static final int MOST_WORDS = 4096; // of other proxies, not heard yet: further ones are lost
     private static final int MODULE_FAILED = 70; // exit code; the usual one for a fault of the program itself
@@ -122,7 +126,8 @@
     private final Tally tally = new Tally();
     private final AtomicInteger wordsWaiting = new AtomicInteger();
     private final Stalls stalls = new Stalls();
-    private final List<Runnable> fromLoop = new ArrayList<>(); // the loop's: for the module at the end of its turn
+    // the loop's: for the module at the end of its turn
+    private final List<Runnable> fromLoop = new ArrayList<>();
     private List<Runnable> forLoop = new ArrayList<>(); // the module's: for the loop after some messages
     private final Map<NodeId, Boolean> everListed = new LinkedHashMap<>(); // whether as a cache node
     private final Set<NodeId> byHand = new HashSet<>();
@@ -135,8 +140,10 @@
     private int aged;
     private volatile long coldUntil;
     private boolean ended;
-    private long queryCount, wakeNs = Long.MAX_VALUE;
+    private long queryCount;
+    private long wakeNs = Long.MAX_VALUE;
 
+    /** Makes the module and its mailbox; nothing runs yet. */
     public Decider(ProxyStart start, Threads threads, Loop loop, EventLog log, Clock clock,
                    Descriptors descriptors,
                    Dialer dialer, long restNs) {
@@ -362,6 +369,7 @@
 
     // ---- told by the list
 
+    /** A list came from discovery. */
     public void listed(Members list) {
         mailbox.tell(() -> {
             Set<NodeId> named = new HashSet<>();
@@ -386,6 +394,7 @@
         });
     }
 
+    /** A call to discovery failed, or its subscription ended. */
     public void listFailed() {
         mailbox.tell(() -> {
             balance.listFailed(clock.now(), fresh());
--- a/proxy/src/main/java/spurroad/routing/Gate.java
+++ b/proxy/src/main/java/spurroad/routing/Gate.java
@@ -18,10 +18,12 @@
  */
 final class Gate {
     private static final long NS_PER_MS = 1_000_000L;
-    private static final double AGE_SHARE = 0.25; // of the shortest SLO time: what nodes are given is most of it
+    // of the shortest SLO time: what nodes are given is most of it
+    private static final double AGE_SHARE = 0.25;
     private static final double COME_BACK = 0.5; // of the shortest SLO time, as the module has it
     private static final int WINDOW = 2; // intervals; the platform evens its limit out over some 100 ms
-    private static final int MOST_KEPT = 4096; // answers, one a millisecond; a client told of more comes after so much
+    // answers, one a millisecond; a client told of more comes after so much
+    private static final int MOST_KEPT = 4096;
     private static final long USUAL_SLO_NS = 1_000_000_000L; // ns; where no track is told
 
     /**
@@ -36,10 +38,14 @@
     private final Admission admission;
     private final double cores;
     private final Processor processor = new Processor();
-    private final long[] usedNs = new long[WINDOW], readAt = new long[WINDOW];
-    private final byte[][] rejections = new byte[MOST_KEPT][]; // put together once; nothing writes into an answer
+    private final long[] usedNs = new long[WINDOW];
+    private final long[] readAt = new long[WINDOW];
+    // put together once; nothing writes into an answer
+    private final byte[][] rejections = new byte[MOST_KEPT][];
     private int readings;
-    private long ageNs, aged, turnedAway;
+    private long ageNs;
+    private long aged;
+    private long turnedAway;
 
     Gate(ProxyStart start, Loop loop, EventLog log, Room room, Decider decider) {
         this.loop = loop;
@@ -54,7 +60,8 @@
 
     /** The figures of the deployment, for what comes from now on. */
     void figures(Deployment figures) {
-        long slo = figures.shortestSloNs(USUAL_SLO_NS), back = (long) (COME_BACK * slo);
+        long slo = figures.shortestSloNs(USUAL_SLO_NS);
+        long back = (long) (COME_BACK * slo);
         busy = MetaReply.rejected(Math.min(figures.maxComeBackNs(), back) / NS_PER_MS);
         admission.figures(figures.tracks().stream().mapToDouble(Track::importance).toArray(),
             figures.customerPace().stream().mapToDouble(Double::doubleValue).toArray(),
@@ -107,7 +114,9 @@
     /** The used part of its share of a core over the last intervals; NaN where it is not known. */
     private double processor(long now) {
         int i = readings++ % WINDOW;
-        long used = processor.usedNs(), before = usedNs[i], since = readAt[i];
+        long used = processor.usedNs();
+        long before = usedNs[i];
+        long since = readAt[i];
         usedNs[i] = used;
         readAt[i] = now;
         return readings <= WINDOW || used < before ? Double.NaN : (used - before) / (cores * (now - since));
--- a/proxy/src/main/java/spurroad/routing/ListWatch.java
+++ b/proxy/src/main/java/spurroad/routing/ListWatch.java
@@ -21,7 +21,8 @@
  * followed from the start and asked again soon. Elsewhere it is followed when the module says so.
  */
 public final class ListWatch implements Decider.Follow {
-    private static final int THREAD_MS = 10_000; // ms; longer than any alarm: no thread outlives a socket for long
+    // ms; longer than any alarm: no thread outlives a socket for long
+    private static final int THREAD_MS = 10_000;
     private static final int OK = 200;
     private static final Runnable NOTHING = () -> {};
 
@@ -35,10 +36,12 @@
     // the loop's
     private InetSocketAddress discovery;
     private long revision;
-    private Watch current, former;
+    private Watch current;
+    private Watch former;
     private Runnable firstList = NOTHING;
     private Loop.Alarm again = () -> {}; // the next call at the latest
 
+    /** Calls nobody until it is told to follow. */
     public ListWatch(ProxyStart start, Threads threads, Loop loop, EventLog log, Decider decider) {
         this.threads = threads;
         this.loop = loop;
@@ -220,7 +223,8 @@
                 if (head.status() != OK) {
                     throw new ProtocolException("answered " + head.status());
                 }
-                loop.tell(() -> listen(timing.silentNs())); // the first line comes after a beat where nothing has changed
+                // the first line comes after a beat where nothing has changed
+                loop.tell(() -> listen(timing.silentNs()));
                 ByteSource lines = Http.stream(in, head);
                 for (String text = Http.listText(lines); text != null; text = Http.listText(lines)) {
                     Members list = text.isBlank() ? null : Members.read(Json.read(text), names);
--- a/proxy/src/main/java/spurroad/routing/NodeActor.java
+++ b/proxy/src/main/java/spurroad/routing/NodeActor.java
@@ -30,8 +30,10 @@
         void ended(UpstreamRequest e, Reply reply);
     }
 
-    private static final double KEPT = 0.8; // of the time until the node closes an idle one: no query crosses that
-    private static final long SHORT_NS = 10_000_000L; // ns; between askings for a place: idle ones close within that
+    // of the time until the node closes an idle one: no query crosses that
+    private static final double KEPT = 0.8;
+    // ns; between askings for a place: idle ones close within that
+    private static final long SHORT_NS = 10_000_000L;
 
     private record TimedOut(NodeActor node, UpstreamRequest e) implements Runnable {
         @Override
@@ -48,7 +50,9 @@
     private Dialect dialect;
     private Member member;
     private int generation;
-    private boolean gone, held, idleWatched;
+    private boolean gone;
+    private boolean held;
+    private boolean idleWatched;
 
     NodeActor(Surroundings around, Member member, boolean origin) {
         this.around = around;
@@ -110,7 +114,8 @@
      */
     Outcome forbids(UpstreamRequest e) {
         if (e.unwanted() || now() >= e.sentBy || e.overdue(now())) {
-            return Outcome.NEVER_SENT; // nobody waits for it, or its time to go out is over: the node is not to blame
+            // nobody waits for it, or its time to go out is over: the node is not to blame
+            return Outcome.NEVER_SENT;
         }
         // a probe of a node that drains is no query, and its failure would speak against the node
         boolean open = takesNew() || e.query == null && !gone && !held;
@@ -187,7 +192,8 @@
             around.closeIdleEverywhere.run();
             around.loop.after(SHORT_NS, () -> place(e));
         } else {
-            end(e, without(Outcome.NEVER_SENT)); // our own lack: the node is not to blame, and no other has a place
+            // our own lack: the node is not to blame, and no other has a place
+            end(e, without(Outcome.NEVER_SENT));
         }
     }
 
--- a/proxy/src/main/java/spurroad/routing/NodeConnection.java
+++ b/proxy/src/main/java/spurroad/routing/NodeConnection.java
@@ -18,7 +18,8 @@
  */
 final class NodeConnection implements Connection.User {
     private static final String TO_NOTHING = "an answer to nothing";
-    private static final long STALL_NS = 300_000_000L; // ns; inside an answer: one that was given whole arrives sooner
+    // ns; inside an answer: one that was given whole arrives sooner
+    private static final long STALL_NS = 300_000_000L;
     private static final long STREAM_STALL_NS = 2_500_000_000L; // ns; inside a long value that is being read
     private static final byte[] LINE_END = MetaReply.lineEnd();
     private final NodeActor node;
--- a/proxy/src/main/java/spurroad/routing/Results.java
+++ b/proxy/src/main/java/spurroad/routing/Results.java
@@ -17,7 +17,11 @@
 
     /** The counts of one class. */
     public static final class OfClass {
-        private volatile long taken, succeeded, declined, aborted, left;
+        private volatile long taken;
+        private volatile long succeeded;
+        private volatile long declined;
+        private volatile long aborted;
+        private volatile long left;
 
         private OfClass() {}
 
@@ -37,14 +41,17 @@
             }
         }
 
+        /** Requests that got what they asked for. */
         public long succeeded() {
             return succeeded;
         }
 
+        /** Requests that were rejected. */
         public long declined() {
             return declined;
         }
 
+        /** Requests that failed. */
         public long aborted() {
             return aborted;
         }
@@ -75,6 +82,7 @@
         return classes;
     }
 
+    /** Attempts that were sent on. */
     public long forwards() {
         return forwards;
     }
--- a/proxy/src/main/java/spurroad/routing/Tally.java
+++ b/proxy/src/main/java/spurroad/routing/Tally.java
@@ -9,11 +9,19 @@
 final class Tally {
     private static final long NS_PER_MS = 1_000_000L;
     private static final long NS_PER_S = 1_000_000_000L;
-    private static final long APART_NS = 10_000_000_000L; // ns; short beside a trouble, long beside reading it
+    // ns; short beside a trouble, long beside reading it
+    private static final long APART_NS = 10_000_000_000L;
     private final Map<Outcome, Integer> executions = new EnumMap<>(Outcome.class);
-    private int queries, completed, rejected, aborted, left;
-    private long since, stalledNs, turnedAway;
-    private ServiceLevel level = ServiceLevel.ORDINARY, worst = ServiceLevel.ORDINARY;
+    private int queries;
+    private int completed;
+    private int rejected;
+    private int aborted;
+    private int left;
+    private long since;
+    private long stalledNs;
+    private long turnedAway;
+    private ServiceLevel level = ServiceLevel.ORDINARY;
+    private ServiceLevel worst = ServiceLevel.ORDINARY;
     private double part = 1;
 
     void arrived() {
--- a/proxy/src/main/java/spurroad/routing/Upload.java
+++ b/proxy/src/main/java/spurroad/routing/Upload.java
@@ -16,7 +16,10 @@
     final MetaCommand command;
     private final List<byte[]> pieces = new ArrayList<>();
     private byte[] piece = {};
-    private int at, left, ended; // in the piece; bytes of the value to come; bytes of the line end that came
+    // in the piece; bytes of the value to come; bytes of the line end that came
+    private int at;
+    private int left;
+    private int ended;
 
     Upload(MetaCommand command) {
         this.command = command;
--- a/proxy/src/main/java/spurroad/routing/UpstreamRequest.java
+++ b/proxy/src/main/java/spurroad/routing/UpstreamRequest.java
@@ -16,7 +16,8 @@
      */
     final long sentBy;
     /** Whether its first byte has gone out, and whether its last may have. */
-    boolean begun, written;
+    boolean begun;
+    boolean written;
     // the node actor's
     NodeConnection connection;
     Loop.Alarm alarm;
--- a/proxy/src/main/java/spurroad/start/FaultyKeyException.java
+++ b/proxy/src/main/java/spurroad/start/FaultyKeyException.java
@@ -4,6 +4,7 @@
 public final class FaultyKeyException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
+    /** Names the key and what was expected of it. */
     public FaultyKeyException(String message) {
         super(message);
     }
--- a/proxy/src/main/java/spurroad/start/ProxyStart.java
+++ b/proxy/src/main/java/spurroad/start/ProxyStart.java
@@ -21,18 +21,25 @@
 public final class ProxyStart {
     private static final double MEMORY_MB = 192; // MiB; where no limit is told, the least that we run in
     private static final double SOCKETS = 1024; // descriptors; where no limit is told, the usual one
-    private static final double CORES = 1, LEAST_CORES = 0.01; // of a core; where no limit is told, one
+    // of a core; where no limit is told, one
+    private static final double CORES = 1;
+    private static final double LEAST_CORES = 0.01;
     private static final double LEAST_MEMORY_MB = 64; // MiB; the virtual machine alone takes 45
     private static final double LEAST_SOCKETS = 64; // descriptors; fewer leave none for clients
-    private static final int OWN_SOCKETS = 20; // descriptors; the virtual machine's and of loops: 14 were seen, and room
-    private static final int ADMIN_SOCKETS = 20; // descriptors; of the second address: 16 callers and what hears them
+    // descriptors; the virtual machine's and of loops: 14 were seen, and room
+    private static final int OWN_SOCKETS = 20;
+    // descriptors; of the second address: 16 callers and what hears them
+    private static final int ADMIN_SOCKETS = 20;
     private static final int PEER_SOCKETS = 3; // descriptors; what other proxies are heard at
     private static final double OWN_MB = 45; // MiB; the virtual machine at rest
-    private static final double HEAP_SHARE = 0.22; // of the memory: queries may hold an eighth, and their garbage
+    // of the memory: queries may hold an eighth, and their garbage
+    private static final double HEAP_SHARE = 0.22;
     private static final double PLACE_MB = 0.08; // MiB; a connection with its thread: 77 KiB were seen
-    private static final int LEAST_PLACES = 32; // connections; with less memory we hope rather than serve nobody
+    // connections; with less memory we hope rather than serve nobody
+    private static final int LEAST_PLACES = 32;
 
-    private static final String ADMIN = "BALANCER_ADMIN_ADDR"; // goes before the file: each process has its own
+    // goes before the file: each process has its own
+    private static final String ADMIN = "BALANCER_ADMIN_ADDR";
     private static final Set<String> TOLD_ANEW = // keys; new with each file
         Set.of("discovery", "seed", "known", "admin_addr");
 
@@ -75,6 +82,7 @@
         }
     }
 
+    /** Reads the platform's configuration, with nothing set beside it. */
     public ProxyStart(String text) {
         this(text, Map.of());
     }
--- a/proxy/src/main/java/spurroad/start/StartFigures.java
+++ b/proxy/src/main/java/spurroad/start/StartFigures.java
@@ -20,9 +20,11 @@
  */
 public final class StartFigures {
     private static final long NS_PER_US = 1_000L;
-    private static final long CONNECT_NS = 1_000_000_000L; // ns; where no limit is told: a lost packet sent again
+    // ns; where no limit is told: a lost packet sent again
+    private static final long CONNECT_NS = 1_000_000_000L;
     private static final long ASK_WITHIN_NS = 20_000_000_000L; // ns; where it is not told: beyond any pause
-    private static final double DEAR_CROSSING = 0.05; // of a query's worth: from here a copy in each place is cheaper
+    // of a query's worth: from here a copy in each place is cheaper
+    private static final double DEAR_CROSSING = 0.05;
     private static final int MOST_OPEN = 20_000; // queries; where no limit is told
     public final Deployment deployment;
     public final List<String> reportColumns;
@@ -39,10 +41,12 @@
     public final List<String> tracks;
     public final List<String> customers;
 
+    /** Of lines of keys and values. */
     public static StartFigures ofLines(String text) {
         return new StartFigures(Figures.ofLines(text));
     }
 
+    /** Of a parsed JSON object. */
     public static StartFigures ofJson(Object json) {
         Figures figures = Figures.ofJson(json);
         check(figures);
--- a/proxy/src/main/java/spurroad/transport/Connection.java
+++ b/proxy/src/main/java/spurroad/transport/Connection.java
@@ -41,9 +41,11 @@
     private final Deque<byte[]> waiting = new ArrayDeque<>();
     private int at; // of the first that waits
     private long taken;
-    private SelectionKey reads, writes;
+    private SelectionKey reads;
+    private SelectionKey writes;
     private User user;
-    private boolean closed, endedInOrder;
+    private boolean closed;
+    private boolean endedInOrder;
     /**
      * Since when what is unread may have stood so, while it is not read or more is there than was read at
      * once.
@@ -85,7 +87,8 @@
         user = by;
         try {
             if (source instanceof SocketChannel socket) {
-                socket.setOption(StandardSocketOptions.TCP_NODELAY, true); // an answer waits for nothing to follow
+                // an answer waits for nothing to follow
+                socket.setOption(StandardSocketOptions.TCP_NODELAY, true);
             }
             reads = loop.register((SelectableChannel) source, operations, this::ready);
             writes = sink == source ? reads : loop.register((SelectableChannel) sink, 0, this::ready);
@@ -305,6 +308,7 @@
         close();
     }
 
+    /** Whether it was closed, by either side. */
     public boolean closed() {
         return closed;
     }
@@ -317,6 +321,7 @@
         return endedInOrder;
     }
 
+    /** Closes it; does nothing the second time. */
     public void close() {
         if (!closed) {
             closed = true;
--- a/proxy/src/main/java/spurroad/transport/Descriptors.java
+++ b/proxy/src/main/java/spurroad/transport/Descriptors.java
@@ -9,13 +9,18 @@
  */
 public final class Descriptors {
     private static final double CLIENTS_MOST = 2 / 3.0; // of the places: many clients wait with nothing sent
-    private static final double NODES_MOST = 1 / 2.0; // of the places: a client has one execution out, seldom two
+    // of the places: a client has one execution out, seldom two
+    private static final double NODES_MOST = 1 / 2.0;
     private static final int LIST = 2; // places; a watch, and the next one while that closes
-    private static final int GUESTS = 8; // places; clients for whom there is no other, answered and let go at once
+    // places; clients for whom there is no other, answered and let go at once
+    private static final int GUESTS = 8;
 
-    private final Permits all, clients, nodes;
+    private final Permits all;
+    private final Permits clients;
+    private final Permits nodes;
     private final Semaphore guests = new Semaphore(GUESTS);
 
+    /** Divides so many places among clients, nodes and the rest. */
     public Descriptors(int places) {
         int free = places - LIST - GUESTS;
         all = new Permits(free);
@@ -66,6 +71,7 @@
         };
     }
 
+    /** Takes a place for a client's connection, if there is one. */
     public boolean takeForClient() {
         boolean may = clients.tryAcquire();
         boolean taken = may && all.tryAcquire();
@@ -75,6 +81,7 @@
         return taken;
     }
 
+    /** Takes a place for a node's connection, if there is one. */
     public boolean takeForNode() {
         boolean may = nodes.tryAcquire();
         boolean taken = may && all.tryAcquire();
@@ -84,11 +91,13 @@
         return taken;
     }
 
+    /** Gives a client's place back. */
     public void giveFromClient() {
         all.release();
         clients.release();
     }
 
+    /** Gives a node's place back. */
     public void giveFromNode() {
         all.release();
         nodes.release();
--- a/proxy/src/main/java/spurroad/transport/EventLog.java
+++ b/proxy/src/main/java/spurroad/transport/EventLog.java
@@ -6,7 +6,8 @@
 
 /** Log lines for staff: one line a kind and second at most; what was left out is counted on the next. */
 public final class EventLog {
-    private static final long APART_NS = 1_000_000_000L; // ns; staff read no faster, and a fault repeats itself
+    // ns; staff read no faster, and a fault repeats itself
+    private static final long APART_NS = 1_000_000_000L;
 
     private static final class Kind {
         private long lastAt;
--- a/proxy/src/main/java/spurroad/transport/Listener.java
+++ b/proxy/src/main/java/spurroad/transport/Listener.java
@@ -16,25 +16,33 @@
      * none.
      */
     public interface Door {
+        /** A connection was taken; a guest has no place of its own. */
         void accepted(Connection c, boolean guest);
 
+        /** A connection waits for a place. */
         void placesNeeded();
     }
 
     /** The places for those who are accepted; a guest's is one of a few for whom there is no other. */
     public interface Places {
+        /** Takes a place, if there is one. */
         boolean take();
 
+        /** Takes a guest's place, if there is one. */
         boolean takeForGuest();
 
+        /** Gives a place back. */
         void give(boolean guest);
     }
 
     private static final int BACKLOG = 1024; // connections; a burst of clients after a restart
     private static final int AT_ONCE = 16; // connections a turn: those who are connected wait for no crowd
-    private static final long ASK_NS = 2_000_000L; // ns; between askings for a place: an idle connection closes in less
-    private static final long REST_NS = 20_000_000L; // ns; after a failed accept, which may fail again at once
-    private static final long LAST_NS = 20_000_000L; // ns; without a further connection, before the socket is closed
+    // ns; between askings for a place: an idle connection closes in less
+    private static final long ASK_NS = 2_000_000L;
+    // ns; after a failed accept, which may fail again at once
+    private static final long REST_NS = 20_000_000L;
+    // ns; without a further connection, before the socket is closed
+    private static final long LAST_NS = 20_000_000L;
 
     private final ServerSocketChannel socket;
     private final boolean own;
@@ -45,7 +53,9 @@
     private final CountDownLatch ended = new CountDownLatch(1);
     // the loop's
     private SelectionKey key;
-    private boolean asked, ending, quiet;
+    private boolean asked;
+    private boolean ending;
+    private boolean quiet;
 
     /** One that hears what comes to an address. */
     public Listener(InetSocketAddress at, Loop loop, Places places, Door door, EventLog log)
@@ -78,6 +88,7 @@
         return socket.bind(at, BACKLOG);
     }
 
+    /** The port that it listens at. */
     public int port() {
         return socket.socket().getLocalPort();
     }
--- a/proxy/src/main/java/spurroad/transport/Loop.java
+++ b/proxy/src/main/java/spurroad/transport/Loop.java
@@ -31,10 +31,12 @@
 
     /** What was asked for at a time; cancelling it twice, or late, does nothing. Cancel on the loop only. */
     public interface Alarm {
+        /** Keeps the work from being run. */
         void cancel();
     }
 
-    private static final int CHUNK_BYTES = 64 * 1024; // bytes; read or written at once, so that nobody waits for one
+    // bytes; read or written at once, so that nobody waits for one
+    private static final int CHUNK_BYTES = 64 * 1024;
     private static final long NS_PER_MS = 1_000_000L;
     private static final int LOOP_FAILED = 70; // exit code; the usual one for a fault of the program itself
 
@@ -62,16 +64,19 @@
     private volatile boolean ended;
     private volatile Thread thread;
     // the loop's own
-    final ByteBuffer in = ByteBuffer.allocateDirect(CHUNK_BYTES),
-        out = ByteBuffer.allocateDirect(CHUNK_BYTES);
+    final ByteBuffer in = ByteBuffer.allocateDirect(CHUNK_BYTES);
+    final ByteBuffer out = ByteBuffer.allocateDirect(CHUNK_BYTES);
     private final TreeSet<Due> timers = new TreeSet<>();
     private final List<Runnable> turnEnds = new ArrayList<>();
     private List<Runnable> afterSelect = new ArrayList<>();
     private final Consumer<SelectionKey> readies = this::ready;
     private final Consumer<Runnable> safely = this::safely;
-    private long numbers, arrivedAt, selectedAt;
+    private long numbers;
+    private long arrivedAt;
+    private long selectedAt;
     private boolean waited;
 
+    /** One that does not run yet. */
     public Loop(EventLog log, Clock clock) {
         this.log = log;
         this.clock = clock;
@@ -117,6 +122,7 @@
         return arrivedAt;
     }
 
+    /** The clock's time, in nanoseconds. */
     public long now() {
         return clock.now();
     }
--- a/proxy/src/main/java/spurroad/transport/Mailbox.java
+++ b/proxy/src/main/java/spurroad/transport/Mailbox.java
@@ -15,6 +15,7 @@
         this.capacity = capacity;
     }
 
+    /** Puts one message in; from any thread. */
     public void tell(Runnable message) {
         tell(List.of(message));
     }
--- a/proxy/src/main/java/spurroad/transport/Room.java
+++ b/proxy/src/main/java/spurroad/transport/Room.java
@@ -6,6 +6,7 @@
     private final Permits free;
     private final int all;
 
+    /** Of so many bytes. */
     public Room(long bytes) {
         all = (int) Math.min(Integer.MAX_VALUE, bytes / UNIT);
         free = new Permits(all);
@@ -33,6 +34,7 @@
         return free.availablePermits() < 0;
     }
 
+    /** Gives so many bytes back. */
     public void give(long bytes) {
         free.release(units(bytes));
     }
--- a/proxy/src/main/java/spurroad/transport/Stalls.java
+++ b/proxy/src/main/java/spurroad/transport/Stalls.java
@@ -8,7 +8,8 @@
 public final class Stalls implements Runnable {
     private static final long SLEEP_MS = 5; // ms; a hundredth of what queries take, and little work
     private static final long NS_PER_MS = 1_000_000L;
-    private static final long USUAL_NS = 2 * NS_PER_MS; // ns; a timer wakes a sleeper so late on an idle machine
+    // ns; a timer wakes a sleeper so late on an idle machine
+    private static final long USUAL_NS = 2 * NS_PER_MS;
 
     private volatile long totalNs;
     private volatile boolean ended;
@@ -38,6 +39,7 @@
         return totalNs;
     }
 
+    /** Ends the watching thread. */
     public void end() {
         ended = true;
     }
--- a/proxy/src/main/java/spurroad/transport/Threads.java
+++ b/proxy/src/main/java/spurroad/transport/Threads.java
@@ -9,6 +9,7 @@
 
     private final EventLog log;
 
+    /** Tells the log of threads that end by a fault. */
     public Threads(EventLog log) {
         this.log = log;
     }
--- a/proxy/src/main/java/spurroad/wirehost/WireException.java
+++ b/proxy/src/main/java/spurroad/wirehost/WireException.java
@@ -4,6 +4,7 @@
 public final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
+    /** Tells what can't be read. */
     public WireException(String message) {
         super(message);
     }
--- a/proxy/src/main/java/spurroad/wirehost/WireHost.java
+++ b/proxy/src/main/java/spurroad/wirehost/WireHost.java
@@ -34,15 +34,37 @@
 
 /** Hosts many instances of the module on the simulator's wire: frames in, calls, frames out. */
 public final class WireHost {
-    private static final int LAUNCH = 10, ENDPOINTS = 20, ASK = 30, SETTLED = 50, CLIENT_LEFT = 60,
-        TIMEOUT_FIRED = 70, CHECKED = 80, MESSAGE = 90, POWER_OFF = 100;
-    private static final int HAND_OFF = 10, OVERLOAD_REPLY = 20, SURRENDER = 30, ABANDON = 40, DEFER = 50,
-        ASK_LOAD = 60, LET_GO = 70, SHARE = 80, FATAL = 100, OBSERVE = 110;
-    private static final int HEADER_BYTES = 16, RECORD_BYTES = 5, ENTRY_BYTES = 23, NODE_BYTES = 6;
-    private static final int MAX_FRAME_BYTES = 1 << 28, MAX_TEXT_BYTES = 2_000;
-    private static final int SCOPE_DELTA = 0, SCOPE_FAILED = 3;
-    private static final int HINT_BIT = 1, WRITE_BIT = 4;
-    private static final long NS_PER_US = 1_000L, MAX_U32 = 0xffffffffL;
+    private static final int LAUNCH = 10;
+    private static final int ENDPOINTS = 20;
+    private static final int ASK = 30;
+    private static final int SETTLED = 50;
+    private static final int CLIENT_LEFT = 60;
+    private static final int TIMEOUT_FIRED = 70;
+    private static final int CHECKED = 80;
+    private static final int MESSAGE = 90;
+    private static final int POWER_OFF = 100;
+    private static final int HAND_OFF = 10;
+    private static final int OVERLOAD_REPLY = 20;
+    private static final int SURRENDER = 30;
+    private static final int ABANDON = 40;
+    private static final int DEFER = 50;
+    private static final int ASK_LOAD = 60;
+    private static final int LET_GO = 70;
+    private static final int SHARE = 80;
+    private static final int FATAL = 100;
+    private static final int OBSERVE = 110;
+    private static final int HEADER_BYTES = 16;
+    private static final int RECORD_BYTES = 5;
+    private static final int ENTRY_BYTES = 23;
+    private static final int NODE_BYTES = 6;
+    private static final int MAX_FRAME_BYTES = 1 << 28;
+    private static final int MAX_TEXT_BYTES = 2_000;
+    private static final int SCOPE_DELTA = 0;
+    private static final int SCOPE_FAILED = 3;
+    private static final int HINT_BIT = 1;
+    private static final int WRITE_BIT = 4;
+    private static final long NS_PER_US = 1_000L;
+    private static final long MAX_U32 = 0xffffffffL;
     private static final Outcome[] OUTCOMES = Outcome.values();
 
     private final DataInputStream in;
@@ -65,6 +87,7 @@
         }
     }
 
+    /** Between a simulator's two streams. */
     public WireHost(DataInputStream in, OutputStream out) {
         this.in = in;
         this.out = out;
@@ -272,7 +295,8 @@
         if (count == 0) {
             return LoadReport.NONE;
         }
-        double inFlight = Double.NaN, queue = Double.NaN;
+        double inFlight = Double.NaN;
+        double queue = Double.NaN;
         for (int i = 0; i < count; i++) {
             double value = f.getFloat();
             String column = i < columns.size() && Double.isFinite(value) ? columns.get(i) : "";
