--- a/rig/src/main/java/spurroad/rig/scale/CapacityReport.java
+++ b/rig/src/main/java/spurroad/rig/scale/CapacityReport.java
@@ -1,403 +1,85 @@
 package spurroad.rig.scale;
 
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import java.util.function.DoubleUnaryOperator;
-import spurroad.control.distribution.DistributionSettings;
+import java.util.stream.Collectors;
 
 /**
  * What a fleet would cost its proxies and its control machines, worked out from measured series, beside what
  * may be spent; as Markdown. A value beyond the largest measured size says how many times beyond.
  */
 public final class CapacityReport {
-    private static final double RELEASE_HOURS = 1; // in which all of a day's replacements fall, at the worst
-    private static final double BURST = 100; // changes within a second
-    // 64 bits in hexadecimal digits, and the framing of a chunk
-    private static final double PURGE_LINE_BYTES = 20;
-    private static final double PURGE_BYTES = 8; // in a batch: a hash of the key
-    private static final double HEADER_BYTES = 52; // of TCP with timestamps and IPv4
-    private static final double EMPTY_LINES_PER_SECOND = 0.5; // of a watch
-    // messages to all that a request earns at the most: Balance.WORDS_EACH
-    private static final double TO_ALL_MOST = 24;
-    private static final double CUT_SECONDS = 3_600;
-    private static final double KILO = 1e3;
-    private static final double FLUSHES_PER_SECOND = (double) DistributionSettings.SECOND
-        / new DistributionSettings().flushInterval;
-    private static final double MOST_SIZE = 1e7; // up to which an allowance's end is looked for
-    private static final int HALVINGS = 60;
-    // of a node that comes back cold, as in the measurements
-    private static final double START_CAPACITY = 0.3;
-    private static final double MEMORY_SECONDS = 4; // of a proxy for how a node did: Balance.MEMORY_NS
-    private static final double LEAST_ENDS = 2; // that are needed to set a node aside: above Balance.BAD_ENDS
+    private final CapacityModel model;
+    private final List<Section> sections = new ArrayList<>();
 
-    private final FleetPlan plan;
-    private final Series requests;
-    private final Series changes;
-    private final Series list;
-    private final Series peers;
-    private final Series control;
-    private final Series subscribers;
-    private final Series watches;
-    private final StringBuilder text = new StringBuilder();
-
-    private CapacityReport(FleetPlan plan, Results results) {
-        this.plan = plan;
-        requests = results.of("requests");
-        changes = results.of("changes");
-        list = results.of("list");
-        peers = results.of("peers");
-        control = results.of("control");
-        subscribers = results.of("subscribers");
-        watches = results.of("watches");
+    private CapacityReport(CapacityModel model) {
+        this.model = model;
     }
 
     /** The whole report; all measurements must have been taken. */
     public static String markdown(FleetPlan plan, Results results) {
-        CapacityReport report = new CapacityReport(plan, results);
+        CapacityModel model = new CapacityModel(plan, results);
+        CapacityReport report = new CapacityReport(model);
         report.sizes();
-        report.proxyByScope();
-        report.node();
-        report.proxyAmongPeers();
-        report.controlMachine();
-        report.controlDecisions();
-        report.purges();
-        report.limits();
-        return report.text.toString();
-    }
-
-    private void section(String title, MarkdownTable table) {
-        text.append("### ").append(title).append("\n\n").append(table).append('\n');
+        report.sections.addAll(new ProxyTables(model).sections());
+        report.sections.addAll(new ControlTables(model).sections());
+        report.sections.add(new LimitTable(model).section());
+        return report.sections.stream().map(Section::markdown).collect(Collectors.joining());
     }
 
-    // ---- sizes
-
     private void sizes() {
         MarkdownTable table = new MarkdownTable(
             List.of("of", "whole", "mean region", "largest region", "mean zone", "largest zone", "mean site",
                 "largest site"));
-        sizeRow(table, "proxies", plan.proxies());
-        sizeRow(table, "nodes", plan.nodes());
-        sizeRow(table, "requests/s", plan.requestsPerSecond());
-        sizeRow(table, "Gbit/s to clients", plan.bitsPerSecond() / 1e9);
-        sizeRow(table, "objects a node, if each such place keeps all", plan.objects(), plan.nodes());
-        sizeRow(table, "changes of the list/s, mean day", plan.listChangesPerSecond());
-        sizeRow(table, "changes of the list/s, in a release", releaseChanges());
-        section(String.format(Locale.ROOT, "Sizes (skew of regions and zones %.1f, of sites %.1f)",
-            plan.regionSkew(),
-            plan.siteSkew()), table);
+        sizeRow(table, "proxies", model.plan.proxies());
+        sizeRow(table, "nodes", model.plan.nodes());
+        sizeRow(table, "requests/s", model.plan.requestsPerSecond());
+        sizeRow(table, "Gbit/s to clients", model.plan.bitsPerSecond() / 1e9);
+        sizeRow(table, "objects a node, if each such place keeps all", model.plan.objects(),
+            model.plan.nodes());
+        sizeRow(table, "changes of the list/s, mean day", model.plan.listChangesPerSecond());
+        sizeRow(table, "changes of the list/s, in a release", model.releaseChanges());
+        sections.add(
+            new Section(String.format(Locale.ROOT, "Sizes (skew of regions and zones %.1f, of sites %.1f)",
+                model.plan.regionSkew(),
+                model.plan.siteSkew()), table));
         MarkdownTable each = new MarkdownTable(List.of("in the mean", "value"));
-        each.row("requests/s of a proxy", MarkdownTable.figure(plan.requestsPerProxy()));
-        each.row("Gbit/s of a proxy", MarkdownTable.figure(plan.bitsPerSecond() / plan.proxies() / 1e9));
+        each.row("requests/s of a proxy", MarkdownTable.figure(model.plan.requestsPerProxy()));
+        each.row("Gbit/s of a proxy",
+            MarkdownTable.figure(model.plan.bitsPerSecond() / model.plan.proxies() / 1e9));
         each.row("KB an answer",
-            MarkdownTable.figure(plan.bitsPerSecond() / plan.requestsPerSecond() / 8 / KILO));
-        each.row("changes of configuration/s", MarkdownTable.figure(plan.configurationChangesPerSecond()));
+            MarkdownTable.figure(
+                model.plan.bitsPerSecond() / model.plan.requestsPerSecond() / 8 / CapacityModel.KILO));
+        each.row("changes of configuration/s",
+            MarkdownTable.figure(model.plan.configurationChangesPerSecond()));
         each.row("changes of configuration and of the list/s",
-            MarkdownTable.figure(plan.configurationChangesPerSecond() + plan.listChangesPerSecond()));
+            MarkdownTable
+                .figure(model.plan.configurationChangesPerSecond() + model.plan.listChangesPerSecond()));
         each.row("whole lists of the fleet for each change of either (KB/s)",
-            MarkdownTable.figure((plan.configurationChangesPerSecond() + plan.listChangesPerSecond())
-                * list.at(plan.nodes(), ListReading.BYTES)));
-        section("Means", each);
+            MarkdownTable
+                .figure((model.plan.configurationChangesPerSecond() + model.plan.listChangesPerSecond())
+                    * model.list.at(model.plan.nodes(), ListReading.BYTES)));
+        sections.add(new Section("Means", each));
     }
 
     private void sizeRow(MarkdownTable table, String of, double whole) {
-        table.row(of, MarkdownTable.figure(whole), MarkdownTable.figure(whole / plan.regions()),
-            MarkdownTable.figure(whole * plan.largestRegion()), MarkdownTable.figure(whole / plan.zones()),
-            MarkdownTable.figure(whole * plan.largestZone()), MarkdownTable.figure(whole / plan.sites()),
-            MarkdownTable.figure(whole * plan.largestSite()));
+        table.row(of, MarkdownTable.figure(whole), MarkdownTable.figure(whole / model.plan.regions()),
+            MarkdownTable.figure(whole * model.plan.largestRegion()),
+            MarkdownTable.figure(whole / model.plan.zones()),
+            MarkdownTable.figure(whole * model.plan.largestZone()),
+            MarkdownTable.figure(whole / model.plan.sites()),
+            MarkdownTable.figure(whole * model.plan.largestSite()));
     }
 
     /** Something that is the same everywhere, over nodes of which there are fewer in smaller places. */
     private void sizeRow(MarkdownTable table, String of, double everywhere, double nodes) {
         table.row(of, MarkdownTable.figure(everywhere / nodes),
-            MarkdownTable.figure(everywhere * plan.regions() / nodes),
-            MarkdownTable.figure(everywhere / (nodes * plan.largestRegion())),
-            MarkdownTable.figure(everywhere * plan.zones() / nodes),
-            MarkdownTable.figure(everywhere / (nodes * plan.largestZone())),
-            MarkdownTable.figure(everywhere * plan.sites() / nodes),
-            MarkdownTable.figure(everywhere / (nodes * plan.largestSite())));
-    }
-
-    private double releaseChanges() {
-        return plan.listChangesPerSecond() * 24 / RELEASE_HOURS;
-    }
-
-    // ---- a proxy
-
-    /** A part of the fleet that a proxy knows. */
-    private record Scope(String name, double part) {}
-
-    private List<Scope> scopes() {
-        return List.of(new Scope("mean site", 1.0 / plan.sites()),
-            new Scope("largest site", plan.largestSite()),
-            new Scope("mean region", 1.0 / plan.regions()), new Scope("largest region", plan.largestRegion()),
-            new Scope("twice the largest region", 2 * plan.largestRegion()), new Scope("whole fleet", 1),
-            new Scope("twice the fleet", 2));
-    }
-
-    private void proxyByScope() {
-        MarkdownTable cost = new MarkdownTable(
-            List.of("a proxy knows", "nodes", "state (MB)", "of 64 MB", "garbage of a rebuilt ring (MB)",
-                "whole list (KB)", "connections", "of 1,024", "requests/s of a node", "proxies at a node",
-                "beyond measured"));
-        MarkdownTable cpu = new MarkdownTable(
-            List.of("a proxy knows", "a change (ms)", "day, mean (% of a core)", "of 5%",
-                "release (% of a core)",
-                "of 5%", "joined every 250 ms, at most (% of a core)", "of 5%", "changes/s at 5%"));
-        MarkdownTable network = new MarkdownTable(
-            List.of("a proxy knows", "whole lists, day (KB/s)", "of 17 KB/s", "whole lists, release (KB/s)",
-                "of 17 KB/s", "changes alone, day (KB/s)", "changes alone, release (KB/s)", "of 17 KB/s"));
-        for (Scope scope : scopes()) {
-            double nodes = Math.max(1, plan.nodes() * scope.part);
-            cost.row(stateRow(scope, nodes));
-            cpu.row(changesCpuRow(scope, nodes));
-            network.row(changesNetworkRow(scope, nodes));
-        }
-        section("A proxy, by which nodes it knows: state", cost);
-        section("A proxy, by which nodes it knows: processor time of changes, the ring rebuilt after each",
-            cpu);
-        section("A proxy, by which nodes it knows: bytes of changes", network);
-    }
-
-    private List<String> stateRow(Scope scope, double nodes) {
-        double state = requests.at(nodes, RequestDecisions.STATE) / KILO;
-        double connections = requests.at(nodes, RequestDecisions.CONNECTIONS);
-        return List.of(scope.name, MarkdownTable.count(nodes), MarkdownTable.figure(state),
-            Allowance.PROXY_MEMORY.verdict(state),
-            MarkdownTable.figure(changes.at(nodes, ListChanges.ALLOCATED) / KILO),
-            MarkdownTable.figure(list.at(nodes, ListReading.BYTES))
-                + (isListTaken(nodes) ? "" : " **refused**"),
-            MarkdownTable.count(connections), Allowance.PROXY_DESCRIPTORS.verdict(connections),
-            MarkdownTable.figure(plan.requestsPerProxy() / nodes),
-            MarkdownTable.count(plan.proxies() * scope.part), beyond(requests, nodes));
-    }
-
-    private boolean isListTaken(double nodes) {
-        return list.at(nodes, ListReading.TAKEN) > 0.5;
-    }
-
-    private List<String> changesCpuRow(Scope scope, double nodes) {
-        double changeMillis = changes.at(nodes, ListChanges.REBUILT)
-            + list.at(nodes, ListReading.CHANGE_CPU) / KILO;
-        double percentOfOne = changeMillis / KILO * 100; // with one a second
-        double day = plan.listChangesPerSecond() * scope.part * percentOfOne;
-        double release = releaseChanges() * scope.part * percentOfOne;
-        double joined = FLUSHES_PER_SECOND * percentOfOne;
-        return List.of(scope.name, MarkdownTable.figure(changeMillis), MarkdownTable.figure(day),
-            Allowance.PROXY_CPU.verdict(day), MarkdownTable.figure(release),
-            Allowance.PROXY_CPU.verdict(release),
-            MarkdownTable.figure(joined), Allowance.PROXY_CPU.verdict(joined),
-            MarkdownTable.figure(Allowance.PROXY_CPU.value() / percentOfOne));
-    }
-
-    private List<String> changesNetworkRow(Scope scope, double nodes) {
-        double day = plan.listChangesPerSecond() * scope.part;
-        double release = releaseChanges() * scope.part;
-        double whole = list.at(nodes, ListReading.BYTES);
-        double alone = (list.at(nodes, ListReading.CHANGE_BYTES) + HEADER_BYTES) / KILO;
-        return List.of(scope.name, MarkdownTable.figure(day * whole),
-            Allowance.PROXY_NETWORK.verdict(day * whole),
-            MarkdownTable.figure(release * whole), Allowance.PROXY_NETWORK.verdict(release * whole),
-            MarkdownTable.figure(day * alone), MarkdownTable.figure(release * alone),
-            Allowance.PROXY_NETWORK.verdict(release * alone));
-    }
-
-    /** What proxies do to one node that they know, and what each of them sees of it. */
-    private void node() {
-        MarkdownTable table = new MarkdownTable(List.of("known within", "proxies", "connections open",
-            "handshakes/s as it comes back, at start capacity", "until all are back (s)",
-            "requests of one proxy in 4 s", "judged by one proxy"));
-        for (Scope scope : scopes()) {
-            double nodes = Math.max(1, plan.nodes() * scope.part);
-            double proxies = plan.proxies() * scope.part;
-            double open = proxies * Math.min(1, requests.at(nodes, RequestDecisions.CONNECTIONS) / nodes);
-            double handshakes = Math.min(proxies, START_CAPACITY * plan.requestsPerSecond() / plan.nodes());
-            double seen = plan.requestsPerProxy() / nodes * MEMORY_SECONDS;
-            table.row(scope.name, MarkdownTable.count(proxies), MarkdownTable.count(open),
-                MarkdownTable.figure(handshakes), MarkdownTable.figure(proxies / handshakes),
-                MarkdownTable.figure(seen), seen >= LEAST_ENDS ? "yes" : "**no**");
-        }
-        section("A node, by which proxies know it", table);
-    }
-
-    private void proxyAmongPeers() {
-        MarkdownTable table = new MarkdownTable(
-            List.of("proxies that talk", "messages/s to one", "sent (KB/s)", "of 17 KB/s",
-                "messages/s to all, nodes full",
-                "sent (KB/s)", "of 17 KB/s", "beyond measured"));
-        for (Scope scope : scopes()) {
-            double proxies = Math.max(2, plan.proxies() * scope.part);
-            double toOne = plan.requestsPerProxy() * peers.at(proxies, PeerMessages.TO_ONE);
-            double toOneBytes = plan.requestsPerProxy() * peers.at(proxies, PeerMessages.TO_ONE_BYTES) / KILO;
-            double earned = peers.at(proxies, PeerMessages.TO_ALL);
-            double toAll = plan.requestsPerProxy() * Math.min(TO_ALL_MOST, earned);
-            double bytesEach = peers.at(peers.largest(), PeerMessages.TO_ALL_BYTES)
-                / peers.at(peers.largest(), PeerMessages.TO_ALL);
-            double toAllBytes = toAll * bytesEach / KILO;
-            table.row(scope.name + ", " + MarkdownTable.count(proxies), MarkdownTable.figure(toOne),
-                MarkdownTable.figure(toOneBytes), Allowance.PROXY_NETWORK.verdict(toOneBytes),
-                MarkdownTable.figure(toAll), MarkdownTable.figure(toAllBytes),
-                Allowance.PROXY_NETWORK.verdict(toAllBytes), beyond(peers, proxies));
-        }
-        section("A proxy that talks to the others, at " + MarkdownTable.figure(plan.requestsPerProxy())
-            + " requests/s; it receives as much", table);
-    }
-
-    // ---- a control machine
-
-    private void controlMachine() {
-        MarkdownTable table = new MarkdownTable(
-            List.of("machines left", "proxies each", "empty lines (% of a core)", "empty lines (KB/s)",
-                "a change to all (ms)", "list changes of a release (% of a core)", "of 100%",
-                "all return: processor time (s)", "all return, lists of 151 nodes (MB)",
-                "all return, whole lists (MB)", "beyond measured"));
-        int machines = plan.controlMachines();
-        for (int left : new int[] {machines, machines * 2 / 3, machines / 2, machines / 3, 1}) {
-            double watching = (double) plan.proxies() / left;
-            double empty = watches.at(watching, DiscoveryWatches.EMPTY_CPU) * EMPTY_LINES_PER_SECOND / KILO
-                * 100;
-            double change = watches.at(watching, DiscoveryWatches.CHANGE_CPU);
-            double release = change * releaseChanges() / KILO * 100;
-            table.row(MarkdownTable.count(left), MarkdownTable.count(watching), MarkdownTable.figure(empty),
-                MarkdownTable.figure(watches.at(watching, DiscoveryWatches.EMPTY_BYTES)),
-                MarkdownTable.figure(change),
-                MarkdownTable.figure(release), Allowance.CONTROL_CORE.verdict(release),
-                MarkdownTable.figure(watches.at(watching, DiscoveryWatches.RETURN_CPU) / KILO),
-                MarkdownTable.figure(watches.at(watching, DiscoveryWatches.RETURN_BYTES) / KILO),
-                MarkdownTable.figure(watching * list.at(plan.nodes(), ListReading.BYTES) / KILO),
-                beyond(watches, watching));
-        }
-        section("A control machine that serves each proxy's watch itself (no relays)", table);
-    }
-
-    private void controlDecisions() {
-        MarkdownTable table = new MarkdownTable(
-            List.of("fleet", "a change: views, guard, snapshot, difference (ms)", "day, mean (% of a core)",
-                "release (% of a core)", "burst of 100, one by one (s)", "state, 8 snapshots (MB)",
-                "subscriptions of all proxies: a version (ms)", "state (MB)", "beyond measured"));
-        for (int times = 1; times <= 2; times++) {
-            double nodes = (double) plan.nodes() * times;
-            double proxies = (double) plan.proxies() * times;
-            double change = controlMillis(nodes);
-            table.row(MarkdownTable.count(nodes) + " nodes, " + MarkdownTable.count(proxies) + " proxies",
-                MarkdownTable.figure(change),
-                MarkdownTable.figure(plan.listChangesPerSecond() * times * change / KILO * 100),
-                MarkdownTable.figure(releaseChanges() * times * change / KILO * 100),
-                MarkdownTable.figure(BURST * change / KILO),
-                MarkdownTable.figure(control.at(nodes, ControlDecisions.STATE) / KILO),
-                MarkdownTable.figure(subscribers.at(proxies, Subscribers.TOLD)),
-                MarkdownTable.figure(subscribers.at(proxies, Subscribers.STATE) / KILO),
-                beyond(subscribers, proxies));
-        }
-        section("The control service's decisions, each replica for the whole fleet", table);
-    }
-
-    // ---- purges
-
-    private void purges() {
-        MarkdownTable table = new MarkdownTable(List.of("purges", "value", "of the allowance"));
-        double each = Allowance.PROXY_NETWORK.value() * KILO / plan.purgesPerSecond();
-        table.row("bytes a purge that 17 KB/s leave", MarkdownTable.figure(each), "");
-        double single = plan.purgesPerSecond() * (PURGE_LINE_BYTES + HEADER_BYTES) / KILO;
-        table.row("one by one to a proxy, 20 bytes and headers (KB/s)", MarkdownTable.figure(single),
-            Allowance.PROXY_NETWORK.verdict(single));
-        double batched = plan.purgesPerSecond() * PURGE_BYTES / KILO;
-        table.row("batched, 8 bytes each (KB/s)", MarkdownTable.figure(batched),
-            Allowance.PROXY_NETWORK.verdict(batched));
-        table.row("deliveries to each node, all together (1/s)",
-            MarkdownTable.figure(plan.purgesPerSecond() * plan.nodes()), "");
-        double perMachine = plan.purgesPerSecond() * plan.proxies() / plan.controlMachines();
-        table.row("deliveries to each proxy, of one control machine (1/s)", MarkdownTable.figure(perMachine),
-            "");
-        double lineMicros = watches.at(watches.largest(), DiscoveryWatches.EMPTY_CPU) * KILO
-            / watches.largest();
-        double cores = perMachine * lineMicros / 1e6 * 100;
-        table.row("the same as lines on watches (% of a core)", MarkdownTable.figure(cores),
-            Allowance.CONTROL_CORE.verdict(cores));
-        double backlog = plan.purgesPerSecond() * CUT_SECONDS;
-        table.row("purges of an hour's cut", MarkdownTable.count(backlog), "");
-        table.row("the same, 8 bytes each (MB)", MarkdownTable.figure(backlog * PURGE_BYTES / 1e6), "");
-        double spare = (Allowance.PROXY_NETWORK.value() - batched) * KILO;
-        table.row("time for a proxy to catch up within 17 KB/s (s)",
-            MarkdownTable.figure(backlog * PURGE_BYTES / spare), "");
-        DistributionSettings distribution = new DistributionSettings();
-        double bytesPerSecond = distribution.mostPurgesPerUpdate * PURGE_BYTES * FLUSHES_PER_SECOND;
-        table.row("the distribution's bound on catching up (KB/s)",
-            MarkdownTable.figure(bytesPerSecond / KILO),
-            Allowance.PROXY_NETWORK.verdict(bytesPerSecond / KILO));
-        table.row("time to catch up at that bound (s)",
-            MarkdownTable.figure(backlog * PURGE_BYTES / bytesPerSecond),
-            "");
-        section("Purges", table);
-    }
-
-    // ---- limits
-
-    /** At which size each allowance is spent, everything else growing in proportion. */
-    private void limits() {
-        double nodesPerProxy = (double) plan.nodes() / plan.proxies();
-        MarkdownTable table = new MarkdownTable(
-            List.of("what", "allowance", "spent at", "the plan has", "of the plan"));
-        limit(table, "messages among proxies, each to one other", Allowance.PROXY_NETWORK,
-            "requests/s of a proxy",
-            plan.requestsPerProxy(),
-            rate -> rate * peers.at(peers.largest(), PeerMessages.TO_ONE_BYTES) / KILO);
-        limit(table, "purges one by one, lines on watches of 24 machines", Allowance.CONTROL_CORE, "proxies",
-            plan.proxies(), proxies -> plan.purgesPerSecond() * proxies / plan.proxies()
-                * watches.at(proxies / plan.controlMachines(), DiscoveryWatches.EMPTY_CPU) / KILO * 100);
-        limit(table, "connections to all nodes known", Allowance.PROXY_DESCRIPTORS, "nodes known",
-            plan.nodes(),
-            nodes -> requests.at(nodes, RequestDecisions.CONNECTIONS));
-        limit(table, "rings rebuilt in a release", Allowance.PROXY_CPU, "nodes known", plan.nodes(),
-            nodes -> releaseChanges() * nodes / plan.nodes() * changes.at(nodes, ListChanges.REBUILT) / KILO
-                * 100);
-        limit(table, "rings rebuilt every 250 ms (a burst, joined)", Allowance.PROXY_CPU, "nodes known",
-            plan.nodes(), nodes -> FLUSHES_PER_SECOND * changes.at(nodes, ListChanges.REBUILT) / KILO * 100);
-        limit(table, "two requests in 4 s to judge a node by", new Allowance(1, "of its needs"),
-            "nodes known",
-            plan.nodes(), nodes -> LEAST_ENDS * nodes / (plan.requestsPerProxy() * MEMORY_SECONDS));
-        limit(table, "whole lists for each change, mean day", Allowance.PROXY_NETWORK, "nodes known",
-            plan.nodes(),
-            nodes -> plan.listChangesPerSecond() * nodes / plan.nodes() * list.at(nodes, ListReading.BYTES));
-        limit(table, "one whole list as a line", Allowance.LIST_LINE, "nodes known", plan.nodes(),
-            nodes -> list.at(nodes, ListReading.BYTES));
-        limit(table, "views, guard, snapshot and difference of each change in a release",
-            Allowance.CONTROL_CORE,
-            "nodes", plan.nodes(),
-            nodes -> releaseChanges() * nodes / plan.nodes() * controlMillis(nodes) / KILO * 100);
-        limit(table, "state of a proxy", Allowance.PROXY_MEMORY, "nodes known", plan.nodes(),
-            nodes -> requests.at(nodes, RequestDecisions.STATE) / KILO);
-        limit(table, "list changes of a release to all watches of 24 machines", Allowance.CONTROL_CORE,
-            "proxies",
-            plan.proxies(), proxies -> releaseChanges() * proxies / plan.proxies()
-                * watches.at(proxies / plan.controlMachines(), DiscoveryWatches.CHANGE_CPU) / KILO * 100);
-        section("Where each allowance is spent (" + MarkdownTable.figure(nodesPerProxy) + " nodes a proxy)",
-            table);
-    }
-
-    private static void limit(MarkdownTable table, String what, Allowance allowance, String size,
-                              double planned,
-                              DoubleUnaryOperator spent) {
-        double low = 0;
-        double high = MOST_SIZE;
-        for (int i = 0; i < HALVINGS; i++) {
-            double middle = (low + high) / 2;
-            boolean isOver = spent.applyAsDouble(middle) > allowance.value();
-            high = isOver ? middle : high;
-            low = isOver ? low : middle;
-        }
-        table.row(what, allowance.text(), MarkdownTable.figure(high) + " " + size,
-            MarkdownTable.figure(planned),
-            high < planned ? "**" + MarkdownTable.percent(high / planned) + "**"
-                : MarkdownTable.figure(high / planned) + " times");
-    }
-
-    private double controlMillis(double nodes) {
-        return control.at(nodes, ControlDecisions.VIEWS) + control.at(nodes, ControlDecisions.GUARD)
-            + control.at(nodes, ControlDecisions.SNAPSHOT) + control.at(nodes, ControlDecisions.DIFFERENCE);
-    }
-
-    private static String beyond(Series series, double size) {
-        double times = series.beyond(size);
-        return times > 1 ? MarkdownTable.figure(times) + " times" : "no";
+            MarkdownTable.figure(everywhere * model.plan.regions() / nodes),
+            MarkdownTable.figure(everywhere / (nodes * model.plan.largestRegion())),
+            MarkdownTable.figure(everywhere * model.plan.zones() / nodes),
+            MarkdownTable.figure(everywhere / (nodes * model.plan.largestZone())),
+            MarkdownTable.figure(everywhere * model.plan.sites() / nodes),
+            MarkdownTable.figure(everywhere / (nodes * model.plan.largestSite())));
     }
 }
--- /dev/null
+++ b/rig/src/main/java/spurroad/rig/scale/Section.java
@@ -0,0 +1,8 @@
+package spurroad.rig.scale;
+
+/** A table under its title. */
+record Section(String title, MarkdownTable table) {
+    String markdown() {
+        return "### " + title + "\n\n" + table + "\n";
+    }
+}
