--- a/rig/src/main/java/spurroad/rig/fleet/FleetFootprint.java
+++ b/rig/src/main/java/spurroad/rig/fleet/FleetFootprint.java
@@ -117,7 +117,7 @@
     }
 
     private static double bytesOf(int instances, Supplier<Object> maker) {
-        maker.get();
+        Object unused = maker.get(); // what is set up once is not counted
         long before = usedHeap();
         Object[] kept = new Object[instances];
         for (int i = 0; i < instances; i++) {
