--- a/rig/src/main/java/spurroad/rig/fleet/FleetFootprint.java
+++ b/rig/src/main/java/spurroad/rig/fleet/FleetFootprint.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Objects;
 import java.util.function.Supplier;
 import spurroad.control.distribution.AppliedListener;
 import spurroad.control.distribution.ConfigurationState;
@@ -117,7 +118,7 @@
     }
 
     private static double bytesOf(int instances, Supplier<Object> maker) {
-        maker.get();
+        Objects.requireNonNull(maker.get(), "nothing was made"); // the first one loads the classes
         long before = usedHeap();
         Object[] kept = new Object[instances];
         for (int i = 0; i < instances; i++) {
