--- a/rig/src/main/java/spurroad/rig/fleet/FleetFootprint.java
+++ b/rig/src/main/java/spurroad/rig/fleet/FleetFootprint.java
@@ -118,7 +118,8 @@
     }
 
     private static double bytesOf(int instances, Supplier<Object> maker) {
-        Objects.requireNonNull(maker.get(), "nothing was made"); // the first one loads the classes
+        Object warmUp = maker.get();
+        Objects.requireNonNull(warmUp);
         long before = usedHeap();
         Object[] kept = new Object[instances];
         for (int i = 0; i < instances; i++) {
