--- a/rig/src/main/java/spurroad/rig/scale/LimitTable.java
+++ b/rig/src/main/java/spurroad/rig/scale/LimitTable.java
@@ -19,6 +19,15 @@
     /** At which size each allowance is spent, everything else growing in proportion. */
     Section section() {
         double nodesPerProxy = (double) model.plan.nodes() / model.plan.proxies();
+        addRequestLimits();
+        addListLimits();
+        return new Section(
+            "Where each allowance is spent (" + MarkdownTable.figure(nodesPerProxy) + " nodes a proxy)",
+            table);
+    }
+
+    /** What grows with requests, and with the nodes that they go to. */
+    private void addRequestLimits() {
         limit("messages among proxies, each to one other", Allowance.PROXY_NETWORK,
             "requests/s of a proxy",
             model.plan.requestsPerProxy(),
@@ -42,6 +51,10 @@
             "nodes known",
             model.plan.nodes(), nodes -> CapacityModel.LEAST_ENDS * nodes
                 / (model.plan.requestsPerProxy() * CapacityModel.MEMORY_SECONDS));
+    }
+
+    /** What grows with the list of nodes and its changes. */
+    private void addListLimits() {
         limit("whole lists for each change, mean day", Allowance.PROXY_NETWORK, "nodes known",
             model.plan.nodes(),
             nodes -> model.plan.listChangesPerSecond() * nodes / model.plan.nodes()
@@ -60,9 +73,6 @@
             model.plan.proxies(), proxies -> model.releaseChanges() * proxies / model.plan.proxies()
                 * model.watches.at(proxies / model.plan.controlMachines(), DiscoveryWatches.CHANGE_CPU)
                 / CapacityModel.KILO * 100);
-        return new Section(
-            "Where each allowance is spent (" + MarkdownTable.figure(nodesPerProxy) + " nodes a proxy)",
-            table);
     }
 
     private void limit(String what, Allowance allowance, String size,
