--- a/control/src/main/java/spurroad/control/distribution/CoreReplica.java
+++ b/control/src/main/java/spurroad/control/distribution/CoreReplica.java
@@ -170,6 +170,9 @@
             || request.lastEpoch() == stable.lastEpoch() && request.lastIndex() >= stable.lastIndex();
         if (request.trial()) {
             boolean would = isUpToDate && request.epoch() > stable.epoch();
+            if (would && role == Role.FOLLOWER) {
+                awaitPrimary(now); // the other one was first
+            }
             outbox.send(from, new Vote(would ? request.epoch() : stable.epoch(), would, true));
             return;
         }
--- a/control/src/main/java/spurroad/control/distribution/DistributionSettings.java
+++ b/control/src/main/java/spurroad/control/distribution/DistributionSettings.java
@@ -7,13 +7,13 @@
 
     /** How often a publisher sends to each child what is new, or a heartbeat. */
     public final long flushInterval = 250 * MILLISECOND;
-    /** A parent is lost when nothing was heard of it for so long: six heartbeats. */
-    public final long parentTimeout = 1_500 * MILLISECOND;
+    /** A parent is lost when nothing was heard of it for so long: four heartbeats. */
+    public final long parentTimeout = 1_200 * MILLISECOND;
     /**
      * How long an answer to a subscription or a lease request is waited for; above a round trip round the
      * world.
      */
-    public final long requestTimeout = 600 * MILLISECOND;
+    public final long requestTimeout = 450 * MILLISECOND;
     /** A parent that has no parent itself is left after so long: it may find one first. */
     public final long detachedTimeout = 700 * MILLISECOND;
     /** What is not acknowledged for so long is sent again. */
@@ -58,7 +58,7 @@
     /** The primary of the core sends at least so often. */
     public final long coreInterval = 100 * MILLISECOND;
     /** The replica after the last primary stands for election when it has heard of none for so long. */
-    public final long electionTimeout = 600 * MILLISECOND;
+    public final long electionTimeout = 450 * MILLISECOND;
     /**
      * How much later than the one before it each further replica stands, so that they do not split the votes.
      */
--- a/control/src/main/java/spurroad/control/distribution/Lease.java
+++ b/control/src/main/java/spurroad/control/distribution/Lease.java
@@ -10,6 +10,7 @@
  * when it asked, so that it ends here before it ends there.
  */
 final class Lease {
+    private static final long LATE = DistributionSettings.SECOND; // an answer that its asker was slow to read
     private static final long PAUSE = 5 * DistributionSettings.SECOND; // of one whom nobody answers in time
     private static final long LONGEST_MILLIS = 10_000; // whatever a grantor says
     private static final int RETURN_AFTER = 10; // requests until the first grantor is asked again
@@ -79,7 +80,7 @@
         if (!reply.group().equals(group) || !isPlausible) {
             return;
         }
-        if (now - askedAt >= settings.requestTimeout) {
+        if (now - askedAt >= LATE) {
             isAwaited = false;
             requestAt = Math.max(requestAt, now + PAUSE);
             return;
