--- a/core/src/test/java/spurroad/FollowPauseTest.java
+++ b/core/src/test/java/spurroad/FollowPauseTest.java
@@ -9,7 +9,8 @@
 
 /** How long the module waits before it follows the list again. */
 public class FollowPauseTest {
-    private static final long TOLD_MS = 6000; // a change counts as told so long after the list could be reached
+    // a change counts as told so long after the list could be reached
+    private static final long TOLD_MS = 6000;
     private static final long CALL_MS = 3100; // a call that is answered takes no longer
 
     /**
