--- a/cli/src/main/java/spurroad/cli/FleetCommand.java
+++ b/cli/src/main/java/spurroad/cli/FleetCommand.java
@@ -27,7 +27,7 @@
 
     @Option(names = "--proxies", paramLabel = "N", split = ",",
         description = "Sizes (${DEFAULT-VALUE}); all but 16000 play a quiet day and a burst only.")
-    private List<Integer> sizes = List.of(6_800, 16_000, 32_000);
+    private List<Integer> sizes = List.of(6_800, 16_000);
     @Option(names = "--scenario", paramLabel = "NAME", split = ",",
         description = "Only these, at every size: ${COMPLETION-CANDIDATES}.")
     private List<FleetScenario> scenarios = List.of();
