--- a/cli/src/main/java/spurroad/cli/ExplainCommand.java
+++ b/cli/src/main/java/spurroad/cli/ExplainCommand.java
@@ -25,7 +25,8 @@
 
 /** Tells where a key belongs, and why. */
 @Command(name = "explain", mixinStandardHelpOptions = true, description = {
-    "Tells the candidates of a key: the first three ready cache nodes clockwise on the ring, and how far they lie.",
+    "Tells the candidates of a key: the first three ready cache nodes clockwise on the ring, and how far "
+        + "they lie.",
     "All proxies with the same list have the same."})
 final class ExplainCommand implements Callable<Integer> {
     @Parameters(paramLabel = "KEY")
@@ -62,7 +63,8 @@
         return candidates.walk().isEmpty() ? Spurroad.FAILED : 0;
     }
 
-    private void tell(Candidates candidates, List<NodeEntry> entries, Map<NodeId, String> names) throws Exception {
+    private void tell(Candidates candidates, List<NodeEntry> entries, Map<NodeId, String> names)
+        throws Exception {
         List<Map<String, Object>> found = new ArrayList<>();
         for (Candidates.Found f : candidates.walk()) {
             Map<String, Object> one = new LinkedHashMap<>();
@@ -83,14 +85,16 @@
             out.println(ResultFolder.json(all));
             return;
         }
-        out.printf("key %s falls to %016x on a ring of %d points%n", key, candidates.point(), candidates.points());
+        out.printf("key %s falls to %016x on a ring of %d points%n", key, candidates.point(),
+            candidates.points());
         for (int i = 0; i < found.size(); i++) {
             out.printf("%d. %s, %.4f%% of the ring further on; it has %.1f%% of the ring%n", i + 1,
                 found.get(i).get("node"), 100 * (double) found.get(i).get("way"),
                 100 * (double) found.get(i).get("part"));
         }
         out.println(found.isEmpty() ? "no cache node is ready: it goes to nobody"
-            : "The first takes the query while its queue is under its limit; else the others are asked for theirs.");
+            : "The first takes the query while its queue is under its limit; else the others are asked "
+                + "for theirs.");
         left.forEach(l -> out.println("left out: " + l));
     }
 }
--- a/cli/src/main/java/spurroad/cli/RigCompare.java
+++ b/cli/src/main/java/spurroad/cli/RigCompare.java
@@ -15,16 +15,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import spurroad.rig.play.Comparison;
-import spurroad.rig.play.Player;
 import spurroad.rig.play.Result;
 import spurroad.rig.play.ResultFolder;
+import spurroad.rig.play.ScenarioRunner;
 import spurroad.rig.policy.Policy;
 import spurroad.rig.scenario.ScenarioFile;
 
 /** Plays two builds or policies on the same scenario and seeds, in turn. */
 @Command(name = "compare", mixinStandardHelpOptions = true, description = {
-    "Plays two builds (jars, on sockets) or policies (in simulated time) with the same seeds, in turn, and tells the "
-        + "differences.", "A policy is one of mechanism, random, ring, two_choices, bounded_ring."})
+    "Plays two builds (jars, on sockets) or policies (in simulated time) with the same seeds, in turn, "
+        + "and tells the "
+        + "differences.",
+    "A policy is one of mechanism, random, ring, two_choices, bounded_ring."})
 final class RigCompare implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "SCENARIO")
     private Path file;
@@ -33,20 +35,22 @@
     @Parameters(index = "2", paramLabel = "SECOND", description = "The same.")
     private String second;
     @Mixin
-    private PlayedWith with;
+    private RunnerOptions runnerOptions;
     @Option(names = "--pairs", paramLabel = "N",
         description = "How many seeds, from 1 on, instead of the scenario's own.")
     private int pairs;
     @Mixin
-    private Kept kept;
+    private ResultOptions resultOptions;
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
-        Player a = player(first), b = player(second);
-        List<Result> of1 = new ArrayList<>(), of2 = new ArrayList<>();
-        Runs runs = kept.runs();
+        ScenarioRunner a = runner(first);
+        ScenarioRunner b = runner(second);
+        List<Result> of1 = new ArrayList<>();
+        List<Result> of2 = new ArrayList<>();
+        ScenarioRuns runs = resultOptions.runs();
         try (Progress progress = new Progress().begin("")) {
             List<Long> seeds = pairs > 0 ? LongStream.rangeClosed(1, pairs).boxed().toList()
                 : ScenarioFile.read(file).seeds();
@@ -56,22 +60,24 @@
             }
         }
         Comparison c = Comparison.of(of1, of2);
-        if (kept.json()) {
+        if (resultOptions.json()) {
             spec.commandLine().getOut().println(ResultFolder.json(c));
         } else {
-            Tables.comparison(spec.commandLine().getOut(), c);
+            ResultTables.comparison(spec.commandLine().getOut(), c);
         }
         return c.pairs().isEmpty() ? Spurroad.VOID : 0;
     }
 
-    private Player player(String name) throws IOException {
+    private ScenarioRunner runner(String name) throws IOException {
         if (name.endsWith(".jar")) {
-            return with.sockets(Path.of(name));
+            return runnerOptions.sockets(Path.of(name));
         }
         try {
-            return new Player.Simulated(Policy.Kind.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_')));
+            return new ScenarioRunner.Simulated(
+                Policy.Kind.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_')));
         } catch (IllegalArgumentException e) {
-            throw new CommandLine.ParameterException(spec.commandLine(), name + " is neither a jar nor a policy");
+            throw new CommandLine.ParameterException(spec.commandLine(),
+                name + " is neither a jar nor a policy");
         }
     }
 }
--- /dev/null
+++ b/control/src/main/java/spurroad/control/distribution/Lease.java
@@ -0,0 +1,123 @@
+package spurroad.control.distribution;
+
+import java.util.List;
+import java.util.Random;
+import spurroad.control.distribution.Message.LeaseReply;
+import spurroad.control.distribution.Message.LeaseRequest;
+
+/**
+ * A process's side of a relay lease: asks the first grantor that answers, and counts what it is granted from
+ * when it asked, so that it ends here before it ends there.
+ */
+final class Lease {
+    private static final long PAUSE = 5 * DistributionSettings.SECOND; // of one whom nobody answers in time
+    private static final long LONGEST_MILLIS = 10_000; // whatever a grantor says
+    private static final int RETURN_AFTER = 10; // requests until the first grantor is asked again
+
+    private final DistributionSettings settings;
+    private final String group;
+    private final List<ProcessId> grantors;
+    private final Random random;
+    private int grantor;
+    private int requests;
+    private int unanswered; // requests in a row
+    private int declined; // requests in a row
+    private boolean isAwaited;
+    private long requestAt;
+    private long heldUntil = Long.MIN_VALUE;
+
+    Lease(long now, DistributionSettings settings, String group, List<ProcessId> grantors, Random random) {
+        this.settings = settings;
+        this.group = group;
+        this.grantors = List.copyOf(grantors);
+        this.random = random;
+        requestAt = now + (long) (random.nextDouble() * settings.leaseInterval);
+    }
+
+    boolean isHeld(long now) {
+        return now < heldUntil;
+    }
+
+    long heldUntil() {
+        return heldUntil;
+    }
+
+    /** Asks where it is time, unless it shall not be held any longer. */
+    void wake(long now, boolean isWanted, Outbox outbox) {
+        if (now < requestAt) {
+            return;
+        }
+        if (!isWanted) {
+            requestAt = now + settings.leaseInterval;
+            return;
+        }
+        if (isAwaited) {
+            grantor = (grantor + 1) % grantors.size();
+            unanswered++;
+        }
+        if (unanswered >= grantors.size()) {
+            unanswered = 0;
+            isAwaited = false;
+            requestAt = now + PAUSE;
+            return;
+        }
+        if (++requests % RETURN_AFTER == 0) {
+            grantor = 0;
+        }
+        isAwaited = true;
+        requestAt = now + settings.requestTimeout;
+        outbox.send(grantors.get(grantor), new LeaseRequest(group, now / DistributionSettings.MILLISECOND));
+    }
+
+    /**
+     * Takes an answer. One that comes late is of no use: whoever is so slow to read must not relay, and asks
+     * again only after a pause.
+     */
+    void replied(long now, ProcessId from, LeaseReply reply) {
+        long askedAt = reply.echoMillis() * DistributionSettings.MILLISECOND;
+        boolean isPlausible = reply.echoMillis() <= now / DistributionSettings.MILLISECOND;
+        if (!reply.group().equals(group) || !isPlausible) {
+            return;
+        }
+        if (now - askedAt >= settings.requestTimeout) {
+            isAwaited = false;
+            requestAt = Math.max(requestAt, now + PAUSE);
+            return;
+        }
+        unanswered = 0;
+        declined = 0;
+        if (reply.granted()) {
+            long durationMillis = Math.min(reply.durationMillis(), LONGEST_MILLIS);
+            heldUntil = Math.max(heldUntil, askedAt + durationMillis * DistributionSettings.MILLISECOND);
+        }
+        if (isAwaited && from.equals(grantors.get(grantor))) {
+            isAwaited = false;
+            long jitter = (long) (random.nextDouble() * settings.leaseInterval / 4);
+            requestAt = now + settings.leaseInterval - jitter;
+        }
+    }
+
+    /**
+     * A grantor that can't grant at present: the next one is asked, and after all of them the first one
+     * later.
+     */
+    void notGranting(long now, ProcessId from) {
+        if (!isAwaited || !from.equals(grantors.get(grantor))) {
+            return;
+        }
+        isAwaited = false;
+        unanswered = 0;
+        grantor = (grantor + 1) % grantors.size();
+        declined++;
+        requestAt = declined % grantors.size() == 0 ? now + settings.leaseInterval : now;
+    }
+
+    /** Gives it up. */
+    void release() {
+        heldUntil = Long.MIN_VALUE;
+    }
+
+    long nextWakeAt() {
+        return requestAt;
+    }
+}
--- a/core/src/main/java/spurroad/Behind.java
+++ b/core/src/main/java/spurroad/OriginBacklog.java
@@ -1,15 +1,15 @@
 package spurroad;
 
 /** An origin behind the nodes: which share of what goes there is to go, as its keeper has it. */
-final class Behind {
+final class OriginBacklog {
     private final Fading late = new Fading(Balance.HELD_NS); // where we are its keeper: writes of all proxies
-    private final Words words = new Words(0, Balance.SAY_NS);
+    private final UpdateBudget words = new UpdateBudget(0, Balance.SAY_NS);
     private double share = 1, said = 1;
     private long steeredAt, saidAt = Long.MIN_VALUE / 2;
 
     /**
-     * As its keeper: a write ended. The share falls while too many end late, and else grows.
-     * Tells whether a word to so many is earned, due and news; it is then spent.
+     * As its keeper: a write ended. The share falls while too many end late, and else grows. Tells whether a
+     * word to so many is earned, due and news; it is then spent.
      */
     boolean ended(boolean badly, long now, int proxies) {
         late.add(now, badly ? 1 : 0, 1);
--- a/core/src/main/java/spurroad/admission/Claim.java
+++ b/core/src/main/java/spurroad/admission/EvictionPriority.java
@@ -1,10 +1,11 @@
 package spurroad.admission;
 
 /**
- * How strong a client's connection's claim to its place is, where places are short. Places are for those that have a
- * query; of the others, those go first that have been quiet the longest beside what their kind may take.
+ * How strong a client's connection's claim to its place is, where places are short. Places are for those that
+ * have a query; of the others, those go first that have been quiet the longest beside what their kind may
+ * take.
  */
-public enum Claim {
+public enum EvictionPriority {
     /** Waits for an answer, or may still be taking one: never asked to go. */
     QUERY(Long.MAX_VALUE),
     /** Has had its answers and has asked nothing since; who goes on at once has done so by then. */
@@ -16,11 +17,13 @@
 
     private final long patienceNs; // ns; so long nobody of the kind is asked to go
 
-    Claim(long patienceNs) {
+    EvictionPriority(long patienceNs) {
         this.patienceNs = patienceNs;
     }
 
-    /** How overdue one is that was quiet for so long, in nanoseconds; from 1 on it may go, the highest first. */
+    /**
+     * How overdue one is that was quiet for so long, in nanoseconds; from 1 on it may go, the highest first.
+     */
     public double overdue(long quietNs) {
         return this == QUERY ? 0 : (double) quietNs / patienceNs;
     }
--- a/core/src/test/java/spurroad/admission/LevelsProperties.java
+++ b/core/src/test/java/spurroad/admission/ServiceLevelsProperties.java
@@ -8,25 +8,28 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** What holds for the level of service on any course of demand, shrunk to the shortest one where it does not. */
-class LevelsProperties {
+/**
+ * What holds for the level of service on any course of demand, shrunk to the shortest one where it does not.
+ */
+class ServiceLevelsProperties {
     private static final long STEP = Admission.INTERVAL_NS, S = 1_000_000_000L;
 
     /** Some demand for a while. */
-    record Stretch(int intervals, double pressure, boolean cold) { }
+    record Stretch(int intervals, double pressure, boolean cold) {}
 
     @Provide
     Arbitrary<List<Stretch>> courses() {
         Arbitrary<Double> pressure = Arbitraries.oneOf(Arbitraries.doubles().between(0, 40),
             Arbitraries.of(0.0, 0.84, 1.05, 1.12, 1.4, 6.4, 8.0, 16.0, 20.0));
-        return Combinators.combine(Arbitraries.integers().between(1, 60), pressure, Arbitraries.of(true, false))
+        return Combinators
+            .combine(Arbitraries.integers().between(1, 60), pressure, Arbitraries.of(true, false))
             .as(Stretch::new).list().ofMinSize(1).ofMaxSize(40);
     }
 
     /** One step at a time; better service only after the least stay, worse only after three intervals. */
     @Property(tries = 500, seed = "20261201")
     void neverTwoLevelsInOneLeastStay(@ForAll("courses") List<Stretch> course) {
-        Levels levels = new Levels();
+        ServiceLevels levels = new ServiceLevels();
         long now = 50 * S, changedAt = Long.MIN_VALUE / 2;
         for (Stretch s : course) {
             for (int i = 0; i < s.intervals; i++, now += STEP) {
@@ -44,10 +47,13 @@
         }
     }
 
-    /** Whatever came before, with nothing demanded there is ordinary service again within the bound that is told. */
+    /**
+     * Whatever came before, with nothing demanded there is ordinary service again within the bound that is
+     * told.
+     */
     @Property(tries = 300, seed = "20261202")
     void everyLevelIsLeftOnceDemandIsGone(@ForAll("courses") List<Stretch> course) {
-        Levels levels = new Levels();
+        ServiceLevels levels = new ServiceLevels();
         long now = 50 * S;
         for (Stretch s : course) {
             for (int i = 0; i < s.intervals; i++, now += STEP) {
@@ -57,7 +63,7 @@
         for (long until = now + 4 * 16 * S + S; now < until; now += STEP) {
             levels.told(now, 0, false);
         }
-        check(levels.level() == Level.ORDINARY, "still " + levels.level());
+        check(levels.level() == ServiceLevel.ORDINARY, "still " + levels.level());
     }
 
     private static void check(boolean holds, String what) {
--- a/proxy/src/main/java/spurroad/routing/Decider.java
+++ b/proxy/src/main/java/spurroad/routing/Decider.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import spurroad.Balance;
-import spurroad.admission.Level;
+import spurroad.admission.ServiceLevel;
 import spurroad.model.Decisions;
 import spurroad.model.Fleet;
 import spurroad.model.LoadReport;
@@ -36,8 +36,8 @@
 import spurroad.transport.Threads;
 
 /**
- * The module's actor: the one thread that calls {@link Balance}, with what its mailbox brings and the time it is then,
- * and passes on what was decided. It owns the queries and knows the node actors.
+ * The module's actor: the one thread that calls {@link Balance}, with what its mailbox brings and the time it
+ * is then, and passes on what was decided. It owns the queries and knows the node actors.
  */
 public final class Decider implements Runnable {
     /** Asked to follow the list when the module wants it. */
@@ -53,24 +53,27 @@
         }
     }
 
-    private record Ended(Decider decider, Errand e, Reply reply) implements Runnable {
+    private record Ended(Decider decider, UpstreamRequest e, Reply reply) implements Runnable {
         @Override
         public void run() {
             decider.ended(e, reply);
         }
     }
 
-    private record Begin(Errand e) implements Runnable {
+    private record Begin(UpstreamRequest e) implements Runnable {
         @Override
         public void run() {
             e.node.begin(e);
         }
     }
 
-    private record Answered(Query q, byte[] answer, Results.End end, Passage passage) implements Runnable {
+    private record Answered(Query q, byte[] answer, Results.End end,
+                            StreamedResponse streamed)
+        implements
+            Runnable {
         @Override
         public void run() {
-            q.client.answer(q, answer, end, passage);
+            q.client.answer(q, answer, end, streamed);
         }
     }
 
@@ -134,7 +137,8 @@
     private boolean ended;
     private long queryCount, wakeNs = Long.MAX_VALUE;
 
-    public Decider(ProxyStart start, Threads threads, Loop loop, EventLog log, Clock clock, Descriptors descriptors,
+    public Decider(ProxyStart start, Threads threads, Loop loop, EventLog log, Clock clock,
+                   Descriptors descriptors,
                    Dialer dialer, long restNs) {
         figures = start.figures;
         this.threads = threads;
@@ -234,7 +238,7 @@
         aged++;
         MetaCommand c = q.command;
         // the answer's way back counts too: it is to leave a tick before the client's time is over
-        long budget = q.waitNs - (now - q.takenAt) - figures.deployment.tickNs();
+        long budget = q.endsAt - now - figures.deployment.tickNs();
         balance.arrived(now, q.id, q.track, q.customer, Members.key(c.key()),
             c.kind == MetaCommand.Kind.WRITE, c.hintUs() * NS_PER_US, Math.max(0, budget), fresh());
         carryOut();
@@ -276,10 +280,10 @@
     // ---- told by the gate
 
     /** The level of service, the part of all that is taken in, and how many have been turned away since. */
-    void serves(Level level, double part, long turnedAway) {
+    void serves(ServiceLevel level, double part, long turnedAway) {
         fromLoop.add(() -> {
             tally.gate(level, part, turnedAway);
-            balance.sparing(level.atLeast(Level.SPARING));
+            balance.sparing(level.atLeast(ServiceLevel.SPARING));
         });
     }
 
@@ -290,7 +294,7 @@
 
     // ---- told by nodes
 
-    private void ended(Errand e, Reply reply) {
+    private void ended(UpstreamRequest e, Reply reply) {
         Query q = e.query;
         if (q == null) {
             balance.probed(clock.now(), e.node.id(), reply.outcome(), reply.load(), fresh());
@@ -300,9 +304,9 @@
             if (reply.outcome() == Outcome.COMPLETED && !q.over) {
                 q.over = true;
                 tally.completed();
-                forLoop.add(new Answered(q, reply.answer(), Results.End.SUCCEEDED, e.passage));
-            } else if (e.passage != null) {
-                forLoop.add(e.passage::giveUp);
+                forLoop.add(new Answered(q, reply.answer(), Results.End.SUCCEEDED, e.streamed));
+            } else if (e.streamed != null) {
+                forLoop.add(e.streamed::giveUp);
             }
             balance.ended(clock.now(), q.id, e.number, reply.outcome(), reply.load(), q.over,
                 stalls.total() - e.stalledNs, fresh());
@@ -376,7 +380,8 @@
             if (list.whole()) {
                 Set.copyOf(nodes.keySet()).stream().filter(id -> !named.contains(id)).forEach(this::gone);
             }
-            balance.listed(clock.now(), list.members().stream().map(Member::entry).toList(), list.whole(), fresh());
+            balance.listed(clock.now(), list.members().stream().map(Member::entry).toList(), list.whole(),
+                fresh());
             carryOut();
         });
     }
@@ -411,8 +416,9 @@
     }
 
     /**
-     * Takes a cache node out of use, or gives it back. Tells, on the loop, whether such a cache node has been listed;
-     * by then nothing new begins at one that is out of use: not what waits for a connection to it either.
+     * Takes a cache node out of use, or gives it back. Tells, on the loop, whether such a cache node has been
+     * listed; by then nothing new begins at one that is out of use: not what waits for a connection to it
+     * either.
      *
      * @param vouched whether it is so even if it was never listed here: another process has heard of it
      */
@@ -435,7 +441,8 @@
         balance.byHand(clock.now(), id, out, fresh());
         carryOut();
         NodeActor n = nodes.get(id);
-        log.event(out ? "out of use by hand" : "given back by hand", n == null ? "a node that is not listed now" : n);
+        log.event(out ? "out of use by hand" : "given back by hand",
+            n == null ? "a node that is not listed now" : n);
         if (n != null) {
             forLoop.add(() -> n.held(out));
         }
@@ -490,7 +497,9 @@
         }
         for (Decisions.Start s : decisions.starts) {
             Query q = queries.get(s.query());
-            Errand e = new Errand(q, q.executions.size(), nodes.get(s.node()), now + s.allowNs(),
+            // the module counted from when it began to decide, some time ago
+            long until = Math.min(now + s.allowNs(), q.endsAt - figures.deployment.tickNs());
+            UpstreamRequest e = new UpstreamRequest(q, q.executions.size(), nodes.get(s.node()), until,
                 s.sentBy() - figures.deployment.tickNs(), stalls.total());
             q.executions.add(e);
             q.out++;
@@ -498,7 +507,7 @@
         }
         for (Decisions.Stop s : decisions.stops) {
             Query q = queries.get(s.query());
-            Errand e = q.executions.get(s.execution());
+            UpstreamRequest e = q.executions.get(s.execution());
             forLoop.add(() -> e.node.stop(e));
         }
         for (Decisions.Answer a : decisions.answers) {
@@ -506,7 +515,8 @@
             if (!q.over) {
                 q.over = true;
                 tally.answered(a.rejected());
-                byte[] answer = a.rejected() ? MetaReply.rejected(a.comeBackNs() / NS_PER_MS) : MetaReply.aborted();
+                byte[] answer = a.rejected() ? MetaReply.rejected(a.comeBackNs() / NS_PER_MS)
+                    : MetaReply.aborted();
                 forLoop.add(new Answered(q, answer, a.rejected() ? Results.End.DECLINED : Results.End.ABORTED,
                     null));
             }
@@ -518,7 +528,9 @@
                 mailbox.tell(() -> unknown(id)); // gone since the module last heard of it
                 continue;
             }
-            Errand probe = new Errand(null, 0, n, now + 2 * figures.connectNs, Long.MAX_VALUE, stalls.total());
+            UpstreamRequest probe = new UpstreamRequest(null, 0, n, now + 2 * figures.connectNs,
+                Long.MAX_VALUE,
+                stalls.total());
             forLoop.add(() -> n.begin(probe));
         }
         for (NodeId id : decisions.closes) {
--- a/proxy/src/main/java/spurroad/routing/Query.java
+++ b/proxy/src/main/java/spurroad/routing/Query.java
@@ -7,7 +7,9 @@
 import spurroad.model.TrackId;
 import spurroad.protocol.MetaCommand;
 
-/** One query on its way through the proxy: made by its client's actor, then the decider's until it is over. */
+/**
+ * One query on its way through the proxy: made by its client's actor, then the decider's until it is over.
+ */
 final class Query {
     final ClientConnection client;
     final MetaCommand command;
@@ -15,24 +17,28 @@
     final Results.OfClass results;
     final CustomerId customer;
     final long takenAt;
-    /** For how long it can be worked on, in nanoseconds from then. */
-    final long waitNs;
+    /**
+     * When its client stops waiting, or this process ends, in Unix nanoseconds: no attempt tells more than
+     * that.
+     */
+    final long endsAt;
     /** Whether nobody waits for it any more: what was not yet written for it is not sent on. The loop's. */
     boolean left;
     // the decider's
     QueryId id;
-    final List<Errand> executions = new ArrayList<>(2);
+    final List<UpstreamRequest> executions = new ArrayList<>(2);
     int out;
     boolean over;
 
-    Query(ClientConnection client, MetaCommand command, TrackId track, Results.OfClass results, CustomerId customer,
-          long takenAt, long waitNs) {
+    Query(ClientConnection client, MetaCommand command, TrackId track, Results.OfClass results,
+          CustomerId customer,
+          long takenAt, long endsAt) {
         this.client = client;
         this.command = command;
         this.track = track;
         this.results = results;
         this.customer = customer;
         this.takenAt = takenAt;
-        this.waitNs = waitNs;
+        this.endsAt = endsAt;
     }
 }
--- a/proxy/src/main/java/spurroad/routing/Passage.java
+++ b/proxy/src/main/java/spurroad/routing/StreamedResponse.java
@@ -5,17 +5,18 @@
 import spurroad.protocol.Reply;
 
 /**
- * A long value on its way from a node's connection to a client's: what came goes on at once, and no more is read than
- * the client takes. All of it is the loop's. It ends once: whole, broken off by the node, or given up by the client.
+ * A long value on its way from a node's connection to a client's: what came goes on at once, and no more is
+ * read than the client takes. All of it is the loop's. It ends once: whole, broken off by the node, or given
+ * up by the client.
  */
-final class Passage {
+final class StreamedResponse {
     private final NodeConnection from;
     private final boolean lineEnd;
     private long left;
     private ClientConnection to;
     private boolean over;
 
-    Passage(NodeConnection from, Reply.Rest rest) {
+    StreamedResponse(NodeConnection from, Reply.Rest rest) {
         this.from = from;
         left = rest.bytes();
         lineEnd = rest.lineEnd();
@@ -37,7 +38,7 @@
     void begin(ClientConnection client) {
         to = client;
         if (over) {
-            client.passageBroke();
+            client.streamBroke();
         } else {
             from.passOn();
         }
@@ -81,7 +82,7 @@
         if (!over) {
             over = true;
             if (to != null) {
-                to.passageBroke();
+                to.streamBroke();
             }
         }
     }
--- a/proxy/src/main/java/spurroad/routing/Errand.java
+++ b/proxy/src/main/java/spurroad/routing/UpstreamRequest.java
@@ -4,12 +4,16 @@
 import spurroad.transport.Loop;
 
 /** One execution of a query, or a probe where there is no query: its node's actor ends it exactly once. */
-final class Errand {
+final class UpstreamRequest {
+    private static final long NS_PER_MS = 1_000_000L;
     final Query query;
     final int number;
     final NodeActor node;
     final long until;
-    /** By when its last byte has to go out, if at all: later a repeat is no repeat any more where it would run. */
+    /**
+     * By when its last byte has to go out, if at all: later a repeat is no repeat any more where it would
+     * run.
+     */
     final long sentBy;
     /** Whether its first byte has gone out, and whether its last may have. */
     boolean begun, written;
@@ -23,9 +27,9 @@
     final long stalledNs;
     boolean ended;
     /** The long value of its answer, where it has one. */
-    Passage passage;
+    StreamedResponse streamed;
 
-    Errand(Query query, int number, NodeActor node, long until, long sentBy, long stalledNs) {
+    UpstreamRequest(Query query, int number, NodeActor node, long until, long sentBy, long stalledNs) {
         this.query = query;
         this.number = number;
         this.node = node;
@@ -34,6 +38,20 @@
         this.stalledNs = stalledNs;
     }
 
+    /**
+     * What its node is told of the time left, in milliseconds: no more than is left for the request at the
+     * moment in which its first byte goes out, and at least one, as a node takes none for a request that is
+     * over.
+     */
+    long timeLeftMs(long now) {
+        return Math.max(1, (until - now) / NS_PER_MS);
+    }
+
+    /** Whether its time is over, so that there is nothing left to tell a node; never so for a probe. */
+    boolean overdue(long now) {
+        return query != null && now >= until;
+    }
+
     /** Whether nobody waits for it any more; never so for a probe. */
     boolean unwanted() {
         return query != null && query.left;
--- a/rig/src/main/java/spurroad/rig/net/Address.java
+++ b/rig/src/main/java/spurroad/rig/net/FaultyListener.java
@@ -5,12 +5,12 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
+import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.group.ChannelGroup;
 import io.netty.channel.group.DefaultChannelGroup;
-import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
@@ -21,12 +21,15 @@
 import java.util.function.Function;
 
 /**
- * One port on loopback at which something listens, or does not: it can refuse connections, or let them hang, and
- * come back at the same port. The loop's, but for opening it the first time.
+ * One port on loopback at which something listens, or does not: it can refuse connections, or let them hang,
+ * and come back at the same port. The loop's, but for opening it the first time.
  */
-final class Address {
-    private static final int BACKLOG = 512, HANGING_BACKLOG = 1; // connections
-    private static final int FILLERS = 4; // connections; as many fill a backlog of one, so that no other comes up
+final class FaultyListener {
+    // connections
+    private static final int BACKLOG = 512;
+    private static final int HANGING_BACKLOG = 1;
+    // connections; as many fill a backlog of one, so that no other comes up
+    private static final int FILLERS = 4;
 
     private final EventLoop loop;
     private final Function<SocketChannel, ChannelHandler[]> handlers;
@@ -36,7 +39,7 @@
     final int port;
 
     /** Listens at a free port, and gives each connection its handlers; none closes it at once. */
-    Address(EventLoop loop, Function<SocketChannel, ChannelHandler[]> handlers) {
+    FaultyListener(EventLoop loop, Function<SocketChannel, ChannelHandler[]> handlers) {
         this.loop = loop;
         this.handlers = handlers;
         open = new DefaultChannelGroup(loop);
@@ -82,7 +85,7 @@
 
     /** Resets what is up. */
     void resetAll() {
-        open.forEach(Address::reset);
+        open.forEach(FaultyListener::reset);
     }
 
     private static void reset(Channel channel) {
--- a/rig/src/main/java/spurroad/rig/net/ProxyProcess.java
+++ b/rig/src/main/java/spurroad/rig/net/ProxyProcess.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One real proxy as a process of its own: started, stopped and continued, held to a part of a core, killed and started
- * again. Its log and configuration stand in the run's folder. Signals are sent from any thread.
+ * One real proxy as a process of its own: started, stopped and continued, held to a part of a core, killed
+ * and started again. Its log and configuration stand in the run's folder. Signals are sent from any thread.
  */
 final class ProxyProcess {
     private static final long READY_MS = 30_000; // ms; a start takes one second on a whole core
@@ -23,12 +23,15 @@
     final int number;
     final int port;
     private final List<String> command;
-    private final Path configuration, log;
+    private final Path configuration;
+    private final Path log;
     private final Signals signals;
     private volatile Process process;
     private volatile double share = 1;
     private volatile boolean stopped;
-    private double mostMemoryMb, mostDescriptors, usedBefore;
+    private double mostMemoryMb;
+    private double mostDescriptors;
+    private double usedBefore;
 
     ProxyProcess(int number, int port, List<String> command, Path folder, Signals signals) {
         this.number = number;
@@ -63,7 +66,8 @@
                 Thread.sleep(20);
             }
         }
-        throw new IOException("p-" + number + " was not ready within " + READY_MS / 1000 + " s; its log is " + log);
+        throw new IOException(
+            "p-" + number + " was not ready within " + READY_MS / 1000 + " s; its log is " + log);
     }
 
     boolean isAlive() {
@@ -76,11 +80,13 @@
     }
 
     void kill() {
-        usedBefore += Math.max(0, ProcessFigures.cpuSeconds(process.pid()));
+        usedBefore += Math.max(0, ProcessUsage.cpuSeconds(process.pid()));
         process.destroyForcibly();
     }
 
-    /** Holds it to a part of a core, by stopping and continuing it, until another part is set; 1 lets it run. */
+    /**
+     * Holds it to a part of a core, by stopping and continuing it, until another part is set; 1 lets it run.
+     */
     void share(double part) {
         boolean was = share < 1;
         share = part;
@@ -93,7 +99,8 @@
 
     private void keep() {
         long at = System.nanoTime();
-        double spent = ProcessFigures.cpuSeconds(process.pid()), credit = 0;
+        double spent = ProcessUsage.cpuSeconds(process.pid());
+        double credit = 0;
         boolean off = false;
         while (share < 1 && process.isAlive()) {
             try {
@@ -102,7 +109,7 @@
                 break;
             }
             long now = System.nanoTime();
-            double used = ProcessFigures.cpuSeconds(process.pid());
+            double used = ProcessUsage.cpuSeconds(process.pid());
             credit = Math.min(BURST_S, credit + (now - at) / 1e9 * share - (used - spent));
             at = now;
             spent = used;
@@ -119,8 +126,8 @@
     /** Looks at what it holds now; to be called once a second or so. */
     void look() {
         if (isAlive()) {
-            mostMemoryMb = Math.max(mostMemoryMb, ProcessFigures.memoryMb(process.pid()));
-            mostDescriptors = Math.max(mostDescriptors, ProcessFigures.descriptors(process.pid()));
+            mostMemoryMb = Math.max(mostMemoryMb, ProcessUsage.memoryMb(process.pid()));
+            mostDescriptors = Math.max(mostDescriptors, ProcessUsage.descriptors(process.pid()));
         }
     }
 
@@ -134,7 +141,7 @@
 
     /** Processor time of all its processes so far, in seconds. */
     double cpuSeconds() {
-        return usedBefore + (isAlive() ? Math.max(0, ProcessFigures.cpuSeconds(process.pid())) : 0);
+        return usedBefore + (isAlive() ? Math.max(0, ProcessUsage.cpuSeconds(process.pid())) : 0);
     }
 
     /** Ends it in order, or by force where that takes too long. */
--- a/rig/src/test/java/spurroad/rig/net/ClientSideTest.java
+++ b/rig/src/test/java/spurroad/rig/net/SocketGatewayTest.java
@@ -18,23 +18,26 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 import org.testng.annotations.Test;
-import spurroad.rig.Worlds;
-import spurroad.rig.judge.Rule;
-import spurroad.rig.model.Population;
+import spurroad.rig.TestScenarios;
+import spurroad.rig.checker.Rule;
+import spurroad.rig.model.LoadGenerator;
 import spurroad.rig.world.World;
 
-/** Clients on sockets before a scripted proxy with a planted fault: the judge sees it. */
-public class ClientSideTest {
+/** Clients on sockets before a scripted proxy with a planted fault: the rule checker sees it. */
+public class SocketGatewayTest {
     private static final long S = 1_000_000_000L;
 
-    /** Plays for a second before a proxy that answers each read by a rule from its id; null ends the connection. */
+    /**
+     * Plays for a second before a proxy that answers each read by a rule from its id; null ends the
+     * connection.
+     */
     private static World play(UnaryOperator<String> rule) throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             daemon(() -> accept(server, rule));
             SocketTimeline timeline = new SocketTimeline(loop);
-            World world = new World(Worlds.of("""
+            World world = new World(TestScenarios.of("""
                 name = "c"
                 length = "2s"
                 warm = "1s"
@@ -43,13 +46,13 @@
                 [load]
                 rate = 50
                 """), 1, timeline);
-            ClientSide clients = new ClientSide(world, loop, new int[] {server.getLocalPort()});
+            SocketGateway clients = new SocketGateway(world, loop, new int[] {server.getLocalPort()});
             CompletableFuture<Void> done = new CompletableFuture<>();
             loop.execute(() -> {
                 timeline.begin();
-                Population population = world.population(clients);
-                clients.population(population);
-                population.begin(S);
+                LoadGenerator generator = world.generator(clients);
+                clients.generator(generator);
+                generator.begin(S);
                 timeline.at(2 * S + S / 2, () -> {
                     clients.close();
                     done.complete(null);
@@ -80,8 +83,9 @@
     }
 
     private static void serve(Socket s, UnaryOperator<String> rule) {
-        try (s; BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(),
-            StandardCharsets.ISO_8859_1))) {
+        try (s;
+            BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(),
+                StandardCharsets.ISO_8859_1))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String answer = rule.apply(line.split(" ")[3].substring(1));
                 if (answer == null) {
@@ -102,27 +106,28 @@
     @Test
     public void aProxyThatAnswersAsItShouldBreaksNoRule() throws Exception {
         World w = play(id -> value(id, id));
-        assertEquals(w.judge.breaches(), List.of());
-        assertTrue(w.judge.answered() > 20 && w.judge.answered() == w.judge.taken());
+        assertEquals(w.checker.breaches(), List.of());
+        assertTrue(w.checker.answered() > 20 && w.checker.answered() == w.checker.taken());
     }
 
     @Test
     public void aDoubleAnswerIsSeenOnTheWire() throws Exception {
         World w = play(id -> value(id, id) + value(id, id));
-        assertTrue(w.judge.count(Rule.ONE_ANSWER) > 10, "" + w.judge.count(Rule.ONE_ANSWER));
-        assertTrue(w.judge.breaches().stream().anyMatch(b -> b.what().equals("a second final answer")));
+        assertTrue(w.checker.count(Rule.ONE_ANSWER) > 10, "" + w.checker.count(Rule.ONE_ANSWER));
+        assertTrue(w.checker.breaches().stream().anyMatch(b -> b.what().equals("a second final answer")));
     }
 
     @Test
     public void aValueThatWasMadeForAnotherIsSeen() throws Exception {
         World w = play(id -> value(id, "q999.1"));
-        assertEquals(w.judge.breaches().get(0).what(), "served with what was made for q999.1");
+        assertEquals(w.checker.breaches().get(0).what(), "served with what was made for q999.1");
     }
 
     @Test
     public void aConnectionThatEndsUnderAQueryIsSeen() throws Exception {
         World w = play(id -> null);
-        assertTrue(w.judge.count(Rule.ONE_ANSWER) > 10);
-        assertTrue(w.judge.breaches().get(0).what().startsWith("lost: "), w.judge.breaches().get(0).what());
+        assertTrue(w.checker.count(Rule.ONE_ANSWER) > 10);
+        assertTrue(w.checker.breaches().get(0).what().startsWith("lost: "),
+            w.checker.breaches().get(0).what());
     }
 }
