--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import spurroad.admission.Claim;
+import spurroad.admission.EvictionPriority;
 import spurroad.model.CustomerId;
 import spurroad.model.TrackId;
 import spurroad.protocol.ByteSource;
@@ -44,7 +44,7 @@
         private Query query;
         private Results.OfClass results; // of the query's class; null where it is no query
         private Results.End end;
-        private Passage passage; // the long value that follows the answer
+        private StreamedResponse streamed; // the long value that follows the answer
         private long uploadRoom;
         private long queryRoom, answerRoom;
         private byte[] answer;
@@ -55,6 +55,8 @@
     private final Connection connection;
     private final boolean guest;
     private final ByteSource in = new ByteSource();
+    private final ArrivalTimes arrivals = new ArrivalTimes(); // of what stands in `in`
+    private long commandArrivedAt; // of the command read last
     private final Deque<Slot> slots = new ArrayDeque<>();
     private Slot writing; // answered, and not yet taken whole by the system
     private long takingUntil; // while a long answer may still stand in the system's buffers here
@@ -97,9 +99,9 @@
         }
         cameAt = clients.now();
         if (upload != null) {
-            upload(bytes); // all of them: what follows may read on, into the same buffer
+            upload(bytes, connection.arrivedAt()); // all of them: what follows may read on, into the same buffer
         } else if (!over) {
-            in.feed(bytes);
+            feed(bytes, connection.arrivedAt());
             if (!ahead) {
                 work();
             }
@@ -127,7 +129,7 @@
             if (command.isLong()) {
                 begin(new Upload(command));
             } else {
-                taken(command, 0);
+                taken(command, 0, commandArrivedAt);
             }
         }
         if (!over) {
@@ -197,13 +199,20 @@
         reading(true);
         cameAt = clients.now(); // it was not read from
         if (in.available() > 0) {
-            upload(ByteBuffer.wrap(in.take(in.available())));
+            long arrivedAt = arrivals.earliest();
+            arrivals.take(in.available());
+            upload(ByteBuffer.wrap(in.take(in.available())), arrivedAt);
         }
     }
 
-    private void upload(ByteBuffer bytes) {
+    private void feed(ByteBuffer bytes, long arrivedAt) {
+        arrivals.read(bytes.remaining(), arrivedAt);
+        in.feed(bytes);
+    }
+
+    private void upload(ByteBuffer bytes, long arrivedAt) {
         if (noRoom) {
-            in.feed(bytes);
+            feed(bytes, arrivedAt);
             return;
         }
         try {
@@ -215,10 +224,10 @@
             upload = null;
             uploadRoom = 0;
             if (bytes.hasRemaining()) {
-                in.feed(bytes);
+                feed(bytes, arrivedAt);
             }
             if (goesOn()) { // it may have sent all of it and gone long ago, while there was no room
-                taken(whole, room);
+                taken(whole, room, arrivedAt);
                 work();
             } else {
                 clients.uploads.give(room);
@@ -255,7 +264,11 @@
     /** The next command, or null where it is not there whole. */
     private MetaCommand next() {
         try {
+            int before = in.available();
             MetaCommand command = in.message(MetaCommand::read);
+            if (command != null) {
+                commandArrivedAt = arrivals.take(before - in.available());
+            }
             begunAt = command == null ? begunAt : Long.MAX_VALUE;
             return command;
         } catch (IOException e) {
@@ -264,7 +277,7 @@
         }
     }
 
-    private void taken(MetaCommand command, long uploadRoomHeld) {
+    private void taken(MetaCommand command, long uploadRoomHeld, long arrivedAt) {
         Slot slot = new Slot();
         takingUntil = waiting() == 0 ? 0 : takingUntil; // who asks on has taken what came before
         slot.uploadRoom = uploadRoomHeld;
@@ -272,7 +285,7 @@
         slot.answer = switch (command.kind) {
             case FAULT -> fault(slot, command.fault, command.lost);
             case READY -> MetaReply.ready();
-            default -> query(slot, command);
+            default -> query(slot, command, arrivedAt);
         };
         flush();
     }
@@ -294,7 +307,7 @@
     }
 
     /** In the order of what it costs: most of a crowd gets no further than the gate, and takes nothing. */
-    private byte[] query(Slot slot, MetaCommand command) {
+    private byte[] query(Slot slot, MetaCommand command, long arrivedAt) {
         int track = clients.track(command), customer = clients.customer(command);
         String refusal = clients.refusal(command, track, customer);
         if (refusal != null) {
@@ -318,9 +331,8 @@
             clients.log.trouble("no room for a query", this);
             return clients.gate.busy;
         }
-        long arrivedAt = clients.loop.arrivedAt();
         Query query = new Query(this, command, new TrackId(track), slot.results, new CustomerId(customer),
-            arrivedAt, clients.endsAt(arrivedAt, command.waitMs()));
+            clients.loop.arrivedAt(), clients.endsAt(arrivedAt, command.waitMs()));
         slot.queryRoom = room;
         slot.query = query;
         clients.open.put(command.id(), query);
@@ -331,16 +343,16 @@
     // ---- answers
 
     /** Told by the decider: the one final answer of a query. */
-    void answer(Query q, byte[] answer, Results.End end, Passage passage) {
-        if (over && passage != null) {
-            passage.giveUp();
+    void answer(Query q, byte[] answer, Results.End end, StreamedResponse streamed) {
+        if (over && streamed != null) {
+            streamed.giveUp();
         }
         for (Slot slot : slots) {
             if (slot.query == q) {
                 slot.answer = answer;
                 slot.end = end;
-                slot.passage = passage;
-                slot.answerRoom = answer.length + (passage == null ? 0 : PASSING_BYTES);
+                slot.streamed = streamed;
+                slot.answerRoom = answer.length + (streamed == null ? 0 : PASSING_BYTES);
                 clients.owe(slot.answerRoom);
             }
         }
@@ -357,10 +369,10 @@
             }
             writingSince = clients.now();
             connection.write(writing.answer);
-            if (writing.passage != null) {
+            if (writing.streamed != null) {
                 // what stands in its buffers is lost by a reset, and nothing tells when it has gone
                 connection.systemHolds(SYSTEM_BYTES);
-                writing.passage.begin(this);
+                writing.streamed.begin(this);
             } else if (connection.isDrained()) {
                 written();
             }
@@ -369,8 +381,8 @@
 
     @Override
     public void drained() {
-        if (writing != null && writing.passage != null) {
-            writing.passage.drained();
+        if (writing != null && writing.streamed != null) {
+            writing.streamed.drained();
         } else if (writing != null) {
             written();
             flush();
@@ -391,7 +403,7 @@
 
     /** The value has passed whole; what follows it ends the answer. */
     void passedWhole(byte[] end) {
-        writing.passage = null;
+        writing.streamed = null;
         connection.write(end);
         if (connection.isDrained()) {
             clients.loop.tell(this::drained); // not at once: its node's connection is still at work
@@ -399,7 +411,7 @@
     }
 
     /** The rest of the value will not come; a reset inside it tells the client so. */
-    void passageBroke() {
+    void streamBroke() {
         if (writing != null) {
             ended(writing, Results.End.ABORTED);
         }
@@ -493,8 +505,8 @@
     /** Nobody takes its answer any more. */
     private void drop(Slot slot) {
         ended(slot, Results.End.LEFT);
-        if (slot.passage != null) {
-            slot.passage.giveUp();
+        if (slot.streamed != null) {
+            slot.streamed.giveUp();
         }
         giveRoom(slot);
     }
@@ -530,16 +542,17 @@
         }
     }
 
-    private Claim claim() {
+    private EvictionPriority evictionPriority() {
         if (!slots.isEmpty() || writing != null || lost || noRoom || clients.now() <= takingUntil) {
-            return Claim.QUERY;
+            return EvictionPriority.QUERY;
         }
-        return in.available() > 0 || upload != null ? Claim.HALF : answered ? Claim.ANSWERED : Claim.SILENT;
+        return in.available() > 0 || upload != null ? EvictionPriority.HALF
+            : answered ? EvictionPriority.ANSWERED : EvictionPriority.SILENT;
     }
 
-    /** How overdue it is to give up its place, as {@link Claim} has it. */
+    /** How overdue it is to give up its place, as {@link EvictionPriority} has it. */
     double overdue() {
-        return claim().overdue(clients.now() - quietSince());
+        return evictionPriority().overdue(clients.now() - quietSince());
     }
 
     /** Closes it by a reset, unless something has just come. */
@@ -552,7 +565,7 @@
 
     /** Closes it where the client takes its answers too slowly for the memory that they hold. */
     void closeIfSlow() {
-        if (clients.now() - HOLDING_NS > writingSince && (writing == null || writing.passage == null)) {
+        if (clients.now() - HOLDING_NS > writingSince && (writing == null || writing.streamed == null)) {
             close();
         }
     }
--- a/proxy/src/main/java/spurroad/routing/Decider.java
+++ b/proxy/src/main/java/spurroad/routing/Decider.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import spurroad.Balance;
-import spurroad.admission.Level;
+import spurroad.admission.ServiceLevel;
 import spurroad.model.Decisions;
 import spurroad.model.Fleet;
 import spurroad.model.LoadReport;
@@ -53,24 +53,27 @@
         }
     }
 
-    private record Ended(Decider decider, Errand e, Reply reply) implements Runnable {
+    private record Ended(Decider decider, UpstreamRequest e, Reply reply) implements Runnable {
         @Override
         public void run() {
             decider.ended(e, reply);
         }
     }
 
-    private record Begin(Errand e) implements Runnable {
+    private record Begin(UpstreamRequest e) implements Runnable {
         @Override
         public void run() {
             e.node.begin(e);
         }
     }
 
-    private record Answered(Query q, byte[] answer, Results.End end, Passage passage) implements Runnable {
+    private record Answered(Query q, byte[] answer, Results.End end,
+                            StreamedResponse streamed)
+        implements
+            Runnable {
         @Override
         public void run() {
-            q.client.answer(q, answer, end, passage);
+            q.client.answer(q, answer, end, streamed);
         }
     }
 
@@ -277,10 +280,10 @@
     // ---- told by the gate
 
     /** The level of service, the part of all that is taken in, and how many have been turned away since. */
-    void serves(Level level, double part, long turnedAway) {
+    void serves(ServiceLevel level, double part, long turnedAway) {
         fromLoop.add(() -> {
             tally.gate(level, part, turnedAway);
-            balance.sparing(level.atLeast(Level.SPARING));
+            balance.sparing(level.atLeast(ServiceLevel.SPARING));
         });
     }
 
@@ -291,7 +294,7 @@
 
     // ---- told by nodes
 
-    private void ended(Errand e, Reply reply) {
+    private void ended(UpstreamRequest e, Reply reply) {
         Query q = e.query;
         if (q == null) {
             balance.probed(clock.now(), e.node.id(), reply.outcome(), reply.load(), fresh());
@@ -301,9 +304,9 @@
             if (reply.outcome() == Outcome.COMPLETED && !q.over) {
                 q.over = true;
                 tally.completed();
-                forLoop.add(new Answered(q, reply.answer(), Results.End.SUCCEEDED, e.passage));
-            } else if (e.passage != null) {
-                forLoop.add(e.passage::giveUp);
+                forLoop.add(new Answered(q, reply.answer(), Results.End.SUCCEEDED, e.streamed));
+            } else if (e.streamed != null) {
+                forLoop.add(e.streamed::giveUp);
             }
             balance.ended(clock.now(), q.id, e.number, reply.outcome(), reply.load(), q.over,
                 stalls.total() - e.stalledNs, fresh());
@@ -496,7 +499,7 @@
             Query q = queries.get(s.query());
             // the module counted from when it began to decide, some time ago
             long until = Math.min(now + s.allowNs(), q.endsAt - figures.deployment.tickNs());
-            Errand e = new Errand(q, q.executions.size(), nodes.get(s.node()), until,
+            UpstreamRequest e = new UpstreamRequest(q, q.executions.size(), nodes.get(s.node()), until,
                 s.sentBy() - figures.deployment.tickNs(), stalls.total());
             q.executions.add(e);
             q.out++;
@@ -504,7 +507,7 @@
         }
         for (Decisions.Stop s : decisions.stops) {
             Query q = queries.get(s.query());
-            Errand e = q.executions.get(s.execution());
+            UpstreamRequest e = q.executions.get(s.execution());
             forLoop.add(() -> e.node.stop(e));
         }
         for (Decisions.Answer a : decisions.answers) {
@@ -525,7 +528,8 @@
                 mailbox.tell(() -> unknown(id)); // gone since the module last heard of it
                 continue;
             }
-            Errand probe = new Errand(null, 0, n, now + 2 * figures.connectNs, Long.MAX_VALUE,
+            UpstreamRequest probe = new UpstreamRequest(null, 0, n, now + 2 * figures.connectNs,
+                Long.MAX_VALUE,
                 stalls.total());
             forLoop.add(() -> n.begin(probe));
         }
--- a/rig/src/main/java/spurroad/rig/net/ClientSide.java
+++ b/rig/src/main/java/spurroad/rig/net/SocketGateway.java
@@ -18,39 +18,39 @@
 import java.util.Deque;
 import java.util.List;
 import spurroad.rig.model.Answer;
-import spurroad.rig.model.Population;
-import spurroad.rig.model.Try;
-import spurroad.rig.world.Front;
+import spurroad.rig.model.LoadGenerator;
+import spurroad.rig.model.RequestAttempt;
+import spurroad.rig.world.ProxySelector;
 import spurroad.rig.world.World;
 
 /**
  * Carries tries to proxies over connections that clients keep, one try on each at a time, and opens more up
  * to a bound; tries for which there is none wait. The loop's.
  */
-final class ClientSide implements Population.Gateway {
+final class SocketGateway implements LoadGenerator.Gateway {
     private static final long NS_PER_MS = 1_000_000L;
     private static final int VALUE_BYTES = 32; // of a write
     private static final int CONNECT_MS = 1000; // ms; after which a client gives up an attempt to connect
 
     private final World world;
     private final EventLoop loop;
-    private final Front front;
-    private final List<ToProxy> proxies = new ArrayList<>();
-    private Population population;
+    private final ProxySelector selector;
+    private final List<ProxyConnections> proxies = new ArrayList<>();
+    private LoadGenerator generator;
     private long opened;
 
-    ClientSide(World world, EventLoop loop, int[] ports) {
+    SocketGateway(World world, EventLoop loop, int[] ports) {
         this.world = world;
         this.loop = loop;
-        front = new Front(ports.length, world.seed);
+        selector = new ProxySelector(ports.length, world.seed);
         for (int port : ports) {
-            proxies.add(new ToProxy(port));
+            proxies.add(new ProxyConnections(port));
         }
     }
 
     /** To be called before anything is sent. */
-    void population(Population of) {
-        population = of;
+    void generator(LoadGenerator of) {
+        generator = of;
     }
 
     /** How many connections clients have opened. */
@@ -60,62 +60,62 @@
 
     /** Whether the front deals a proxy out. */
     void offered(int proxy, boolean on) {
-        front.offer(proxy, on);
+        selector.offer(proxy, on);
     }
 
     void close() {
-        proxies.forEach(ToProxy::close);
+        proxies.forEach(ProxyConnections::close);
     }
 
     @Override
     public int choose() {
-        return front.choose();
+        return selector.choose();
     }
 
     @Override
-    public void send(Try t) {
-        proxies.get(t.proxy).send(t);
+    public void send(RequestAttempt attempt) {
+        proxies.get(attempt.proxy).send(attempt);
     }
 
     @Override
-    public void leave(Try t) {
-        world.judge.left(world.timeline.now(), t);
-        proxies.get(t.proxy).leave(t);
+    public void leave(RequestAttempt attempt) {
+        world.checker.left(world.timeline.now(), attempt);
+        proxies.get(attempt.proxy).leave(attempt);
     }
 
     /** All connections to one proxy. */
-    private final class ToProxy {
+    private final class ProxyConnections {
         private final int port;
-        private final Deque<Link> idle = new ArrayDeque<>();
-        private final Deque<Try> waiting = new ArrayDeque<>();
-        private final List<Link> links = new ArrayList<>();
+        private final Deque<ClientConnection> idle = new ArrayDeque<>();
+        private final Deque<RequestAttempt> waiting = new ArrayDeque<>();
+        private final List<ClientConnection> links = new ArrayList<>();
 
-        private ToProxy(int port) {
+        private ProxyConnections(int port) {
             this.port = port;
         }
 
-        private void send(Try t) {
-            Link link = idle.pollLast();
+        private void send(RequestAttempt attempt) {
+            ClientConnection link = idle.pollLast();
             while (link != null && !link.channel.isActive()) {
                 link = idle.pollLast();
             }
             if (link != null) {
-                link.send(t);
+                link.send(attempt);
             } else if (links.size() < world.scenario.load().connections()) {
-                new Link(this).open(t);
+                new ClientConnection(this).open(attempt);
             } else {
-                waiting.add(t);
+                waiting.add(attempt);
             }
         }
 
-        private void leave(Try t) {
-            if (!waiting.remove(t)) {
-                links.stream().filter(l -> l.at == t).findFirst().ifPresent(l -> l.channel.close());
+        private void leave(RequestAttempt attempt) {
+            if (!waiting.remove(attempt)) {
+                links.stream().filter(l -> l.at == attempt).findFirst().ifPresent(l -> l.channel.close());
             }
         }
 
-        private void free(Link link) {
-            Try next = waiting.poll();
+        private void free(ClientConnection link) {
+            RequestAttempt next = waiting.poll();
             if (next != null) {
                 link.send(next);
             } else {
@@ -123,10 +123,10 @@
             }
         }
 
-        private void ended(Link link) {
+        private void ended(ClientConnection link) {
             links.remove(link);
             idle.remove(link);
-            Try next = waiting.poll();
+            RequestAttempt next = waiting.poll();
             if (next != null) {
                 send(next);
             }
@@ -138,17 +138,19 @@
     }
 
     /** One connection. */
-    private final class Link extends SimpleChannelInboundHandler<MetaDecoder.Message> {
-        private final ToProxy to;
+    private final class ClientConnection extends SimpleChannelInboundHandler<MetaDecoder.Message> {
+        private final ProxyConnections to;
         private Channel channel;
-        private Try at, last; // what is asked for now, and what was asked for and answered before
+        // what is asked for now, and what was asked for and answered before
+        private RequestAttempt at;
+        private RequestAttempt last;
         private boolean sent;
 
-        private Link(ToProxy to) {
+        private ClientConnection(ProxyConnections to) {
             this.to = to;
         }
 
-        private void open(Try first) {
+        private void open(RequestAttempt first) {
             to.links.add(this);
             opened++;
             at = first;
@@ -158,7 +160,7 @@
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel c) {
-                        c.pipeline().addLast(new MetaDecoder(), Link.this);
+                        c.pipeline().addLast(new MetaDecoder(), ClientConnection.this);
                     }
                 }).connect(InetAddress.getLoopbackAddress(), to.port).addListener(f -> {
                     if (!f.isSuccess()) {
@@ -173,55 +175,59 @@
             channel.closeFuture().addListener(closed -> over());
         }
 
-        private void send(Try t) {
-            at = t;
+        private void send(RequestAttempt attempt) {
+            at = attempt;
             sent = false;
             long now = world.timeline.now();
-            world.judge.sending(now, t);
-            channel.writeAndFlush(command(t, Math.max(1, (t.until - now) / NS_PER_MS))).addListener(f -> {
-                if (f.isSuccess() && at == t) {
-                    sent = true;
-                    world.judge.taken(world.timeline.now(), t);
-                }
-            });
+            world.checker.sending(now, attempt);
+            channel.writeAndFlush(command(attempt, Math.max(1, (attempt.until - now) / NS_PER_MS)))
+                .addListener(f -> {
+                    if (f.isSuccess() && at == attempt) {
+                        sent = true;
+                        world.checker.taken(world.timeline.now(), attempt);
+                    }
+                });
         }
 
-        private ByteBuf command(Try t, long waitMs) {
-            String list = "c=" + t.ask.track.name() + ",t=" + t.ask.customer.name() + ",d=" + waitMs
-                + (t.ask.mark.isEmpty() ? "" : ",k=" + t.ask.mark) + (t.number > 1 ? ",r=1" : "");
-            String line = t.ask.track.write()
-                ? "ms k" + t.ask.key + " " + VALUE_BYTES + " O" + t.id + " P" + list + "\r\n"
+        private ByteBuf command(RequestAttempt attempt, long waitMs) {
+            String list = "c=" + attempt.request.track.name() + ",t=" + attempt.request.customer.name()
+                + ",d=" + waitMs
+                + (attempt.request.mark.isEmpty() ? "" : ",k=" + attempt.request.mark)
+                + (attempt.number > 1 ? ",r=1" : "");
+            String line = attempt.request.track.write()
+                ? "ms k" + attempt.request.key + " " + VALUE_BYTES + " O" + attempt.id + " P" + list + "\r\n"
                     + "w".repeat(VALUE_BYTES)
-                : "mg k" + t.ask.key + " v O" + t.id + " P" + list;
+                : "mg k" + attempt.request.key + " v O" + attempt.id + " P" + list;
             return Unpooled.copiedBuffer(line + "\r\n", StandardCharsets.ISO_8859_1);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, MetaDecoder.Message m) {
-            Try t = at != null ? at : last;
-            if (t == null) {
+            RequestAttempt attempt = at != null ? at : last;
+            if (attempt == null) {
                 return; // a proxy that speaks first: nobody has asked anything here
             }
-            Answer answer = answer(t, m);
-            world.judge.answered(world.timeline.now(), t, answer); // one more to the last is for the judge to see
+            Answer answer = answer(attempt, m);
+            // one more to the last is for the rule checker to see
+            world.checker.answered(world.timeline.now(), attempt, answer);
             if (at == null) {
                 return;
             }
             last = at;
             at = null;
             to.free(this);
-            population.answered(t, answer);
+            generator.answered(attempt, answer);
         }
 
-        private Answer answer(Try t, MetaDecoder.Message m) {
+        private Answer answer(RequestAttempt attempt, MetaDecoder.Message m) {
             switch (m.words()[0]) {
                 case "VA" :
-                    String[] made = Values.read(m.value());
-                    boolean named = m.flag('O').equals(t.id);
+                    String[] made = TaggedValue.read(m.value());
+                    boolean named = m.flag('O').equals(attempt.id);
                     return new Answer(Answer.Kind.VALUE, 0, named ? made[0] : "O" + m.flag('O'),
                         version(made[2]));
                 case "HD" :
-                    return new Answer(Answer.Kind.RECEIPT, 0, m.flag('O').equals(t.id) ? m.flag('c')
+                    return new Answer(Answer.Kind.RECEIPT, 0, m.flag('O').equals(attempt.id) ? m.flag('c')
                         : "O" + m.flag('O'), 0);
                 case "SERVER_ERROR" :
                     if (m.words().length > 1 && m.words()[1].equals("busy")) {
@@ -240,11 +246,11 @@
 
         /** The connection is gone; told once by its future and perhaps once more by a failed connect. */
         private void over() {
-            Try t = at;
+            RequestAttempt attempt = at;
             at = null;
-            if (t != null && !t.isOver()) {
-                world.judge.cutOff(world.timeline.now(), t);
-                population.broken(t, sent);
+            if (attempt != null && !attempt.isOver()) {
+                world.checker.cutOff(world.timeline.now(), attempt);
+                generator.broken(attempt, sent);
             }
             to.ended(this);
         }
