--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -37,8 +37,12 @@
     private static final long CROWDED_NS = 300_000_000L;
     // ns; who sends nonsense again at once costs others nothing
     private static final long FAULT_REST_NS = 100_000_000L;
-    private static final long LOOK_NS = 100_000_000L; // ns; between looks for its end while nothing is read
-    private static final int AHEAD_BYTES = 64 * 1024; // bytes; kept here unread at most, as of one reading
+    private static final long LOOK_NS = 40_000_000L; // ns; between looks for its end while nothing is read
+    // ns; an attempt begins for a client that was there so long ago
+    private static final long KNOWN_NS = 15_000_000L;
+    private static final int AHEAD_BYTES = 64 * 1024; // bytes; kept here unread, as of one reading
+    // bytes; the same where there is room: an end may come behind
+    private static final int MOST_AHEAD_BYTES = 1024 * 1024;
     // bytes; of a long value that wait for the client, at most
     private static final int PASSING_BYTES = 64 * 1024;
     private static final int SYSTEM_BYTES = 128 * 1024; // bytes; of a long value; the system takes twice that
@@ -85,6 +89,9 @@
     // what it holds; bytes that the client had taken at the last look
     private long uploadRoom;
     private long seen;
+    private long aheadRoom; // bytes; for what was read ahead beyond the first part
+    private long lookedAt; // when its end was last looked for behind all that had come
+    private boolean mayHoldMore; // the system, of what came: the last reading was as long as it could be
     private boolean noRoom;
     private int dropped;
 
@@ -119,6 +126,7 @@
             return;
         }
         cameAt = clients.now();
+        mayHoldMore = ahead ? mayHoldMore : bytes.remaining() >= AHEAD_BYTES;
         if (upload != null) {
             // all of them: what follows may read on, into the same buffer
             upload(bytes, connection.arrivedAt());
@@ -154,6 +162,7 @@
                 taken(command, 0, commandArrivedAt);
             }
         }
+        giveAheadRoom();
         if (!over) {
             boolean reads = !resting && !again && waiting() < MOST_WAITING && !noRoom;
             begunAt = reads && !lost && in.available() > 0 ? Math.min(begunAt, clients.now())
@@ -181,16 +190,31 @@
         }
     }
 
+    /**
+     * Whether its client has ended it: asked before an attempt begins. What the loop has not been told of is
+     * looked for, where it reads nothing from this client, has not read all that came, or has been held up.
+     */
+    boolean hasLeft() {
+        long toldAt = connection.isReading() && !mayHoldMore ? clients.loop.arrivedAt() : lookedAt;
+        if (gone()) {
+            close();
+        } else if (clients.now() - Math.max(toldAt, lookedAt) > KNOWN_NS) {
+            goesOn();
+        }
+        return over;
+    }
+
     /** Looks whether its client has ended it, behind all that came before that and is kept for later. */
     private boolean goesOn() {
         boolean reads = connection.isReading();
         if (!over && (upload == null || noRoom)) {
+            lookedAt = clients.now();
             ahead = true;
-            while (in.available() < AHEAD_BYTES && connection.unread(AHEAD_BYTES - in.available())
-                && !gone()) {
+            while (aheadLeft() > 0 && connection.unread(aheadLeft()) && !gone()) {
                 continue;
             }
             ahead = false;
+            mayHoldMore = aheadLeft() == 0;
             if (gone()) {
                 close();
             } else if (reads && in.available() > 0) {
@@ -200,6 +224,34 @@
         return !over;
     }
 
+    /** Whether all that came has been read, and no end: only then would one behind it be seen. */
+    private boolean hasReadAll() {
+        if (mayHoldMore) {
+            goesOn();
+        }
+        return !mayHoldMore && !over;
+    }
+
+    /** How many bytes may be read ahead now. */
+    private int aheadLeft() {
+        giveAheadRoom();
+        int held = in.available();
+        int most = AHEAD_BYTES + (int) aheadRoom;
+        if (held >= most && most < MOST_AHEAD_BYTES && clients.readAhead.take(AHEAD_BYTES)) {
+            aheadRoom += AHEAD_BYTES;
+            most += AHEAD_BYTES;
+        }
+        return most - held;
+    }
+
+    /** Gives back the room that what is left unread does not need any more. */
+    private void giveAheadRoom() {
+        while (aheadRoom > 0 && (over || in.available() <= aheadRoom)) {
+            clients.readAhead.give(AHEAD_BYTES);
+            aheadRoom -= AHEAD_BYTES;
+        }
+    }
+
     private boolean gone() {
         return over || connection.closed();
     }
@@ -346,6 +398,10 @@
         if (guest) {
             return clients.gate.busy;
         }
+        if (!hasReadAll()) {
+            clients.log.trouble("more is sent ahead than can be kept", this);
+            return clients.gate.busy; // its client may have left, behind all that
+        }
         if (!clients.gate.admits(track, customer)) {
             return clients.gate.rejection();
         }
@@ -519,6 +575,7 @@
             drop(writing);
         }
         giveUploadRoom();
+        giveAheadRoom();
         slots.clear();
         writing = null;
         connection.close();
