--- a/proxy/src/main/java/spurroad/routing/Clients.java
+++ b/proxy/src/main/java/spurroad/routing/Clients.java
@@ -20,6 +20,8 @@
 public final class Clients implements Listener.Door {
     static final int QUERY_BYTES = 8192; // bytes; what a query without a value holds on its way, with room
     private static final int ROOM_SHARE = 8; // one part in so many of the memory is for queries under way
+    // one part in so many of that room: few clients send so much
+    private static final int READ_AHEAD_SHARE = 4;
     private static final int HEAP_SHARE = 3; // one part in so many of the heap; answers and buffers take more
     // connections; closed at a shortage, so that it is not one again at once
     private static final int AT_ONCE = 4;
@@ -37,6 +39,7 @@
     final Decider decider;
     final Room room;
     final Room uploads; // for long values that come in, besides
+    final Room readAhead; // for what clients send ahead of their answers beyond the first part, besides
     final Gate gate;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private volatile int count; // of them, for other threads
@@ -67,6 +70,7 @@
             Runtime.getRuntime().maxMemory() / HEAP_SHARE);
         room = new Room(Math.min(memory, (long) start.figures.mostOpen * QUERY_BYTES));
         uploads = new Room(Math.max(MetaCommand.MOST_VALUE, memory / 2));
+        readAhead = new Room(memory / READ_AHEAD_SHARE);
         gate = new Gate(start, loop, log, room, decider);
         decider.gated(gate);
         loop.tell(this::tidy);
--- a/proxy/src/main/java/spurroad/routing/Query.java
+++ b/proxy/src/main/java/spurroad/routing/Query.java
@@ -41,4 +41,12 @@
         this.takenAt = takenAt;
         this.endsAt = endsAt;
     }
+
+    /**
+     * Whether nobody waits for it any more as of this moment; its client, if it has one, is asked. On the
+     * loop.
+     */
+    boolean unwanted() {
+        return left || client != null && client.hasLeft();
+    }
 }
--- a/proxy/src/main/java/spurroad/routing/UpstreamRequest.java
+++ b/proxy/src/main/java/spurroad/routing/UpstreamRequest.java
@@ -55,7 +55,7 @@
 
     /** Whether nobody waits for it any more; never so for a probe. */
     boolean unwanted() {
-        return query != null && query.left;
+        return query != null && query.unwanted();
     }
 
     MetaCommand command() {
--- a/proxy/src/main/java/spurroad/transport/Loop.java
+++ b/proxy/src/main/java/spurroad/transport/Loop.java
@@ -38,6 +38,7 @@
     // bytes; read or written at once, so that nobody waits for one
     private static final int CHUNK_BYTES = 64 * 1024;
     private static final long NS_PER_MS = 1_000_000L;
+    private static final long LEAST_WAIT_NS = 1_000_000L; // ns; what is there sooner may have stood before
     private static final int LOOP_FAILED = 70; // exit code; the usual one for a fault of the program itself
 
     private record Due(TreeSet<Due> timers, long at, long number,
@@ -74,6 +75,7 @@
     private long numbers;
     private long arrivedAt;
     private long selectedAt;
+    private long turnBeganAt;
     private boolean waited;
 
     /** One that does not run yet. */
@@ -158,6 +160,7 @@
 
     private void turn() throws IOException {
         long before = clock.now();
+        turnBeganAt = before;
         long waitNs = timers.isEmpty() ? Long.MAX_VALUE : timers.first().at - before;
         asleep.set(true);
         if (!told.isEmpty() || waitNs <= 0 || !afterSelect.isEmpty()) {
@@ -169,9 +172,11 @@
             long ms = waitNs == Long.MAX_VALUE ? 0 : (waitNs + NS_PER_MS - 1) / NS_PER_MS;
             waited = true;
             selector.select(readies, ms);
-            selectedAt = clock.now();
-            arrivedAt = waited ? selectedAt : arrivedAt;
-            waited = false;
+            if (waited) { // nothing came
+                waited = false;
+                selectedAt = clock.now();
+                arrivedAt = selectedAt;
+            }
         }
         if (!afterSelect.isEmpty()) {
             List<Runnable> closed = afterSelect;
@@ -191,7 +196,10 @@
     private void ready(SelectionKey key) {
         if (waited) {
             waited = false;
-            arrivedAt = clock.now(); // the first of a turn that waited: nothing stood unread before
+            long now = clock.now();
+            // the first of a turn that waited: nothing stood unread before, unless it was there at once
+            arrivedAt = now - turnBeganAt < LEAST_WAIT_NS ? selectedAt : now;
+            selectedAt = now;
         }
         try {
             if (key.isValid()) {
