--- a/control/src/main/java/spurroad/control/distribution/Publisher.java
+++ b/control/src/main/java/spurroad/control/distribution/Publisher.java
@@ -10,16 +10,17 @@
 import spurroad.control.distribution.Message.RefusalReason;
 import spurroad.control.distribution.Message.Refused;
 import spurroad.control.distribution.Message.Subscribe;
+import spurroad.control.distribution.Message.Unsubscribe;
 import spurroad.control.distribution.Message.Update;
 
 /**
- * The sending end of the links to all children of one process. It keeps a position a child and no queue: what a child
- * is sent next is made from the state, joined, when there is room for it. All children are served once in a flush
- * interval; publishers that started apart do so apart.
+ * The sending end of the links to all children of one process. It keeps a position a child and no queue: what
+ * a child is sent next is made from the state, joined, when there is room for it. All children are served
+ * once in a flush interval; publishers that started apart do so apart.
  */
 public final class Publisher {
     /** What the owner knows of its own standing at the time. */
-    public record Standing(long epoch, long ageMillis, boolean connected) { }
+    public record Standing(long epoch, long ageMillis, boolean connected) {}
 
     private static final class Child {
         private final Scope scope;
@@ -44,11 +45,10 @@
             purgeSent = purgeAcknowledged;
             rewoundAt = updatesSent;
             rewoundTime = now;
-            updatesAcknowledged = updatesSent;
         }
     }
 
-    private record SinceKey(long from, boolean hasState, Scope scope) { }
+    private record SinceKey(long from, boolean hasState, Scope scope) {}
 
     private final DistributionSettings settings;
     private final Scope scope;
@@ -63,9 +63,11 @@
     private long madeAtSequence;
     private long madeAtPurge;
     private long nextFlush = Long.MAX_VALUE;
+    private long purgesKeptAfter = Long.MAX_VALUE;
 
     /** Creates one for a state that its owner brings forward. */
-    public Publisher(DistributionSettings settings, Scope scope, ConfigurationState configuration, PurgeLog purges,
+    public Publisher(DistributionSettings settings, Scope scope, ConfigurationState configuration,
+                     PurgeLog purges,
                      long seed) {
         this.settings = settings;
         this.scope = scope;
@@ -107,7 +109,8 @@
         if (!configuration.isComplete() || !scope.covers(request.scope()) || !standing.connected()) {
             return Optional.of(RefusalReason.NOT_READY);
         }
-        boolean reaches = request.purgeNumber() == Subscribe.NO_PURGES || purges.reaches(request.purgeNumber());
+        boolean reaches = request.purgeNumber() == Subscribe.NO_PURGES
+            || purges.reaches(request.purgeNumber());
         if (!reaches && !request.acceptsReset()) {
             return Optional.of(RefusalReason.LOG_TOO_SHORT);
         }
@@ -118,11 +121,16 @@
         return Optional.empty();
     }
 
-    /** A child that knows no purges holds nothing that they concern; it starts as far back as it wishes to keep. */
-    private void startPurges(long now, ProcessId to, Child child, int history, Standing standing, Outbox outbox) {
+    /**
+     * A child that knows no purges holds nothing that they concern; it starts as far back as it wishes to
+     * keep.
+     */
+    private void startPurges(long now, ProcessId to, Child child, int history, Standing standing,
+                             Outbox outbox) {
         long start = Math.max(purges.oldest(), purges.number() - history);
         child.purgeSent = start;
-        send(now, to, child, configurationFor(child), Optional.of(new PurgeUpdate.Reset(start)), standing, outbox);
+        send(now, to, child, configurationFor(child), Optional.of(new PurgeUpdate.Reset(start)), standing,
+            outbox);
     }
 
     /** Takes note of what a child has applied. */
@@ -138,12 +146,24 @@
         child.purgeAcknowledged = Math.max(child.purgeAcknowledged, acknowledge.purgeNumber());
         if (acknowledge.missed() && acknowledge.updateNumber() > child.rewoundAt) {
             child.rewind(now);
+            child.updatesAcknowledged = child.updatesSent;
         }
         child.sequenceSent = Math.max(child.sequenceSent, child.sequenceAcknowledged);
         child.purgeSent = Math.max(child.purgeSent, child.purgeAcknowledged);
     }
 
-    /** Where it is time, sends to each child what is new to it, or a heartbeat; drops those that have fallen silent. */
+    /** Takes note that a child has left. */
+    public void unsubscribed(ProcessId from, Unsubscribe message) {
+        Child child = children.get(from);
+        if (child != null && message.sentAtMillis() >= child.heardMillis) {
+            children.remove(from);
+        }
+    }
+
+    /**
+     * Where it is time, sends to each child what is new to it, or a heartbeat; drops those that have fallen
+     * silent.
+     */
     public void flush(long now, Standing standing, Outbox outbox) {
         if (now < nextFlush) {
             return;
@@ -160,7 +180,7 @@
     }
 
     private void keepPurgesThatAreNeeded() {
-        long needed = Long.MAX_VALUE;
+        long needed = purgesKeptAfter;
         for (Child child : children.values()) {
             needed = Math.min(needed, child.purgeAcknowledged);
         }
@@ -176,6 +196,7 @@
             return false;
         }
         child.rewind(now);
+        child.updatesAcknowledged = child.updatesSent - settings.mostUnacknowledged + 1; // room for one
         return true;
     }
 
@@ -191,7 +212,8 @@
         boolean isComplete = child.purgeSent >= purges.number();
         child.updatesSent++;
         Heartbeat heartbeat = new Heartbeat(standing.epoch(), child.sequenceSent, child.purgeSent,
-            isComplete ? standing.ageMillis() : Heartbeat.UNKNOWN_AGE, child.heardMillis, standing.connected());
+            isComplete ? standing.ageMillis() : Heartbeat.UNKNOWN_AGE, child.heardMillis,
+            standing.connected());
         outbox.send(to, new Update(child.updatesSent, heartbeat, update, purgeUpdate));
     }
 
@@ -232,6 +254,12 @@
         keepPurgesThatAreNeeded();
     }
 
+    /** Keeps the purges after a number, whatever its children need; {@code Long.MAX_VALUE} to end that. */
+    public void keepPurgesAfter(long number) {
+        purgesKeptAfter = number;
+        keepPurgesThatAreNeeded();
+    }
+
     /** When to flush next. */
     public long nextFlushAt() {
         return nextFlush;
--- a/control/src/main/java/spurroad/control/distribution/Subscriber.java
+++ b/control/src/main/java/spurroad/control/distribution/Subscriber.java
@@ -7,18 +7,21 @@
 import spurroad.control.distribution.Message.RefusalReason;
 import spurroad.control.distribution.Message.Refused;
 import spurroad.control.distribution.Message.Subscribe;
+import spurroad.control.distribution.Message.Unsubscribe;
 import spurroad.control.distribution.Message.Update;
 
 /**
- * The receiving end of a link: finds a parent, applies what it sends, and finds another when it is lost. Keeps the last
- * good state without a parent. What a former parent still sends is ignored.
+ * The receiving end of a link: finds a parent, applies what it sends, and finds another when it is lost.
+ * Keeps the last good state without a parent. What a former parent still sends is ignored.
  */
 public final class Subscriber implements Participant {
     private enum Link { SEARCHING, SUBSCRIBING, ATTACHED }
 
-    private static final long SPREAD = 200 * DistributionSettings.MILLISECOND; // of those who lose one parent together
+    // of those who lose one parent together
+    private static final long SPREAD = 200 * DistributionSettings.MILLISECOND;
     private static final long REFUSAL_PAUSE = 500 * DistributionSettings.MILLISECOND;
 
+    private static final int MOST_DOUBLINGS = 3; // of the time for an answer
     private static final long LONGEST_PAUSE_MILLIS = 10_000; // whatever a publisher says
 
     private final DistributionSettings settings;
@@ -33,6 +36,8 @@
 
     private Link link = Link.SEARCHING;
     private ProcessId parent;
+    private ProcessId formerParent; // that was not told yet
+    private int failedAttempts; // in a row
     private long epoch;
     private boolean knowsPurges;
     private int shortLogs; // candidates in a row whose log of purges was too short
@@ -46,9 +51,10 @@
      * Creates one without state or parent.
      *
      * @param purgeHistory how many earlier purges it wants when it knows none yet: for a relay's children
-     * @param seed         of its chance: the spread of retries
+     * @param seed of its chance: the spread of retries
      */
-    public Subscriber(DistributionSettings settings, Scope scope, ConfigurationState configuration, PurgeLog purges,
+    public Subscriber(DistributionSettings settings, Scope scope, ConfigurationState configuration,
+                      PurgeLog purges,
                       int purgeHistory, AppliedListener listener, long seed) {
         this.settings = settings;
         this.scope = scope;
@@ -61,7 +67,9 @@
         freshness = new Freshness(settings.freshnessLease);
     }
 
-    /** Takes other candidates for its parent; the present one is left unless it is among the preferred ones. */
+    /**
+     * Takes other candidates for its parent; the present one is left unless it is among the preferred ones.
+     */
     public void candidates(long now, List<ProcessId> preferred, List<ProcessId> others) {
         selector.use(preferred, others);
         if (parent == null || !preferred.contains(parent)) {
@@ -99,13 +107,15 @@
             freshness.heard(now, heartbeat.echoMillis(), heartbeat.ageMillis());
         }
         detached(now, heartbeat.connected());
-        outbox.send(parent, new Acknowledge(update.number(), configuration.sequence(), purges.number(), missed,
-            sendTime(now)));
+        outbox.send(parent,
+            new Acknowledge(update.number(), configuration.sequence(), purges.number(), missed,
+                sendTime(now)));
     }
 
     private void attached(long now) {
         link = Link.ATTACHED;
         shortLogs = 0;
+        failedAttempts = 0;
         detachedSince = Long.MAX_VALUE;
         selector.succeeded(parent);
         long away = settings.returnInterval + (long) (random.nextDouble() * settings.returnInterval);
@@ -153,6 +163,9 @@
     }
 
     private void search(long now) {
+        if (link != Link.SEARCHING) {
+            formerParent = parent;
+        }
         link = Link.SEARCHING;
         parent = null;
         searchAt = now;
@@ -163,6 +176,7 @@
         if (link != Link.SEARCHING && isLost(now)) {
             boolean wasAttached = link == Link.ATTACHED;
             selector.failed(parent, now);
+            failedAttempts++;
             search(now);
             if (wasAttached) {
                 searchAt = now + (long) (random.nextDouble() * SPREAD);
@@ -177,15 +191,25 @@
     }
 
     private boolean isLost(long now) {
-        long timeout = link == Link.SUBSCRIBING ? settings.requestTimeout : settings.parentTimeout;
+        long timeout = link == Link.SUBSCRIBING ? requestTimeout() : settings.parentTimeout;
         return now - lastHeard >= timeout || now >= detachedUntil();
     }
 
+    /** Longer after each round in which nobody answered: it may be this process that is slow to read. */
+    private long requestTimeout() {
+        int rounds = failedAttempts / Math.max(1, selector.size());
+        return settings.requestTimeout << Math.min(rounds, MOST_DOUBLINGS);
+    }
+
     private long detachedUntil() {
         return detachedSince == Long.MAX_VALUE ? Long.MAX_VALUE : detachedSince + settings.detachedTimeout;
     }
 
     private void subscribe(long now, Outbox outbox) {
+        if (formerParent != null) {
+            outbox.send(formerParent, new Unsubscribe(sendTime(now)));
+            formerParent = null;
+        }
         parent = selector.next(now);
         if (parent == null) {
             searchAt = Math.max(now, selector.nextAt());
@@ -208,8 +232,9 @@
     public long nextWakeAt() {
         return switch (link) {
             case SEARCHING -> searchAt;
-            case SUBSCRIBING -> lastHeard + settings.requestTimeout;
-            case ATTACHED -> Math.min(Math.min(lastHeard + settings.parentTimeout, detachedUntil()), returnAt);
+            case SUBSCRIBING -> lastHeard + requestTimeout();
+            case ATTACHED ->
+                Math.min(Math.min(lastHeard + settings.parentTimeout, detachedUntil()), returnAt);
         };
     }
 
--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import spurroad.admission.Claim;
+import spurroad.admission.EvictionPriority;
 import spurroad.model.CustomerId;
 import spurroad.model.TrackId;
 import spurroad.protocol.ByteSource;
@@ -23,30 +23,44 @@
     private static final int AT_A_TURN = 16; // commands; who sends hundreds at once holds up nobody
     private static final long SLOW_NS = 10_000_000_000L; // ns; a client that takes nothing so long is gone
     private static final long REST_NS = 50_000_000L; // ns; a client that goes on at once has done so by then
-    private static final long ASKS_ON_NS = 5_000_000L; // ns; a client that has a next query waiting asks within that
-    private static final long FRESH_NS = 250_000_000L; // ns; who opens a connection for a query sends it sooner
-    private static final long HOLDING_NS = 1_000_000_000L; // ns; for guests, and for answers where memory is short
-    private static final long IDLE_NS = 2_200_000_000L; // ns; without a byte of a command: owed a close; heads take 2 s
+    // ns; a client that has a next query waiting asks within that
+    private static final long ASKS_ON_NS = 5_000_000L;
+    // ns; who opens a connection for a query sends it sooner
+    private static final long FRESH_NS = 250_000_000L;
+    // ns; for guests, and for answers where memory is short
+    private static final long HOLDING_NS = 1_000_000_000L;
+    // ns; without a byte of a command: owed a close; heads take 2 s
+    private static final long IDLE_NS = 2_200_000_000L;
     private static final long LONGEST_NS = 20_000_000_000L; // ns; for a command without a long value
     private static final long ROOM_NS = 20_000_000L; // ns; between looks for room for a long value
-    private static final long CROWDED_NS = 300_000_000L; // ns; the same after an answer where many are connected
-    private static final long FAULT_REST_NS = 100_000_000L; // ns; who sends nonsense again at once costs others nothing
-    private static final long LOOK_NS = 100_000_000L; // ns; between looks for its end while nothing is read
-    private static final int AHEAD_BYTES = 64 * 1024; // bytes; kept here unread at most, as of one reading
-    private static final int PASSING_BYTES = 64 * 1024; // bytes; of a long value that wait for the client, at most
+    // ns; the same after an answer where many are connected
+    private static final long CROWDED_NS = 300_000_000L;
+    // ns; who sends nonsense again at once costs others nothing
+    private static final long FAULT_REST_NS = 100_000_000L;
+    private static final long LOOK_NS = 40_000_000L; // ns; between looks for its end while nothing is read
+    // ns; an attempt begins for a client that was there so long ago
+    private static final long KNOWN_NS = 15_000_000L;
+    private static final int AHEAD_BYTES = 64 * 1024; // bytes; kept here unread, as of one reading
+    // bytes; the same where there is room: an end may come behind
+    private static final int MOST_AHEAD_BYTES = 1024 * 1024;
+    // bytes; of a long value that wait for the client, at most
+    private static final int PASSING_BYTES = 64 * 1024;
     private static final int SYSTEM_BYTES = 128 * 1024; // bytes; of a long value; the system takes twice that
     private static final long TAKING_NS = 30_000_000_000L; // ns; for those to be taken, at 10 KB a second
-    private static final int LONG_BYTES = 16 * 1024; // bytes; a shorter answer fits whole into the client's buffers
-    private static final int LAST_BYTES = 256 * 1024; // bytes; read on after a last answer, so that it arrives
+    // bytes; a shorter answer fits whole into the client's buffers
+    private static final int LONG_BYTES = 16 * 1024;
+    // bytes; read on after a last answer, so that it arrives
+    private static final int LAST_BYTES = 256 * 1024;
 
     /** The place of one command's answer in the order of answers. */
     private static final class Slot {
         private Query query;
         private Results.OfClass results; // of the query's class; null where it is no query
         private Results.End end;
-        private Passage passage; // the long value that follows the answer
+        private StreamedResponse streamed; // the long value that follows the answer
         private long uploadRoom;
-        private long queryRoom, answerRoom;
+        private long queryRoom;
+        private long answerRoom;
         private byte[] answer;
         private boolean last;
     }
@@ -55,13 +69,29 @@
     private final Connection connection;
     private final boolean guest;
     private final ByteSource in = new ByteSource();
+    private final ArrivalTimes arrivals = new ArrivalTimes(); // of what stands in `in`
+    private long commandArrivedAt; // of the command read last
     private final Deque<Slot> slots = new ArrayDeque<>();
     private Slot writing; // answered, and not yet taken whole by the system
     private long takingUntil; // while a long answer may still stand in the system's buffers here
-    private long idleSince, cameAt, begunAt = Long.MAX_VALUE, writingSince = Long.MAX_VALUE;
-    private boolean answered, resting, lost, again, looking, ahead, over;
+    private long idleSince;
+    private long cameAt;
+    private long begunAt = Long.MAX_VALUE;
+    private long writingSince = Long.MAX_VALUE;
+    private boolean answered;
+    private boolean resting;
+    private boolean lost;
+    private boolean again;
+    private boolean looking;
+    private boolean ahead;
+    private boolean over;
     private Upload upload; // the long value that is coming in
-    private long uploadRoom, seen; // what it holds; bytes that the client had taken at the last look
+    // what it holds; bytes that the client had taken at the last look
+    private long uploadRoom;
+    private long seen;
+    private long aheadRoom; // bytes; for what was read ahead beyond the first part
+    private long lookedAt; // when its end was last looked for behind all that had come
+    private boolean mayHoldMore; // the system, of what came: the last reading was as long as it could be
     private boolean noRoom;
     private int dropped;
 
@@ -96,10 +126,12 @@
             return;
         }
         cameAt = clients.now();
+        mayHoldMore = ahead ? mayHoldMore : bytes.remaining() >= AHEAD_BYTES;
         if (upload != null) {
-            upload(bytes); // all of them: what follows may read on, into the same buffer
+            // all of them: what follows may read on, into the same buffer
+            upload(bytes, connection.arrivedAt());
         } else if (!over) {
-            in.feed(bytes);
+            feed(bytes, connection.arrivedAt());
             if (!ahead) {
                 work();
             }
@@ -127,9 +159,10 @@
             if (command.isLong()) {
                 begin(new Upload(command));
             } else {
-                taken(command, 0);
+                taken(command, 0, commandArrivedAt);
             }
         }
+        giveAheadRoom();
         if (!over) {
             boolean reads = !resting && !again && waiting() < MOST_WAITING && !noRoom;
             begunAt = reads && !lost && in.available() > 0 ? Math.min(begunAt, clients.now())
@@ -157,16 +190,31 @@
         }
     }
 
+    /**
+     * Whether its client has ended it: asked before an attempt begins. What the loop has not been told of is
+     * looked for, where it reads nothing from this client, has not read all that came, or has been held up.
+     */
+    boolean hasLeft() {
+        long toldAt = connection.isReading() && !mayHoldMore ? clients.loop.arrivedAt() : lookedAt;
+        if (gone()) {
+            close();
+        } else if (clients.now() - Math.max(toldAt, lookedAt) > KNOWN_NS) {
+            goesOn();
+        }
+        return over;
+    }
+
     /** Looks whether its client has ended it, behind all that came before that and is kept for later. */
     private boolean goesOn() {
         boolean reads = connection.isReading();
         if (!over && (upload == null || noRoom)) {
+            lookedAt = clients.now();
             ahead = true;
-            while (in.available() < AHEAD_BYTES && connection.unread(AHEAD_BYTES - in.available())
-                && !gone()) {
+            while (aheadLeft() > 0 && connection.unread(aheadLeft()) && !gone()) {
                 continue;
             }
             ahead = false;
+            mayHoldMore = aheadLeft() == 0;
             if (gone()) {
                 close();
             } else if (reads && in.available() > 0) {
@@ -176,6 +224,34 @@
         return !over;
     }
 
+    /** Whether all that came has been read, and no end: only then would one behind it be seen. */
+    private boolean hasReadAll() {
+        if (mayHoldMore) {
+            goesOn();
+        }
+        return !mayHoldMore && !over;
+    }
+
+    /** How many bytes may be read ahead now. */
+    private int aheadLeft() {
+        giveAheadRoom();
+        int held = in.available();
+        int most = AHEAD_BYTES + (int) aheadRoom;
+        if (held >= most && most < MOST_AHEAD_BYTES && clients.readAhead.take(AHEAD_BYTES)) {
+            aheadRoom += AHEAD_BYTES;
+            most += AHEAD_BYTES;
+        }
+        return most - held;
+    }
+
+    /** Gives back the room that what is left unread does not need any more. */
+    private void giveAheadRoom() {
+        while (aheadRoom > 0 && (over || in.available() <= aheadRoom)) {
+            clients.readAhead.give(AHEAD_BYTES);
+            aheadRoom -= AHEAD_BYTES;
+        }
+    }
+
     private boolean gone() {
         return over || connection.closed();
     }
@@ -197,13 +273,20 @@
         reading(true);
         cameAt = clients.now(); // it was not read from
         if (in.available() > 0) {
-            upload(ByteBuffer.wrap(in.take(in.available())));
+            long arrivedAt = arrivals.earliest();
+            arrivals.take(in.available());
+            upload(ByteBuffer.wrap(in.take(in.available())), arrivedAt);
         }
     }
 
-    private void upload(ByteBuffer bytes) {
+    private void feed(ByteBuffer bytes, long arrivedAt) {
+        arrivals.read(bytes.remaining(), arrivedAt);
+        in.feed(bytes);
+    }
+
+    private void upload(ByteBuffer bytes, long arrivedAt) {
         if (noRoom) {
-            in.feed(bytes);
+            feed(bytes, arrivedAt);
             return;
         }
         try {
@@ -215,10 +298,10 @@
             upload = null;
             uploadRoom = 0;
             if (bytes.hasRemaining()) {
-                in.feed(bytes);
+                feed(bytes, arrivedAt);
             }
             if (goesOn()) { // it may have sent all of it and gone long ago, while there was no room
-                taken(whole, room);
+                taken(whole, room, arrivedAt);
                 work();
             } else {
                 clients.uploads.give(room);
@@ -255,7 +338,11 @@
     /** The next command, or null where it is not there whole. */
     private MetaCommand next() {
         try {
+            int before = in.available();
             MetaCommand command = in.message(MetaCommand::read);
+            if (command != null) {
+                commandArrivedAt = arrivals.take(before - in.available());
+            }
             begunAt = command == null ? begunAt : Long.MAX_VALUE;
             return command;
         } catch (IOException e) {
@@ -264,7 +351,7 @@
         }
     }
 
-    private void taken(MetaCommand command, long uploadRoomHeld) {
+    private void taken(MetaCommand command, long uploadRoomHeld, long arrivedAt) {
         Slot slot = new Slot();
         takingUntil = waiting() == 0 ? 0 : takingUntil; // who asks on has taken what came before
         slot.uploadRoom = uploadRoomHeld;
@@ -272,7 +359,7 @@
         slot.answer = switch (command.kind) {
             case FAULT -> fault(slot, command.fault, command.lost);
             case READY -> MetaReply.ready();
-            default -> query(slot, command);
+            default -> query(slot, command, arrivedAt);
         };
         flush();
     }
@@ -294,8 +381,9 @@
     }
 
     /** In the order of what it costs: most of a crowd gets no further than the gate, and takes nothing. */
-    private byte[] query(Slot slot, MetaCommand command) {
-        int track = clients.track(command), customer = clients.customer(command);
+    private byte[] query(Slot slot, MetaCommand command, long arrivedAt) {
+        int track = clients.track(command);
+        int customer = clients.customer(command);
         String refusal = clients.refusal(command, track, customer);
         if (refusal != null) {
             return fault(slot, refusal, false);
@@ -310,6 +398,10 @@
         if (guest) {
             return clients.gate.busy;
         }
+        if (!hasReadAll()) {
+            clients.log.trouble("more is sent ahead than can be kept", this);
+            return clients.gate.busy; // its client may have left, behind all that
+        }
         if (!clients.gate.admits(track, customer)) {
             return clients.gate.rejection();
         }
@@ -318,9 +410,8 @@
             clients.log.trouble("no room for a query", this);
             return clients.gate.busy;
         }
-        long arrivedAt = clients.loop.arrivedAt();
         Query query = new Query(this, command, new TrackId(track), slot.results, new CustomerId(customer),
-            arrivedAt, clients.endsAt(arrivedAt, command.waitMs()));
+            clients.loop.arrivedAt(), clients.endsAt(arrivedAt, command.waitMs()));
         slot.queryRoom = room;
         slot.query = query;
         clients.open.put(command.id(), query);
@@ -331,16 +422,16 @@
     // ---- answers
 
     /** Told by the decider: the one final answer of a query. */
-    void answer(Query q, byte[] answer, Results.End end, Passage passage) {
-        if (over && passage != null) {
-            passage.giveUp();
+    void answer(Query q, byte[] answer, Results.End end, StreamedResponse streamed) {
+        if (over && streamed != null) {
+            streamed.giveUp();
         }
         for (Slot slot : slots) {
             if (slot.query == q) {
                 slot.answer = answer;
                 slot.end = end;
-                slot.passage = passage;
-                slot.answerRoom = answer.length + (passage == null ? 0 : PASSING_BYTES);
+                slot.streamed = streamed;
+                slot.answerRoom = answer.length + (streamed == null ? 0 : PASSING_BYTES);
                 clients.owe(slot.answerRoom);
             }
         }
@@ -357,10 +448,10 @@
             }
             writingSince = clients.now();
             connection.write(writing.answer);
-            if (writing.passage != null) {
+            if (writing.streamed != null) {
                 // what stands in its buffers is lost by a reset, and nothing tells when it has gone
                 connection.systemHolds(SYSTEM_BYTES);
-                writing.passage.begin(this);
+                writing.streamed.begin(this);
             } else if (connection.isDrained()) {
                 written();
             }
@@ -369,8 +460,8 @@
 
     @Override
     public void drained() {
-        if (writing != null && writing.passage != null) {
-            writing.passage.drained();
+        if (writing != null && writing.streamed != null) {
+            writing.streamed.drained();
         } else if (writing != null) {
             written();
             flush();
@@ -391,7 +482,7 @@
 
     /** The value has passed whole; what follows it ends the answer. */
     void passedWhole(byte[] end) {
-        writing.passage = null;
+        writing.streamed = null;
         connection.write(end);
         if (connection.isDrained()) {
             clients.loop.tell(this::drained); // not at once: its node's connection is still at work
@@ -399,7 +490,7 @@
     }
 
     /** The rest of the value will not come; a reset inside it tells the client so. */
-    void passageBroke() {
+    void streamBroke() {
         if (writing != null) {
             ended(writing, Results.End.ABORTED);
         }
@@ -484,6 +575,7 @@
             drop(writing);
         }
         giveUploadRoom();
+        giveAheadRoom();
         slots.clear();
         writing = null;
         connection.close();
@@ -493,8 +585,8 @@
     /** Nobody takes its answer any more. */
     private void drop(Slot slot) {
         ended(slot, Results.End.LEFT);
-        if (slot.passage != null) {
-            slot.passage.giveUp();
+        if (slot.streamed != null) {
+            slot.streamed.giveUp();
         }
         giveRoom(slot);
     }
@@ -530,16 +622,17 @@
         }
     }
 
-    private Claim claim() {
+    private EvictionPriority evictionPriority() {
         if (!slots.isEmpty() || writing != null || lost || noRoom || clients.now() <= takingUntil) {
-            return Claim.QUERY;
+            return EvictionPriority.QUERY;
         }
-        return in.available() > 0 || upload != null ? Claim.HALF : answered ? Claim.ANSWERED : Claim.SILENT;
+        return in.available() > 0 || upload != null ? EvictionPriority.HALF
+            : answered ? EvictionPriority.ANSWERED : EvictionPriority.SILENT;
     }
 
-    /** How overdue it is to give up its place, as {@link Claim} has it. */
+    /** How overdue it is to give up its place, as {@link EvictionPriority} has it. */
     double overdue() {
-        return claim().overdue(clients.now() - quietSince());
+        return evictionPriority().overdue(clients.now() - quietSince());
     }
 
     /** Closes it by a reset, unless something has just come. */
@@ -552,7 +645,7 @@
 
     /** Closes it where the client takes its answers too slowly for the memory that they hold. */
     void closeIfSlow() {
-        if (clients.now() - HOLDING_NS > writingSince && (writing == null || writing.passage == null)) {
+        if (clients.now() - HOLDING_NS > writingSince && (writing == null || writing.streamed == null)) {
             close();
         }
     }
--- a/proxy/src/main/java/spurroad/routing/Decider.java
+++ b/proxy/src/main/java/spurroad/routing/Decider.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import spurroad.Balance;
-import spurroad.admission.Level;
+import spurroad.admission.ServiceLevel;
 import spurroad.model.Decisions;
 import spurroad.model.Fleet;
 import spurroad.model.LoadReport;
@@ -42,10 +42,12 @@
 public final class Decider implements Runnable {
     /** Asked to follow the list when the module wants it. */
     public interface Follow {
+        /** Asks discovery for the list, and follows its changes. */
         void follow();
     }
 
-    // The messages of each query are classes: the quick compiler makes a call into the machine of each lambda's birth.
+    // The messages of each query are classes: the quick compiler makes a call into the machine of each
+    // lambda's birth.
     private record Arrived(Decider decider, Query q) implements Runnable {
         @Override
         public void run() {
@@ -53,24 +55,27 @@
         }
     }
 
-    private record Ended(Decider decider, Errand e, Reply reply) implements Runnable {
+    private record Ended(Decider decider, UpstreamRequest e, Reply reply) implements Runnable {
         @Override
         public void run() {
             decider.ended(e, reply);
         }
     }
 
-    private record Begin(Errand e) implements Runnable {
+    private record Begin(UpstreamRequest e) implements Runnable {
         @Override
         public void run() {
             e.node.begin(e);
         }
     }
 
-    private record Answered(Query q, byte[] answer, Results.End end, Passage passage) implements Runnable {
+    private record Answered(Query q, byte[] answer, Results.End end,
+                            StreamedResponse streamed)
+        implements
+            Runnable {
         @Override
         public void run() {
-            q.client.answer(q, answer, end, passage);
+            q.client.answer(q, answer, end, streamed);
         }
     }
 
@@ -97,9 +102,11 @@
         }
     }
 
-    private static final int AT_ONCE = 32; // messages; nothing decided waits for more than a millisecond's work
+    // messages; nothing decided waits for more than a millisecond's work
+    private static final int AT_ONCE = 32;
     private static final int MAILBOX = 1 << 16; // messages; a dozen for each query that there is room for
-    private static final long NS_PER_MS = 1_000_000L, NS_PER_US = 1_000L;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long NS_PER_US = 1_000L;
     private static final int MOST_LISTED = 8192; // ids; that staff may name, those of a year of releases
     private static final int MOST_WORDS = 4096; // of other proxies, not heard yet: further ones are lost
     private static final int MODULE_FAILED = 70; // exit code; the usual one for a fault of the program itself
@@ -119,7 +126,8 @@
     private final Tally tally = new Tally();
     private final AtomicInteger wordsWaiting = new AtomicInteger();
     private final Stalls stalls = new Stalls();
-    private final List<Runnable> fromLoop = new ArrayList<>(); // the loop's: for the module at the end of its turn
+    // the loop's: for the module at the end of its turn
+    private final List<Runnable> fromLoop = new ArrayList<>();
     private List<Runnable> forLoop = new ArrayList<>(); // the module's: for the loop after some messages
     private final Map<NodeId, Boolean> everListed = new LinkedHashMap<>(); // whether as a cache node
     private final Set<NodeId> byHand = new HashSet<>();
@@ -132,8 +140,10 @@
     private int aged;
     private volatile long coldUntil;
     private boolean ended;
-    private long queryCount, wakeNs = Long.MAX_VALUE;
+    private long queryCount;
+    private long wakeNs = Long.MAX_VALUE;
 
+    /** Makes the module and its mailbox; nothing runs yet. */
     public Decider(ProxyStart start, Threads threads, Loop loop, EventLog log, Clock clock,
                    Descriptors descriptors,
                    Dialer dialer, long restNs) {
@@ -277,10 +287,10 @@
     // ---- told by the gate
 
     /** The level of service, the part of all that is taken in, and how many have been turned away since. */
-    void serves(Level level, double part, long turnedAway) {
+    void serves(ServiceLevel level, double part, long turnedAway) {
         fromLoop.add(() -> {
             tally.gate(level, part, turnedAway);
-            balance.sparing(level.atLeast(Level.SPARING));
+            balance.sparing(level.atLeast(ServiceLevel.SPARING));
         });
     }
 
@@ -291,7 +301,7 @@
 
     // ---- told by nodes
 
-    private void ended(Errand e, Reply reply) {
+    private void ended(UpstreamRequest e, Reply reply) {
         Query q = e.query;
         if (q == null) {
             balance.probed(clock.now(), e.node.id(), reply.outcome(), reply.load(), fresh());
@@ -301,9 +311,9 @@
             if (reply.outcome() == Outcome.COMPLETED && !q.over) {
                 q.over = true;
                 tally.completed();
-                forLoop.add(new Answered(q, reply.answer(), Results.End.SUCCEEDED, e.passage));
-            } else if (e.passage != null) {
-                forLoop.add(e.passage::giveUp);
+                forLoop.add(new Answered(q, reply.answer(), Results.End.SUCCEEDED, e.streamed));
+            } else if (e.streamed != null) {
+                forLoop.add(e.streamed::giveUp);
             }
             balance.ended(clock.now(), q.id, e.number, reply.outcome(), reply.load(), q.over,
                 stalls.total() - e.stalledNs, fresh());
@@ -359,6 +369,7 @@
 
     // ---- told by the list
 
+    /** A list came from discovery. */
     public void listed(Members list) {
         mailbox.tell(() -> {
             Set<NodeId> named = new HashSet<>();
@@ -383,6 +394,7 @@
         });
     }
 
+    /** A call to discovery failed, or its subscription ended. */
     public void listFailed() {
         mailbox.tell(() -> {
             balance.listFailed(clock.now(), fresh());
@@ -496,7 +508,7 @@
             Query q = queries.get(s.query());
             // the module counted from when it began to decide, some time ago
             long until = Math.min(now + s.allowNs(), q.endsAt - figures.deployment.tickNs());
-            Errand e = new Errand(q, q.executions.size(), nodes.get(s.node()), until,
+            UpstreamRequest e = new UpstreamRequest(q, q.executions.size(), nodes.get(s.node()), until,
                 s.sentBy() - figures.deployment.tickNs(), stalls.total());
             q.executions.add(e);
             q.out++;
@@ -504,7 +516,7 @@
         }
         for (Decisions.Stop s : decisions.stops) {
             Query q = queries.get(s.query());
-            Errand e = q.executions.get(s.execution());
+            UpstreamRequest e = q.executions.get(s.execution());
             forLoop.add(() -> e.node.stop(e));
         }
         for (Decisions.Answer a : decisions.answers) {
@@ -525,7 +537,8 @@
                 mailbox.tell(() -> unknown(id)); // gone since the module last heard of it
                 continue;
             }
-            Errand probe = new Errand(null, 0, n, now + 2 * figures.connectNs, Long.MAX_VALUE,
+            UpstreamRequest probe = new UpstreamRequest(null, 0, n, now + 2 * figures.connectNs,
+                Long.MAX_VALUE,
                 stalls.total());
             forLoop.add(() -> n.begin(probe));
         }
--- a/proxy/src/main/java/spurroad/routing/Query.java
+++ b/proxy/src/main/java/spurroad/routing/Query.java
@@ -26,7 +26,7 @@
     boolean left;
     // the decider's
     QueryId id;
-    final List<Errand> executions = new ArrayList<>(2);
+    final List<UpstreamRequest> executions = new ArrayList<>(2);
     int out;
     boolean over;
 
@@ -41,4 +41,12 @@
         this.takenAt = takenAt;
         this.endsAt = endsAt;
     }
+
+    /**
+     * Whether nobody waits for it any more as of this moment; its client, if it has one, is asked. On the
+     * loop.
+     */
+    boolean unwanted() {
+        return left || client != null && client.hasLeft();
+    }
 }
--- a/proxy/src/main/java/spurroad/routing/Tally.java
+++ b/proxy/src/main/java/spurroad/routing/Tally.java
@@ -2,18 +2,26 @@
 
 import java.util.EnumMap;
 import java.util.Map;
-import spurroad.admission.Level;
+import spurroad.admission.ServiceLevel;
 import spurroad.model.Outcome;
 
 /** What became of queries and executions since the last line about it; the module's actor keeps it. */
 final class Tally {
     private static final long NS_PER_MS = 1_000_000L;
     private static final long NS_PER_S = 1_000_000_000L;
-    private static final long APART_NS = 10_000_000_000L; // ns; short beside a trouble, long beside reading it
+    // ns; short beside a trouble, long beside reading it
+    private static final long APART_NS = 10_000_000_000L;
     private final Map<Outcome, Integer> executions = new EnumMap<>(Outcome.class);
-    private int queries, completed, rejected, aborted, left;
-    private long since, stalledNs, turnedAway;
-    private Level level = Level.ORDINARY, worst = Level.ORDINARY;
+    private int queries;
+    private int completed;
+    private int rejected;
+    private int aborted;
+    private int left;
+    private long since;
+    private long stalledNs;
+    private long turnedAway;
+    private ServiceLevel level = ServiceLevel.ORDINARY;
+    private ServiceLevel worst = ServiceLevel.ORDINARY;
     private double part = 1;
 
     void arrived() {
@@ -36,7 +44,7 @@
     /**
      * The level of service now, the part that is admitted, and how many were turned away at the gate since.
      */
-    void gate(Level now, double admitted, long more) {
+    void gate(ServiceLevel now, double admitted, long more) {
         level = now;
         worst = now.atLeast(worst) ? now : worst;
         part = admitted;
--- a/proxy/src/main/java/spurroad/routing/Errand.java
+++ b/proxy/src/main/java/spurroad/routing/UpstreamRequest.java
@@ -4,7 +4,7 @@
 import spurroad.transport.Loop;
 
 /** One execution of a query, or a probe where there is no query: its node's actor ends it exactly once. */
-final class Errand {
+final class UpstreamRequest {
     private static final long NS_PER_MS = 1_000_000L;
     final Query query;
     final int number;
@@ -16,7 +16,8 @@
      */
     final long sentBy;
     /** Whether its first byte has gone out, and whether its last may have. */
-    boolean begun, written;
+    boolean begun;
+    boolean written;
     // the node actor's
     NodeConnection connection;
     Loop.Alarm alarm;
@@ -27,9 +28,9 @@
     final long stalledNs;
     boolean ended;
     /** The long value of its answer, where it has one. */
-    Passage passage;
+    StreamedResponse streamed;
 
-    Errand(Query query, int number, NodeActor node, long until, long sentBy, long stalledNs) {
+    UpstreamRequest(Query query, int number, NodeActor node, long until, long sentBy, long stalledNs) {
         this.query = query;
         this.number = number;
         this.node = node;
@@ -54,7 +55,7 @@
 
     /** Whether nobody waits for it any more; never so for a probe. */
     boolean unwanted() {
-        return query != null && query.left;
+        return query != null && query.unwanted();
     }
 
     MetaCommand command() {
--- a/proxy/src/test/java/spurroad/program/ServiceTest.java
+++ b/proxy/src/test/java/spurroad/program/ServiceTest.java
@@ -12,6 +12,8 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Function;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import spurroad.Peers;
@@ -87,7 +89,8 @@
     Object[][] queries() {
         Function<String, String> miss = m -> "EN O" + id(m) + "\r\n";
         Function<String, String> origin = m -> ok("body");
-        String write = "ms k 3 O1 Pc=put,t=acme,d=9000,k=5\r\na\nb\r\n", big = "x".repeat(65536);
+        String write = "ms k 3 O1 Pc=put,t=acme,d=9000,k=5\r\na\nb\r\n";
+        String big = "x".repeat(65536);
         return new Object[][] {{READ, hit("v"), origin, "VA 1 O1\r\nv\r\n"},
             {READ, hit(""), origin, "VA 0 O1\r\n\r\n"},
             {READ, hit(big), origin, "VA 65536 O1\r\n" + big + "\r\n"},
@@ -113,8 +116,11 @@
             assertEquals(answer.endsWith("\n") ? next : c.line(), "MN", "one answer and no more");
             if (query.startsWith("ms")) {
                 String heard = o.await("PUT /k HTTP/1.1");
-                assertTrue(heard.contains("X-Request-Id: 1\n") && heard.contains("c=put,t=acme,d=9000,k=5"),
-                    heard);
+                assertTrue(heard.contains("X-Request-Id: 1\n"), heard);
+                Matcher list = Pattern.compile("\nX-Extras: c=put,t=acme,d=(\\d+),k=5\n").matcher(heard);
+                assertTrue(list.find(), heard);
+                long toldMs = Long.parseLong(list.group(1));
+                assertTrue(toldMs >= 1 && toldMs < 9000, "the time left, not the client's own: " + toldMs);
                 assertTrue(
                     heard.endsWith("\n" + query.substring(query.indexOf("\r\n") + 2, query.length() - 2)));
             }
@@ -316,7 +322,7 @@
     public void aRehearsalIsPlayedToItsEndAndLeavesNoThreadOfTheModule() throws Exception {
         EventLog log = new EventLog();
         Rehearsal rehearsal = new Rehearsal(new ProxyStart(Peers.start(1, 256, Peers.list(1, true))));
-        rehearsal.play(new Threads(log), log, new Clock());
+        rehearsal.play(new Threads(log), log, new Clock(), 4_000);
         assertEquals(rehearsal.left(), 0);
         for (Thread t : Thread.getAllStackTraces().keySet()) {
             if (t.getName().equals("rehearsal")) {
@@ -412,7 +418,8 @@
                 Peers.target("s-o", "origin", o.port, "active", 0));
             List<Client> busy = new ArrayList<>();
             for (int i = 0; i < 24; i++) {
-                // 18 places and some of the guests'; the beginning of a command keeps a connection from being idle
+                // 18 places and some of the guests'; the beginning of a command keeps a connection from being
+                // idle
                 busy.add(new Client(s.port()).say("mn\r\nmg k"));
                 assertEquals(busy.get(i).line(), "MN");
             }
--- a/rig/src/main/java/spurroad/rig/judge/Story.java
+++ b/rig/src/main/java/spurroad/rig/checker/EventHistory.java
@@ -1,4 +1,4 @@
-package spurroad.rig.judge;
+package spurroad.rig.checker;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,8 +6,9 @@
 import java.util.Locale;
 
 /** What happened to one query, over all its tries, as lines with their times; bounded. */
-final class Story {
-    private static final int MOST = 100; // lines; a query that has more is in a loop that its first ones tell of
+final class EventHistory {
+    // lines; a query that has more is in a loop that its first ones tell of
+    private static final int MOST = 100;
 
     private final List<String> lines = new ArrayList<>(6);
     private long[] times = new long[6];
--- a/rig/src/main/java/spurroad/rig/model/CacheNode.java
+++ b/rig/src/main/java/spurroad/rig/model/CacheNode.java
@@ -25,9 +25,12 @@
         VANISHED
     }
 
-    private static final long STRIKES_NS = 1_000_000_000L; // ns; over which turned away queries of a cold one count
-    private static final int LEAST_STRIKES = 16; // queries; turned away by a cold one, so many at least push it over
-    private static final long FALLEN_NS = 3_000_000_000L; // ns; one that fell over is up again after that, cold
+    // ns; over which turned away queries of a cold one count
+    private static final long STRIKES_NS = 1_000_000_000L;
+    // queries; turned away by a cold one, so many at least push it over
+    private static final int LEAST_STRIKES = 16;
+    // ns; one that fell over is up again after that, cold
+    private static final long FALLEN_NS = 3_000_000_000L;
 
     private record Copy(int version, long until) {}
 
@@ -36,30 +39,38 @@
     private final Timeline timeline;
     private final Load load;
     private final Ledger ledger;
-    private final Witness witness;
-    private final Chance chance;
-    private final Servers servers;
+    private final RequestObserver observer;
+    private final RandomStream random;
+    private final ServiceQueue servers;
     private final Map<Integer, Copy> copies;
     private Runnable reachChanged = () -> {};
     private Reach reach = Reach.UP;
-    private boolean silent, cutBack;
-    private double speed = 1, failing, spoilt;
-    private long startedAt = Long.MIN_VALUE / 2, reportedAt = Long.MIN_VALUE / 2, strikesSince;
-    private int connections, reported, strikes;
-    private long hits, reads;
+    private boolean silent;
+    private boolean cutBack;
+    private double speed = 1;
+    private double failing;
+    private double spoilt;
+    private long startedAt = Long.MIN_VALUE / 2;
+    private long reportedAt = Long.MIN_VALUE / 2;
+    private long strikesSince;
+    private int connections;
+    private int reported;
+    private int strikes;
+    private long hits;
+    private long reads;
 
     /** One that has been up for long, and holds nothing yet. */
     public CacheNode(String uid, NodeGroup group, Load load, Timeline timeline, Ledger ledger,
-                     Witness witness,
-                     Chance chance) {
+                     RequestObserver observer,
+                     RandomStream random) {
         this.uid = uid;
         this.group = group;
         this.load = load;
         this.timeline = timeline;
         this.ledger = ledger;
-        this.witness = witness;
-        this.chance = chance;
-        servers = new Servers(timeline, group.service());
+        this.observer = observer;
+        this.random = random;
+        servers = new ServiceQueue(timeline, group.service());
         copies = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
@@ -74,19 +85,19 @@
     // ---- what peers do
 
     /** Takes an execution whose last byte has come; the answer is given later, or never. */
-    public void offer(Request request, Consumer<Reply> answer) {
+    public void offer(ServerRequest request, Consumer<Reply> answer) {
         if (reach == Reach.VANISHED || reach == Reach.DOWN) {
             return;
         }
-        witness.begun(timeline.now(), uid, request);
+        observer.begun(timeline.now(), uid, request);
         if (silent) {
             return;
         }
-        boolean taken = servers.offer(new Servers.Work() {
+        boolean taken = servers.offer(new ServiceQueue.Job() {
             @Override
             public long begins() {
                 double cost = group.service().meanNs() / (group.speed() * speed * warmth());
-                return chance.time(cost, group.service().spread())
+                return random.time(cost, group.service().spread())
                     + (request.fresh() ? group.connectNs() : 0);
             }
 
@@ -101,8 +112,8 @@
         }
     }
 
-    private Reply reply(Request request) {
-        if (chance.is(failing)) {
+    private Reply reply(ServerRequest request) {
+        if (random.is(failing)) {
             return new Reply(Reply.Kind.FAILED, 0, 0, report(), 0);
         }
         reads++;
@@ -112,13 +123,13 @@
             return new Reply(Reply.Kind.MISS, 0, 0, report(), 0);
         }
         hits++;
-        int bytes = chance.is(load.longPart()) ? load.longBytes() : load.valueBytes();
+        int bytes = random.is(load.longPart()) ? load.longBytes() : load.valueBytes();
         return new Reply(Reply.Kind.VALUE, copy.version, bytes, report(), 0);
     }
 
-    private void answered(Request request, Reply reply, Consumer<Reply> answer) {
-        Reply given = chance.is(spoilt) ? reply.spoiltBy(1 + chance.below(Reply.WAYS_TO_SPOIL)) : reply;
-        witness.ended(timeline.now(), uid, request, given);
+    private void answered(ServerRequest request, Reply reply, Consumer<Reply> answer) {
+        Reply given = random.is(spoilt) ? reply.spoiltBy(1 + random.below(Reply.WAYS_TO_SPOIL)) : reply;
+        observer.ended(timeline.now(), uid, request, given);
         if (!cutBack) {
             answer.accept(given);
         }
@@ -136,7 +147,7 @@
         }
         if (++strikes > Math.max(LEAST_STRIKES, group.service().queue())) {
             strikes = 0;
-            witness.fellOver(now, uid, "cold, up for " + (now - startedAt) / 1_000_000 + " ms of "
+            observer.fellOver(now, uid, "cold, up for " + (now - startedAt) / 1_000_000 + " ms of "
                 + group.warmUpNs() / 1_000_000 + ", turned away " + group.service().queue() + " within 1 s");
             reach(Reach.DOWN);
             timeline.after(FALLEN_NS, this::restart);
@@ -152,6 +163,7 @@
         return true;
     }
 
+    /** A connection that was taken has ended. */
     public void disconnected() {
         connections--;
     }
@@ -173,6 +185,7 @@
         return part >= 1 ? 1 : group.startShare() + (1 - group.startShare()) * Math.max(0, part);
     }
 
+    /** How far peers reach it now. */
     public Reach reach() {
         return reach;
     }
@@ -187,10 +200,12 @@
         return startedAt;
     }
 
+    /** Requests that it serves or that wait there. */
     public int inFlight() {
         return servers.inFlight();
     }
 
+    /** Connections that are open. */
     public int connections() {
         return connections;
     }
@@ -217,6 +232,7 @@
         reachChanged = changed;
     }
 
+    /** Changes how far peers reach it; one that goes down loses what is under way. */
     public void reach(Reach to) {
         if (to == Reach.DOWN) {
             servers.drop();
@@ -233,10 +249,12 @@
         reach(Reach.UP);
     }
 
+    /** Loses all copies. */
     public void flush() {
         copies.clear();
     }
 
+    /** Answers nothing while this is on. */
     public void silent(boolean on) {
         silent = on;
     }
--- a/rig/src/main/java/spurroad/rig/net/Address.java
+++ b/rig/src/main/java/spurroad/rig/net/FaultyListener.java
@@ -14,19 +14,25 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
+import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpServerCodec;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
+import java.util.function.Supplier;
 
 /**
  * One port on loopback at which something listens, or does not: it can refuse connections, or let them hang,
  * and come back at the same port. The loop's, but for opening it the first time.
  */
-final class Address {
-    private static final int BACKLOG = 512, HANGING_BACKLOG = 1; // connections
-    private static final int FILLERS = 4; // connections; as many fill a backlog of one, so that no other comes up
+final class FaultyListener {
+    // connections
+    private static final int BACKLOG = 512;
+    private static final int HANGING_BACKLOG = 1;
+    // connections; as many fill a backlog of one, so that no other comes up
+    private static final int FILLERS = 4;
 
     private final EventLoop loop;
     private final Function<SocketChannel, ChannelHandler[]> handlers;
@@ -36,7 +42,7 @@
     final int port;
 
     /** Listens at a free port, and gives each connection its handlers; none closes it at once. */
-    Address(EventLoop loop, Function<SocketChannel, ChannelHandler[]> handlers) {
+    FaultyListener(EventLoop loop, Function<SocketChannel, ChannelHandler[]> handlers) {
         this.loop = loop;
         this.handlers = handlers;
         open = new DefaultChannelGroup(loop);
@@ -45,6 +51,12 @@
         port = ((InetSocketAddress) first.localAddress()).getPort();
     }
 
+    /** One for HTTP/1.1, whose handler is given whole requests with bodies up to so many bytes. */
+    static FaultyListener http(EventLoop loop, int mostBody, Supplier<ChannelHandler> handler) {
+        return new FaultyListener(loop, channel -> new ChannelHandler[] {new HttpServerCodec(),
+            new HttpObjectAggregator(mostBody), handler.get()});
+    }
+
     private ChannelFuture bind(int at, int backlog, boolean accepts) {
         return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, backlog)
@@ -82,7 +94,7 @@
 
     /** Resets what is up. */
     void resetAll() {
-        open.forEach(Address::reset);
+        open.forEach(FaultyListener::reset);
     }
 
     private static void reset(Channel channel) {
--- a/rig/src/main/java/spurroad/rig/play/Result.java
+++ b/rig/src/main/java/spurroad/rig/play/Result.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import spurroad.rig.judge.Breach;
-import spurroad.rig.judge.Judge;
-import spurroad.rig.judge.Rule;
-import spurroad.rig.judge.Tally;
+import spurroad.rig.checker.Breach;
+import spurroad.rig.checker.OutcomeStatistics;
+import spurroad.rig.checker.Rule;
+import spurroad.rig.checker.RuleChecker;
 import spurroad.rig.world.World;
 
 /**
@@ -33,7 +33,7 @@
     /** Queries by what became of them, and their goodput. */
     public record Counts(long due, long inTime, long late, long rejected, long failed, long unanswered,
                          double goodput) {
-        static Counts of(Tally.Count c) {
+        static Counts of(OutcomeStatistics.Count c) {
             return new Counts(c.due, c.inTime, c.late, c.rejected, c.failed, c.unanswered, c.goodput());
         }
     }
@@ -62,9 +62,10 @@
     static Result of(World w, String clock, String build, String voidFor, List<Proxy> proxies,
                      long connections,
                      double tookS) {
-        Tally t = w.tally;
-        Judge j = w.judge;
-        Map<String, Counts> tracks = new LinkedHashMap<>(), customers = new LinkedHashMap<>();
+        OutcomeStatistics t = w.outcomes;
+        RuleChecker j = w.checker;
+        Map<String, Counts> tracks = new LinkedHashMap<>();
+        Map<String, Counts> customers = new LinkedHashMap<>();
         t.tracks().forEach((name, c) -> tracks.put(name, Counts.of(c)));
         t.customers().forEach((name, c) -> customers.put(name, Counts.of(c)));
         Map<Rule, Integer> breaches = new LinkedHashMap<>();
@@ -73,7 +74,7 @@
         }
         List<Second> seconds = new ArrayList<>();
         for (int i = 0; i < t.seconds().size(); i++) {
-            Tally.Count c = t.seconds().get(i);
+            OutcomeStatistics.Count c = t.seconds().get(i);
             Histogram us = t.latencyUs(i);
             World.Queues q = i < w.queues().size() ? w.queues().get(i) : new World.Queues(0, 0, 0);
             seconds.add(new Second(c.due, c.inTime, c.late, c.rejected, c.failed + c.unanswered, c.goodput(),
--- a/rig/src/main/java/spurroad/rig/policy/Baseline.java
+++ b/rig/src/main/java/spurroad/rig/policy/BaselinePolicy.java
@@ -18,6 +18,7 @@
 import spurroad.model.Outcome;
 import spurroad.model.Phase;
 import spurroad.model.QueryId;
+import spurroad.model.SplitMix64;
 import spurroad.model.Track;
 import spurroad.model.TrackId;
 
@@ -27,7 +28,7 @@
  * three rules, as a baseline that breaks them would say nothing; nothing is turned away but what failed three
  * times.
  */
-final class Baseline implements Policy {
+final class BaselinePolicy implements Policy {
     private static final int TRIES = 3; // executions at cache nodes; as many as the mechanism has candidates
     private static final int POINTS = 96; // ring points of a node, as the mechanism has them
     private static final double BOUND = 1.25; // times the mean of queries out, of the bounded ring
@@ -37,7 +38,8 @@
         private final CacheKey key;
         private final long endAt;
         private final List<NodeId> targets = new ArrayList<>(2);
-        private boolean atOrigin, done;
+        private boolean atOrigin;
+        private boolean done;
         private int out;
 
         private Query(Track track, CacheKey key, boolean write, long endAt) {
@@ -59,7 +61,7 @@
     private NodeId origin;
     private boolean following;
 
-    Baseline(Kind kind, Deployment given, long seed) {
+    BaselinePolicy(Kind kind, Deployment given, long seed) {
         this.kind = kind;
         this.given = given;
         random = new Random(seed);
@@ -80,7 +82,7 @@
             } else if (e.phase() == Phase.READY) {
                 ready.add(e.id());
                 for (int i = 0; i < POINTS; i++) {
-                    ring.put(mix(e.id().value() + i * 0x9e3779b97f4a7c15L), e.id());
+                    ring.put(SplitMix64.finish(e.id().value() + i * SplitMix64.GAMMA), e.id());
                 }
             }
         }
@@ -88,13 +90,6 @@
         following = true;
     }
 
-    /** The finisher of SplitMix64. */
-    private static long mix(long x) {
-        long z = (x ^ x >>> 30) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-        return z ^ z >>> 31;
-    }
-
     @Override
     public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key, boolean write,
                         long budgetNs, Decisions into) {
@@ -122,7 +117,8 @@
         return switch (kind) {
             case RANDOM -> any();
             case TWO_CHOICES -> {
-                NodeId a = any(), b = any();
+                NodeId a = any();
+                NodeId b = any();
                 yield queries(a) <= queries(b) ? a : b;
             }
             case RING -> onRing(q, Double.MAX_VALUE);
@@ -144,7 +140,7 @@
 
     /** The first node clockwise that has not been tried and would not hold more than a bound. */
     private NodeId onRing(Query q, double most) {
-        long point = mix(q.key.value());
+        long point = SplitMix64.finish(q.key.value());
         for (NodeId n : ring.tailMap(point).values()) {
             if (!q.targets.contains(n) && queries(n) + 1 <= most) {
                 return n;
--- a/rig/src/test/java/spurroad/rig/sim/SimulatedWorldTest.java
+++ b/rig/src/test/java/spurroad/rig/sim/SimulatedWorldTest.java
@@ -24,8 +24,8 @@
 import spurroad.model.QueryId;
 import spurroad.model.TrackId;
 import spurroad.protocol.Members;
-import spurroad.rig.Worlds;
-import spurroad.rig.judge.Rule;
+import spurroad.rig.TestScenarios;
+import spurroad.rig.checker.Rule;
 import spurroad.rig.model.Origin;
 import spurroad.rig.policy.Policy;
 import spurroad.rig.scenario.FaultKind;
@@ -34,19 +34,20 @@
 
 /** Whole worlds in simulated time: what they keep to, and that planted faults of a proxy are seen. */
 public class SimulatedWorldTest {
-    private static World play(Scenario scenario, long seed, Policy.Maker policy) {
+    private static World play(Scenario scenario, long seed, Policy.Factory policy) {
         return new SimulatedWorld(scenario, seed, policy, line -> {}).play();
     }
 
     private static String print(World w) {
-        return w.tally.all().inTime + " " + w.tally.all().due + " " + w.tally.latencyUs().getTotalCount()
-            + " "
-            + w.tally.latencyUs().getMean() + " " + w.judge.executions() + " " + w.judge.taken();
+        return w.outcomes.all().inTime + " " + w.outcomes.all().due + " "
+            + w.outcomes.latencyUs().getTotalCount() + " "
+            + w.outcomes.latencyUs().getMean() + " " + w.checker.executions() + " " + w.checker.taken();
     }
 
     @Test
     public void theSameSeedIsTheSameRunAndAnotherIsNot() {
-        Scenario s = Worlds.small("6s", Worlds.fault("silent", "2s", "2s", "targets = [\"a-0\"]"));
+        Scenario s = TestScenarios.small("6s",
+            TestScenarios.fault("silent", "2s", "2s", "targets = [\"a-0\"]"));
         assertEquals(print(play(s, 3, Policy.Kind.MECHANISM)), print(play(s, 3, Policy.Kind.MECHANISM)));
         assertNotEquals(print(play(s, 3, Policy.Kind.MECHANISM)), print(play(s, 4, Policy.Kind.MECHANISM)));
     }
@@ -58,20 +59,23 @@
 
     @Test(dataProvider = "policies")
     public void aCalmWorldIsServedAndRulesAreKept(Policy.Kind policy) {
-        World w = play(Worlds.small("8s", ""), 1, policy);
-        assertEquals(w.judge.breaches(), List.of());
-        assertTrue(w.tally.all().goodput() > 0.97, policy + " " + w.tally.all().goodput());
-        assertTrue(w.tally.all().due > 1000);
+        World w = play(TestScenarios.small("8s", ""), 1, policy);
+        assertEquals(w.checker.breaches(), List.of());
+        assertTrue(w.outcomes.all().goodput() > 0.97, policy + " " + w.outcomes.all().goodput());
+        assertTrue(w.outcomes.all().due > 1000);
     }
 
     /** Each kind of fault is played alone, begins and ends, and breaks no rule of the mechanism's. */
     @Test(dataProvider = "faults")
     public void theMechanismKeepsTheRulesUnderEachFault(FaultKind kind) {
-        World w = play(Worlds.small("14s", Worlds.fault(Worlds.name(kind), "3s", "3s", Worlds.rest(kind))), 2,
+        World w = play(
+            TestScenarios.small("14s",
+                TestScenarios.fault(TestScenarios.name(kind), "3s", "3s", TestScenarios.rest(kind))),
+            2,
             Policy.Kind.MECHANISM);
-        assertEquals(w.judge.breaches(), List.of());
-        assertTrue(w.tally.all().goodput() > 0.5, kind + " " + w.tally.all().goodput());
-        double last = w.tally.seconds().get(12).goodput();
+        assertEquals(w.checker.breaches(), List.of());
+        assertTrue(w.outcomes.all().goodput() > 0.5, kind + " " + w.outcomes.all().goodput());
+        double last = w.outcomes.seconds().get(12).goodput();
         assertTrue(last > 0.9, kind + ": " + last + " in the second before the last, long after its end");
     }
 
@@ -83,8 +87,8 @@
     /** A proxy that is stopped for two seconds shows in latency that counts from when queries were due. */
     @Test
     public void aStalledProxyShowsInLatencyFromDueTimes() {
-        Scenario s = Worlds.small("8s", "[load.clients]\ntries = 1\npatience = \"5s\"\n"
-            + Worlds.fault("proxy-stopped", "3s", "2s", "targets = [\"p-0\"]"));
+        Scenario s = TestScenarios.small("8s", "[load.clients]\ntries = 1\npatience = \"5s\"\n"
+            + TestScenarios.fault("proxy-stopped", "3s", "2s", "targets = [\"p-0\"]"));
         Scenario patient = new Scenario(s.name(), s.about(), s.warmNs(), s.lengthNs(), s.world(),
             new Scenario.Load(s.load().perSecond(), s.load().keys(), s.load().zipf(), 0,
                 s.load().connections(), 200, 0,
@@ -93,10 +97,10 @@
                 s.load().clients()),
             s.faults(), s.rules(), s.seeds());
         World w = play(patient, 1, Policy.Kind.RANDOM);
-        double most = w.tally.latencyUs().getMaxValue() / 1e6;
+        double most = w.outcomes.latencyUs().getMaxValue() / 1e6;
         assertTrue(most > 1.8 && most < 2.3, most + " s at most");
         // half of what falls due in the two seconds waits for a second on average
-        assertTrue(w.tally.latencyUs().getValueAtPercentile(90) > 300_000);
+        assertTrue(w.outcomes.latencyUs().getValueAtPercentile(90) > 300_000);
     }
 
     // ---- planted faults of a proxy
@@ -122,8 +126,12 @@
                             boolean write,
                             long budgetNs, Decisions into) {
             right.arrived(at, id, track, customer, key, write, budgetNs, into);
+            spoil(id, track, into);
         }
 
+        /** Changes what was decided for a query that has just arrived. */
+        abstract void spoil(QueryId id, TrackId track, Decisions into);
+
         @Override
         public void ended(long at, QueryId id, int execution, Outcome outcome, LoadReport load, boolean last,
                           Decisions into) {
@@ -160,26 +168,24 @@
 
     @Test
     public void aSendToADrainingNodeIsSeen() {
-        Scenario s = Worlds.small("9s", Worlds.fault("drain", "2s", "6s", "targets = [\"a-1\"]"));
+        Scenario s = TestScenarios.small("9s",
+            TestScenarios.fault("drain", "2s", "6s", "targets = [\"a-1\"]"));
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
-            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
-                                boolean write,
-                                long budgetNs, Decisions into) {
-                super.arrived(at, id, track, customer, key, write, budgetNs, into);
+            void spoil(QueryId id, TrackId track, Decisions into) {
                 divert(into,
                     entries.stream().filter(e -> e.phase() == Phase.DRAINING).map(NodeEntry::id).findFirst()
                         .orElse(null));
             }
         });
-        assertTrue(w.judge.count(Rule.NOTHING_TO_LEAVING) > 10);
-        assertTrue(w.judge.breaches().get(0).what().contains("was told that it is draining"));
-        assertTrue(w.judge.breaches().get(0).atNs() > 4_000_000_000L, "not within the grace");
+        assertTrue(w.checker.count(Rule.NOTHING_TO_LEAVING) > 10);
+        assertTrue(w.checker.breaches().get(0).what().contains("was told that it is draining"));
+        assertTrue(w.checker.breaches().get(0).atNs() > 4_000_000_000L, "not within the grace");
     }
 
     @Test
     public void aColdNodePushedOverIsSeen() {
-        Scenario s = Worlds.of("""
+        Scenario s = TestScenarios.of("""
             name = "cold"
             length = "9s"
             [world]
@@ -192,31 +198,25 @@
             start-share = 0.1
             [load]
             rate = 400
-            """ + Worlds.fault("lost", "2s", "3s", "targets = [\"a-1\"]"));
-        assertEquals(play(s, 1, Policy.Kind.MECHANISM).judge.count(Rule.NO_COLD_PUSHED_OVER), 0);
+            """ + TestScenarios.fault("lost", "2s", "3s", "targets = [\"a-1\"]"));
+        assertEquals(play(s, 1, Policy.Kind.MECHANISM).checker.count(Rule.NO_COLD_PUSHED_OVER), 0);
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
-            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
-                                boolean write,
-                                long budgetNs, Decisions into) {
-                super.arrived(at, id, track, customer, key, write, budgetNs, into);
+            void spoil(QueryId id, TrackId track, Decisions into) {
                 divert(into, entries.stream().filter(e -> e.startedNs() > 0).map(NodeEntry::id).findFirst()
                     .orElse(null));
             }
         });
-        assertTrue(w.judge.count(Rule.NO_COLD_PUSHED_OVER) > 0);
+        assertTrue(w.checker.count(Rule.NO_COLD_PUSHED_OVER) > 0);
     }
 
     @Test
     public void aRepeatOfAnUnsafeWriteIsSeen() {
-        Scenario s = Worlds.small("8s", "");
+        Scenario s = TestScenarios.small("8s", "");
         Map<QueryId, Boolean> unsafe = new HashMap<>();
         World w = play(s, 1, (deployment, seed) -> new Planted(deployment, seed) {
             @Override
-            public void arrived(long at, QueryId id, TrackId track, CustomerId customer, CacheKey key,
-                                boolean write,
-                                long budgetNs, Decisions into) {
-                super.arrived(at, id, track, customer, key, write, budgetNs, into);
+            void spoil(QueryId id, TrackId track, Decisions into) {
                 for (Decisions.Start start : List.copyOf(into.starts)) {
                     if (start.query().equals(id) && track.value() == 2 && unsafe.put(id, true) == null) {
                         into.starts.add(start); // once more, at once
@@ -224,6 +224,6 @@
                 }
             }
         });
-        assertTrue(w.judge.count(Rule.NO_EFFECT_TWICE) > 10, "" + w.judge.count(Rule.NO_EFFECT_TWICE));
+        assertTrue(w.checker.count(Rule.NO_EFFECT_TWICE) > 10, "" + w.checker.count(Rule.NO_EFFECT_TWICE));
     }
 }
