--- a/proxy/src/main/java/spurroad/program/Service.java
+++ b/proxy/src/main/java/spurroad/program/Service.java
@@ -58,6 +58,7 @@
     private final AtomicLong applied = new AtomicLong();
     private final AtomicLong rejected = new AtomicLong();
     private final AtomicBoolean opened = new AtomicBoolean();
+    private final Loop loop;
     private ProxyStart start;
 
     /**
@@ -78,7 +79,7 @@
         this.log = log;
         this.handover = handover;
         descriptors = new Descriptors(handover == null ? start.places : handover.places());
-        Loop loop = new Loop(log, clock);
+        loop = new Loop(log, clock);
         this.clock = clock;
         decider = new Decider(start, threads, loop, log, clock, descriptors, Dialer.TCP, REST_NS);
         clients = new Clients(start, loop, log, decider, descriptors.leftForClients());
@@ -110,6 +111,15 @@
             + " places for clients at most, " + descriptors.leftForNodes() + " for nodes");
     }
 
+    /**
+     * Ends its threads and closes its sockets at once, whatever waits: for a process that goes on without it.
+     * Whoever has to be answered first is so by {@link #end}.
+     */
+    void close() {
+        decider.end();
+        loop.end();
+    }
+
     private void open() {
         if (!opened.getAndSet(true)) {
             listener.begin(serving::countDown);
--- a/proxy/src/test/java/spurroad/program/ServiceTest.java
+++ b/proxy/src/test/java/spurroad/program/ServiceTest.java
@@ -44,7 +44,8 @@
 
     static Service service(ProxyStart start) throws Exception {
         EventLog log = new EventLog();
-        return new Service(start, new Threads(log), log, new Clock(), Handover.of(start, log));
+        return LeftServices
+            .add(new Service(start, new Threads(log), log, new Clock(), Handover.of(start, log)));
     }
 
     static Service proxy(Peer discovery, int sockets, String... targets) throws Exception {
