--- a/proxy/src/test/java/spurroad/RecordingNodes.java
+++ b/proxy/src/test/java/spurroad/RecordingNodes.java
@@ -29,9 +29,9 @@
     private static final int BUFFER_BYTES = 1 << 16;
     private static final int LONGEST_LINE = 256; // characters; of what the tests send
     private static final String LINE_END = "\r\n";
-    private static final Pattern COMMAND = Pattern.compile("m[gs] \\S+ \\S+ O(\\S+).*"),
-        HEADER = Pattern.compile(
-            "X-Request-Id: (\\S+)");
+    private static final Pattern COMMAND = Pattern.compile("m[gs] \\S+ \\S+ O(\\S+).*");
+    private static final Pattern HEADER = Pattern.compile(
+        "X-Request-Id: (\\S+)");
 
     private record Held(SocketChannel to, String answer) {}
 
@@ -40,7 +40,8 @@
     private final Function<String, String> answers;
     private final List<Held> held = new ArrayList<>();
     private final List<ServerSocketChannel> servers = new ArrayList<>();
-    private volatile boolean released, ended;
+    private volatile boolean released;
+    private volatile boolean ended;
     private volatile long longestTurnNs;
 
     /**
@@ -171,7 +172,8 @@
 
     private static void write(SocketChannel to, String answer) {
         try {
-            to.write(ByteBuffer.wrap(answer.getBytes(StandardCharsets.ISO_8859_1))); // short: the system takes it whole
+            // short: the system takes it whole
+            to.write(ByteBuffer.wrap(answer.getBytes(StandardCharsets.ISO_8859_1)));
         } catch (IOException e) {
             // the proxy has closed it
         }
--- a/proxy/src/test/java/spurroad/program/IdleCrowdTest.java
+++ b/proxy/src/test/java/spurroad/program/IdleCrowdTest.java
@@ -22,10 +22,12 @@
  */
 public class IdleCrowdTest {
     private static final long MS = 1_000_000L;
-    private static final int SOCKETS = 256, CROWD = 400; // more than there are places
+    private static final int SOCKETS = 256;
+    private static final int CROWD = 400; // more than there are places
     private static final int QUERIES = 20;
     private static final long DOWN_MS = 1_500;
-    private static final long RETURN_MS = 3_000; // discovery is asked again within 0.2 s where lists are pushed
+    // discovery is asked again within 0.2 s where lists are pushed
+    private static final long RETURN_MS = 3_000;
 
     /** Clients of which each opens another connection once its former one is closed. */
     private static final class Crowd implements AutoCloseable {
