--- a/proxy/src/test/java/spurroad/program/IdleCrowdTest.java
+++ b/proxy/src/test/java/spurroad/program/IdleCrowdTest.java
@@ -112,6 +112,7 @@
                         for (boolean served = false; !served; tries++) {
                             served = isServed(s.port(), i);
                         }
+                        assertTrue((System.nanoTime() - since) / MS < 4 * RETURN_MS, i + " served");
                         first = first == 0 ? (System.nanoTime() - since) / MS : first;
                         longest = i == 0 ? 0 : Math.max(longest, (System.nanoTime() - asked) / MS);
                     }
