--- a/core/src/main/java/spurroad/balancer/context/ActiveDeployment.java
+++ b/core/src/main/java/spurroad/balancer/context/ActiveDeployment.java
@@ -49,7 +49,7 @@
     }
 
     /** Returns whether load probes may be sent to endpoints: with gossip their owners know the load. */
-    public boolean sendsLoadProbes() {
+    public boolean loadProbesEnabled() {
         return settings.loadProbesAllowed() && !gossipEnabled();
     }
 
--- a/core/src/main/java/spurroad/balancer/context/EventContext.java
+++ b/core/src/main/java/spurroad/balancer/context/EventContext.java
@@ -13,9 +13,9 @@
     private Decisions decisions;
 
     /** Starts an event; times never go back. */
-    public void begin(long now, Decisions into) {
+    public void begin(long now, Decisions eventDecisions) {
         nowNanos = now;
-        decisions = into;
+        decisions = eventDecisions;
     }
 
     /** Returns the time of the event, in nanoseconds of the host's clock. */
--- a/core/src/main/java/spurroad/balancer/context/RandomDraws.java
+++ b/core/src/main/java/spurroad/balancer/context/RandomDraws.java
@@ -55,7 +55,7 @@
     /**
      * Returns this proxy's turn among so many, from 0 to their number, at an endpoint that staff returned.
      */
-    public double firstRequestTurn(int proxyCount) {
+    public double firstRequestSlot(int proxyCount) {
         return random.nextDouble() * proxyCount;
     }
 
--- a/core/src/main/java/spurroad/balancer/endpoint/AdminState.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/AdminState.java
@@ -18,12 +18,12 @@
     /**
      * Begins the state of an incarnation.
      *
-     * @param former state of the incarnation before, or null; a turn for a first request is kept, else all
+     * @param previous state of the incarnation before, or null; a slot for a first request is kept, else all
      *     proxies would send theirs once they hear of the new start
      */
-    AdminState(long returnedNanos, AdminState former) {
+    AdminState(long returnedNanos, AdminState previous) {
         this.returnedNanos = returnedNanos;
-        firstRequestFromNanos = former == null ? 0 : former.firstRequestFromNanos;
+        firstRequestFromNanos = previous == null ? 0 : previous.firstRequestFromNanos;
     }
 
     /** Returns when staff returned it to use, in nanoseconds; zero where they never did. */
@@ -41,19 +41,19 @@
     }
 
     /** Returns the most restrictive of the phase from discovery and the administrative state. */
-    EndpointPhase restrict(EndpointPhase listed) {
-        return drained && listed == EndpointPhase.READY ? EndpointPhase.DRAINING : listed;
+    EndpointPhase restrict(EndpointPhase listedPhase) {
+        return drained && listedPhase == EndpointPhase.READY ? EndpointPhase.DRAINING : listedPhase;
     }
 
     /**
      * Has it wait for a first request since its return, which it gets in this proxy's turn among all,
      * whosever key the request is for.
      *
-     * @param turn from 0 to the number of proxies
+     * @param slot from 0 to the number of proxies
      */
-    void awaitFirstRequest(double turn) {
+    void awaitFirstRequest(double slot) {
         firstRequestFromNanos = returnedNanos + FIRST_REQUEST_DELAY_NANOS
-            + (long) (turn * FIRST_REQUEST_SPACING_NANOS);
+            + (long) (slot * FIRST_REQUEST_SPACING_NANOS);
     }
 
     /** Returns whether this proxy's turn for a first request has come. */
--- a/core/src/main/java/spurroad/balancer/endpoint/CachedFraction.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/CachedFraction.java
@@ -15,7 +15,7 @@
     static final double MIN_FRACTION = 0.05;
 
     private static final long MAX_AGE_NANOS = 20_000_000_000L; // an owner may have gone
-    private static final long MAX_STEP_NANOS = 4_000_000_000L; // a first adjustment covers no more
+    private static final long MAX_ADJUSTMENT_INTERVAL_NANOS = 4_000_000_000L; // a first adjustment covers no more
 
     private double fraction = 1;
     private long updatedNanos = Long.MIN_VALUE / 2;
@@ -24,7 +24,7 @@
      * Returns whether a key, by its ring point, stays at the endpoint; all do where no owner published
      * lately.
      */
-    boolean keeps(long ringPoint, long endpointId, long now) {
+    boolean retains(long ringPoint, long endpointId, long now) {
         return now - updatedNanos > MAX_AGE_NANOS || Ring.uniform(ringPoint ^ endpointId) < fraction;
     }
 
@@ -45,9 +45,9 @@
     /**
      * As the owner: grows by e to the given rate a second since the last call; a negative rate shrinks it.
      */
-    void grow(double ratePerSecond, long now) {
-        double seconds = Math.min(MAX_STEP_NANOS, now - updatedNanos) / 1e9;
-        double grown = fraction * Math.exp(ratePerSecond * seconds);
-        set(Math.max(MIN_FRACTION, Math.min(1, grown)), now);
+    void adjust(double growthRatePerSecond, long now) {
+        double seconds = Math.min(MAX_ADJUSTMENT_INTERVAL_NANOS, now - updatedNanos) / 1e9;
+        double adjusted = fraction * Math.exp(growthRatePerSecond * seconds);
+        set(Math.max(MIN_FRACTION, Math.min(1, adjusted)), now);
     }
 }
--- a/core/src/main/java/spurroad/balancer/endpoint/EndpointOwnership.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/EndpointOwnership.java
@@ -18,14 +18,14 @@
  */
 public final class EndpointOwnership {
     // of the cached fraction, per second, for each unit of excess: cached copies move slower than queues
-    private static final double GAIN = 0.4;
-    private static final double RECOVERY = 0.1; // units by which keys come home by themselves
-    private static final double MIN_EXCESS = -1; // units
-    private static final double MAX_EXCESS = 3; // units
+    private static final double GROWTH_RATE_PER_EXCESS_UNIT = 0.4;
+    private static final double RECOVERY_EXCESS_UNITS = 0.1; // units by which keys come home by themselves
+    private static final double MIN_EXCESS_UNITS = -1; // units
+    private static final double MAX_EXCESS_UNITS = 3; // units
     // of the shortest latency objective, over the mean of all endpoints: one unit
-    private static final double EXCESS_UNIT_FRACTION = 0.5;
+    private static final double EXCESS_UNIT_OBJECTIVE_FRACTION = 0.5;
     // of the shortest latency objective: more queueing is published to all proxies
-    private static final double OVERLOADED_WAIT_FRACTION = 0.1;
+    private static final double OVERLOADED_WAIT_OBJECTIVE_FRACTION = 0.1;
 
     private final ActiveDeployment deployment;
     private final EventContext event;
@@ -44,7 +44,7 @@
     }
 
     /** Notifies the owner of an endpoint, where gossip is on; the origin that proxies fetch from has none. */
-    public void tellOwner(EndpointState endpoint, PeerUpdate.Topic topic, double value, CacheKey key) {
+    public void notifyOwner(EndpointState endpoint, PeerUpdate.Topic topic, double value, CacheKey key) {
         if (deployment.gossipEnabled() && !endpoints.isOrigin(endpoint)) {
             long id = endpoint.id().value();
             peers.sendToOwner(id, new PeerUpdate(topic, id, value, key));
@@ -57,14 +57,15 @@
     public void onInFlightUpdate(EndpointState endpoint, PeerUpdate update) {
         long now = event.now();
         endpoint.onInFlightUpdate(update, now, serviceTimes.defaultNanos());
-        CachedFraction cached = endpoint.cachedFraction();
-        if (now - cached.updatedNanos() >= UpdateBudget.MIN_INTERVAL_NANOS) {
-            cached.grow(GAIN * (RECOVERY - excess(endpoint)), now);
+        CachedFraction cachedFraction = endpoint.cachedFraction();
+        if (now - cachedFraction.updatedNanos() >= UpdateBudget.MIN_INTERVAL_NANOS) {
+            cachedFraction
+                .adjust(GROWTH_RATE_PER_EXCESS_UNIT * (RECOVERY_EXCESS_UNITS - excessUnits(endpoint)), now);
         }
-        double waitNanos = OVERLOADED_WAIT_FRACTION * deployment.shortestObjectiveNanos();
-        boolean overloaded = endpoint.load().reportedLoad()
-            >= serviceTimes.softLimit(endpoint, waitNanos, now);
-        if (endpoint.ownership().tryAnnounce(cached.fraction(), overloaded, now,
+        double maxWaitNanos = OVERLOADED_WAIT_OBJECTIVE_FRACTION * deployment.shortestObjectiveNanos();
+        boolean overloaded = endpoint.load().reportedQueueLength()
+            >= serviceTimes.softLimit(endpoint, maxWaitNanos, now);
+        if (endpoint.ownership().tryAnnounce(cachedFraction.fraction(), overloaded, now,
             deployment.fleet().proxyCount())) {
             peers.sendToAll(endpoint.loadUpdate());
         }
@@ -78,12 +79,13 @@
     }
 
     /** Returns how far the expected time at an endpoint is over the mean of all, in units, bounded. */
-    private double excess(EndpointState endpoint) {
+    private double excessUnits(EndpointState endpoint) {
         long now = event.now();
         double meanNanos = endpoints.cacheEndpoints().stream()
-            .mapToDouble(each -> serviceTimes.expectedNanos(each, 0, now)).average().orElse(0);
-        double overNanos = serviceTimes.expectedNanos(endpoint, 0, now) - meanNanos;
-        double units = overNanos / (EXCESS_UNIT_FRACTION * deployment.shortestObjectiveNanos());
-        return Math.max(MIN_EXCESS, Math.min(MAX_EXCESS, units));
+            .mapToDouble(cacheEndpoint -> serviceTimes.expectedNanos(cacheEndpoint, 0, now)).average()
+            .orElse(0);
+        double excessNanos = serviceTimes.expectedNanos(endpoint, 0, now) - meanNanos;
+        double units = excessNanos / (EXCESS_UNIT_OBJECTIVE_FRACTION * deployment.shortestObjectiveNanos());
+        return Math.max(MIN_EXCESS_UNITS, Math.min(MAX_EXCESS_UNITS, units));
     }
 }
--- a/core/src/main/java/spurroad/balancer/endpoint/EndpointState.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/EndpointState.java
@@ -32,18 +32,18 @@
      * Begins an incarnation.
      *
      * @param endpoint as discovery lists it
-     * @param former state of the incarnation before, or null
+     * @param previous state of the incarnation before, or null
      * @param returnedNanos when staff returned it to use, in nanoseconds; zero where they did not
      * @param proxyRequests faded number of all requests at this proxy until now
      */
-    EndpointState(Endpoint endpoint, EndpointState former, long returnedNanos, double proxyRequests,
+    EndpointState(Endpoint endpoint, EndpointState previous, long returnedNanos, double proxyRequests,
                   long now) {
         this.listing = endpoint;
-        admin = new AdminState(returnedNanos, former == null ? null : former.admin);
+        admin = new AdminState(returnedNanos, previous == null ? null : previous.admin);
         // at a drained one the requests are long ago, and none fell to it since
-        double homeRequestsBefore = former == null || former.admin.isDrained() ? 0
-            : former.slowStart.homeRequests(now);
-        slowStart = new SlowStart(Math.max(endpoint.startedAtNanos(), returnedNanos), homeRequestsBefore,
+        double previousRequests = previous == null || previous.admin.isDrained() ? 0
+            : previous.slowStart.firstCandidateRequests(now);
+        slowStart = new SlowStart(Math.max(endpoint.startedAtNanos(), returnedNanos), previousRequests,
             proxyRequests, now);
     }
 
@@ -57,8 +57,8 @@
         return listing;
     }
 
-    void setListing(Endpoint listed) {
-        listing = listed;
+    void setListing(Endpoint newListing) {
+        listing = newListing;
     }
 
     /** Returns the most restrictive of the phase from discovery and the administrative state. */
@@ -107,8 +107,8 @@
     }
 
     /** Returns whether a key, by its ring point, has not moved away from it. */
-    public boolean keepsKey(long ringPoint, long now) {
-        return cachedFraction.keeps(ringPoint, listing.id().value(), now);
+    public boolean retainsKey(long ringPoint, long now) {
+        return cachedFraction.retains(ringPoint, listing.id().value(), now);
     }
 
     /** Returns the estimated queue length in requests, at least the attempts in flight from here. */
@@ -137,7 +137,7 @@
     public void onAttemptEnd(Attempt attempt) {
         inFlight.remove(attempt);
         if (inFlight.isEmpty()) {
-            outlier.leaveTrialRequest();
+            outlier.ensureTrialRequest();
         }
     }
 
@@ -145,11 +145,11 @@
      * Returns the time that the attempts in flight have waited since it last replied, in all, in nanoseconds.
      */
     double unansweredNanos(long now) {
-        double total = 0;
+        double totalNanos = 0;
         for (Attempt attempt : inFlight) {
-            total += now - Math.max(outlier.lastReplyNanos(), attempt.sentNanos());
+            totalNanos += now - Math.max(outlier.lastReplyNanos(), attempt.sentNanos());
         }
-        return total;
+        return totalNanos;
     }
 
     /** Applies its own load report, where that has a queue length. */
@@ -166,15 +166,15 @@
     }
 
     /** As its owner: records that an attempt from some proxy began or ended. */
-    void onInFlightUpdate(PeerUpdate update, long now, double usualServiceTimeNanos) {
+    void onInFlightUpdate(PeerUpdate update, long now, double defaultServiceTimeNanos) {
         double serviceTimeNanos = ownership.onInFlightUpdate(update, now, load.ownerServiceTimeNanos(),
-            usualServiceTimeNanos);
+            defaultServiceTimeNanos);
         load.onOwnerUpdate(ownership.fleetInFlight(now), serviceTimeNanos, now);
     }
 
     /** As its owner: returns the update to broadcast. */
     PeerUpdate loadUpdate() {
-        return new PeerUpdate(PeerUpdate.Topic.LOAD, listing.id().value(), load.reportedLoad(),
+        return new PeerUpdate(PeerUpdate.Topic.LOAD, listing.id().value(), load.reportedQueueLength(),
             (long) load.ownerServiceTimeNanos(), cachedFraction.fraction());
     }
 
--- a/core/src/main/java/spurroad/balancer/endpoint/EndpointTable.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/EndpointTable.java
@@ -33,7 +33,7 @@
     private final RandomDraws random;
     private final OutlierDetector outlierDetector;
     private final Map<EndpointId, EndpointState> endpoints = new LinkedHashMap<>();
-    private final Set<EndpointId> drained = new HashSet<>();
+    private final Set<EndpointId> drainedIds = new HashSet<>();
     private final Set<EndpointId> awaitingFirstRequest = new LinkedHashSet<>();
     private List<EndpointState> cacheEndpoints = List.of();
     private EndpointState origin;
@@ -88,18 +88,18 @@
      * @param complete whether endpoints that are not listed have gone
      * @param proxyRequests faded number of all requests at this proxy until now
      */
-    public void update(List<Endpoint> listed, boolean complete, double proxyRequests, long now) {
+    public void update(List<Endpoint> listedEndpoints, boolean complete, double proxyRequests, long now) {
         if (complete) {
-            endpoints.values().forEach(known -> known.setListing(known.listing().withoutListing()));
+            endpoints.values().forEach(state -> state.setListing(state.listing().withoutListing()));
         }
-        for (Endpoint endpoint : listed) {
-            EndpointState known = endpoints.get(endpoint.id());
-            if (known == null) {
+        for (Endpoint endpoint : listedEndpoints) {
+            EndpointState state = endpoints.get(endpoint.id());
+            if (state == null) {
                 startIncarnation(endpoint, 0, proxyRequests, now);
-            } else if (known.listing().startedAtNanos() != endpoint.startedAtNanos()) {
-                startIncarnation(endpoint, known.admin().returnedNanos(), proxyRequests, now);
+            } else if (state.listing().startedAtNanos() != endpoint.startedAtNanos()) {
+                startIncarnation(endpoint, state.admin().returnedNanos(), proxyRequests, now);
             } else {
-                known.setListing(endpoint);
+                state.setListing(endpoint);
             }
         }
         refresh();
@@ -108,7 +108,7 @@
     /** Takes an endpoint out of use by hand, and returns whether it was in use. */
     public boolean drain(EndpointId id) {
         awaitingFirstRequest.remove(id);
-        boolean changed = drained.add(id);
+        boolean changed = drainedIds.add(id);
         if (changed) {
             refresh();
         }
@@ -121,14 +121,14 @@
      */
     public boolean returnToUse(EndpointId id, double proxyRequests, long now) {
         awaitingFirstRequest.remove(id);
-        boolean changed = drained.remove(id);
+        boolean changed = drainedIds.remove(id);
         if (!changed) {
             return false;
         }
-        EndpointState known = endpoints.get(id);
-        if (known != null) {
-            EndpointState returned = startIncarnation(known.listing(), now, proxyRequests, now);
-            returned.admin().awaitFirstRequest(random.firstRequestTurn(deployment.fleet().proxyCount()));
+        EndpointState state = endpoints.get(id);
+        if (state != null) {
+            EndpointState returnedState = startIncarnation(state.listing(), now, proxyRequests, now);
+            returnedState.admin().awaitFirstRequest(random.firstRequestSlot(deployment.fleet().proxyCount()));
             awaitingFirstRequest.add(id);
         }
         refresh();
@@ -137,21 +137,21 @@
 
     private EndpointState startIncarnation(Endpoint endpoint, long returnedNanos, double proxyRequests,
                                            long now) {
-        EndpointState former = endpoints.get(endpoint.id());
-        EndpointState started = new EndpointState(endpoint, former, returnedNanos, proxyRequests, now);
-        endpoints.put(endpoint.id(), started);
-        if (former != null) {
+        EndpointState previous = endpoints.get(endpoint.id());
+        EndpointState created = new EndpointState(endpoint, previous, returnedNanos, proxyRequests, now);
+        endpoints.put(endpoint.id(), created);
+        if (previous != null) {
             // what still refers to it, as attempts in flight do, must not take it for the one that is listed
-            former.setListing(former.listing().withoutListing());
-            outlierDetector.onReplaced(former);
+            previous.setListing(previous.listing().withoutListing());
+            outlierDetector.onReplaced(previous);
         }
-        return started;
+        return created;
     }
 
     /** Recomputes what follows from discovery, administrative states and the deployment. */
     public void refresh() {
-        endpoints.values().forEach(known -> known.admin().setDrained(drained.contains(known.id())));
-        endpoints.values().removeIf(this::isForgettable);
+        endpoints.values().forEach(state -> state.admin().setDrained(drainedIds.contains(state.id())));
+        endpoints.values().removeIf(this::isEvictable);
         awaitingFirstRequest.retainAll(endpoints.keySet()); // also what is not ready for a while
         cacheEndpoints = new ArrayList<>();
         origin = null;
@@ -169,7 +169,7 @@
         ring = null; // built when next needed: a proxy may get more changes than requests
     }
 
-    private boolean isForgettable(EndpointState endpoint) {
+    private boolean isEvictable(EndpointState endpoint) {
         return endpoints.size() > MAX_KNOWN_ENDPOINTS && endpoint.isIdle()
             && endpoint.phase() == EndpointPhase.REMOVED;
     }
@@ -198,14 +198,14 @@
 
     /** Returns the administrative status of the cache endpoints. */
     public AdminStatus adminStatus() {
-        int listed = 0;
+        int listedCount = 0;
         List<RestrictedEndpoint> restricted = new ArrayList<>();
         for (EndpointState endpoint : endpoints.values()) {
             boolean isListed = endpoint.listing().phase() != EndpointPhase.REMOVED;
             if (!isListed || deployment.settings().isOrigin(endpoint.listing())) {
                 continue;
             }
-            listed++;
+            listedCount++;
             RestrictedEndpoint restriction = endpoint.admin().isDrained()
                 ? new RestrictedEndpoint(endpoint.id(), AwaitedEvent.RETURN_BY_STAFF, Long.MAX_VALUE)
                 : outlierDetector.restriction(endpoint);
@@ -213,6 +213,6 @@
                 restricted.add(restriction);
             }
         }
-        return new AdminStatus(listed, restricted);
+        return new AdminStatus(listedCount, restricted);
     }
 }
--- a/core/src/main/java/spurroad/balancer/endpoint/IdleConnections.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/IdleConnections.java
@@ -45,16 +45,17 @@
     /** Closes what has been idle for long enough, and returns when the next is due, in nanoseconds. */
     public long closeExpired() {
         long now = event.now();
-        long keptNanos = (long) (deployment.settings().idleTimeoutNanos() / (1 + connectFailures.sum(now)));
-        Iterator<Map.Entry<EndpointState, Long>> oldest = idleSinceNanos.entrySet().iterator();
-        while (oldest.hasNext()) {
-            Map.Entry<EndpointState, Long> idle = oldest.next();
-            if (idle.getValue() > now - keptNanos) {
-                return idle.getValue() + keptNanos;
+        long timeoutNanos = (long) (deployment.settings().idleTimeoutNanos()
+            / (1 + connectFailures.sum(now)));
+        Iterator<Map.Entry<EndpointState, Long>> entries = idleSinceNanos.entrySet().iterator();
+        while (entries.hasNext()) {
+            Map.Entry<EndpointState, Long> entry = entries.next();
+            if (entry.getValue() > now - timeoutNanos) {
+                return entry.getValue() + timeoutNanos;
             }
-            event.decisions().idleConnectionsToClose.add(idle.getKey().id());
-            oldest.remove();
+            event.decisions().idleConnectionsToClose.add(entry.getKey().id());
+            entries.remove();
         }
-        return NEVER_NANOS + keptNanos;
+        return NEVER_NANOS + timeoutNanos;
     }
 }
--- a/core/src/main/java/spurroad/balancer/endpoint/LoadEstimate.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/LoadEstimate.java
@@ -12,7 +12,7 @@
 public final class LoadEstimate {
     private static final long REPORT_MAX_AGE_NANOS = 900_000_000L; // the design requires under a second
 
-    private double reportedLoad = Double.NaN;
+    private double reportedQueueLength = Double.NaN;
     private long reportedNanos = Long.MIN_VALUE / 2;
     private int sentSinceReport;
     private double ownerServiceTimeNanos;
@@ -24,8 +24,8 @@
     }
 
     /** Returns whether any report, however old, has come. */
-    public boolean wasReported() {
-        return !Double.isNaN(reportedLoad);
+    public boolean hasReport() {
+        return !Double.isNaN(reportedQueueLength);
     }
 
     /** Returns where the queue length comes from now. */
@@ -34,12 +34,12 @@
     }
 
     double queueLength(long now, int inFlight) {
-        return isFresh(now) ? Math.max(reportedLoad + sentSinceReport, inFlight) : inFlight;
+        return isFresh(now) ? Math.max(reportedQueueLength + sentSinceReport, inFlight) : inFlight;
     }
 
     /** Returns the last reported queue length in requests, however old; NaN without a report. */
-    double reportedLoad() {
-        return reportedLoad;
+    double reportedQueueLength() {
+        return reportedQueueLength;
     }
 
     /**
@@ -55,8 +55,8 @@
         return loadProbeInFlight;
     }
 
-    void setLoadProbeInFlight(boolean inFlight) {
-        loadProbeInFlight = inFlight;
+    void setLoadProbeInFlight(boolean isInFlight) {
+        loadProbeInFlight = isInFlight;
     }
 
     void onAttemptStart() {
@@ -80,8 +80,8 @@
         setReported(queueLength, now);
     }
 
-    private void setReported(double load, long now) {
-        reportedLoad = load;
+    private void setReported(double queueLength, long now) {
+        reportedQueueLength = queueLength;
         reportedNanos = now;
         sentSinceReport = 0;
     }
--- a/core/src/main/java/spurroad/balancer/endpoint/LoadProbes.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/LoadProbes.java
@@ -21,7 +21,7 @@
      * Sends a load probe, unless one is in flight, staff took the endpoint out of use, or none are sent here.
      */
     public void send(EndpointState endpoint) {
-        if (!deployment.sendsLoadProbes() || endpoint.load().isLoadProbeInFlight()
+        if (!deployment.loadProbesEnabled() || endpoint.load().isLoadProbeInFlight()
             || endpoint.admin().isDrained()) {
             return;
         }
--- a/core/src/main/java/spurroad/balancer/endpoint/OutlierDetector.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/OutlierDetector.java
@@ -28,7 +28,7 @@
     private static final double UNRESPONSIVE_MULTIPLE = 6;
     private static final double SUSPECT_MULTIPLE = UNRESPONSIVE_MULTIPLE / 2;
     private static final double UNCONFIRMED_MULTIPLE = 2 * UNRESPONSIVE_MULTIPLE;
-    private static final double MIN_USUAL_TIME_FRACTION = 0.1; // of the shortest latency objective
+    private static final double MIN_RESPONSE_TIME_FRACTION = 0.1; // of the shortest latency objective
     private static final long CHECK_INTERVAL_NANOS = 50_000_000L; // short beside time-outs
     private static final long NEVER_NANOS = Long.MAX_VALUE;
 
@@ -54,8 +54,8 @@
     }
 
     /** Stops watching a former incarnation. */
-    void onReplaced(EndpointState former) {
-        watched.remove(former);
+    void onReplaced(EndpointState previous) {
+        watched.remove(previous);
     }
 
     /**
@@ -73,7 +73,7 @@
      * reload may forbid load probes while an endpoint waits for one, which then nobody would send.
      */
     private boolean awaitsLoadProbe(EndpointState endpoint) {
-        return endpoint.outlier().awaitsProbe(deployment.sendsLoadProbes());
+        return endpoint.outlier().awaitsLoadProbe(deployment.loadProbesEnabled());
     }
 
     /** Records that an endpoint replied to an attempt, whatever the outcome. */
@@ -88,7 +88,7 @@
         }
         OutlierState outlier = endpoint.outlier();
         if (outlier.isEjected(event.now())
-            || !outlier.trialAllows(idempotent, deployment.sendsLoadProbes())) {
+            || !outlier.trialAllows(idempotent, deployment.loadProbesEnabled())) {
             return false;
         }
         return idempotent || !isUnresponsive(endpoint, SUSPECT_MULTIPLE);
@@ -114,33 +114,33 @@
     /**
      * Learns from an attempt's end at a cache endpoint.
      *
-     * @param timed whether the time reflects the endpoint's queue
-     * @param tookNanos duration of the attempt, without stalls of this proxy
+     * @param reflectsQueue whether the time reflects the endpoint's queue
+     * @param durationNanos duration of the attempt, without stalls of this proxy
      */
-    public void onAttemptEnd(Attempt attempt, Outcome outcome, boolean timed, long tookNanos) {
+    public void onAttemptEnd(Attempt attempt, Outcome outcome, boolean reflectsQueue, long durationNanos) {
         long now = event.now();
         if (outcome == Outcome.SUCCEEDED) {
-            responseTime.add(now, (double) tookNanos, 1);
+            responseTime.add(now, (double) durationNanos, 1);
         } else {
             responseTime.add(now, 0, 0);
         }
         OutlierState outlier = attempt.endpoint().outlier();
-        boolean late = timed && tookNanos > attempt.requestClass().latencyObjectiveNanos();
+        boolean late = reflectsQueue && durationNanos > attempt.requestClass().latencyObjectiveNanos();
         boolean failed = late || isFailure(attempt, outcome);
         failures.add(now, failed ? 1 : 0, 1);
         if (failed) {
             outlier.onFailure(now);
-            if (outlier.isOnTrial() || failsClearlyMoreThanAll(outlier)) {
+            if (outlier.isOnTrial() || exceedsFailureRateThreshold(outlier)) {
                 eject(attempt.endpoint());
             }
         } else if (outcome.hasReply() && outcome != Outcome.REJECTED) {
             outlier.onSuccess(now);
         } else {
-            outlier.leaveTrialRequest();
+            outlier.ensureTrialRequest();
         }
     }
 
-    private boolean failsClearlyMoreThanAll(OutlierState outlier) {
+    private boolean exceedsFailureRateThreshold(OutlierState outlier) {
         long now = event.now();
         double maxFailureRate = FAILURE_RATE_MARGIN + failures.mean(now, DecayingAverage.PRIOR_WEIGHT, 0);
         return outlier.failureCount(now) >= MIN_FAILURES && outlier.failureRate(now) > maxFailureRate;
@@ -217,9 +217,10 @@
         if (deployment.gossipEnabled()) {
             return false;
         }
-        double minUsualNanos = MIN_USUAL_TIME_FRACTION * deployment.shortestObjectiveNanos();
-        double usualNanos = Math.max(minUsualNanos, responseTime.mean(event.now(), 1, minUsualNanos));
-        return endpoint.unansweredNanos(event.now()) > multiple * usualNanos;
+        double minResponseNanos = MIN_RESPONSE_TIME_FRACTION * deployment.shortestObjectiveNanos();
+        double meanResponseNanos = Math.max(minResponseNanos,
+            responseTime.mean(event.now(), 1, minResponseNanos));
+        return endpoint.unansweredNanos(event.now()) > multiple * meanResponseNanos;
     }
 
     private void eject(EndpointState endpoint) {
--- a/core/src/main/java/spurroad/balancer/endpoint/OutlierState.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/OutlierState.java
@@ -20,7 +20,7 @@
     private long lastReplyNanos;
     private long loadProbeFailedNanos;
     private long ejectedUntilNanos;
-    private long ejectionNanos = BASE_EJECTION_NANOS;
+    private long nextEjectionNanos = BASE_EJECTION_NANOS;
     private int trialBatch;
     private int trialRequestsLeft;
     private int trialSuccesses;
@@ -42,15 +42,15 @@
     }
 
     /** Returns whether its trial waits for a load probe to be answered. */
-    boolean awaitsProbe(boolean probesSent) {
-        return probesSent && isOnTrial() && !confirmedByProbe;
+    boolean awaitsLoadProbe(boolean loadProbesEnabled) {
+        return loadProbesEnabled && isOnTrial() && !confirmedByProbe;
     }
 
     /**
      * Returns whether a trial, if there is one, has a request left for this; only idempotent ones are risked.
      */
-    boolean trialAllows(boolean idempotent, boolean probesSent) {
-        return !isOnTrial() || (idempotent && trialRequestsLeft > 0 && !awaitsProbe(probesSent));
+    boolean trialAllows(boolean idempotent, boolean loadProbesEnabled) {
+        return !isOnTrial() || (idempotent && trialRequestsLeft > 0 && !awaitsLoadProbe(loadProbesEnabled));
     }
 
     /** Returns whether a load probe has failed since it last replied. */
@@ -103,7 +103,7 @@
         trialRequestsLeft = trialBatch;
         trialSuccesses = 0;
         if (!isOnTrial()) {
-            ejectionNanos = BASE_EJECTION_NANOS;
+            nextEjectionNanos = BASE_EJECTION_NANOS;
         }
     }
 
@@ -111,14 +111,14 @@
      * Leaves a trial a request to go on with: after an end that tells nothing of the endpoint, and whenever
      * nothing is in flight, however its attempts ended, as nothing else would begin.
      */
-    void leaveTrialRequest() {
+    void ensureTrialRequest() {
         trialRequestsLeft = Math.max(1, trialRequestsLeft);
     }
 
     /** Ejects it; where load probes are sent, its trial then waits for one to be answered. */
     void eject(long now) {
-        ejectedUntilNanos = now + ejectionNanos;
-        ejectionNanos = Math.min(MAX_EJECTION_NANOS, 2 * ejectionNanos);
+        ejectedUntilNanos = now + nextEjectionNanos;
+        nextEjectionNanos = Math.min(MAX_EJECTION_NANOS, 2 * nextEjectionNanos);
         confirmedByProbe = false;
         trialBatch = 1;
         trialRequestsLeft = 1;
@@ -136,7 +136,7 @@
         if (confirmedByProbe) {
             return false;
         }
-        ejectedUntilNanos = Math.max(ejectedUntilNanos, now + ejectionNanos);
+        ejectedUntilNanos = Math.max(ejectedUntilNanos, now + nextEjectionNanos);
         return true;
     }
 }
--- a/core/src/main/java/spurroad/balancer/endpoint/Ring.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/Ring.java
@@ -17,25 +17,25 @@
     /** Candidates of a key; the figure of the design. */
     public static final int CANDIDATES = 3;
 
-    private static final int MEAN_POINTS = 96; // shares differ by about a tenth, walks stay short
+    private static final int MEAN_POINTS_PER_ENDPOINT = 96; // shares differ by about a tenth, walks stay short
     private static final double MAX_WEIGHT_MULTIPLE = CANDIDATES; // of the mean weight
     private static final int INDEX_BITS = 16;
     private static final long INDEX_MASK = (1L << INDEX_BITS) - 1;
 
     // sorted positions, the lowest bits of each replaced by the index of the endpoint that owns it
     private final long[] points;
-    private final int[] pointsOf;
+    private final int[] pointCounts;
 
     /** Builds the ring of some endpoints, which are referred to by their index; at most 65,536. */
     public Ring(List<Endpoint> endpoints) {
         double meanWeight = endpoints.stream().mapToDouble(Endpoint::weight).average().orElse(1);
-        pointsOf = endpoints.stream().mapToInt(endpoint -> pointCount(endpoint.weight() / meanWeight))
+        pointCounts = endpoints.stream().mapToInt(endpoint -> pointCount(endpoint.weight() / meanWeight))
             .toArray();
-        points = new long[Arrays.stream(pointsOf).sum()];
+        points = new long[Arrays.stream(pointCounts).sum()];
         int next = 0;
-        for (int index = 0; index < pointsOf.length; index++) {
+        for (int index = 0; index < pointCounts.length; index++) {
             long id = hash(endpoints.get(index).id().value());
-            for (int i = 1; i <= pointsOf[index]; i++) {
+            for (int i = 1; i <= pointCounts[index]; i++) {
                 points[next] = (hash(id + i) & ~INDEX_MASK) | (index & INDEX_MASK);
                 next++;
             }
@@ -44,7 +44,7 @@
     }
 
     private static int pointCount(double relativeWeight) {
-        return (int) Math.max(1, MEAN_POINTS * Math.min(MAX_WEIGHT_MULTIPLE, relativeWeight));
+        return (int) Math.max(1, MEAN_POINTS_PER_ENDPOINT * Math.min(MAX_WEIGHT_MULTIPLE, relativeWeight));
     }
 
     /** Returns the number of points; they are numbered clockwise, and numbers beyond the last wrap round. */
@@ -54,8 +54,8 @@
 
     /** Returns the number of the first point at or clockwise from a hash. */
     public int firstPointFrom(long hash) {
-        int found = Arrays.binarySearch(points, hash & ~INDEX_MASK);
-        return found < 0 ? -found - 1 : found;
+        int searchResult = Arrays.binarySearch(points, hash & ~INDEX_MASK);
+        return searchResult < 0 ? -searchResult - 1 : searchResult;
     }
 
     /** Returns where a point lies on the ring. */
@@ -70,7 +70,7 @@
 
     /** Returns the fraction of the points that an endpoint owns, by its index. */
     public double fraction(int endpointIndex) {
-        return (double) pointsOf[endpointIndex] / points.length;
+        return (double) pointCounts[endpointIndex] / points.length;
     }
 
     /** Spreads the bits of an id evenly, so that it can serve as a place on the ring. */
--- a/core/src/main/java/spurroad/balancer/endpoint/ServiceTime.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/ServiceTime.java
@@ -14,20 +14,20 @@
     /**
      * Records the end of an attempt.
      *
-     * @param timed whether the time reflects the queue; else only the known values age
+     * @param reflectsQueue whether the time reflects the queue; else only the known values age
      */
-    public void record(Attempt attempt, boolean timed, long tookNanos, long now) {
+    public void record(Attempt attempt, boolean reflectsQueue, long durationNanos, long now) {
         DecayingAverage average = average(attempt.loadSource());
-        if (timed) {
-            average.add(now, (double) tookNanos, attempt.queueLength() + 1);
+        if (reflectsQueue) {
+            average.add(now, (double) durationNanos, attempt.queueLength() + 1);
         } else {
             average.add(now, 0, 0);
         }
     }
 
     /** Returns the mean in nanoseconds, where an expected value counts for two observations. */
-    public double meanNanos(LoadSource source, long now, double expectedNanos) {
-        return average(source).mean(now, DecayingAverage.PRIOR_WEIGHT, expectedNanos);
+    public double meanNanos(LoadSource source, long now, double priorNanos) {
+        return average(source).mean(now, DecayingAverage.PRIOR_WEIGHT, priorNanos);
     }
 
     private DecayingAverage average(LoadSource source) {
--- a/core/src/main/java/spurroad/balancer/endpoint/ServiceTimeModel.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/ServiceTimeModel.java
@@ -35,12 +35,12 @@
     public double serviceTimeNanos(EndpointState endpoint, long now) {
         LoadSource source = endpoint.load().source(now);
         // the caches' service time is no guide to an origin that gets few requests: its misses were rejected
-        boolean origin = endpoints.isOrigin(endpoint);
-        double expected = origin ? defaultNanos() : overall.meanNanos(source, now, defaultNanos());
-        if (deployment.gossipEnabled() && source == LoadSource.REPORTED && !origin) {
+        boolean isOrigin = endpoints.isOrigin(endpoint);
+        double priorNanos = isOrigin ? defaultNanos() : overall.meanNanos(source, now, defaultNanos());
+        if (deployment.gossipEnabled() && source == LoadSource.REPORTED && !isOrigin) {
             return endpoint.load().ownerServiceTimeNanos();
         }
-        return endpoint.serviceTime().meanNanos(source, now, expected);
+        return endpoint.serviceTime().meanNanos(source, now, priorNanos);
     }
 
     /** Returns the queue length below which a request waits less than so many nanoseconds. */
@@ -51,19 +51,19 @@
     /**
      * Returns how long a request sent now is expected to take, in nanoseconds.
      *
-     * @param ahead requests here that go there before it
+     * @param requestsAhead requests here that go there before it
      */
-    public double expectedNanos(EndpointState endpoint, int ahead, long now) {
-        return serviceTimeNanos(endpoint, now) * (endpoint.queueLength(now) + ahead + 1);
+    public double expectedNanos(EndpointState endpoint, int requestsAhead, long now) {
+        return serviceTimeNanos(endpoint, now) * (endpoint.queueLength(now) + requestsAhead + 1);
     }
 
     /** Records an attempt's end for its endpoint; the time counts where it reflects the queue. */
-    public void recordForEndpoint(Attempt attempt, boolean timed, long tookNanos, long now) {
-        attempt.endpoint().serviceTime().record(attempt, timed, tookNanos, now);
+    public void recordForEndpoint(Attempt attempt, boolean reflectsQueue, long durationNanos, long now) {
+        attempt.endpoint().serviceTime().record(attempt, reflectsQueue, durationNanos, now);
     }
 
     /** Records an attempt's end for the mean of all cache endpoints. */
-    public void recordOverall(Attempt attempt, boolean timed, long tookNanos, long now) {
-        overall.record(attempt, timed, tookNanos, now);
+    public void recordOverall(Attempt attempt, boolean reflectsQueue, long durationNanos, long now) {
+        overall.record(attempt, reflectsQueue, durationNanos, now);
     }
 }
--- a/core/src/main/java/spurroad/balancer/endpoint/SlowStart.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/SlowStart.java
@@ -9,35 +9,36 @@
  *
  * <p>Each proxy sends the same fraction of the endpoint's demand, never an amount: a fleet that sends a warm
  * endpoint r requests a second then sends a cold one fraction times r, however many proxies there are and
- * without their knowing of each other. {@link #demand} corrects the fraction where this proxy's requests fall
- * to the endpoint more often than its part of the ring: a hot key would push a cold endpoint over.
+ * without their knowing of each other. {@link #demandRatio} corrects the fraction where this proxy's requests
+ * fall to the endpoint more often than its part of the ring: a hot key would push a cold endpoint over.
  */
 public final class SlowStart {
-    private final long startNanos;
-    private final long incarnationNanos;
-    private final double proxyRequestsBefore;
-    private final double homeRequestsBefore;
-    private final DecayingAverage homeRequests = new DecayingAverage(DecayingAverage.LONG_TERM_NANOS);
+    private final long warmUpStartNanos;
+    private final long createdNanos;
+    private final double previousProxyRequests;
+    private final double previousRequests;
+    private final DecayingAverage firstCandidateRequests = new DecayingAverage(
+        DecayingAverage.LONG_TERM_NANOS);
     private double ringFraction = 1;
 
     /**
      * Begins an incarnation of an endpoint.
      *
-     * @param startNanos since when it warms up; zero for long ago
-     * @param homeRequestsBefore faded number of requests that fell to its former incarnation
-     * @param proxyRequestsBefore faded number of all requests at this proxy until now
+     * @param warmUpStartNanos since when it warms up; zero for long ago
+     * @param previousRequests faded number of requests that fell to its former incarnation
+     * @param previousProxyRequests faded number of all requests at this proxy until now
      */
-    SlowStart(long startNanos, double homeRequestsBefore, double proxyRequestsBefore, long now) {
-        this.startNanos = startNanos;
-        this.homeRequestsBefore = homeRequestsBefore;
-        this.proxyRequestsBefore = proxyRequestsBefore;
-        incarnationNanos = now;
-        homeRequests.add(now, homeRequestsBefore, 0);
+    SlowStart(long warmUpStartNanos, double previousRequests, double previousProxyRequests, long now) {
+        this.warmUpStartNanos = warmUpStartNanos;
+        this.previousRequests = previousRequests;
+        this.previousProxyRequests = previousProxyRequests;
+        createdNanos = now;
+        firstCandidateRequests.add(now, previousRequests, 0);
     }
 
     /** Returns whether it started so long ago that it may hold any key. */
     boolean startedLongAgo() {
-        return startNanos == 0;
+        return warmUpStartNanos == 0;
     }
 
     /** Returns how far it has warmed up, from 0; from 1 on it is as warm as any. */
@@ -45,7 +46,7 @@
         if (startedLongAgo()) {
             return 1;
         }
-        return (double) Math.max(0, now - startNanos) / Math.max(1, slowStartNanos);
+        return (double) Math.max(0, now - warmUpStartNanos) / Math.max(1, slowStartNanos);
     }
 
     /** Returns whether its warm-up is over. */
@@ -55,13 +56,13 @@
 
     /** Returns the fraction of a warm endpoint's requests that it can carry now: growing evenly to 1. */
     public double sustainableFraction(long now, Deployment settings) {
-        double initial = settings.slowStartInitialFraction();
-        return initial + (1 - initial) * warmUpProgress(now, settings.slowStartNanos());
+        double initialFraction = settings.slowStartInitialFraction();
+        return initialFraction + (1 - initialFraction) * warmUpProgress(now, settings.slowStartNanos());
     }
 
     /** Counts a first attempt whose key falls to it, whether it is sent there or not. */
-    public void onHomeRequest(long now) {
-        homeRequests.add(now, 1, 0);
+    public void onFirstCandidateRequest(long now) {
+        firstCandidateRequests.add(now, 1, 0);
     }
 
     /** Sets its part of the ring, from 0 to 1. */
@@ -69,8 +70,8 @@
         ringFraction = fraction;
     }
 
-    double homeRequests(long now) {
-        return homeRequests.sum(now);
+    double firstCandidateRequests(long now) {
+        return firstCandidateRequests.sum(now);
     }
 
     /**
@@ -80,12 +81,14 @@
      *
      * @param proxyRequests faded number of all requests at this proxy, with the same time constant
      */
-    public double demand(double proxyRequests, long now) {
-        double remaining = Math.exp((incarnationNanos - now) / (double) DecayingAverage.LONG_TERM_NANOS);
-        double all = homeRequests.sum(now) - 1;
-        double sinceStart = all - remaining * homeRequestsBefore;
-        double expectedSinceStart = (proxyRequests - remaining * proxyRequestsBefore) * ringFraction;
-        double lately = expectedSinceStart > 0 ? sinceStart / expectedSinceStart : 1;
-        return Math.max(1, Math.max(all / (proxyRequests * ringFraction), lately));
+    public double demandRatio(double proxyRequests, long now) {
+        double remaining = Math.exp((createdNanos - now) / (double) DecayingAverage.LONG_TERM_NANOS);
+        double recentRequests = firstCandidateRequests.sum(now) - 1;
+        double requestsSinceStart = recentRequests - remaining * previousRequests;
+        double expectedRequestsSinceStart = (proxyRequests - remaining * previousProxyRequests)
+            * ringFraction;
+        double ratioSinceStart = expectedRequestsSinceStart > 0
+            ? requestsSinceStart / expectedRequestsSinceStart : 1;
+        return Math.max(1, Math.max(recentRequests / (proxyRequests * ringFraction), ratioSinceStart));
     }
 }
--- a/core/src/main/java/spurroad/balancer/request/AttemptDispatch.java
+++ b/core/src/main/java/spurroad/balancer/request/AttemptDispatch.java
@@ -53,7 +53,7 @@
         endpoints.onAttemptStart(endpoint);
         idleConnections.onAttemptStart(endpoint);
         // a write voids what the endpoint has cached of its key
-        ownership.tellOwner(endpoint, PeerUpdate.Topic.IN_FLIGHT, 1,
+        ownership.notifyOwner(endpoint, PeerUpdate.Topic.IN_FLIGHT, 1,
             request.isWrite() ? request.key() : CacheKey.NONE);
         long untilNanos = request.isWrite() ? request.deadlineNanos() : request.lastUsefulNanos();
         event.decisions().attemptsToStart.add(new Decisions.StartAttempt(request.id(), endpoint.id(),
--- a/core/src/main/java/spurroad/balancer/request/AttemptFeedback.java
+++ b/core/src/main/java/spurroad/balancer/request/AttemptFeedback.java
@@ -100,7 +100,7 @@
     private void tellOwners(Attempt attempt, Outcome outcome, long tookNanos) {
         boolean succeeded = outcome == Outcome.SUCCEEDED;
         double remaining = OwnershipState.remainingWeight(tookNanos);
-        ownership.tellOwner(attempt.endpoint(), PeerUpdate.Topic.IN_FLIGHT,
+        ownership.notifyOwner(attempt.endpoint(), PeerUpdate.Topic.IN_FLIGHT,
             succeeded ? -remaining : remaining,
             attempt.isWrite() ? CacheKey.NONE : attempt.key());
         if (attempt.isWrite() && outcome != Outcome.REJECTED) {
--- a/core/src/main/java/spurroad/balancer/request/CandidateFinder.java
+++ b/core/src/main/java/spurroad/balancer/request/CandidateFinder.java
@@ -63,7 +63,8 @@
     private void countHomeRequest(PendingRequest request) {
         Ring ring = endpoints.ring();
         if (ring.size() > 0) {
-            endpointAt(ring, ring.firstPointFrom(request.ringPoint())).slowStart().onHomeRequest(event.now());
+            endpointAt(ring, ring.firstPointFrom(request.ringPoint())).slowStart()
+                .onFirstCandidateRequest(event.now());
         }
     }
 
--- a/core/src/main/java/spurroad/balancer/request/CandidateSelection.java
+++ b/core/src/main/java/spurroad/balancer/request/CandidateSelection.java
@@ -96,7 +96,7 @@
         waitQueue.add(request, WaitReason.LOAD_REPLIES, event.now() + waitNanos);
         for (EndpointState candidate : candidates) {
             // one that this proxy owns is answered at once, and may end the wait
-            ownership.tellOwner(candidate, PeerUpdate.Topic.CACHE_QUERY, deployment.fleet().proxyIndex(),
+            ownership.notifyOwner(candidate, PeerUpdate.Topic.CACHE_QUERY, deployment.fleet().proxyIndex(),
                 request.key());
         }
         return NextStep.WAIT;
@@ -113,7 +113,7 @@
 
     /** An old report is renewed alongside, for the requests that come next. */
     private void probeIfOutdated(EndpointState endpoint) {
-        if (!conservesProbes && endpoint.load().wasReported() && !endpoint.load().isFresh(event.now())) {
+        if (!conservesProbes && endpoint.load().hasReport() && !endpoint.load().isFresh(event.now())) {
             loadProbes.send(endpoint);
         }
     }
--- a/core/src/main/java/spurroad/balancer/request/EndpointAvailability.java
+++ b/core/src/main/java/spurroad/balancer/request/EndpointAvailability.java
@@ -51,7 +51,7 @@
         if (request.hasAttempts()) {
             return false;
         }
-        double demand = slowStart.demand(proxyRequests.sum(now), now);
+        double demand = slowStart.demandRatio(proxyRequests.sum(now), now);
         double allowed = slowStart.sustainableFraction(now, deployment.settings())
             * (1 - loadShedder.overloadedFraction());
         return request.requestDraw() * demand < allowed;
--- a/core/src/main/java/spurroad/balancer/request/ExpectedLatency.java
+++ b/core/src/main/java/spurroad/balancer/request/ExpectedLatency.java
@@ -58,7 +58,7 @@
      */
     boolean isUnderSoftLimit(EndpointState endpoint, PendingRequest request) {
         if (deployment.gossipEnabled()) {
-            return endpoint.keepsKey(request.ringPoint(), event.now());
+            return endpoint.retainsKey(request.ringPoint(), event.now());
         }
         double waitNanos = SOFT_LIMIT_WAIT_FRACTION * request.requestClass().latencyObjectiveNanos()
             + missCostNanos();
--- a/core/src/main/java/spurroad/balancer/statistics/DecayingAverage.java
+++ b/core/src/main/java/spurroad/balancer/statistics/DecayingAverage.java
@@ -22,7 +22,7 @@
 
     private final double timeConstantNanos;
     private long updatedNanos;
-    private long elapsedUntilNanos;
+    private long elapsedTimeAddedNanos;
     private double sum;
     private double weight;
 
@@ -32,17 +32,17 @@
     }
 
     /** Adds to the sum and to the weight; adding zeros only brings both up to date. */
-    public void add(long now, double amount, double addedWeight) {
+    public void add(long now, double addedSum, double addedWeight) {
         decayTo(now);
-        sum += amount;
+        sum += addedSum;
         weight += addedWeight;
     }
 
     /** Adds the time in nanoseconds since the last such call to the weight; nothing at the first call. */
     public void addElapsedTime(long now) {
-        long elapsedNanos = elapsedUntilNanos == 0 ? 0 : now - elapsedUntilNanos;
+        long elapsedNanos = elapsedTimeAddedNanos == 0 ? 0 : now - elapsedTimeAddedNanos;
         add(now, 0, (double) elapsedNanos);
-        elapsedUntilNanos = now;
+        elapsedTimeAddedNanos = now;
     }
 
     /** Returns the faded sum. */
--- a/core/src/main/java/spurroad/balancer/statistics/RecentKeySet.java
+++ b/core/src/main/java/spurroad/balancer/statistics/RecentKeySet.java
@@ -31,9 +31,9 @@
     }
 
     /** Returns whether the key was added less than so many nanoseconds ago. */
-    public boolean contains(CacheKey key, long now, long withinNanos) {
-        Long added = addedNanos.get(key);
-        return added != null && now - added < withinNanos;
+    public boolean contains(CacheKey key, long now, long maxAgeNanos) {
+        Long addedAtNanos = addedNanos.get(key);
+        return addedAtNanos != null && now - addedAtNanos < maxAgeNanos;
     }
 
     /** Removes a key, if it is contained. */
@@ -42,8 +42,8 @@
     }
 
     /** Removes a key and returns whether it was added less than so many nanoseconds ago. */
-    public boolean removeIfRecent(CacheKey key, long now, long withinNanos) {
-        boolean recent = contains(key, now, withinNanos);
+    public boolean removeIfRecent(CacheKey key, long now, long maxAgeNanos) {
+        boolean recent = contains(key, now, maxAgeNanos);
         remove(key);
         return recent;
     }
--- a/core/src/test/java/spurroad/balancer/AdminDrainTest.java
+++ b/core/src/test/java/spurroad/balancer/AdminDrainTest.java
@@ -24,7 +24,7 @@
  * requests are pending.
  */
 public class AdminDrainTest {
-    private static final int NODES = 4;
+    private static final int ENDPOINTS = 4;
 
     /** Phase from discovery, whether the endpoint is administratively drained, and whether it is used. */
     @DataProvider
@@ -36,12 +36,13 @@
     }
 
     @Test(dataProvider = "phases")
-    public void appliesTheMostRestrictiveState(EndpointPhase listed, boolean drained, boolean used) {
+    public void appliesTheMoreRestrictiveState(EndpointPhase listed, boolean drained,
+                                               boolean expectedUsable) {
         BalancerFixture fixture = BalancerFixture.of(1, false);
         fixture.setDrained(0, drained);
         fixture.updateEndpoint(0, listed, 0);
-        assertEquals(fixture.targetOf(1, READ, 1), used ? 0 : -1);
-        assertEquals(fixture.decisions.responses.size(), used ? 0 : 1, "rejected in the same call");
+        assertEquals(fixture.targetOf(1, READ, 1), expectedUsable ? 0 : -1);
+        assertEquals(fixture.decisions.responses.size(), expectedUsable ? 0 : 1, "rejected in the same call");
         assertEquals(fixture.balancer.adminStatus().listedEndpoints(),
             listed == EndpointPhase.REMOVED ? 0 : 1);
         assertEquals(fixture.balancer.adminStatus().unavailableAt(fixture.nowNanos),
@@ -52,15 +53,15 @@
      * In whatever order discovery and operators change endpoints, no attempt starts where either forbids it.
      */
     @Test
-    public void startsNoAttemptWhereDiscoveryOrOperatorsForbidIt() {
+    public void startsNoAttemptAtEndpointsDisabledByDiscoveryOrOperators() {
         for (long seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            BalancerFixture fixture = BalancerFixture.of(NODES, true);
-            boolean[] drained = new boolean[NODES];
-            EndpointPhase[] listed = new EndpointPhase[NODES];
+            BalancerFixture fixture = BalancerFixture.of(ENDPOINTS, true);
+            boolean[] drained = new boolean[ENDPOINTS];
+            EndpointPhase[] listed = new EndpointPhase[ENDPOINTS];
             Arrays.fill(listed, EndpointPhase.READY);
             for (int step = 0; step < 60; step++) {
-                int endpoint = random.nextInt(NODES);
+                int endpoint = random.nextInt(ENDPOINTS);
                 Decisions decisions = switch (random.nextInt(4)) {
                     case 0 -> {
                         drained[endpoint] = random.nextBoolean();
@@ -75,9 +76,9 @@
                     default -> fixture.request(1000 + step, READ, random.nextInt(50));
                 };
                 for (Decisions.StartAttempt start : List.copyOf(decisions.attemptsToStart)) {
-                    int at = (int) start.endpoint().value();
-                    assertTrue(at == 99 || (!drained[at] && listed[at] == EndpointPhase.READY),
-                        "seed " + seed + ", endpoint " + at);
+                    int target = (int) start.endpoint().value();
+                    assertTrue(target == 99 || (!drained[target] && listed[target] == EndpointPhase.READY),
+                        "seed " + seed + ", endpoint " + target);
                     fixture.endAttempt(start.request().value(), 0, Outcome.SUCCEEDED);
                 }
                 for (EndpointId probed : decisions.loadProbes) {
@@ -85,22 +86,22 @@
                 }
                 assertEquals(
                     fixture.balancer.adminStatus().unavailableAt(fixture.nowNanos)
-                        >= drainedAndListed(drained, listed),
+                        >= countDrainedAndListed(drained, listed),
                     true);
             }
         }
     }
 
-    private static int drainedAndListed(boolean[] drained, EndpointPhase[] listed) {
-        int n = 0;
-        for (int i = 0; i < NODES; i++) {
-            n += drained[i] && listed[i] != EndpointPhase.REMOVED ? 1 : 0;
+    private static int countDrainedAndListed(boolean[] drained, EndpointPhase[] listed) {
+        int count = 0;
+        for (int i = 0; i < ENDPOINTS; i++) {
+            count += drained[i] && listed[i] != EndpointPhase.REMOVED ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
     @Test
-    public void keepsAnEndpointDrainedAcrossItsRestart() {
+    public void keepsAnEndpointDrainedAcrossARestart() {
         BalancerFixture fixture = BalancerFixture.of(1, false);
         fixture.setDrained(0, true);
         fixture.updateEndpoints(true, List.of());
@@ -114,8 +115,8 @@
      * even if its own keys are rarely requested.
      */
     @Test
-    public void startsAReturnedEndpointSlowlyButWithinSeconds() {
-        BalancerFixture fixture = BalancerFixture.of(NODES, false);
+    public void sendsAReturnedEndpointReducedLoadButAFirstRequestWithinSeconds() {
+        BalancerFixture fixture = BalancerFixture.of(ENDPOINTS, false);
         long key = 1;
         while (fixture.targetOf(key, READ, key) != 3) {
             fixture.endAttempt(key, 0, Outcome.SUCCEEDED);
@@ -156,26 +157,26 @@
      * quiet hour the endpoint then stood unused, as if staff had not returned it.
      */
     @Test(dataProvider = "interruptions")
-    public void sendsAReturnedEndpointAFirstRequestThoughItWasNotReadyMeanwhile(EndpointPhase phase,
-                                                                                boolean startsAnew) {
-        BalancerFixture fixture = BalancerFixture.of(NODES, false);
-        long key = keyOfAnother(fixture, 3);
+    public void sendsAReturnedEndpointAFirstRequestAfterItWasNotReady(EndpointPhase phase,
+                                                                      boolean restarts) {
+        BalancerFixture fixture = BalancerFixture.of(ENDPOINTS, false);
+        long key = keyOfOtherEndpoint(fixture, 3);
         fixture.setDrained(3, true);
         fixture.nowNanos += 10_000 * MS;
         fixture.setDrained(3, false);
         fixture.updateEndpoint(3, phase, 0);
         fixture.advance(100);
-        fixture.updateEndpoint(3, EndpointPhase.READY, startsAnew ? fixture.nowNanos : 0);
+        fixture.updateEndpoint(3, EndpointPhase.READY, restarts ? fixture.nowNanos : 0);
         assertTrue(isSentWithinFiveSeconds(fixture, 3, key), "within 5 s");
     }
 
     /** A first request has its turn among the proxies, so that a returned endpoint is not sent one by all. */
     @Test
-    public void keepsTheTurnOfAFirstRequestOverANewStart() {
+    public void keepsTheSlotOfAFirstRequestAcrossARestart() {
         Fleet fleet = new Fleet(null, 0, 1_000, false);
         BalancerFixture fixture = new BalancerFixture(false, DeduplicationScope.ALL, 7, fleet);
-        fixture.updateEndpoints(true, BalancerFixture.endpoints(NODES, false));
-        long key = keyOfAnother(fixture, 3);
+        fixture.updateEndpoints(true, BalancerFixture.endpoints(ENDPOINTS, false));
+        long key = keyOfOtherEndpoint(fixture, 3);
         fixture.setDrained(3, true);
         fixture.nowNanos += 10_000 * MS;
         fixture.setDrained(3, false);
@@ -184,7 +185,7 @@
         assertFalse(isSentWithinFiveSeconds(fixture, 3, key), "one of 1,000 proxies, in 500 s");
     }
 
-    private static long keyOfAnother(BalancerFixture fixture, long endpoint) {
+    private static long keyOfOtherEndpoint(BalancerFixture fixture, long endpoint) {
         long key = 1;
         while (fixture.targetOf(key, READ, key) == endpoint) {
             fixture.endAttempt(key, 0, Outcome.SUCCEEDED);
@@ -206,11 +207,11 @@
     }
 
     @Test
-    public void appliesFewerAttemptsToPendingRequestsThatKeepTheirClass() {
+    public void appliesANewAttemptLimitToPendingRequestsWithTheirOriginalClass() {
         BalancerFixture fixture = BalancerFixture.of(6, false);
         fixture.request(1, READ, 1);
         Deployment current = fixture.deployment;
-        Deployment next = new Deployment(current.requestClasses().subList(2, 3),
+        Deployment replacement = new Deployment(current.requestClasses().subList(2, 3),
             current.tenantQuotasPerSecond(),
             current.originKind(),
             current.pollsDiscovery(),
@@ -218,7 +219,7 @@
             current.slowStartInitialFraction(), current.slowStartNanos(), current.clockTickNanos(),
             current.idleTimeoutNanos(),
             current.fleet());
-        fixture.changeDeployment(next);
+        fixture.changeDeployment(replacement);
         fixture.endAttempt(1, 0, Outcome.FAILED);
         assertEquals(fixture.decisions.attemptsToStart.size(), 0, "only one attempt is allowed now");
         assertTrue(fixture.decisions.responses.get(0).rejected(),
--- a/core/src/test/java/spurroad/balancer/ColdEndpointSimulation.java
+++ b/core/src/test/java/spurroad/balancer/ColdEndpointSimulation.java
@@ -24,7 +24,7 @@
  * after it, and measures how many attempts are started there within a sliding window. Time is simulated.
  */
 final class ColdEndpointSimulation {
-    private static final long NEVER = Long.MAX_VALUE;
+    private static final long NEVER_NANOS = Long.MAX_VALUE;
     private static final int ENDPOINTS = 8;
     private static final long COLD_ENDPOINT = 0;
     private static final double INITIAL_FRACTION = 0.3; // of its capacity, as BalancerFixture sets it
@@ -32,30 +32,30 @@
     /** Multiple of its present capacity at which a cold endpoint fails; the lowest known of a deployment. */
     private static final double FAILURE_MULTIPLE = 2;
     private static final double WINDOW_SECONDS = 1.5;
-    private static final double USUAL_LOAD = 0.7; // of the capacity of all endpoints
+    private static final double NORMAL_LOAD = 0.7; // of the capacity of all endpoints
     private static final double HOT_KEY_FRACTION = 0.2; // of all requests
     private static final long SERVICE_TIME_NANOS = 20 * MS;
 
     /** How requests arrive, and how the endpoint becomes cold. */
     enum Traffic {
         /** The usual load all the time. */
-        EVEN(USUAL_LOAD, 0, 0),
+        EVEN(NORMAL_LOAD, 0, 0),
         /** Half as much again, from the moment on in which the endpoint becomes cold. */
-        BURST(1.5 * USUAL_LOAD, 0, 0),
+        BURST(1.5 * NORMAL_LOAD, 0, 0),
         /** Half as much again as the capacity, from then on. */
         OVERLOAD(1.5, 0, 0),
         /** A fifth of all requests are for one key of the cold endpoint, all the time. */
-        HOT_KEY(USUAL_LOAD, HOT_KEY_FRACTION, HOT_KEY_FRACTION),
+        HOT_KEY(NORMAL_LOAD, HOT_KEY_FRACTION, HOT_KEY_FRACTION),
         /** The same, from the moment on in which the endpoint becomes cold, and a burst. */
-        SUDDEN_HOT_KEY(1.5 * USUAL_LOAD, 0, HOT_KEY_FRACTION),
+        SUDDEN_HOT_KEY(1.5 * NORMAL_LOAD, 0, HOT_KEY_FRACTION),
         /** One proxy in ten has seven times the requests of each other one, and a burst. */
-        UNEVEN(1.5 * USUAL_LOAD, 0, 0),
+        UNEVEN(1.5 * NORMAL_LOAD, 0, 0),
         /** Endpoints reject half of all requests at random, and a burst. */
-        REJECTED_ELSEWHERE(1.5 * USUAL_LOAD, 0, 0),
+        REJECTED_ELSEWHERE(1.5 * NORMAL_LOAD, 0, 0),
         /** An operator returns the endpoint at all proxies at the same moment, with a burst. */
-        RETURNED_BY_STAFF(1.5 * USUAL_LOAD, 0, 0),
+        RETURNED_BY_OPERATOR(1.5 * NORMAL_LOAD, 0, 0),
         /** The same, and each proxy receives a request only in some seconds. */
-        RETURNED_BY_STAFF_QUIET(0.2, 0, 0);
+        RETURNED_BY_OPERATOR_LOW_LOAD(0.2, 0, 0);
 
         private final double loadWhileCold; // as a fraction of the capacity of all endpoints
         private final double hotKeyFractionBefore;
@@ -68,7 +68,7 @@
         }
 
         private boolean isReturnedByOperator() {
-            return this == RETURNED_BY_STAFF || this == RETURNED_BY_STAFF_QUIET;
+            return this == RETURNED_BY_OPERATOR || this == RETURNED_BY_OPERATOR_LOW_LOAD;
         }
     }
 
@@ -104,14 +104,14 @@
     private final Traffic traffic;
     private final Random random;
     private final List<BalancerFixture> fleet = new ArrayList<>();
-    private final PriorityQueue<AttemptEnd> ends = new PriorityQueue<>(
+    private final PriorityQueue<AttemptEnd> pendingEnds = new PriorityQueue<>(
         Comparator.comparingLong(AttemptEnd::atNanos));
-    private final Map<Long, Integer> attemptsOfRequest = new HashMap<>();
+    private final Map<Long, Integer> attemptCounts = new HashMap<>();
     private final Deque<Long> window = new ArrayDeque<>();
     private final double capacityPerSecond; // of a warm endpoint
     private final WorstWindow worst;
     private final long hotKey;
-    private long coldSinceNanos = NEVER;
+    private long coldSinceNanos = NEVER_NANOS;
     private long lastRequest;
     private boolean hasFailed;
 
@@ -143,13 +143,13 @@
     void run() {
         long startNanos = fleet.get(0).nowNanos;
         long drainedNanos = startNanos + 6_000 * MS;
-        sendRequests(startNanos, drainedNanos, USUAL_LOAD, traffic.hotKeyFractionBefore);
+        sendRequests(startNanos, drainedNanos, NORMAL_LOAD, traffic.hotKeyFractionBefore);
         if (traffic.isReturnedByOperator()) {
-            callAll(drainedNanos, fixture -> fixture.setDrained(COLD_ENDPOINT, true));
-            sendRequests(drainedNanos, startNanos + 10_000 * MS, USUAL_LOAD, 0);
+            applyToFleet(drainedNanos, fixture -> fixture.setDrained(COLD_ENDPOINT, true));
+            sendRequests(drainedNanos, startNanos + 10_000 * MS, NORMAL_LOAD, 0);
         }
         coldSinceNanos = startNanos + 10_000 * MS;
-        callAll(coldSinceNanos, this::makeCold);
+        applyToFleet(coldSinceNanos, this::makeCold);
         sendRequests(coldSinceNanos, coldSinceNanos + 4_000 * MS, traffic.loadWhileCold,
             traffic.hotKeyFractionWhileCold);
     }
@@ -162,22 +162,23 @@
         }
     }
 
-    private void callAll(long atNanos, Consumer<BalancerFixture> call) {
+    private void applyToFleet(long atNanos, Consumer<BalancerFixture> action) {
         for (BalancerFixture fixture : fleet) {
             fixture.nowNanos = atNanos;
-            call.accept(fixture);
+            action.accept(fixture);
         }
     }
 
     private void sendRequests(long fromNanos, long untilNanos, double load, double hotKeyFraction) {
-        double meanGapNanos = 1e9 / (load * capacityPerSecond * ENDPOINTS);
-        for (double at = fromNanos + gapNanos(meanGapNanos); at < untilNanos; at += gapNanos(meanGapNanos)) {
+        double meanIntervalNanos = 1e9 / (load * capacityPerSecond * ENDPOINTS);
+        for (double at = fromNanos + randomIntervalNanos(meanIntervalNanos); at
+            < untilNanos; at += randomIntervalNanos(meanIntervalNanos)) {
             endAttempts((long) at);
             sendRequest((long) at, hotKeyFraction);
         }
     }
 
-    private double gapNanos(double meanNanos) {
+    private double randomIntervalNanos(double meanNanos) {
         return -meanNanos * Math.log(1 - random.nextDouble());
     }
 
@@ -189,27 +190,27 @@
         BalancerFixture fixture = fleet.get(proxy);
         fixture.nowNanos = atNanos;
         long key = random.nextDouble() < hotKeyFraction ? hotKey : 1000 + random.nextInt(100_000);
-        execute(proxy, fixture.request(++lastRequest, READ, key));
+        applyDecisions(proxy, fixture.request(++lastRequest, READ, key));
     }
 
     private void endAttempts(long untilNanos) {
-        while (!ends.isEmpty() && ends.peek().atNanos <= untilNanos) {
-            AttemptEnd end = ends.poll();
+        while (!pendingEnds.isEmpty() && pendingEnds.peek().atNanos <= untilNanos) {
+            AttemptEnd end = pendingEnds.poll();
             BalancerFixture fixture = fleet.get(end.proxy);
             fixture.nowNanos = end.atNanos;
-            boolean isRejected = traffic == Traffic.REJECTED_ELSEWHERE && random.nextBoolean();
-            execute(end.proxy, fixture.endAttempt(end.request, end.number,
-                isRejected ? Outcome.REJECTED : Outcome.SUCCEEDED));
+            boolean rejected = traffic == Traffic.REJECTED_ELSEWHERE && random.nextBoolean();
+            applyDecisions(end.proxy, fixture.endAttempt(end.request, end.number,
+                rejected ? Outcome.REJECTED : Outcome.SUCCEEDED));
         }
     }
 
-    private void execute(int proxy, Decisions decisions) {
+    private void applyDecisions(int proxy, Decisions decisions) {
         long nowNanos = fleet.get(proxy).nowNanos;
         for (Decisions.StartAttempt start : List.copyOf(decisions.attemptsToStart)) {
             long request = start.request().value();
-            int number = attemptsOfRequest.merge(request, 1, Integer::sum) - 1;
-            ends.add(new AttemptEnd(nowNanos + SERVICE_TIME_NANOS, proxy, request, number));
-            if (start.endpoint().value() == COLD_ENDPOINT && coldSinceNanos != NEVER) {
+            int number = attemptCounts.merge(request, 1, Integer::sum) - 1;
+            pendingEnds.add(new AttemptEnd(nowNanos + SERVICE_TIME_NANOS, proxy, request, number));
+            if (start.endpoint().value() == COLD_ENDPOINT && coldSinceNanos != NEVER_NANOS) {
                 countAttempt(nowNanos);
             }
         }
--- a/core/src/test/java/spurroad/balancer/EndpointReturnFixture.java
+++ b/core/src/test/java/spurroad/balancer/EndpointReturnFixture.java
@@ -25,35 +25,36 @@
 
     /** What changes, at one endpoint where it concerns one. */
     enum Change {
-        FAILS, FALLS_SILENT, HEALS, DRAINS, IS_REMOVED, IS_READY, STARTS_ANEW, STAFF_DRAIN, STAFF_RETURN,
-        CLIENTS_LEAVE, LOAD_PROBES_FORBIDDEN, LOAD_PROBES_ALLOWED, GOSSIP_ON, GOSSIP_OFF
+        FAILS, STOPS_REPLYING, RECOVERS, DRAINS, IS_REMOVED, IS_READY, RESTARTS, OPERATOR_DRAIN,
+        OPERATOR_RETURN,
+        CLIENTS_DISCONNECT, LOAD_PROBES_DISABLED, LOAD_PROBES_ENABLED, GOSSIP_ENABLED, GOSSIP_DISABLED
     }
 
     /** A change, and the time until the next one. */
     record Event(Change change, int endpoint, int pauseMillis) {}
 
     private enum Health {
-        HEALTHY, FAILING, SILENT
+        HEALTHY, FAILING, UNRESPONSIVE
     }
 
-    private record InFlight(long request, int attempt, int endpoint, long endsAtNanos) {}
+    private record InFlightAttempt(long request, int number, int endpoint, long endsAtNanos) {}
 
     private static final int STEP_MILLIS = 10;
     private static final int REPLY_MILLIS = 15;
-    private static final int SILENCE_MILLIS = 400; // until an attempt is given up
+    private static final int ATTEMPT_TIMEOUT_MILLIS = 400; // until an attempt is given up
     private static final int PROBE_TIMEOUT_MILLIS = 100;
 
     private final BalancerFixture balancer = BalancerFixture.of(ENDPOINTS, false);
     private final Health[] health = new Health[ENDPOINTS];
     private final EndpointPhase[] phases = new EndpointPhase[ENDPOINTS];
     private final long[] startNanos = new long[ENDPOINTS];
-    private final List<InFlight> inFlight = new ArrayList<>();
-    private final Map<Long, Integer> attemptsStarted = new HashMap<>(); // by request
+    private final List<InFlightAttempt> inFlight = new ArrayList<>();
+    private final Map<Long, Integer> attemptCounts = new HashMap<>(); // by request
     private final Map<Integer, Long> probeEndsAtNanos = new HashMap<>();
-    private final Set<Integer> used = new HashSet<>();
+    private final Set<Integer> usedEndpoints = new HashSet<>();
     private long lastRequest;
     private boolean loadProbesAllowed = true;
-    private boolean gossip;
+    private boolean gossipEnabled;
 
     EndpointReturnFixture() {
         Arrays.fill(health, Health.HEALTHY);
@@ -61,7 +62,7 @@
     }
 
     /** Plays events under steady requests. */
-    void play(List<Event> events) {
+    void run(List<Event> events) {
         for (Event event : events) {
             apply(event.change, event.endpoint);
             advance(event.pauseMillis);
@@ -71,76 +72,78 @@
     /**
      * Heals all endpoints, has discovery list them as ready, and has staff return those that they drained.
      */
-    void healAndList() {
+    void recoverAndListAll() {
         for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
-            apply(Change.HEALS, endpoint);
+            apply(Change.RECOVERS, endpoint);
             apply(Change.IS_READY, endpoint);
-            apply(Change.STAFF_RETURN, endpoint);
+            apply(Change.OPERATOR_RETURN, endpoint);
         }
     }
 
     /** Plays requests for a while, and returns the endpoints that got none in its last second. */
-    List<Integer> unusedWithin(int millis) {
+    List<Integer> unusedAfter(int millis) {
         advance(millis - 1_000);
-        used.clear();
+        usedEndpoints.clear();
         advance(1_000);
-        return IntStream.range(0, ENDPOINTS).filter(endpoint -> !used.contains(endpoint)).boxed().toList();
+        return IntStream.range(0, ENDPOINTS).filter(endpoint -> !usedEndpoints.contains(endpoint)).boxed()
+            .toList();
     }
 
     private void apply(Change change, int endpoint) {
         switch (change) {
             case FAILS -> health[endpoint] = Health.FAILING;
-            case FALLS_SILENT -> health[endpoint] = Health.SILENT;
-            case HEALS -> health[endpoint] = Health.HEALTHY;
-            case DRAINS -> list(endpoint, EndpointPhase.DRAINING);
-            case IS_REMOVED -> list(endpoint, EndpointPhase.REMOVED);
-            case IS_READY -> list(endpoint, EndpointPhase.READY);
-            case STARTS_ANEW -> {
+            case STOPS_REPLYING -> health[endpoint] = Health.UNRESPONSIVE;
+            case RECOVERS -> health[endpoint] = Health.HEALTHY;
+            case DRAINS -> listEndpoint(endpoint, EndpointPhase.DRAINING);
+            case IS_REMOVED -> listEndpoint(endpoint, EndpointPhase.REMOVED);
+            case IS_READY -> listEndpoint(endpoint, EndpointPhase.READY);
+            case RESTARTS -> {
                 startNanos[endpoint] = balancer.nowNanos;
-                list(endpoint, EndpointPhase.READY);
+                listEndpoint(endpoint, EndpointPhase.READY);
             }
-            case STAFF_DRAIN -> carryOut(balancer.setDrained(endpoint, true));
-            case STAFF_RETURN -> carryOut(balancer.setDrained(endpoint, false));
-            case CLIENTS_LEAVE -> disconnectClients();
-            case LOAD_PROBES_FORBIDDEN -> reload(false, gossip);
-            case LOAD_PROBES_ALLOWED -> reload(true, gossip);
-            case GOSSIP_ON -> reload(loadProbesAllowed, true);
-            case GOSSIP_OFF -> reload(loadProbesAllowed, false);
+            case OPERATOR_DRAIN -> applyDecisions(balancer.setDrained(endpoint, true));
+            case OPERATOR_RETURN -> applyDecisions(balancer.setDrained(endpoint, false));
+            case CLIENTS_DISCONNECT -> disconnectClients();
+            case LOAD_PROBES_DISABLED -> reload(false, gossipEnabled);
+            case LOAD_PROBES_ENABLED -> reload(true, gossipEnabled);
+            case GOSSIP_ENABLED -> reload(loadProbesAllowed, true);
+            case GOSSIP_DISABLED -> reload(loadProbesAllowed, false);
         }
     }
 
-    private void list(int endpoint, EndpointPhase phase) {
+    private void listEndpoint(int endpoint, EndpointPhase phase) {
         phases[endpoint] = phase;
-        carryOut(balancer.updateEndpoint(endpoint, phase, startNanos[endpoint]));
+        applyDecisions(balancer.updateEndpoint(endpoint, phase, startNanos[endpoint]));
     }
 
     private void disconnectClients() {
-        for (InFlight attempt : List.copyOf(inFlight)) {
-            carryOut(balancer.disconnectClient(attempt.request));
+        for (InFlightAttempt attempt : List.copyOf(inFlight)) {
+            applyDecisions(balancer.disconnectClient(attempt.request));
         }
     }
 
-    private void reload(boolean probesAllowed, boolean gossips) {
-        loadProbesAllowed = probesAllowed;
-        gossip = gossips;
-        Deployment next = BalancerFixture.withLoadProbes(balancer.deployment, probesAllowed);
-        carryOut(balancer.changeDeployment(next.withFleet(new Fleet(null, 0, 1, gossips))));
+    private void reload(boolean allowLoadProbes, boolean enableGossip) {
+        loadProbesAllowed = allowLoadProbes;
+        gossipEnabled = enableGossip;
+        Deployment replacement = BalancerFixture.withLoadProbes(balancer.deployment, allowLoadProbes);
+        applyDecisions(balancer.changeDeployment(replacement.withFleet(new Fleet(null, 0, 1, enableGossip))));
     }
 
     private void advance(int millis) {
         for (int elapsed = 0; elapsed < millis; elapsed += STEP_MILLIS) {
-            carryOut(balancer.advance(STEP_MILLIS));
+            applyDecisions(balancer.advance(STEP_MILLIS));
             endAttemptsDue();
             endProbesDue();
             lastRequest++;
-            carryOut(balancer.request(lastRequest, READ, lastRequest));
+            applyDecisions(balancer.request(lastRequest, READ, lastRequest));
         }
     }
 
     private void endAttemptsDue() {
-        for (InFlight attempt : List.copyOf(inFlight)) {
+        for (InFlightAttempt attempt : List.copyOf(inFlight)) {
             if (attempt.endsAtNanos <= balancer.nowNanos && inFlight.remove(attempt)) {
-                carryOut(balancer.endAttempt(attempt.request, attempt.attempt, outcomeAt(attempt.endpoint)));
+                applyDecisions(
+                    balancer.endAttempt(attempt.request, attempt.number, outcomeAt(attempt.endpoint)));
             }
         }
     }
@@ -149,7 +152,7 @@
         return switch (health[endpoint]) {
             case HEALTHY -> Outcome.SUCCEEDED;
             case FAILING -> Outcome.FAILED;
-            case SILENT -> Outcome.TIMED_OUT;
+            case UNRESPONSIVE -> Outcome.TIMED_OUT;
         };
     }
 
@@ -157,23 +160,24 @@
         for (int endpoint : List.copyOf(probeEndsAtNanos.keySet())) {
             if (probeEndsAtNanos.get(endpoint) <= balancer.nowNanos) {
                 probeEndsAtNanos.remove(endpoint);
-                boolean answered = health[endpoint] != Health.SILENT
+                boolean answered = health[endpoint] != Health.UNRESPONSIVE
                     && phases[endpoint] != EndpointPhase.REMOVED;
-                carryOut(balancer.endLoadProbe(endpoint, answered ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
-                    answered ? 0 : Double.NaN));
+                applyDecisions(
+                    balancer.endLoadProbe(endpoint, answered ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
+                        answered ? 0 : Double.NaN));
             }
         }
     }
 
     /** As the host does: each attempt and each load probe ends exactly once. */
-    private void carryOut(Decisions decisions) {
+    private void applyDecisions(Decisions decisions) {
         for (Decisions.StartAttempt start : decisions.attemptsToStart) {
             startAttempt(start);
         }
         for (EndpointId probed : decisions.loadProbes) {
             int endpoint = (int) probed.value();
-            int millis = health[endpoint] == Health.SILENT ? PROBE_TIMEOUT_MILLIS : REPLY_MILLIS;
-            probeEndsAtNanos.put(endpoint, balancer.nowNanos + millis * MS);
+            int delayMillis = health[endpoint] == Health.UNRESPONSIVE ? PROBE_TIMEOUT_MILLIS : REPLY_MILLIS;
+            probeEndsAtNanos.put(endpoint, balancer.nowNanos + delayMillis * MS);
         }
         List<Decisions.CancelAttempt> cancelled = List.copyOf(decisions.attemptsToCancel);
         cancelled.forEach(this::cancelAttempt);
@@ -181,19 +185,19 @@
 
     private void startAttempt(Decisions.StartAttempt start) {
         int endpoint = (int) start.endpoint().value();
-        used.add(endpoint);
-        int millis = health[endpoint] == Health.SILENT ? SILENCE_MILLIS : REPLY_MILLIS;
+        usedEndpoints.add(endpoint);
+        int delayMillis = health[endpoint] == Health.UNRESPONSIVE ? ATTEMPT_TIMEOUT_MILLIS : REPLY_MILLIS;
         long request = start.request().value();
-        int number = attemptsStarted.merge(request, 1, Integer::sum) - 1;
-        inFlight.add(new InFlight(request, number, endpoint, balancer.nowNanos + millis * MS));
+        int number = attemptCounts.merge(request, 1, Integer::sum) - 1;
+        inFlight.add(new InFlightAttempt(request, number, endpoint, balancer.nowNanos + delayMillis * MS));
     }
 
     private void cancelAttempt(Decisions.CancelAttempt cancel) {
-        for (Iterator<InFlight> each = inFlight.iterator(); each.hasNext();) {
-            InFlight attempt = each.next();
-            if (attempt.request == cancel.request().value() && attempt.attempt == cancel.attempt()) {
-                each.remove();
-                carryOut(balancer.endAttempt(attempt.request, attempt.attempt, Outcome.CANCELLED));
+        for (Iterator<InFlightAttempt> iterator = inFlight.iterator(); iterator.hasNext();) {
+            InFlightAttempt attempt = iterator.next();
+            if (attempt.request == cancel.request().value() && attempt.number == cancel.attempt()) {
+                iterator.remove();
+                applyDecisions(balancer.endAttempt(attempt.request, attempt.number, Outcome.CANCELLED));
                 return;
             }
         }
--- a/core/src/test/java/spurroad/balancer/EndpointReturnProperties.java
+++ b/core/src/test/java/spurroad/balancer/EndpointReturnProperties.java
@@ -28,7 +28,7 @@
      * The longest ejection (4 s), the longest of a probe that had not failed yet (0.1 s) with the ejection
      * that it prolongs (4 s), a check (0.05 s), and the warm-up of the fixture's endpoints (8 s).
      */
-    private static final int RETURN_MILLIS = 16_200;
+    private static final int MAX_RETURN_MILLIS = 16_200;
 
     @Provide
     Arbitrary<List<Event>> events() {
@@ -39,11 +39,11 @@
     }
 
     @Property(tries = 400, seed = "20261203")
-    void healthyEndpointsGetRequestsAgain(@ForAll("events") List<Event> events) {
+    void recoveredEndpointsGetRequestsAgain(@ForAll("events") List<Event> events) {
         EndpointReturnFixture fixture = new EndpointReturnFixture();
-        fixture.play(events);
-        fixture.healAndList();
-        List<Integer> unused = fixture.unusedWithin(RETURN_MILLIS);
+        fixture.run(events);
+        fixture.recoverAndListAll();
+        List<Integer> unused = fixture.unusedAfter(MAX_RETURN_MILLIS);
         assertTrue(unused.isEmpty(), "no request to " + unused + " after " + events);
     }
 }
--- a/core/src/test/java/spurroad/balancer/KeyCandidatesTest.java
+++ b/core/src/test/java/spurroad/balancer/KeyCandidatesTest.java
@@ -12,7 +12,7 @@
 public class KeyCandidatesTest {
     /** The explanation that operators see must agree with the decisions. */
     @Test
-    public void listsTheLoadBalancersTargetFirst() {
+    public void listsTheEndpointThatTheLoadBalancerSelectsFirst() {
         for (long key = 1; key < 200; key++) {
             KeyCandidates candidates = KeyCandidates.of(BalancerFixture.endpoints(7, true),
                 BalancerFixture.ORIGIN,
@@ -28,13 +28,13 @@
 
     @Test
     public void omitsTheOriginAndEndpointsThatAreNotReady() {
-        List<EndpointId> found = KeyCandidates
+        List<EndpointId> endpoints = KeyCandidates
             .of(List.of(BalancerFixture.endpoint(1, EndpointPhase.READY, 0),
                 BalancerFixture.endpoint(2, EndpointPhase.DRAINING, 0),
                 BalancerFixture.endpoint(3, EndpointPhase.REMOVED, 0)), BalancerFixture.ORIGIN,
                 new CacheKey(5))
             .candidates().stream().map(KeyCandidates.Candidate::endpoint).toList();
-        assertEquals(found, List.of(new EndpointId(1)));
+        assertEquals(endpoints, List.of(new EndpointId(1)));
         assertEquals(KeyCandidates.of(List.of(), BalancerFixture.ORIGIN, new CacheKey(5)).candidates(),
             List.of());
     }
--- a/core/src/test/java/spurroad/balancer/OutlierDetectorTest.java
+++ b/core/src/test/java/spurroad/balancer/OutlierDetectorTest.java
@@ -31,7 +31,7 @@
      * not.
      */
     @Test
-    public void ejectsAnUnresponsiveEndpointAndReturnsItByTrial() {
+    public void ejectsAnUnresponsiveEndpointAndReturnsItThroughATrial() {
         BalancerFixture fixture = BalancerFixture.of(5, false);
         long unresponsive = fixture.targetOf(1, READ, KEY);
         fixture.request(2, DEDUPLICATED, KEY);
@@ -43,7 +43,8 @@
                 fixture.endLoadProbe(unresponsive, Outcome.TIMED_OUT, Double.NaN);
             }
         }
-        assertEquals(cancelled.stream().map(s -> s.request().value()).sorted().toList(), List.of(1L, 2L));
+        assertEquals(cancelled.stream().map(cancel -> cancel.request().value()).sorted().toList(),
+            List.of(1L, 2L));
         assertNotEquals(fixture.endAttempt(1, 0, Outcome.CANCELLED).attemptsToStart.get(0).endpoint().value(),
             unresponsive);
         fixture.endAttempt(2, 0, Outcome.CANCELLED);
@@ -60,7 +61,7 @@
 
     /** Regression: long misses counted as missing replies, and healthy attempts were cancelled. */
     @Test
-    public void doesNotCancelAttemptsThatUsuallyTakeLong() {
+    public void doesNotCancelAttemptsIfLongResponseTimesAreUsual() {
         BalancerFixture fixture = BalancerFixture.of(5, false);
         for (long id = 1; id <= 40; id++) {
             fixture.request(id, READ, id);
@@ -91,7 +92,7 @@
      * probesAnEjectedEndpoint}, the same without the drain, has always passed.
      */
     @Test
-    public void probesAnEjectedEndpointThatDrainedMeanwhile() {
+    public void probesAnEjectedEndpointAfterItDrained() {
         BalancerFixture fixture = BalancerFixture.of(5, false);
         long failing = eject(fixture);
         fixture.updateEndpoint(failing, EndpointPhase.DRAINING, 0);
@@ -107,7 +108,7 @@
      * the probe, and the endpoint was not used again in 60 s of requests.
      */
     @Test
-    public void returnsAnEjectedEndpointAfterAReloadThatForbidsLoadProbes() {
+    public void returnsAnEjectedEndpointAfterAReloadDisablesLoadProbes() {
         BalancerFixture fixture = BalancerFixture.of(5, false);
         long failing = eject(fixture);
         fixture.changeDeployment(BalancerFixture.withLoadProbes(fixture.deployment, false));
@@ -121,7 +122,7 @@
      * endpoint that was ejected before gossip was switched on got its one trial request at most.
      */
     @Test
-    public void usesAnEjectedEndpointOnceGossipIsSwitchedOn() {
+    public void usesAnEjectedEndpointAfterGossipIsEnabled() {
         BalancerFixture fixture = BalancerFixture.of(5, false);
         long failing = eject(fixture);
         fixture.changeDeployment(fixture.deployment.withFleet(new Fleet(null, 0, 1, true)));
@@ -157,7 +158,7 @@
      * checked each 50 ms for as long as the proxy ran.
      */
     @Test
-    public void doesNotWatchAFormerIncarnation() {
+    public void stopsWatchingAReplacedIncarnation() {
         BalancerFixture fixture = BalancerFixture.of(5, false);
         long replaced = fixture.targetOf(1, READ, KEY);
         for (long id = 2; id < 10; id++) {
@@ -175,7 +176,7 @@
 
     /** Staff can tell what an ejected endpoint waits for, and one that waits for a probe is not in use. */
     @Test
-    public void tellsWhatAnEjectedEndpointWaitsFor() {
+    public void reportsWhatAnEjectedEndpointAwaits() {
         BalancerFixture fixture = BalancerFixture.of(5, false);
         long failing = eject(fixture);
         assertAwaits(fixture, AwaitedEvent.EJECTION_END, 1);
@@ -188,11 +189,13 @@
         assertAwaits(fixture, AwaitedEvent.RETURN_BY_STAFF, 1);
     }
 
-    private static void assertAwaits(BalancerFixture fixture, AwaitedEvent event, int unavailable) {
+    private static void assertAwaits(BalancerFixture fixture, AwaitedEvent expectedEvent,
+                                     int expectedUnavailable) {
         AdminStatus status = fixture.balancer.adminStatus();
-        assertEquals(status.restricted().stream().map(RestrictedEndpoint::awaits).toList(), List.of(event));
-        assertEquals(status.awaiting(event), 1);
-        assertEquals(status.unavailableAt(fixture.nowNanos), unavailable, "unavailable");
+        assertEquals(status.restricted().stream().map(RestrictedEndpoint::awaits).toList(),
+            List.of(expectedEvent));
+        assertEquals(status.awaiting(expectedEvent), 1);
+        assertEquals(status.unavailableAt(fixture.nowNanos), expectedUnavailable, "unavailable");
     }
 
     /** Sends a successful request each 50 ms; returns whether the endpoint got one. */
--- a/core/src/test/java/spurroad/balancer/OwnershipTest.java
+++ b/core/src/test/java/spurroad/balancer/OwnershipTest.java
@@ -62,14 +62,14 @@
         List<BalancerFixture> fixtures = fleet(null);
         fixtures.remove(ownerOf(3)); // the owner uses its own measurements
         for (int id = 0; id < keys.length; id++) {
-            long[] to = new long[2];
-            for (int i = 0; i < to.length; i++) {
+            long[] targets = new long[2];
+            for (int i = 0; i < targets.length; i++) {
                 fixtures.get(i).receive(new PeerUpdate(Topic.LOAD, 3, 9, 20 * MS, 0.5));
-                to[i] = targetOfSuccessfulRead(fixtures.get(i), id, keys[id]);
+                targets[i] = targetOfSuccessfulRead(fixtures.get(i), id, keys[id]);
             }
-            assertEquals(to[0], to[1], "the same endpoint at both proxies");
+            assertEquals(targets[0], targets[1], "the same endpoint at both proxies");
             advanceClocks(fixtures, 3000 * MS);
-            assertEquals(targetOfSuccessfulRead(fixtures.get(0), 1000 + id, keys[id]), to[0],
+            assertEquals(targetOfSuccessfulRead(fixtures.get(0), 1000 + id, keys[id]), targets[0],
                 "whatever the queue is now");
         }
         int migrated = 0;
@@ -95,22 +95,24 @@
     }
 
     @Test(dataProvider = "loads")
-    public void ownerLowersTheCachedFractionAboveTheMeanQueue(int times, double least, double most) {
+    public void lowersTheCachedFractionIfTheQueueExceedsTheMean(int attemptsPerStep, double minFraction,
+                                                                double maxFraction) {
         BalancerFixture owner = fleet(null).get(ownerOf(3));
         double cachedFraction = 1;
         for (int i = 0; i < 300; i++) {
             for (long endpoint : new long[] {0, 1, 2, 4, 5, 6, 7}) {
                 owner.receive(new PeerUpdate(Topic.LOAD, endpoint, 50, 33 * MS, 1));
             }
-            for (int j = 0; j < times; j++) {
+            for (int j = 0; j < attemptsPerStep; j++) {
                 owner.receive(new PeerUpdate(Topic.IN_FLIGHT, 3, 1));
                 cachedFraction = owner.decisions.peerUpdates.stream()
-                    .filter(t -> t.update().topic() == Topic.LOAD)
-                    .mapToDouble(t -> t.update().cachedFraction()).findFirst().orElse(cachedFraction);
+                    .filter(sent -> sent.update().topic() == Topic.LOAD)
+                    .mapToDouble(sent -> sent.update().cachedFraction()).findFirst().orElse(cachedFraction);
             }
             owner.nowNanos += 20 * MS;
         }
-        assertTrue(cachedFraction >= least && cachedFraction <= most, "cached fraction " + cachedFraction);
+        assertTrue(cachedFraction >= minFraction && cachedFraction <= maxFraction,
+            "cached fraction " + cachedFraction);
     }
 
     /**
@@ -127,25 +129,26 @@
      * completed in time.
      */
     @Test(dataProvider = "attemptEnds")
-    public void ownerReportsAServiceTimeThatIncludesTimeOuts(boolean succeeds, long ms, long least,
-                                                             long most) {
+    public void publishesAServiceTimeThatIncludesTimeouts(boolean succeeds, long elapsedMillis,
+                                                          long minMillis, long maxMillis) {
         BalancerFixture owner = fleet(null).get(ownerOf(3));
         for (int i = 0; i < 10; i++) {
             owner.receive(new PeerUpdate(Topic.IN_FLIGHT, 3, 1));
         }
-        owner.nowNanos += ms * MS;
+        owner.nowNanos += elapsedMillis * MS;
         for (int i = 0; i < 10; i++) {
-            owner.receive(new PeerUpdate(Topic.IN_FLIGHT, 3, (succeeds ? -1 : 1) * Math.exp(-ms / 1000.0),
-                new CacheKey(7)));
+            owner.receive(
+                new PeerUpdate(Topic.IN_FLIGHT, 3, (succeeds ? -1 : 1) * Math.exp(-elapsedMillis / 1000.0),
+                    new CacheKey(7)));
         }
         owner.nowNanos += 4001 * MS;
         int querying = (ownerOf(3) + 1) % PROXIES;
-        PeerUpdate answer = owner
+        PeerUpdate reply = owner
             .receive(new PeerUpdate(Topic.CACHE_QUERY, 3, querying, new CacheKey(7))).peerUpdates
             .get(0).update();
-        assertEquals(answer.cachedFraction(), succeeds ? 1.0 : 0.0);
-        assertTrue(answer.serviceTimeNanos() >= least * MS && answer.serviceTimeNanos() <= most * MS,
-            answer.serviceTimeNanos() / MS + " ms");
+        assertEquals(reply.cachedFraction(), succeeds ? 1.0 : 0.0);
+        assertTrue(reply.serviceTimeNanos() >= minMillis * MS && reply.serviceTimeNanos() <= maxMillis * MS,
+            reply.serviceTimeNanos() / MS + " ms");
         assertTrue(
             owner.receive(new PeerUpdate(Topic.CACHE_QUERY, 3, PROXIES, new CacheKey(7))).peerUpdates
                 .isEmpty(),
--- a/core/src/test/java/spurroad/balancer/SimulatedEndpoints.java
+++ b/core/src/test/java/spurroad/balancer/SimulatedEndpoints.java
@@ -13,7 +13,7 @@
  * replies.
  */
 final class SimulatedEndpoints {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long ORIGIN = 0;
 
     private enum Behaviour {
@@ -51,24 +51,24 @@
 
     private long serviceTimeNanos(long endpoint, int queueLength) {
         double meanMillis = (endpoint == ORIGIN ? 40 : 8) * (1 + 0.3 * queueLength);
-        double drawnMillis = -Math.log(1 - random.nextDouble()) * meanMillis;
+        double randomMillis = -Math.log(1 - random.nextDouble()) * meanMillis;
         return switch (behaviourOf(endpoint)) {
-            case HEALTHY -> (long) (drawnMillis * MS);
-            case SLOW -> (long) (12 * drawnMillis * MS);
-            case UNRESPONSIVE -> 60_000 * MS;
-            case FAILING, FULL, UNREACHABLE -> random.nextInt(3) * MS;
+            case HEALTHY -> (long) (randomMillis * NANOS_PER_MILLI);
+            case SLOW -> (long) (12 * randomMillis * NANOS_PER_MILLI);
+            case UNRESPONSIVE -> 60_000 * NANOS_PER_MILLI;
+            case FAILING, FULL, UNREACHABLE -> random.nextInt(3) * NANOS_PER_MILLI;
         };
     }
 
     private Outcome outcome(long endpoint) {
-        int drawn = random.nextInt(200);
+        int draw = random.nextInt(200);
         return switch (behaviourOf(endpoint)) {
             case FULL -> Outcome.REJECTED;
             case UNREACHABLE -> Outcome.NO_CONNECTION;
             case FAILING ->
-                drawn < 100 ? Outcome.FAILED : drawn < 160 ? Outcome.CONNECTION_LOST : Outcome.SUCCEEDED;
-            case HEALTHY, SLOW, UNRESPONSIVE -> drawn < Outcome.values().length ? Outcome.values()[drawn]
-                : endpoint != ORIGIN && drawn < 70 ? Outcome.CACHE_MISS : Outcome.SUCCEEDED;
+                draw < 100 ? Outcome.FAILED : draw < 160 ? Outcome.CONNECTION_LOST : Outcome.SUCCEEDED;
+            case HEALTHY, SLOW, UNRESPONSIVE -> draw < Outcome.values().length ? Outcome.values()[draw]
+                : endpoint != ORIGIN && draw < 70 ? Outcome.CACHE_MISS : Outcome.SUCCEEDED;
         };
     }
 
@@ -92,8 +92,8 @@
     void changeBehaviours(List<Long> endpoints) {
         long changed = endpoints.get(random.nextInt(endpoints.size()));
         behaviours.put(changed, Behaviour.values()[random.nextInt(Behaviour.values().length)]);
-        long healed = endpoints.get(random.nextInt(endpoints.size()));
-        behaviours.remove(healed);
+        long recovered = endpoints.get(random.nextInt(endpoints.size()));
+        behaviours.remove(recovered);
         if (random.nextInt(4) == 0) {
             behaviours.clear();
         }
--- a/core/src/test/java/spurroad/balancer/SlowStartFleetTest.java
+++ b/core/src/test/java/spurroad/balancer/SlowStartFleetTest.java
@@ -18,9 +18,9 @@
     Object[][] fleets() {
         List<Object[]> cases = new ArrayList<>();
         for (Traffic traffic : Traffic.values()) {
-            for (int proxies : new int[] {30, 20}) {
-                for (double perSecond : new double[] {3, 30}) {
-                    cases.add(new Object[] {traffic, proxies, perSecond});
+            for (int proxyCount : new int[] {30, 20}) {
+                for (double capacityPerSecond : new double[] {3, 30}) {
+                    cases.add(new Object[] {traffic, proxyCount, capacityPerSecond});
                 }
             }
         }
@@ -28,15 +28,17 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void keepsTheLoadOfAColdEndpointBelowItsFailure(Traffic traffic, int proxies, double perSecond) {
+    public void keepsTheLoadOfAColdEndpointBelowItsFailureThreshold(Traffic traffic, int proxyCount,
+                                                                    double capacityPerSecond) {
         WorstWindow worst = new WorstWindow();
         int simulations = Integer.getInteger("spurroad.coldPlays", DEFAULT_SIMULATIONS);
         for (long seed = 1; seed <= simulations; seed++) {
-            new ColdEndpointSimulation(traffic, proxies, perSecond, seed, worst).run();
+            new ColdEndpointSimulation(traffic, proxyCount, capacityPerSecond, seed, worst).run();
         }
         System.out.printf(
             "cold endpoint, %s, %d proxies, %.0f a second: worst window %d of %.1f, %d of %d plays over%n",
-            traffic, proxies, perSecond, worst.attempts(), worst.allowed(), worst.failures(), simulations);
+            traffic, proxyCount, capacityPerSecond, worst.attempts(), worst.allowed(), worst.failures(),
+            simulations);
         assertEquals(worst.failures(), 0,
             worst.attempts() + " attempts where " + worst.allowed() + " were allowed");
     }
--- a/core/src/test/java/spurroad/balancer/SlowStartTest.java
+++ b/core/src/test/java/spurroad/balancer/SlowStartTest.java
@@ -28,7 +28,7 @@
 
     /** Regression: retries of rejected requests were also sent to endpoints that had just started. */
     @Test
-    public void sendsAColdEndpointLessThanAWarmOne() {
+    public void sendsAColdEndpointFewerRequestsThanAWarmOne() {
         BalancerFixture fixture = BalancerFixture.of(4, false);
         fixture.updateEndpoint(0, EndpointPhase.READY, fixture.nowNanos);
         int cold = 0;
@@ -51,15 +51,16 @@
     }
 
     @Test(dataProvider = "fleetSizes")
-    public void sendsAColdEndpointItsFractionAcrossAllProxies(int proxies, int each) {
+    public void limitsTheRequestsToAColdEndpointForAnyNumberOfProxies(int proxyCount, int requestsPerProxy) {
         int cold = 0;
         int warm = 0;
-        for (int p = 0; p < proxies; p++) {
-            BalancerFixture fixture = new BalancerFixture(false, DeduplicationScope.ALL, p, Fleet.STANDALONE);
+        for (int proxy = 0; proxy < proxyCount; proxy++) {
+            BalancerFixture fixture = new BalancerFixture(false, DeduplicationScope.ALL, proxy,
+                Fleet.STANDALONE);
             fixture.updateEndpoints(true, BalancerFixture.endpoints(8, false));
             fixture.updateEndpoint(0, EndpointPhase.READY, fixture.nowNanos);
-            for (int i = 0; i < each; i++) {
-                long key = (long) p * each + i;
+            for (int i = 0; i < requestsPerProxy; i++) {
+                long key = (long) proxy * requestsPerProxy + i;
                 long endpoint = fixture.targetOf(key, READ, key);
                 cold += endpoint == 0 ? 1 : 0;
                 warm += endpoint == 1 ? 1 : 0;
@@ -81,22 +82,24 @@
             if (fixture.targetOf(id, READ, id) == 0) {
                 fixture.endAttempt(id, 0, Outcome.REJECTED);
                 assertTrue(
-                    fixture.decisions.attemptsToStart.stream().noneMatch(s -> s.endpoint().value() == 1));
+                    fixture.decisions.attemptsToStart.stream()
+                        .noneMatch(start -> start.endpoint().value() == 1));
             }
         }
     }
 
     /** Regression: every proxy sent its fraction of a hot key to the same cold endpoint. */
     @Test
-    public void sendsFewRequestsOfAHotKeyToItsColdFirstCandidate() {
+    public void sendsFewRequestsForAHotKeyToItsColdFirstCandidate() {
         int cold = 0;
-        long home = BalancerFixture.candidatesOf(KEY).get(0);
-        for (int p = 0; p < 100; p++) {
-            BalancerFixture fixture = new BalancerFixture(false, DeduplicationScope.ALL, p, Fleet.STANDALONE);
+        long firstCandidate = BalancerFixture.candidatesOf(KEY).get(0);
+        for (int proxy = 0; proxy < 100; proxy++) {
+            BalancerFixture fixture = new BalancerFixture(false, DeduplicationScope.ALL, proxy,
+                Fleet.STANDALONE);
             fixture.updateEndpoints(true, BalancerFixture.endpoints(8, false));
-            fixture.updateEndpoint(home, EndpointPhase.READY, fixture.nowNanos);
+            fixture.updateEndpoint(firstCandidate, EndpointPhase.READY, fixture.nowNanos);
             for (long id = 1; id <= 20; id++) {
-                cold += fixture.targetOf(id, READ, KEY) == home ? 1 : 0;
+                cold += fixture.targetOf(id, READ, KEY) == firstCandidate ? 1 : 0;
                 fixture.endAttempt(id, 0, Outcome.SUCCEEDED);
             }
         }
@@ -121,8 +124,8 @@
         for (int id = 0; id < keys.length; id++) {
             fixture.updateEndpoints(true, entries);
             fixture.receive(new PeerUpdate(Topic.LOAD, 3, 0, 20 * MS, 0.05));
-            long to = targetOfSuccessfulRead(fixture, id, keys[id]);
-            sentToCold += to == 1 || to == 5 ? 1 : 0;
+            long target = targetOfSuccessfulRead(fixture, id, keys[id]);
+            sentToCold += target == 1 || target == 5 ? 1 : 0;
             fixture.nowNanos += 20 * MS;
         }
         assertEquals(sentToCold, 0, "of " + keys.length);
--- a/core/src/test/java/spurroad/balancer/endpoint/OutlierStateTest.java
+++ b/core/src/test/java/spurroad/balancer/endpoint/OutlierStateTest.java
@@ -8,35 +8,35 @@
 import org.testng.annotations.Test;
 
 public class OutlierStateTest {
-    private static final long MS = 1_000_000L;
-    private static final long START_NANOS = 50_000 * MS;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long START_NANOS = 50_000 * NANOS_PER_MILLI;
 
     /** Number of consecutive ejections, and the duration of the last one in milliseconds. */
     @DataProvider
-    Object[][] ejections() {
+    Object[][] ejectionDurations() {
         return new Object[][] {{1, 500}, {2, 1000}, {3, 2000}, {4, 4000}, {5, 4000}};
     }
 
-    @Test(dataProvider = "ejections")
-    public void doublesTheEjectionTimeUpToABound(int times, long lastMs) {
+    @Test(dataProvider = "ejectionDurations")
+    public void doublesTheEjectionTimeUpToItsMaximum(int ejections, long lastMillis) {
         OutlierState state = new OutlierState();
-        for (int i = 0; i < times; i++) {
+        for (int i = 0; i < ejections; i++) {
             state.eject(START_NANOS);
         }
-        assertTrue(state.isEjected(START_NANOS + lastMs * MS - 1));
-        assertFalse(state.isEjected(START_NANOS + lastMs * MS));
+        assertTrue(state.isEjected(START_NANOS + lastMillis * NANOS_PER_MILLI - 1));
+        assertFalse(state.isEjected(START_NANOS + lastMillis * NANOS_PER_MILLI));
     }
 
     @Test
-    public void waitsForALoadProbeOnlyWhereProbesAreSent() {
+    public void awaitsALoadProbeOnlyIfLoadProbesAreEnabled() {
         OutlierState state = new OutlierState();
         state.eject(START_NANOS);
-        assertTrue(state.awaitsProbe(true));
+        assertTrue(state.awaitsLoadProbe(true));
         assertFalse(state.trialAllows(true, true));
-        assertFalse(state.awaitsProbe(false));
+        assertFalse(state.awaitsLoadProbe(false));
         assertTrue(state.trialAllows(true, false));
         state.onProbeSuccess();
-        assertFalse(state.awaitsProbe(true));
+        assertFalse(state.awaitsLoadProbe(true));
         assertTrue(state.trialAllows(true, true));
     }
 
@@ -64,7 +64,7 @@
         }
         assertFalse(state.isOnTrial());
         state.eject(START_NANOS);
-        assertFalse(state.isEjected(START_NANOS + 500 * MS), "the ejection time starts over");
+        assertFalse(state.isEjected(START_NANOS + 500 * NANOS_PER_MILLI), "the ejection time starts over");
     }
 
     @Test
@@ -72,10 +72,10 @@
         OutlierState state = new OutlierState();
         assertFalse(state.onProbeFailure(START_NANOS), "it is not ejected");
         state.eject(START_NANOS);
-        assertTrue(state.onProbeFailure(START_NANOS + 400 * MS));
-        assertTrue(state.isEjected(START_NANOS + 1300 * MS));
+        assertTrue(state.onProbeFailure(START_NANOS + 400 * NANOS_PER_MILLI));
+        assertTrue(state.isEjected(START_NANOS + 1300 * NANOS_PER_MILLI));
         assertTrue(state.hasFailedProbe());
-        state.onReply(START_NANOS + 500 * MS);
+        state.onReply(START_NANOS + 500 * NANOS_PER_MILLI);
         assertFalse(state.hasFailedProbe());
     }
 
--- a/core/src/test/java/spurroad/balancer/endpoint/RingTest.java
+++ b/core/src/test/java/spurroad/balancer/endpoint/RingTest.java
@@ -45,22 +45,22 @@
 
     @Test
     public void migratesOnlyTheKeysOfARemovedEndpoint() {
-        List<Endpoint> fewer = endpoints(10);
-        EndpointId removed = fewer.remove(4).id();
+        List<Endpoint> remaining = endpoints(10);
+        EndpointId removed = remaining.remove(4).id();
         for (long key = 0; key < 500; key++) {
             EndpointId before = owner(endpoints(10), key);
-            assertTrue(before.equals(removed) || owner(fewer, key).equals(before));
+            assertTrue(before.equals(removed) || owner(remaining, key).equals(before));
         }
     }
 
     @Test
-    public void assignsPointsByWeightUpToABound() {
+    public void assignsPointsByWeightUpToAMaximum() {
         Ring ring = new Ring(List.of(endpoint(1, 1), endpoint(2, 1), endpoint(3, 2)));
         assertEquals(ring.fraction(2), 2 * ring.fraction(0), 0.01);
         List<Endpoint> skewed = new ArrayList<>(endpoints(9));
         skewed.add(endpoint(10, 1_000));
-        int mean = 96;
-        assertEquals(new Ring(skewed).size(), 9 + 3 * mean,
+        int meanPoints = 96;
+        assertEquals(new Ring(skewed).size(), 9 + 3 * meanPoints,
             "at least one each, at most three times the mean");
     }
 
@@ -72,12 +72,12 @@
     }
 
     @Test
-    public void mapsHashesToAUniformDistribution() {
+    public void mapsHashesToUniformNumbers() {
         double sum = 0;
         for (long hash = 0; hash < 10_000; hash++) {
-            double drawn = Ring.uniform(hash);
-            assertTrue(drawn >= 0 && drawn < 1);
-            sum += drawn;
+            double value = Ring.uniform(hash);
+            assertTrue(value >= 0 && value < 1);
+            sum += value;
         }
         assertEquals(sum / 10_000, 0.5, 0.02);
     }
--- a/core/src/test/java/spurroad/balancer/statistics/DecayingAverageTest.java
+++ b/core/src/test/java/spurroad/balancer/statistics/DecayingAverageTest.java
@@ -12,7 +12,7 @@
     private final DecayingAverage average = new DecayingAverage(TIME_CONSTANT_NANOS);
 
     @Test
-    public void decaysToOneOverEInItsTimeConstant() {
+    public void decaysToOneOverEWithinTheTimeConstant() {
         DecayingAverage decayed = new DecayingAverage(TIME_CONSTANT_NANOS);
         decayed.add(START_NANOS, 8, 4);
         assertEquals(decayed.sum(START_NANOS + TIME_CONSTANT_NANOS), 8 / Math.E, TOLERANCE);
@@ -21,16 +21,16 @@
     }
 
     @Test
-    public void readsTheSameTwiceAtTheSameTime() {
+    public void returnsTheSameSumForTheSameOrAnEarlierTime() {
         DecayingAverage decayed = new DecayingAverage(TIME_CONSTANT_NANOS);
         decayed.add(START_NANOS, 3, 1);
-        double first = decayed.sum(START_NANOS + 7);
-        assertEquals(decayed.sum(START_NANOS + 7), first);
-        assertEquals(decayed.sum(START_NANOS + 6), first, "a time that went back changes nothing");
+        double firstSum = decayed.sum(START_NANOS + 7);
+        assertEquals(decayed.sum(START_NANOS + 7), firstSum);
+        assertEquals(decayed.sum(START_NANOS + 6), firstSum, "a time that went back changes nothing");
     }
 
     @Test
-    public void countsThePriorForItsWeight() {
+    public void addsThePriorWithItsWeight() {
         assertEquals(average.mean(START_NANOS, 2, 10), 10, TOLERANCE);
         DecayingAverage observed = new DecayingAverage(TIME_CONSTANT_NANOS);
         observed.add(START_NANOS, 4, 2);
--- a/core/src/test/java/spurroad/balancer/statistics/RecentKeySetTest.java
+++ b/core/src/test/java/spurroad/balancer/statistics/RecentKeySetTest.java
@@ -38,14 +38,14 @@
 
     @Test
     public void removesARecentKeyOnce() {
-        RecentKeySet once = new RecentKeySet(3);
-        once.add(key(7), 0);
-        assertTrue(once.removeIfRecent(key(7), 10, MAX_AGE_NANOS));
-        assertFalse(once.removeIfRecent(key(7), 10, MAX_AGE_NANOS));
+        RecentKeySet recent = new RecentKeySet(3);
+        recent.add(key(7), 0);
+        assertTrue(recent.removeIfRecent(key(7), 10, MAX_AGE_NANOS));
+        assertFalse(recent.removeIfRecent(key(7), 10, MAX_AGE_NANOS));
     }
 
     @Test
-    public void neverContainsNoKey() {
+    public void neverContainsTheNoneKey() {
         keys.add(CacheKey.NONE, 0);
         assertEquals(keys.contains(CacheKey.NONE, 0, MAX_AGE_NANOS), false);
     }
