--- a/core/src/main/java/spurroad/balancer/context/EventContext.java
+++ b/core/src/main/java/spurroad/balancer/context/EventContext.java
@@ -3,16 +3,22 @@
 import spurroad.model.Decisions;
 
 /**
- * The event that the load balancer handles now: its time, and where the decisions that it leads to are put.
+ * The event that the load balancer is handling: its time, and the decisions that result from it.
  *
- * <p>There is one for each load balancer, reused for each event, so that the modules that emit decisions
- * share it instead of passing two arguments along every call. Called from the load balancer's thread only.
+ * <p>Each load balancer has one instance, which is reused for each event, so that the modules that make
+ * decisions share it instead of passing two arguments along every call. Called from the load balancer's
+ * thread only.
  */
 public final class EventContext {
     private long nowNanos;
     private Decisions decisions;
 
-    /** Starts an event; times never go back. */
+    /**
+     * Starts the next event.
+     *
+     * @param now time of the event in nanoseconds, never earlier than that of the previous event
+     * @param eventDecisions receives the decisions for the event
+     */
     public void begin(long now, Decisions eventDecisions) {
         nowNanos = now;
         decisions = eventDecisions;
@@ -23,7 +29,7 @@
         return nowNanos;
     }
 
-    /** Returns what has been decided for the event so far, to be added to. */
+    /** Returns the decisions for the event so far, to which modules add. */
     public Decisions decisions() {
         return decisions;
     }
--- a/core/src/main/java/spurroad/balancer/endpoint/AdminState.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/AdminState.java
@@ -3,12 +3,15 @@
 import spurroad.model.EndpointPhase;
 
 /**
- * The administrative state of an endpoint. It overrides discovery, load reports and this proxy's own view.
+ * The administrative state of an endpoint: whether operators have drained it, and when they last returned it
+ * to use. A drained endpoint gets no new requests, whatever discovery, its load reports and the measurements
+ * of this proxy say.
  */
 public final class AdminState {
-    // by then an endpoint that was returned has work of its own, where there is any
+    // within this time an endpoint that was returned gets requests for its own keys, if there are any
     private static final long FIRST_REQUEST_DELAY_NANOS = 2_000_000_000L;
-    // mean distance between proxies: all hear of the return at the same moment
+    // mean interval between the first requests of two proxies: all of them learn of the return at the same
+    // moment
     private static final long FIRST_REQUEST_SPACING_NANOS = 500_000_000L;
 
     private final long returnedNanos;
@@ -16,22 +19,24 @@
     private long firstRequestFromNanos;
 
     /**
-     * Begins the state of an incarnation.
+     * Creates the state of a new incarnation.
      *
-     * @param previous state of the incarnation before, or null; a slot for a first request is kept, else all
-     *     proxies would send theirs once they hear of the new start
+     * @param returnedNanos when operators last returned the endpoint to use, in nanoseconds; zero if they
+     *     never did
+     * @param previous state of the previous incarnation, or null. Its time for a first request is kept:
+     *     otherwise all proxies would send a first request as soon as they learn of the restart
      */
     AdminState(long returnedNanos, AdminState previous) {
         this.returnedNanos = returnedNanos;
         firstRequestFromNanos = previous == null ? 0 : previous.firstRequestFromNanos;
     }
 
-    /** Returns when staff returned it to use, in nanoseconds; zero where they never did. */
+    /** Returns when operators last returned the endpoint to use, in nanoseconds; zero if they never did. */
     public long returnedNanos() {
         return returnedNanos;
     }
 
-    /** Returns whether staff have taken it out of use. */
+    /** Returns whether operators have drained the endpoint. */
     public boolean isDrained() {
         return drained;
     }
@@ -40,23 +45,23 @@
         this.drained = drained;
     }
 
-    /** Returns the most restrictive of the phase from discovery and the administrative state. */
+    /** Returns the more restrictive of the phase from discovery and the administrative state. */
     EndpointPhase restrict(EndpointPhase listedPhase) {
         return drained && listedPhase == EndpointPhase.READY ? EndpointPhase.DRAINING : listedPhase;
     }
 
     /**
-     * Has it wait for a first request since its return, which it gets in this proxy's turn among all,
-     * whosever key the request is for.
+     * Schedules the first request after the endpoint's return. This proxy sends it in its own time slot among
+     * all proxies, and the request may be for any key.
      *
-     * @param slot from 0 to the number of proxies
+     * @param slot random position of this proxy among all, from 0 to the number of proxies
      */
     void awaitFirstRequest(double slot) {
         firstRequestFromNanos = returnedNanos + FIRST_REQUEST_DELAY_NANOS
             + (long) (slot * FIRST_REQUEST_SPACING_NANOS);
     }
 
-    /** Returns whether this proxy's turn for a first request has come. */
+    /** Returns whether this proxy's time slot for a first request has come. */
     boolean isFirstRequestDue(long now) {
         return now > firstRequestFromNanos;
     }
--- a/core/src/main/java/spurroad/balancer/endpoint/Attempt.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/Attempt.java
@@ -5,8 +5,8 @@
 import spurroad.model.RequestId;
 
 /**
- * One attempt of a request at one endpoint, with the queue length that it met. Changes state only forwards:
- * in flight, perhaps with its cancellation requested, then ended.
+ * One attempt of a request at one endpoint, with the length of the endpoint's queue when the attempt was
+ * sent. Its state only advances: in flight, then possibly with its cancellation requested, then ended.
  */
 public final class Attempt {
     private enum State { IN_FLIGHT, CANCELLATION_REQUESTED, ENDED }
@@ -23,9 +23,9 @@
     private State state = State.IN_FLIGHT;
 
     /**
-     * Creates an attempt that is sent now; the queue length comes from the endpoint's load estimate.
+     * Creates an attempt that is sent now, with the queue length that the endpoint's load estimate gives.
      *
-     * @param number of the attempt among those of its request, from 0
+     * @param number index of the attempt among those of its request, from 0
      */
     public Attempt(RequestId requestId, int number, RequestClass requestClass, CacheKey key, boolean write,
                    EndpointState endpoint, long now) {
@@ -40,69 +40,75 @@
         sentNanos = now;
     }
 
-    /** Returns the request that it belongs to. */
+    /** Returns the id of the request that this attempt belongs to. */
     public RequestId requestId() {
         return requestId;
     }
 
-    /** Returns its number among the attempts of its request, from 0. */
+    /** Returns the index of this attempt among those of its request, from 0. */
     public int number() {
         return number;
     }
 
-    /** Returns the class of its request. */
+    /** Returns the class of the request. */
     public RequestClass requestClass() {
         return requestClass;
     }
 
-    /** Returns the cache key of its request. */
+    /** Returns the cache key of the request. */
     public CacheKey key() {
         return key;
     }
 
-    /** Returns whether its request is a write. */
+    /** Returns whether the request is a write. */
     public boolean isWrite() {
         return write;
     }
 
-    /** Returns where it was sent. */
+    /** Returns the endpoint to which this attempt was sent. */
     public EndpointState endpoint() {
         return endpoint;
     }
 
-    /** Returns where the queue length came from. */
+    /** Returns the source of the queue length. */
     public LoadSource loadSource() {
         return loadSource;
     }
 
-    /** Returns the queue length in requests that it met, without itself. */
+    /**
+     * Returns the length of the endpoint's queue when this attempt was sent, in requests, without this
+     * attempt.
+     */
     public double queueLength() {
         return queueLength;
     }
 
-    /** Returns when it was sent, in nanoseconds. */
+    /** Returns when this attempt was sent, in nanoseconds. */
     public long sentNanos() {
         return sentNanos;
     }
 
-    /** Returns whether it has not ended yet. */
+    /** Returns whether this attempt has not ended yet, even if its cancellation has been requested. */
     public boolean isInFlight() {
         return state != State.ENDED;
     }
 
-    /** Returns whether it is in flight and its cancellation has been requested. */
+    /** Returns whether this attempt is in flight and its cancellation has been requested. */
     public boolean isCancellationRequested() {
         return state == State.CANCELLATION_REQUESTED;
     }
 
-    /** Requests its cancellation, and returns whether it was in flight until now. */
+    /**
+     * Requests cancellation if this attempt is in flight and has no such request yet, and returns whether
+     * that was the case.
+     */
     public boolean requestCancellation() {
         boolean wasInFlight = state == State.IN_FLIGHT;
         state = wasInFlight ? State.CANCELLATION_REQUESTED : state;
         return wasInFlight;
     }
 
-    /** Notes its end. */
+    /** Marks this attempt as ended. */
     public void end() {
         state = State.ENDED;
     }
--- a/core/src/main/java/spurroad/balancer/endpoint/EndpointOwnership.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/EndpointOwnership.java
@@ -8,23 +8,28 @@
 import spurroad.model.PeerUpdate;
 
 /**
- * Both sides of an endpoint's ownership: telling the owner of attempts there, and, for endpoints that this
- * proxy owns, telling all proxies the queue length and the fraction of its keys that the endpoint keeps.
+ * Handles both sides of endpoint ownership: notifies an endpoint's owner of attempts there, and, for the
+ * endpoints that this proxy owns, notifies all proxies of the queue length and of the fraction of its keys
+ * that the endpoint keeps.
  *
- * <p>That fraction falls while a request is expected to take longer at the endpoint than at the mean of all,
- * and grows back slowly otherwise: keys leave in place of single requests, and stay away, as each move costs
- * a cache miss. Used by the endpoints' owners only; the origin that the proxies themselves fetch from has
- * none.
+ * <p>That fraction falls while a request is expected to take longer at the endpoint than the mean over all
+ * endpoints, and otherwise grows back slowly. Keys move instead of single requests, and they stay away for a
+ * while, because each move costs a cache miss. Only the endpoints' owners compute the fraction; the origin
+ * from which the proxies themselves fetch has no owner.
  */
 public final class EndpointOwnership {
-    // of the cached fraction, per second, for each unit of excess: cached copies move slower than queues
+    // growth rate of the cached fraction per second and unit of excess; low, so that cached copies move more
+    // slowly than queues change
     private static final double GROWTH_RATE_PER_EXCESS_UNIT = 0.4;
-    private static final double RECOVERY_EXCESS_UNITS = 0.1; // units by which keys come home by themselves
-    private static final double MIN_EXCESS_UNITS = -1; // units
-    private static final double MAX_EXCESS_UNITS = 3; // units
-    // of the shortest latency objective, over the mean of all endpoints: one unit
+    // below this excess the cached fraction grows, so that keys return while the endpoint is at the mean
+    private static final double RECOVERY_EXCESS_UNITS = 0.1;
+    private static final double MIN_EXCESS_UNITS = -1;
+    private static final double MAX_EXCESS_UNITS = 3;
+    // one unit of excess: expected time above the mean of all endpoints, as a fraction of the shortest
+    // latency objective
     private static final double EXCESS_UNIT_OBJECTIVE_FRACTION = 0.5;
-    // of the shortest latency objective: more queueing is published to all proxies
+    // with more queueing than this fraction of the shortest latency objective, an endpoint counts as
+    // overloaded and its queue length is published to all proxies
     private static final double OVERLOADED_WAIT_OBJECTIVE_FRACTION = 0.1;
 
     private final ActiveDeployment deployment;
@@ -33,7 +38,7 @@
     private final ServiceTimeModel serviceTimes;
     private final PeerUpdates peers;
 
-    /** Creates the two sides over the endpoints of a proxy. */
+    /** Creates the ownership logic for the endpoints of a proxy. */
     public EndpointOwnership(ActiveDeployment deployment, EventContext event, EndpointTable endpoints,
                              ServiceTimeModel serviceTimes, PeerUpdates peers) {
         this.deployment = deployment;
@@ -43,7 +48,9 @@
         this.peers = peers;
     }
 
-    /** Notifies the owner of an endpoint, where gossip is on; the origin that proxies fetch from has none. */
+    /**
+     * Notifies an endpoint's owner if gossip is enabled; the origin that the proxies fetch from has no owner.
+     */
     public void notifyOwner(EndpointState endpoint, PeerUpdate.Topic topic, double value, CacheKey key) {
         if (deployment.gossipEnabled() && !endpoints.isOrigin(endpoint)) {
             long id = endpoint.id().value();
@@ -52,7 +59,8 @@
     }
 
     /**
-     * As the owner: records that an attempt from some proxy began or ended, and notifies all if that is due.
+     * Records, as the owner, that an attempt from some proxy began or ended, and notifies all proxies if an
+     * update is due.
      */
     public void onInFlightUpdate(EndpointState endpoint, PeerUpdate update) {
         long now = event.now();
@@ -71,14 +79,17 @@
         }
     }
 
-    /** As the owner: replies to a proxy's query for the queue and whether a key is cached. */
+    /** Replies, as the owner, to a proxy that queries the queue length and whether a key is cached. */
     public void onCacheQuery(EndpointState endpoint, PeerUpdate query) {
-        if (query.value() < deployment.fleet().proxyCount()) { // else there is no such proxy
+        if (query.value() < deployment.fleet().proxyCount()) { // ignores the index of an unknown proxy
             peers.sendTo((int) query.value(), endpoint.cacheStatus(query.key(), event.now()));
         }
     }
 
-    /** Returns how far the expected time at an endpoint is over the mean of all, in units, bounded. */
+    /**
+     * Returns how far the expected time at an endpoint exceeds the mean of all cache endpoints, in units of
+     * {@link #EXCESS_UNIT_OBJECTIVE_FRACTION} and bounded.
+     */
     private double excessUnits(EndpointState endpoint) {
         long now = event.now();
         double meanNanos = endpoints.cacheEndpoints().stream()
--- a/core/src/main/java/spurroad/balancer/endpoint/EndpointTable.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/EndpointTable.java
@@ -17,16 +17,19 @@
 import spurroad.model.EndpointPhase;
 
 /**
- * All endpoints that discovery has listed, their administrative states, and what follows: which are ready,
- * which of them is the origin, and the ring of the others.
+ * All endpoints that discovery has listed and their administrative states, from which the table derives the
+ * ready endpoints, the origin among them, and the ring of the others.
  *
- * <p>Invariants: the ring holds just the ready cache endpoints; an endpoint is ready only if both discovery
- * and staff allow it. The administrative state is stored by id, so it holds while the endpoint is not listed
- * and over its restarts. Bounded: endpoints that have gone are forgotten once many are known. Called from the
- * load balancer's thread only.
+ * <p>Invariants: the ring contains exactly the ready cache endpoints; an endpoint is ready only if both
+ * discovery and operators allow it. The administrative state is stored by id, so it holds while the endpoint
+ * is not listed and across its restarts. Bounded: removed endpoints are evicted if more than
+ * {@link #MAX_KNOWN_ENDPOINTS} are known. Called from the load balancer's thread only.
  */
 public final class EndpointTable {
-    /** Endpoints known at most, besides those still listed or in use: one that comes back is known again. */
+    /**
+     * Maximum number of known endpoints, exceeded only by endpoints that are listed or have attempts in
+     * flight. Removed endpoints are kept up to this number, so that one that is listed again is recognized.
+     */
     public static final int MAX_KNOWN_ENDPOINTS = 4_096;
 
     private final ActiveDeployment deployment;
@@ -39,39 +42,39 @@
     private EndpointState origin;
     private Ring ring;
 
-    /** Creates an empty table, which tells outlier detection of its changes. */
+    /** Creates an empty table that notifies outlier detection of ready and replaced endpoints. */
     public EndpointTable(ActiveDeployment deployment, RandomDraws random, OutlierDetector outlierDetector) {
         this.deployment = deployment;
         this.random = random;
         this.outlierDetector = outlierDetector;
     }
 
-    /** Returns the state of an endpoint, or null if it is not known. */
+    /** Returns the state of an endpoint, or null if the endpoint is unknown. */
     public EndpointState get(EndpointId id) {
         return endpoints.get(id);
     }
 
-    /** Returns how many endpoints are known. */
+    /** Returns the number of known endpoints, including those that are no longer listed. */
     public int size() {
         return endpoints.size();
     }
 
-    /** Returns the ready origin that the proxy itself fetches from, or null. */
+    /** Returns the ready origin from which the proxy itself fetches, or null if there is none. */
     public EndpointState origin() {
         return origin;
     }
 
-    /** Returns whether an endpoint is the origin that the proxy itself fetches from. */
+    /** Returns whether an endpoint is the origin from which the proxy itself fetches. */
     public boolean isOrigin(EndpointState endpoint) {
         return endpoint == origin;
     }
 
-    /** Returns the ready endpoints without the origin, in the order in which they became known. */
+    /** Returns the ready endpoints except the origin, in the order in which they became known. */
     public List<EndpointState> cacheEndpoints() {
         return cacheEndpoints;
     }
 
-    /** Returns the ring of the ready cache endpoints; its indexes are those of {@link #cacheEndpoints}. */
+    /** Returns the ring of the ready cache endpoints, whose indexes are those of {@link #cacheEndpoints}. */
     public Ring ring() {
         if (ring == null) {
             ring = new Ring(cacheEndpoints.stream().map(EndpointState::listing).toList());
@@ -85,8 +88,8 @@
     /**
      * Applies an endpoint update from discovery.
      *
-     * @param complete whether endpoints that are not listed have gone
-     * @param proxyRequests faded number of all requests at this proxy until now
+     * @param complete whether endpoints missing from the list have been removed
+     * @param proxyRequests exponentially decayed number of all requests at this proxy until now
      */
     public void update(List<Endpoint> listedEndpoints, boolean complete, double proxyRequests, long now) {
         if (complete) {
@@ -105,7 +108,7 @@
         refresh();
     }
 
-    /** Takes an endpoint out of use by hand, and returns whether it was in use. */
+    /** Drains an endpoint on behalf of an operator, and returns whether it was not drained before. */
     public boolean drain(EndpointId id) {
         awaitingFirstRequest.remove(id);
         boolean changed = drainedIds.add(id);
@@ -116,8 +119,8 @@
     }
 
     /**
-     * Returns an endpoint to use, cold, as nothing is known of what happened to it meanwhile; returns whether
-     * it was out of use.
+     * Returns a drained endpoint to use on behalf of an operator. The endpoint starts cold, because nothing
+     * is known of what happened to it while it was drained. Returns whether it was drained.
      */
     public boolean returnToUse(EndpointId id, double proxyRequests, long now) {
         awaitingFirstRequest.remove(id);
@@ -141,18 +144,18 @@
         EndpointState created = new EndpointState(endpoint, previous, returnedNanos, proxyRequests, now);
         endpoints.put(endpoint.id(), created);
         if (previous != null) {
-            // what still refers to it, as attempts in flight do, must not take it for the one that is listed
+            // attempts in flight still refer to the previous state, which must no longer appear as listed
             previous.setListing(previous.listing().withoutListing());
             outlierDetector.onReplaced(previous);
         }
         return created;
     }
 
-    /** Recomputes what follows from discovery, administrative states and the deployment. */
+    /** Recomputes everything derived from discovery, the administrative states and the deployment. */
     public void refresh() {
         endpoints.values().forEach(state -> state.admin().setDrained(drainedIds.contains(state.id())));
         endpoints.values().removeIf(this::isEvictable);
-        awaitingFirstRequest.retainAll(endpoints.keySet()); // also what is not ready for a while
+        awaitingFirstRequest.retainAll(endpoints.keySet()); // keeps endpoints that are not ready for now
         cacheEndpoints = new ArrayList<>();
         origin = null;
         for (EndpointState endpoint : endpoints.values()) {
@@ -166,7 +169,7 @@
                 outlierDetector.onReady(endpoint);
             }
         }
-        ring = null; // built when next needed: a proxy may get more changes than requests
+        ring = null; // built on demand: endpoint updates may be more frequent than requests
     }
 
     private boolean isEvictable(EndpointState endpoint) {
@@ -174,12 +177,15 @@
             && endpoint.phase() == EndpointPhase.REMOVED;
     }
 
-    /** Returns whether any endpoint has been returned by staff and got no request since. */
+    /** Returns whether any endpoint that operators returned to use has not got a request since. */
     public boolean anyAwaitsFirstRequest() {
         return !awaitingFirstRequest.isEmpty();
     }
 
-    /** Returns the ready endpoints that staff returned and whose first request is due, the oldest first. */
+    /**
+     * Returns the ready endpoints that operators returned to use and whose first request is due, in the order
+     * of their return.
+     */
     public List<EndpointState> firstRequestsDue(long now) {
         List<EndpointState> due = new ArrayList<>();
         for (EndpointId id : awaitingFirstRequest) {
@@ -191,12 +197,12 @@
         return due;
     }
 
-    /** Notes that an endpoint gets a request. */
+    /** Records that an endpoint gets a request, so that it no longer awaits its first one. */
     public void onAttemptStart(EndpointState endpoint) {
         awaitingFirstRequest.remove(endpoint.id());
     }
 
-    /** Returns the administrative status of the cache endpoints. */
+    /** Returns the number of listed cache endpoints, and those that are drained, ejected or on trial. */
     public AdminStatus adminStatus() {
         int listedCount = 0;
         List<RestrictedEndpoint> restricted = new ArrayList<>();
--- a/core/src/main/java/spurroad/balancer/endpoint/IdleConnections.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/IdleConnections.java
@@ -8,41 +8,45 @@
 import spurroad.balancer.statistics.DecayingAverage;
 
 /**
- * Closes connections to endpoints at which no attempt is in flight, before the endpoint would close them.
+ * Closes connections to endpoints at which no attempt is in flight, before the endpoints close them.
  *
- * <p>Each connect that failed lately shortens the time that they stay open: endpoints accept fewer
- * connections than hundreds of proxies could keep open.
+ * <p>Each recent connection failure shortens the idle timeout, because endpoints accept fewer connections
+ * than hundreds of proxies could keep open.
  */
 public final class IdleConnections {
-    private static final long NEVER_NANOS = Long.MAX_VALUE / 2; // so that a time can be added to it
+    private static final long NEVER_NANOS = Long.MAX_VALUE / 2; // adding a timeout does not overflow
 
     private final ActiveDeployment deployment;
     private final EventContext event;
-    private final Map<EndpointState, Long> idleSinceNanos = new LinkedHashMap<>(); // the longest idle first
+    // in the order in which they became idle
+    private final Map<EndpointState, Long> idleSinceNanos = new LinkedHashMap<>();
     private final DecayingAverage connectFailures = new DecayingAverage(DecayingAverage.LONG_TERM_NANOS);
 
-    /** Creates an empty list. */
+    /** Creates a tracker without idle connections. */
     public IdleConnections(ActiveDeployment deployment, EventContext event) {
         this.deployment = deployment;
         this.event = event;
     }
 
-    /** Notes that the last attempt in flight at an endpoint has ended. */
+    /** Records that the last attempt in flight at an endpoint has ended. */
     public void onIdle(EndpointState endpoint) {
         idleSinceNanos.put(endpoint, event.now());
     }
 
-    /** Notes that an attempt starts at an endpoint. */
+    /** Records that an attempt starts at an endpoint, whose connections are then no longer idle. */
     public void onAttemptStart(EndpointState endpoint) {
         idleSinceNanos.remove(endpoint);
     }
 
-    /** Records whether an attempt found no connection. */
+    /** Records whether an attempt failed to get a connection. */
     public void onConnectResult(boolean failed) {
         connectFailures.add(event.now(), failed ? 1 : 0, 0);
     }
 
-    /** Closes what has been idle for long enough, and returns when the next is due, in nanoseconds. */
+    /**
+     * Closes connections that have been idle for longer than the timeout, and returns when the next one
+     * expires, in nanoseconds.
+     */
     public long closeExpired() {
         long now = event.now();
         long timeoutNanos = (long) (deployment.settings().idleTimeoutNanos()
--- a/core/src/main/java/spurroad/balancer/endpoint/LoadEstimate.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/LoadEstimate.java
@@ -4,13 +4,14 @@
 import spurroad.model.PeerUpdate;
 
 /**
- * The queue length of an endpoint as far as it is known: the last report, of the endpoint itself or of its
- * owner, plus what this proxy has sent since; without a fresh report this proxy's own attempts in flight.
+ * The estimated queue length of an endpoint: the last report, from the endpoint itself or from its owner,
+ * plus the attempts that this proxy has sent since. Without a fresh report, the estimate is the number of
+ * this proxy's own attempts in flight.
  *
- * <p>Invariant: it is never lower than the attempts in flight from here.
+ * <p>Invariant: the estimate is never lower than this proxy's attempts in flight.
  */
 public final class LoadEstimate {
-    private static final long REPORT_MAX_AGE_NANOS = 900_000_000L; // the design requires under a second
+    private static final long REPORT_MAX_AGE_NANOS = 900_000_000L; // the design requires less than a second
 
     private double reportedQueueLength = Double.NaN;
     private long reportedNanos = Long.MIN_VALUE / 2;
@@ -18,17 +19,17 @@
     private double ownerServiceTimeNanos;
     private boolean loadProbeInFlight;
 
-    /** Returns whether the last report is young enough to be used. */
+    /** Returns whether the last report is recent enough to be used. */
     public boolean isFresh(long now) {
         return now - reportedNanos < REPORT_MAX_AGE_NANOS;
     }
 
-    /** Returns whether any report, however old, has come. */
+    /** Returns whether a report has ever been received, even if it is no longer fresh. */
     public boolean hasReport() {
         return !Double.isNaN(reportedQueueLength);
     }
 
-    /** Returns where the queue length comes from now. */
+    /** Returns the source of the queue length at the given time. */
     public LoadSource source(long now) {
         return isFresh(now) ? LoadSource.REPORTED : LoadSource.OWN_ATTEMPTS;
     }
@@ -37,20 +38,23 @@
         return isFresh(now) ? Math.max(reportedQueueLength + sentSinceReport, inFlight) : inFlight;
     }
 
-    /** Returns the last reported queue length in requests, however old; NaN without a report. */
+    /**
+     * Returns the last reported queue length in requests, even if it is no longer fresh; NaN without a
+     * report.
+     */
     double reportedQueueLength() {
         return reportedQueueLength;
     }
 
     /**
      * Returns the service time that the endpoint's owner published last, in nanoseconds per request in the
-     * queue.
+     * queue; zero if it has published none.
      */
     double ownerServiceTimeNanos() {
         return ownerServiceTimeNanos;
     }
 
-    /** Returns whether a load probe has been sent and not answered. */
+    /** Returns whether a load probe to the endpoint has neither been answered nor failed yet. */
     public boolean isLoadProbeInFlight() {
         return loadProbeInFlight;
     }
@@ -63,7 +67,7 @@
         sentSinceReport++;
     }
 
-    /** Applies the endpoint's own report, where it has a queue length. */
+    /** Applies the endpoint's own report, if it contains a queue length. */
     void onReport(LoadReport report, long now) {
         if (!Double.isNaN(report.load())) {
             setReported(Math.max(0, report.load()), now);
--- a/core/src/main/java/spurroad/balancer/endpoint/LoadProbes.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/LoadProbes.java
@@ -4,21 +4,22 @@
 import spurroad.balancer.context.EventContext;
 
 /**
- * Sends load probes to endpoints. One load probe at a time is in flight to an endpoint, whose reply serves
- * all requests that wait for it, as probes cost the endpoint work.
+ * Sends load probes to endpoints. At most one load probe per endpoint is in flight, and its reply serves all
+ * requests that wait for it, because each probe costs the endpoint work.
  */
 public final class LoadProbes {
     private final ActiveDeployment deployment;
     private final EventContext event;
 
-    /** Creates the sender. */
+    /** Creates a sender that adds load probes to the decisions of the current event. */
     public LoadProbes(ActiveDeployment deployment, EventContext event) {
         this.deployment = deployment;
         this.event = event;
     }
 
     /**
-     * Sends a load probe, unless one is in flight, staff took the endpoint out of use, or none are sent here.
+     * Sends a load probe, unless load probes are disabled, one is already in flight, or operators have
+     * drained the endpoint.
      */
     public void send(EndpointState endpoint) {
         if (!deployment.loadProbesEnabled() || endpoint.load().isLoadProbeInFlight()
@@ -29,7 +30,7 @@
         endpoint.load().setLoadProbeInFlight(true);
     }
 
-    /** Notes that a load probe was answered or failed. */
+    /** Records that a load probe was answered or failed, so that another one may be sent. */
     public void onEnd(EndpointState endpoint) {
         endpoint.load().setLoadProbeInFlight(false);
     }
--- a/core/src/main/java/spurroad/balancer/endpoint/LoadSource.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/LoadSource.java
@@ -1,9 +1,11 @@
 package spurroad.balancer.endpoint;
 
-/** Where the queue length of an endpoint came from; service times learnt from the two are not comparable. */
+/**
+ * The source of an endpoint's queue length. Service times measured with different sources are not comparable.
+ */
 public enum LoadSource {
-    /** This proxy's own attempts in flight stand in for the queue. */
+    /** The number of this proxy's own attempts in flight, in place of the queue length. */
     OWN_ATTEMPTS,
-    /** The endpoint reported it, or the endpoint's owner published it: the queue as all proxies fill it. */
+    /** The endpoint or its owner reported the queue length, which includes the requests of all proxies. */
     REPORTED
 }
--- a/core/src/main/java/spurroad/balancer/endpoint/OutlierDetector.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/OutlierDetector.java
@@ -12,24 +12,29 @@
 import spurroad.model.Outcome;
 
 /**
- * Ejects endpoints that fail or fall silent, and brings them back by trial.
+ * Ejects endpoints that fail or stop replying, and returns them to use through a trial.
  *
- * <p>An endpoint is an outlier if its failed fraction is clearly over that of all: a fault that all share is
- * no endpoint's own. It is unresponsive if its attempts in flight have waited, in all, several times the
- * usual response time without a reply; a failed load probe confirms that, without one twice the time is
- * needed, as heavy requests look like silence. Where over half of the endpoints are silent, none is ejected:
- * the fault is then likely ours. {@link OutlierState} holds how an endpoint comes back. With gossip this
- * detector is off: the owners of the endpoints publish their load, and keys leave those that are slow.
+ * <p>An endpoint is an outlier if its failure rate is clearly above that of all endpoints: a fault that all
+ * endpoints share is not attributed to a single one. An endpoint is unresponsive if its attempts in flight
+ * have waited, in total, several times the usual response time without a reply. A failed load probe confirms
+ * this; without one twice the time is required, because slow requests look like missing replies. If more than
+ * half of the endpoints are unresponsive, none is ejected, because the fault is then likely on this proxy's
+ * side. {@link OutlierState} describes how an ejected endpoint returns. With gossip this detector is
+ * disabled: the owners of the endpoints publish their load, and keys leave slow endpoints.
  */
 public final class OutlierDetector {
-    private static final double MIN_FAILURES = 1.5; // more than one mishap
-    private static final double FAILURE_RATE_MARGIN = 0.3; // over the failed fraction of all endpoints
-    // times the usual response time, over all attempts in flight: chance hardly makes it
+    private static final double MIN_FAILURES = 1.5; // exponentially decayed count; ignores a single failure
+    private static final double FAILURE_RATE_MARGIN = 0.3; // above the failure rate of all endpoints
+    // multiple of the usual response time that the attempts in flight have waited in total; rarely reached by
+    // chance
     private static final double UNRESPONSIVE_MULTIPLE = 6;
+    // above this multiple a load probe is sent, and non-idempotent requests are sent elsewhere
     private static final double SUSPECT_MULTIPLE = UNRESPONSIVE_MULTIPLE / 2;
+    // required without a failed load probe
     private static final double UNCONFIRMED_MULTIPLE = 2 * UNRESPONSIVE_MULTIPLE;
-    private static final double MIN_RESPONSE_TIME_FRACTION = 0.1; // of the shortest latency objective
-    private static final long CHECK_INTERVAL_NANOS = 50_000_000L; // short beside time-outs
+    // lower bound of the usual response time, as a fraction of the shortest latency objective
+    private static final double MIN_RESPONSE_TIME_FRACTION = 0.1;
+    private static final long CHECK_INTERVAL_NANOS = 50_000_000L; // short compared with timeouts
     private static final long NEVER_NANOS = Long.MAX_VALUE;
 
     private final ActiveDeployment deployment;
@@ -37,30 +42,30 @@
     private final LoadProbes loadProbes;
     private final DecayingAverage failures = new DecayingAverage(DecayingAverage.SHORT_TERM_NANOS);
     private final DecayingAverage responseTime = new DecayingAverage(DecayingAverage.SHORT_TERM_NANOS);
-    // with attempts in flight, or with a trial that waits for a load probe
+    // endpoints with attempts in flight, or whose trial awaits a load probe
     private final Set<EndpointState> watched = new LinkedHashSet<>();
     private long nextCheckNanos = NEVER_NANOS;
 
-    /** Creates a detector that watches no endpoint yet. */
+    /** Creates a detector that watches no endpoints yet. */
     public OutlierDetector(ActiveDeployment deployment, EventContext event, LoadProbes loadProbes) {
         this.deployment = deployment;
         this.event = event;
         this.loadProbes = loadProbes;
     }
 
-    /** Watches an endpoint that gets an attempt. */
+    /** Starts watching an endpoint to which an attempt is sent. */
     public void onAttemptStart(EndpointState endpoint) {
         watched.add(endpoint);
     }
 
-    /** Stops watching a former incarnation. */
+    /** Stops watching the state of a previous incarnation. */
     void onReplaced(EndpointState previous) {
         watched.remove(previous);
     }
 
     /**
-     * Watches a ready cache endpoint again whose trial waits for a load probe: what is not ready gets none
-     * and is not watched, and nothing else would have the probe sent once it is ready.
+     * Watches a ready cache endpoint again if its trial awaits a load probe. An endpoint that is not ready is
+     * neither probed nor watched, and nothing else would send the probe once it is ready.
      */
     void onReady(EndpointState endpoint) {
         if (awaitsLoadProbe(endpoint)) {
@@ -69,8 +74,8 @@
     }
 
     /**
-     * Returns whether an endpoint's trial waits for a load probe to be answered. Asked anew each time: a
-     * reload may forbid load probes while an endpoint waits for one, which then nobody would send.
+     * Returns whether an endpoint's trial awaits the reply to a load probe. Evaluated anew each time: a
+     * reload may disable load probes while an endpoint awaits one, which would then never be sent.
      */
     private boolean awaitsLoadProbe(EndpointState endpoint) {
         return endpoint.outlier().awaitsLoadProbe(deployment.loadProbesEnabled());
@@ -81,10 +86,11 @@
         endpoint.outlier().onReply(event.now());
     }
 
-    /** Returns whether outlier detection lets an endpoint take a request now. */
+    /** Returns whether outlier detection allows a request to an endpoint now. */
     public boolean allows(EndpointState endpoint, boolean idempotent) {
         if (deployment.gossipEnabled()) {
-            return true; // nobody tells it how attempts end, so a trial from before a reload would not go on
+            // attempt ends are not reported to the detector, so a trial from before a reload would never end
+            return true;
         }
         OutlierState outlier = endpoint.outlier();
         if (outlier.isEjected(event.now())
@@ -94,7 +100,7 @@
         return idempotent || !isUnresponsive(endpoint, SUSPECT_MULTIPLE);
     }
 
-    /** Returns what an endpoint that is ejected or on trial waits for now; null for another one. */
+    /** Returns what an endpoint that is ejected or on trial awaits now; null for any other endpoint. */
     RestrictedEndpoint restriction(EndpointState endpoint) {
         OutlierState outlier = endpoint.outlier();
         if (deployment.gossipEnabled()) {
@@ -112,9 +118,9 @@
     }
 
     /**
-     * Learns from an attempt's end at a cache endpoint.
+     * Records the end of an attempt at a cache endpoint, and ejects the endpoint if it is an outlier.
      *
-     * @param reflectsQueue whether the time reflects the endpoint's queue
+     * @param reflectsQueue whether the duration reflects the endpoint's queue
      * @param durationNanos duration of the attempt, without stalls of this proxy
      */
     public void onAttemptEnd(Attempt attempt, Outcome outcome, boolean reflectsQueue, long durationNanos) {
@@ -149,13 +155,13 @@
     private static boolean isFailure(Attempt attempt, Outcome outcome) {
         return switch (outcome) {
             case FAILED, CONNECTION_LOST, NO_CONNECTION -> true;
-            // one that replied to others meanwhile is not silent
+            // an endpoint that replied to other attempts meanwhile is not unresponsive
             case TIMED_OUT -> attempt.endpoint().outlier().lastReplyNanos() < attempt.sentNanos();
             default -> false;
         };
     }
 
-    /** Records whether a load probe was answered. */
+    /** Records whether a load probe was answered; a failed one may prolong an ejection. */
     public void onLoadProbeEnd(EndpointState endpoint, boolean answered) {
         if (answered) {
             endpoint.outlier().onProbeSuccess();
@@ -165,8 +171,11 @@
     }
 
     /**
-     * Looks for unresponsive endpoints, if that is due: probes those that are suspect, and ejects and returns
-     * those that are unresponsive, whose attempts in flight are then better made elsewhere.
+     * Checks the watched endpoints if a check is due: sends load probes to suspected endpoints, and ejects
+     * unresponsive ones.
+     *
+     * @return the unresponsive endpoints, whose attempts in flight are better made elsewhere; empty if no
+     * check is due or if more than half of the cache endpoints are unresponsive
      */
     public List<EndpointState> check(EndpointTable endpoints) {
         if (nextCheckNanos > event.now()) {
@@ -186,7 +195,10 @@
         return unresponsive;
     }
 
-    /** Returns when the next check is due; while no endpoint is watched none is. */
+    /**
+     * Returns when the next check is due, in nanoseconds; {@link Long#MAX_VALUE} while no endpoint is
+     * watched.
+     */
     public long scheduleNextCheck() {
         if (nextCheckNanos == NEVER_NANOS && !watched.isEmpty()) {
             nextCheckNanos = event.now() + CHECK_INTERVAL_NANOS;
--- a/core/src/main/java/spurroad/balancer/endpoint/OutlierState.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/OutlierState.java
@@ -3,18 +3,19 @@
 import spurroad.balancer.statistics.DecayingAverage;
 
 /**
- * What outlier detection knows of one endpoint: its failures, and how far it is from ordinary use.
+ * State of outlier detection for one endpoint: its failures, its ejection and its trial.
  *
- * <p>An ejected endpoint gets nothing for its ejection time, which doubles each time up to a bound. After
- * that, and once a load probe has been answered where such are sent, it gets a trial batch of one request; a
- * batch that ends well is followed by one twice as large, until it is ordinary again. Invariants:
- * {@code trialRequestsLeft} only matters while {@code trialBatch} is above zero, and then it is above zero
- * whenever no attempt is in flight.
+ * <p>An ejected endpoint gets no requests for its ejection time, which doubles with each ejection up to a
+ * maximum. After that time, and after a load probe has been answered if load probes are enabled, the endpoint
+ * gets a trial batch of one request. A batch that succeeds is followed by one twice as large, until the
+ * endpoint is in ordinary use again. Invariants: {@code trialRequestsLeft} is only relevant while {@code
+ * trialBatch} is above zero, and is then above zero whenever no attempt is in flight.
  */
 public final class OutlierState {
-    private static final long BASE_EJECTION_NANOS = 500_000_000L; // short beside the faults that were seen
-    private static final long MAX_EJECTION_NANOS = 4_000_000_000L; // well again, it waits no longer
-    private static final int MAX_TRIAL_BATCH = 8; // requests; twice as many are an ordinary flow
+    private static final long BASE_EJECTION_NANOS = 500_000_000L; // short compared with observed faults
+    // bounds the time that a recovered endpoint waits
+    private static final long MAX_EJECTION_NANOS = 4_000_000_000L;
+    private static final int MAX_TRIAL_BATCH = 8; // requests; a batch of twice as many is like ordinary use
 
     private DecayingAverage failures = new DecayingAverage(DecayingAverage.SHORT_TERM_NANOS);
     private long lastReplyNanos;
@@ -26,49 +27,53 @@
     private int trialSuccesses;
     private boolean confirmedByProbe = true;
 
-    /** Returns whether it is ejected now. */
+    /** Returns whether the endpoint is ejected now. */
     public boolean isEjected(long now) {
         return now < ejectedUntilNanos;
     }
 
-    /** Returns until when it is ejected, in nanoseconds; a past time where it is not. */
+    /** Returns the end of the last ejection, in nanoseconds; a past time if the endpoint is not ejected. */
     long ejectedUntilNanos() {
         return ejectedUntilNanos;
     }
 
-    /** Returns whether it gets trial batches instead of its ordinary flow. */
+    /**
+     * Returns whether the endpoint gets trial batches instead of all its requests, or will after its
+     * ejection.
+     */
     boolean isOnTrial() {
         return trialBatch > 0;
     }
 
-    /** Returns whether its trial waits for a load probe to be answered. */
+    /** Returns whether the trial awaits the reply to a load probe. */
     boolean awaitsLoadProbe(boolean loadProbesEnabled) {
         return loadProbesEnabled && isOnTrial() && !confirmedByProbe;
     }
 
     /**
-     * Returns whether a trial, if there is one, has a request left for this; only idempotent ones are risked.
+     * Returns whether the endpoint may get a request: it is not on trial, or the trial has a request left and
+     * awaits no load probe. A trial allows only idempotent requests.
      */
     boolean trialAllows(boolean idempotent, boolean loadProbesEnabled) {
         return !isOnTrial() || (idempotent && trialRequestsLeft > 0 && !awaitsLoadProbe(loadProbesEnabled));
     }
 
-    /** Returns whether a load probe has failed since it last replied. */
+    /** Returns whether a load probe has failed since the endpoint's last reply to an attempt. */
     boolean hasFailedProbe() {
         return loadProbeFailedNanos > lastReplyNanos;
     }
 
-    /** Returns when it last replied to an attempt, in nanoseconds. */
+    /** Returns when the endpoint last replied to an attempt, in nanoseconds. */
     long lastReplyNanos() {
         return lastReplyNanos;
     }
 
-    /** Returns the number of recent failures, faded. */
+    /** Returns the exponentially decayed number of failures. */
     double failureCount(long now) {
         return failures.sum(now);
     }
 
-    /** Returns the failed fraction of recent attempts. */
+    /** Returns the failure rate of recent attempts, from 0 to 1. */
     double failureRate(long now) {
         return failures.mean(now, 0, 0);
     }
@@ -88,7 +93,8 @@
     }
 
     /**
-     * A trial batch that ends well is followed by one twice as large, and by the ordinary flow in the end.
+     * Records a success. In a trial, a batch that succeeds is followed by one twice as large, and after the
+     * largest batch the trial ends.
      */
     void onSuccess(long now) {
         failures.add(now, 0, 1);
@@ -108,14 +114,18 @@
     }
 
     /**
-     * Leaves a trial a request to go on with: after an end that tells nothing of the endpoint, and whenever
-     * nothing is in flight, however its attempts ended, as nothing else would begin.
+     * Ensures that a trial has a request left to continue with. Called after an end that says nothing about
+     * the endpoint, and whenever no attempt is in flight, however the attempts ended: no other event would
+     * continue the trial.
      */
     void ensureTrialRequest() {
         trialRequestsLeft = Math.max(1, trialRequestsLeft);
     }
 
-    /** Ejects it; where load probes are sent, its trial then waits for one to be answered. */
+    /**
+     * Ejects the endpoint and starts a trial, which awaits the reply to a load probe if load probes are
+     * enabled.
+     */
     void eject(long now) {
         ejectedUntilNanos = now + nextEjectionNanos;
         nextEjectionNanos = Math.min(MAX_EJECTION_NANOS, 2 * nextEjectionNanos);
@@ -130,7 +140,10 @@
         confirmedByProbe = true;
     }
 
-    /** Returns whether the failed probe prolonged an ejection: one that has not been confirmed yet. */
+    /**
+     * Records a failed load probe; returns whether it prolonged an ejection, which it does until a probe has
+     * succeeded.
+     */
     boolean onProbeFailure(long now) {
         loadProbeFailedNanos = now;
         if (confirmedByProbe) {
--- a/core/src/main/java/spurroad/balancer/endpoint/Ring.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/Ring.java
@@ -6,27 +6,29 @@
 import spurroad.model.SplitMix64;
 
 /**
- * A consistent hash ring (Karger et al., 1997) with virtual nodes: each endpoint owns some points, and a
- * key's candidates are the distinct owners met clockwise from the key's hash.
+ * A consistent hash ring (Karger et al., 1997) with virtual nodes: each endpoint owns several points, and a
+ * key's candidates are the distinct owners found clockwise from the key's hash.
  *
- * <p>The points of an endpoint are hashed from its id alone, and their number follows from its weight. So all
- * proxies with the same list build the same ring, and an endpoint that leaves moves only its own keys.
- * Immutable.
+ * <p>The points of an endpoint are hashed from its id alone, and their number depends on its weight.
+ * Therefore all proxies with the same endpoint list build the same ring, and an endpoint that is removed
+ * moves only its own keys. Immutable.
  */
 public final class Ring {
-    /** Candidates of a key; the figure of the design. */
+    /** Number of candidates of a key, as the design requires. */
     public static final int CANDIDATES = 3;
 
-    private static final int MEAN_POINTS_PER_ENDPOINT = 96; // shares differ by about a tenth, walks stay short
-    private static final double MAX_WEIGHT_MULTIPLE = CANDIDATES; // of the mean weight
+    // shares of equal endpoints differ by about a tenth, and finding the candidates takes few steps
+    private static final int MEAN_POINTS_PER_ENDPOINT = 96;
+    // limits the share of a heavy endpoint, as a multiple of the mean weight
+    private static final double MAX_WEIGHT_MULTIPLE = CANDIDATES;
     private static final int INDEX_BITS = 16;
     private static final long INDEX_MASK = (1L << INDEX_BITS) - 1;
 
-    // sorted positions, the lowest bits of each replaced by the index of the endpoint that owns it
+    // sorted positions; the lowest bits of each hold the index of the owning endpoint
     private final long[] points;
     private final int[] pointCounts;
 
-    /** Builds the ring of some endpoints, which are referred to by their index; at most 65,536. */
+    /** Builds the ring of at most 65,536 endpoints, which are referred to by their index in the list. */
     public Ring(List<Endpoint> endpoints) {
         double meanWeight = endpoints.stream().mapToDouble(Endpoint::weight).average().orElse(1);
         pointCounts = endpoints.stream().mapToInt(endpoint -> pointCount(endpoint.weight() / meanWeight))
@@ -47,18 +49,24 @@
         return (int) Math.max(1, MEAN_POINTS_PER_ENDPOINT * Math.min(MAX_WEIGHT_MULTIPLE, relativeWeight));
     }
 
-    /** Returns the number of points; they are numbered clockwise, and numbers beyond the last wrap round. */
+    /**
+     * Returns the number of points. They are numbered clockwise from 0, and numbers beyond the last one wrap
+     * around.
+     */
     public int size() {
         return points.length;
     }
 
-    /** Returns the number of the first point at or clockwise from a hash. */
+    /**
+     * Returns the number of the first point at or clockwise from a hash; the result may be {@link #size},
+     * which wraps around.
+     */
     public int firstPointFrom(long hash) {
         int searchResult = Arrays.binarySearch(points, hash & ~INDEX_MASK);
         return searchResult < 0 ? -searchResult - 1 : searchResult;
     }
 
-    /** Returns where a point lies on the ring. */
+    /** Returns the position of a point, as a hash without its lowest bits. */
     public long position(int point) {
         return points[point % points.length] & ~INDEX_MASK;
     }
@@ -68,17 +76,20 @@
         return (int) (points[point % points.length] & INDEX_MASK);
     }
 
-    /** Returns the fraction of the points that an endpoint owns, by its index. */
+    /** Returns the fraction of the points that an endpoint owns, from 0 to 1. */
     public double fraction(int endpointIndex) {
         return (double) pointCounts[endpointIndex] / points.length;
     }
 
-    /** Spreads the bits of an id evenly, so that it can serve as a place on the ring. */
+    /** Mixes the bits of an id, so that it can serve as a position on the ring. */
     public static long hash(long id) {
         return SplitMix64.finish(id + SplitMix64.GAMMA);
     }
 
-    /** Returns a number from 0 to 1 drawn from a hash, the same at every proxy. */
+    /**
+     * Returns a uniformly distributed number from 0 to 1, exclusive, which every proxy computes alike from
+     * the hash.
+     */
     public static double uniform(long hash) {
         return (hash(hash) >>> 11) * 0x1p-53;
     }
--- a/core/src/main/java/spurroad/balancer/endpoint/ServiceTime.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/ServiceTime.java
@@ -3,9 +3,9 @@
 import spurroad.balancer.statistics.DecayingAverage;
 
 /**
- * Mean time per request in the queue: the time of completed attempts over the queue length that each met,
- * itself included. By Little's law this is what a unit of the queue length costs; it is learnt separately by
- * the source of that length.
+ * Mean time per request in an endpoint's queue: the duration of completed attempts divided by the queue
+ * length when each was sent, including the attempt itself. By Little's law this is the time that each request
+ * in the queue adds. It is measured separately for each source of the queue length.
  */
 public final class ServiceTime {
     private final DecayingAverage ownAttempts = new DecayingAverage(DecayingAverage.SHORT_TERM_NANOS);
@@ -14,7 +14,8 @@
     /**
      * Records the end of an attempt.
      *
-     * @param reflectsQueue whether the time reflects the queue; else only the known values age
+     * @param reflectsQueue whether the duration reflects the queue; if not, it is ignored and earlier values
+     *     only decay
      */
     public void record(Attempt attempt, boolean reflectsQueue, long durationNanos, long now) {
         DecayingAverage average = average(attempt.loadSource());
@@ -25,7 +26,11 @@
         }
     }
 
-    /** Returns the mean in nanoseconds, where an expected value counts for two observations. */
+    /**
+     * Returns the mean in nanoseconds per request in the queue.
+     *
+     * @param priorNanos expected value, which has the weight of two observations
+     */
     public double meanNanos(LoadSource source, long now, double priorNanos) {
         return average(source).mean(now, DecayingAverage.PRIOR_WEIGHT, priorNanos);
     }
--- a/core/src/main/java/spurroad/balancer/endpoint/SlowStart.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/SlowStart.java
@@ -4,13 +4,14 @@
 import spurroad.model.Deployment;
 
 /**
- * How far an endpoint has warmed up since its start or its return by staff, and which fraction of the
- * requests for its keys it may be sent meanwhile.
+ * The warm-up of an endpoint after its start or its return to use by operators, and the fraction of its
+ * requests that may be sent to it meanwhile.
  *
- * <p>Each proxy sends the same fraction of the endpoint's demand, never an amount: a fleet that sends a warm
- * endpoint r requests a second then sends a cold one fraction times r, however many proxies there are and
- * without their knowing of each other. {@link #demandRatio} corrects the fraction where this proxy's requests
- * fall to the endpoint more often than its part of the ring: a hot key would push a cold endpoint over.
+ * <p>Each proxy sends the same fraction of the endpoint's demand instead of a fixed amount: a fleet that
+ * would send r requests per second to a warm endpoint then sends fraction * r to a cold one, for any number
+ * of proxies and without coordination between them. {@link #demandRatio} corrects the fraction if this
+ * proxy's requests have the endpoint as their first candidate more often than its share of the ring implies:
+ * a hot key would otherwise overload a cold endpoint.
  */
 public final class SlowStart {
     private final long warmUpStartNanos;
@@ -22,11 +23,12 @@
     private double ringFraction = 1;
 
     /**
-     * Begins an incarnation of an endpoint.
+     * Creates the state of a new incarnation.
      *
-     * @param warmUpStartNanos since when it warms up; zero for long ago
-     * @param previousRequests faded number of requests that fell to its former incarnation
-     * @param previousProxyRequests faded number of all requests at this proxy until now
+     * @param warmUpStartNanos start of the warm-up, in nanoseconds; zero if the endpoint started long ago
+     * @param previousRequests exponentially decayed number of requests whose first candidate was the previous
+     *     incarnation
+     * @param previousProxyRequests exponentially decayed number of all requests at this proxy until now
      */
     SlowStart(long warmUpStartNanos, double previousRequests, double previousProxyRequests, long now) {
         this.warmUpStartNanos = warmUpStartNanos;
@@ -36,12 +38,12 @@
         firstCandidateRequests.add(now, previousRequests, 0);
     }
 
-    /** Returns whether it started so long ago that it may hold any key. */
+    /** Returns whether the endpoint started so long ago that it may have any key cached. */
     boolean startedLongAgo() {
         return warmUpStartNanos == 0;
     }
 
-    /** Returns how far it has warmed up, from 0; from 1 on it is as warm as any. */
+    /** Returns the progress of the warm-up: 0 at its start, 1 or more when it is complete. */
     public double warmUpProgress(long now, long slowStartNanos) {
         if (startedLongAgo()) {
             return 1;
@@ -49,23 +51,26 @@
         return (double) Math.max(0, now - warmUpStartNanos) / Math.max(1, slowStartNanos);
     }
 
-    /** Returns whether its warm-up is over. */
+    /** Returns whether the warm-up is complete. */
     public boolean isWarm(long now, Deployment settings) {
         return warmUpProgress(now, settings.slowStartNanos()) >= 1;
     }
 
-    /** Returns the fraction of a warm endpoint's requests that it can carry now: growing evenly to 1. */
+    /**
+     * Returns the fraction of a warm endpoint's requests that the endpoint can handle now, which grows
+     * linearly and reaches 1 at the end of the warm-up.
+     */
     public double sustainableFraction(long now, Deployment settings) {
         double initialFraction = settings.slowStartInitialFraction();
         return initialFraction + (1 - initialFraction) * warmUpProgress(now, settings.slowStartNanos());
     }
 
-    /** Counts a first attempt whose key falls to it, whether it is sent there or not. */
+    /** Counts a request whose first candidate is this endpoint, whether it is sent there or not. */
     public void onFirstCandidateRequest(long now) {
         firstCandidateRequests.add(now, 1, 0);
     }
 
-    /** Sets its part of the ring, from 0 to 1. */
+    /** Sets the endpoint's share of the ring, from 0 to 1. */
     void setRingFraction(double fraction) {
         ringFraction = fraction;
     }
@@ -75,11 +80,13 @@
     }
 
     /**
-     * Returns how many times its part of the ring this proxy's requests fall to it, at least 1; one request
-     * that falls to it by chance is left out. Taken over all that is remembered, which shows a key that has
-     * long been hot, or since its start, which shows a sudden one, whichever is more.
+     * Returns the ratio of this proxy's requests whose first candidate is the endpoint to those expected from
+     * its share of the ring, at least 1. One request is subtracted, since a single one may be due to chance.
+     * The result is the higher of two ratios: over all remembered requests, which shows a key that has been
+     * hot for long, and since the incarnation began, which shows a key that became hot suddenly.
      *
-     * @param proxyRequests faded number of all requests at this proxy, with the same time constant
+     * @param proxyRequests exponentially decayed number of all requests at this proxy, with the same time
+     *     constant
      */
     public double demandRatio(double proxyRequests, long now) {
         double remaining = Math.exp((createdNanos - now) / (double) DecayingAverage.LONG_TERM_NANOS);
--- a/core/src/main/java/spurroad/balancer/statistics/RecentKeySet.java
+++ b/core/src/main/java/spurroad/balancer/statistics/RecentKeySet.java
@@ -5,22 +5,22 @@
 import spurroad.model.CacheKey;
 
 /**
- * Cache keys with the time at which each was last added.
+ * A bounded set of cache keys, each with the time at which it was last added.
  *
- * <p>Bounded: beyond its capacity the key that was first added goes first (adding a key again does not move
- * it back). Age is checked on reading, so old keys stay until they are pushed out. {@link CacheKey#NONE} is
+ * <p>Above its capacity, the key that was first added is evicted; adding a key again does not change its
+ * position. Age is checked on reading, so expired keys stay until they are evicted. {@link CacheKey#NONE} is
  * never contained. Called from the load balancer's thread only.
  */
 public final class RecentKeySet {
     private final int capacity;
     private final Map<CacheKey, Long> addedNanos = new LinkedHashMap<>();
 
-    /** Creates an empty set for at most so many keys. */
+    /** Creates an empty set with the given capacity in keys. */
     public RecentKeySet(int capacity) {
         this.capacity = capacity;
     }
 
-    /** Adds a key, or renews the time of one that is contained. */
+    /** Adds a key, or updates the time of one that is already contained. */
     public void add(CacheKey key, long now) {
         if (key.value() != 0) {
             addedNanos.put(key, now);
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Returns whether the key was added less than so many nanoseconds ago. */
+    /** Returns whether the key was added less than the given number of nanoseconds ago. */
     public boolean contains(CacheKey key, long now, long maxAgeNanos) {
         Long addedAtNanos = addedNanos.get(key);
         return addedAtNanos != null && now - addedAtNanos < maxAgeNanos;
@@ -41,7 +41,7 @@
         addedNanos.remove(key);
     }
 
-    /** Removes a key and returns whether it was added less than so many nanoseconds ago. */
+    /** Removes a key, and returns whether it was added less than the given number of nanoseconds ago. */
     public boolean removeIfRecent(CacheKey key, long now, long maxAgeNanos) {
         boolean recent = contains(key, now, maxAgeNanos);
         remove(key);
--- a/core/src/main/java/spurroad/balancer/statistics/package-info.java
+++ b/core/src/main/java/spurroad/balancer/statistics/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Measures that forget: averages that fade with age, and bounded sets of recent keys.
+ * Statistics over recent events: exponentially decayed averages, and bounded sets of recent keys.
  *
- * <p>Invariants: callers pass the time, which never goes back; their size is bounded. Thread: the load
+ * <p>Invariants: callers pass the time, which never goes back; the memory used is bounded. Thread: the load
  * balancer's.
  */
 package spurroad.balancer.statistics;
--- a/core/src/test/java/spurroad/balancer/AdminDrainTest.java
+++ b/core/src/test/java/spurroad/balancer/AdminDrainTest.java
@@ -20,13 +20,16 @@
 import spurroad.model.Outcome;
 
 /**
- * The administrative state of endpoints beside their phase from discovery; and settings that change while
- * requests are pending.
+ * Tests the administrative state of endpoints together with their phase from discovery, and settings that
+ * change while requests are pending.
  */
 public class AdminDrainTest {
     private static final int ENDPOINTS = 4;
 
-    /** Phase from discovery, whether the endpoint is administratively drained, and whether it is used. */
+    /**
+     * Phase from discovery, whether the endpoint is administratively drained, and whether it is expected to
+     * be usable.
+     */
     @DataProvider
     Object[][] phases() {
         return new Object[][] {{EndpointPhase.READY, false, true}, {EndpointPhase.READY, true, false},
@@ -50,7 +53,8 @@
     }
 
     /**
-     * In whatever order discovery and operators change endpoints, no attempt starts where either forbids it.
+     * Applies random changes by discovery and operators, and expects that no attempt starts at an endpoint
+     * that either of them has disabled.
      */
     @Test
     public void startsNoAttemptAtEndpointsDisabledByDiscoveryOrOperators() {
@@ -82,7 +86,8 @@
                     fixture.endAttempt(start.request().value(), 0, Outcome.SUCCEEDED);
                 }
                 for (EndpointId probed : decisions.loadProbes) {
-                    assertTrue(probed.value() == 99 || !drained[(int) probed.value()], "no probe either");
+                    assertTrue(probed.value() == 99 || !drained[(int) probed.value()],
+                        "no load probe is sent to a drained endpoint");
                 }
                 assertEquals(
                     fixture.balancer.adminStatus().unavailableAt(fixture.nowNanos)
@@ -111,8 +116,8 @@
     }
 
     /**
-     * A returned endpoint is cold: it is sent a fraction of its requests, but the first one within seconds,
-     * even if its own keys are rarely requested.
+     * An endpoint that operators return to use is cold: it gets only a fraction of its requests, but its
+     * first one within seconds, even if its own keys are rarely requested.
      */
     @Test
     public void sendsAReturnedEndpointReducedLoadButAFirstRequestWithinSeconds() {
@@ -123,26 +128,28 @@
             key++;
         }
         fixture.endAttempt(key, 0, Outcome.SUCCEEDED);
-        // the key before it has another first candidate
+        // the previous key has another first candidate
         long otherKey = key - 1;
         fixture.setDrained(3, true);
         fixture.nowNanos += 10_000 * MS;
         fixture.setDrained(3, false);
         int sent = 0;
-        for (int i = 0; i < 100; i++) { // all for its own keys, at the same time
+        for (int i = 0; i < 100; i++) { // all for a key of the endpoint, at the same time
             boolean isSentThere = fixture.targetOf(5000 + i, READ, key) == 3;
             sent += isSentThere ? 1 : 0;
             if (!fixture.decisions.attemptsToStart.isEmpty()) {
                 fixture.endAttempt(5000 + i, 0, Outcome.SUCCEEDED);
             }
         }
-        assertTrue(sent < 70, "cold, yet sent " + sent);
+        assertTrue(sent < 70, "requests sent to the cold endpoint: " + sent);
         fixture.setDrained(3, true);
         fixture.setDrained(3, false);
         assertTrue(isSentWithinFiveSeconds(fixture, 3, otherKey), "within 5 s");
     }
 
-    /** What may befall an endpoint between its return by staff and its first request. */
+    /**
+     * Phase of an endpoint between its return by operators and its first request, and whether it restarts.
+     */
     @DataProvider
     Object[][] interruptions() {
         return new Object[][] {{EndpointPhase.DRAINING, false}, {EndpointPhase.REMOVED, false},
@@ -150,11 +157,12 @@
     }
 
     /**
-     * An endpoint that staff returned gets its first request within seconds, also if discovery took it out
-     * for a moment or its process started anew meanwhile.
+     * An endpoint that operators returned gets its first request within seconds, even if discovery takes it
+     * out of use for a moment or its process restarts meanwhile.
      *
-     * <p>The wait for a first request ended once the endpoint was not ready, and nothing began it again. In a
-     * quiet hour the endpoint then stood unused, as if staff had not returned it.
+     * <p>Guards against losing the wait for a first request when the endpoint is not ready for a moment.
+     * Nothing starts the wait again, so with little traffic the endpoint stays unused as if operators had not
+     * returned it.
      */
     @Test(dataProvider = "interruptions")
     public void sendsAReturnedEndpointAFirstRequestAfterItWasNotReady(EndpointPhase phase,
@@ -170,7 +178,10 @@
         assertTrue(isSentWithinFiveSeconds(fixture, 3, key), "within 5 s");
     }
 
-    /** A first request has its turn among the proxies, so that a returned endpoint is not sent one by all. */
+    /**
+     * Each proxy has its own time slot for a first request, so that a returned endpoint does not get one from
+     * all proxies at once.
+     */
     @Test
     public void keepsTheSlotOfAFirstRequestAcrossARestart() {
         Fleet fleet = new Fleet(null, 0, 1_000, false);
@@ -182,7 +193,8 @@
         fixture.setDrained(3, false);
         fixture.advance(100);
         fixture.updateEndpoint(3, EndpointPhase.READY, fixture.nowNanos);
-        assertFalse(isSentWithinFiveSeconds(fixture, 3, key), "one of 1,000 proxies, in 500 s");
+        assertFalse(isSentWithinFiveSeconds(fixture, 3, key),
+            "the slots of 1,000 proxies are spread over 500 s");
     }
 
     private static long keyOfOtherEndpoint(BalancerFixture fixture, long endpoint) {
@@ -195,7 +207,7 @@
         return key;
     }
 
-    /** Sends a request a second, for a key of another endpoint; returns whether the endpoint got one. */
+    /** Sends one request per second for a key of another endpoint; returns whether the endpoint got one. */
     private static boolean isSentWithinFiveSeconds(BalancerFixture fixture, long endpoint, long key) {
         boolean wasSent = false;
         for (int i = 0; i < 5 && !wasSent; i++) {
@@ -223,8 +235,8 @@
         fixture.endAttempt(1, 0, Outcome.FAILED);
         assertEquals(fixture.decisions.attemptsToStart.size(), 0, "only one attempt is allowed now");
         assertTrue(fixture.decisions.responses.get(0).rejected(),
-            "by its own class, which is idempotent");
-        fixture.request(2, READ, 2); // the first class is now the non-idempotent one
+            "the request keeps its own class, which is idempotent");
+        fixture.request(2, READ, 2); // the first class of the new deployment is non-idempotent
         fixture.endAttempt(2, 0, Outcome.FAILED);
         assertEquals(fixture.decisions.responses.get(0).rejected(), false);
     }
--- a/core/src/test/java/spurroad/balancer/ColdEndpointSimulation.java
+++ b/core/src/test/java/spurroad/balancer/ColdEndpointSimulation.java
@@ -20,16 +20,20 @@
 import spurroad.model.Outcome;
 
 /**
- * Simulates a fleet of proxies without gossip for ten seconds before endpoint 0 becomes cold and four seconds
- * after it, and measures how many attempts are started there within a sliding window. Time is simulated.
+ * Simulates a fleet of proxies without gossip from ten seconds before endpoint 0 becomes cold until four
+ * seconds after that, and measures how many attempts are started there within a sliding window. Time is
+ * simulated.
  */
 final class ColdEndpointSimulation {
     private static final long NEVER_NANOS = Long.MAX_VALUE;
     private static final int ENDPOINTS = 8;
     private static final long COLD_ENDPOINT = 0;
-    private static final double INITIAL_FRACTION = 0.3; // of its capacity, as BalancerFixture sets it
+    private static final double INITIAL_FRACTION = 0.3; // of the capacity, as BalancerFixture sets it
     private static final double SLOW_START_SECONDS = 8; // as BalancerFixture sets it
-    /** Multiple of its present capacity at which a cold endpoint fails; the lowest known of a deployment. */
+    /**
+     * Multiple of its current capacity at which a cold endpoint fails; the lowest value known from a
+     * deployment.
+     */
     private static final double FAILURE_MULTIPLE = 2;
     private static final double WINDOW_SECONDS = 1.5;
     private static final double NORMAL_LOAD = 0.7; // of the capacity of all endpoints
@@ -38,23 +42,23 @@
 
     /** How requests arrive, and how the endpoint becomes cold. */
     enum Traffic {
-        /** The usual load all the time. */
+        /** Normal load all the time. */
         EVEN(NORMAL_LOAD, 0, 0),
-        /** Half as much again, from the moment on in which the endpoint becomes cold. */
+        /** 1.5 times the normal load from the moment at which the endpoint becomes cold. */
         BURST(1.5 * NORMAL_LOAD, 0, 0),
-        /** Half as much again as the capacity, from then on. */
+        /** 1.5 times the capacity of all endpoints from the moment at which the endpoint becomes cold. */
         OVERLOAD(1.5, 0, 0),
         /** A fifth of all requests are for one key of the cold endpoint, all the time. */
         HOT_KEY(NORMAL_LOAD, HOT_KEY_FRACTION, HOT_KEY_FRACTION),
-        /** The same, from the moment on in which the endpoint becomes cold, and a burst. */
+        /** As HOT_KEY, but only from the moment at which the endpoint becomes cold, and with a burst. */
         SUDDEN_HOT_KEY(1.5 * NORMAL_LOAD, 0, HOT_KEY_FRACTION),
-        /** One proxy in ten has seven times the requests of each other one, and a burst. */
+        /** One proxy in ten gets more than seven times the requests of each other proxy; with a burst. */
         UNEVEN(1.5 * NORMAL_LOAD, 0, 0),
-        /** Endpoints reject half of all requests at random, and a burst. */
+        /** Endpoints reject half of all requests at random; with a burst. */
         REJECTED_ELSEWHERE(1.5 * NORMAL_LOAD, 0, 0),
-        /** An operator returns the endpoint at all proxies at the same moment, with a burst. */
+        /** An operator returns the endpoint to use at all proxies at the same moment; with a burst. */
         RETURNED_BY_OPERATOR(1.5 * NORMAL_LOAD, 0, 0),
-        /** The same, and each proxy receives a request only in some seconds. */
+        /** As RETURNED_BY_OPERATOR, but at low load: each proxy gets a request only in some seconds. */
         RETURNED_BY_OPERATOR_LOW_LOAD(0.2, 0, 0);
 
         private final double loadWhileCold; // as a fraction of the capacity of all endpoints
@@ -93,7 +97,7 @@
             return allowed;
         }
 
-        /** In how many simulations some window had more attempts than allowed. */
+        /** Returns the number of simulations in which some window had more attempts than allowed. */
         int failures() {
             return failures;
         }
@@ -229,7 +233,10 @@
         }
     }
 
-    /** Of an expected number n of attempts, 2 * sqrt(n) + 2 more are attributed to chance. */
+    /**
+     * Returns the allowed number of attempts in a window: 2 * sqrt(n) + 2 more than the expected number n,
+     * for random variation.
+     */
     private double allowedAttempts(long nowNanos) {
         double warmUpProgress = Math.min(1, (nowNanos - coldSinceNanos) / 1e9 / SLOW_START_SECONDS);
         double fraction = INITIAL_FRACTION + (1 - INITIAL_FRACTION) * warmUpProgress;
--- a/core/src/test/java/spurroad/balancer/EndpointReturnFixture.java
+++ b/core/src/test/java/spurroad/balancer/EndpointReturnFixture.java
@@ -19,11 +19,11 @@
 import spurroad.model.Fleet;
 import spurroad.model.Outcome;
 
-/** One load balancer with steady reads, whose endpoints and settings change in any order. */
+/** One load balancer with a steady rate of reads, whose endpoints and settings change in any order. */
 final class EndpointReturnFixture {
     static final int ENDPOINTS = 5;
 
-    /** What changes, at one endpoint where it concerns one. */
+    /** A change of one endpoint, of the clients or of the settings. */
     enum Change {
         FAILS, STOPS_REPLYING, RECOVERS, DRAINS, IS_REMOVED, IS_READY, RESTARTS, OPERATOR_DRAIN,
         OPERATOR_RETURN,
@@ -41,7 +41,7 @@
 
     private static final int STEP_MILLIS = 10;
     private static final int REPLY_MILLIS = 15;
-    private static final int ATTEMPT_TIMEOUT_MILLIS = 400; // until an attempt is given up
+    private static final int ATTEMPT_TIMEOUT_MILLIS = 400; // for attempts at an unresponsive endpoint
     private static final int PROBE_TIMEOUT_MILLIS = 100;
 
     private final BalancerFixture balancer = BalancerFixture.of(ENDPOINTS, false);
@@ -61,7 +61,7 @@
         Arrays.fill(phases, EndpointPhase.READY);
     }
 
-    /** Plays events under steady requests. */
+    /** Applies the events in order while requests are sent at a steady rate. */
     void run(List<Event> events) {
         for (Event event : events) {
             apply(event.change, event.endpoint);
@@ -70,7 +70,8 @@
     }
 
     /**
-     * Heals all endpoints, has discovery list them as ready, and has staff return those that they drained.
+     * Makes all endpoints healthy, lists them as ready in discovery, and returns those that operators
+     * drained.
      */
     void recoverAndListAll() {
         for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
@@ -80,7 +81,7 @@
         }
     }
 
-    /** Plays requests for a while, and returns the endpoints that got none in its last second. */
+    /** Sends requests for the given time, and returns the endpoints that got none in its last second. */
     List<Integer> unusedAfter(int millis) {
         advance(millis - 1_000);
         usedEndpoints.clear();
@@ -169,7 +170,7 @@
         }
     }
 
-    /** As the host does: each attempt and each load probe ends exactly once. */
+    /** Executes decisions as the host does: each attempt and each load probe ends exactly once. */
     private void applyDecisions(Decisions decisions) {
         for (Decisions.StartAttempt start : decisions.attemptsToStart) {
             startAttempt(start);
--- a/core/src/test/java/spurroad/balancer/EndpointReturnProperties.java
+++ b/core/src/test/java/spurroad/balancer/EndpointReturnProperties.java
@@ -13,20 +13,21 @@
 import spurroad.balancer.EndpointReturnFixture.Event;
 
 /**
- * Whatever befalls endpoints, a healthy one that discovery lists as ready and staff have not drained gets
- * requests again.
+ * After any sequence of events, a healthy endpoint that discovery lists as ready and operators have not
+ * drained gets requests again.
  *
- * <p>An ejected endpoint waits for one event, such as the reply to a load probe. Other events can take away
- * what would bring that one: the endpoint drains, goes, starts anew, is drained by staff, the settings
- * change, clients leave. An endpoint was then lost to the proxy for as long as the proxy ran
- * (docs/incidents/ejected-endpoint-never-back.md).
+ * <p>An ejected endpoint awaits one event, such as the reply to a load probe. Other events can prevent that
+ * event from occurring: the endpoint drains, is removed, restarts or is drained by operators, the settings
+ * change, or clients disconnect. The proxy then did not use the endpoint again until the proxy itself was
+ * restarted (docs/incidents/ejected-endpoint-never-back.md).
  */
 class EndpointReturnProperties {
     private static final int MAX_EVENTS = 25;
     private static final int MAX_PAUSE_MILLIS = 1_500;
     /**
-     * The longest ejection (4 s), the longest of a probe that had not failed yet (0.1 s) with the ejection
-     * that it prolongs (4 s), a check (0.05 s), and the warm-up of the fixture's endpoints (8 s).
+     * The sum of the longest ejection (4 s), the timeout of a load probe that was in flight (0.1 s) with the
+     * ejection that its failure prolongs (4 s), a check interval (0.05 s), and the warm-up of the fixture's
+     * endpoints (8 s).
      */
     private static final int MAX_RETURN_MILLIS = 16_200;
 
@@ -44,6 +45,6 @@
         fixture.run(events);
         fixture.recoverAndListAll();
         List<Integer> unused = fixture.unusedAfter(MAX_RETURN_MILLIS);
-        assertTrue(unused.isEmpty(), "no request to " + unused + " after " + events);
+        assertTrue(unused.isEmpty(), "endpoints without requests: " + unused + " after " + events);
     }
 }
--- a/core/src/test/java/spurroad/balancer/KeyCandidatesTest.java
+++ b/core/src/test/java/spurroad/balancer/KeyCandidatesTest.java
@@ -10,7 +10,7 @@
 import spurroad.model.EndpointPhase;
 
 public class KeyCandidatesTest {
-    /** The explanation that operators see must agree with the decisions. */
+    /** The candidates shown to operators must agree with the load balancer's decisions. */
     @Test
     public void listsTheEndpointThatTheLoadBalancerSelectsFirst() {
         for (long key = 1; key < 200; key++) {
--- a/core/src/test/java/spurroad/balancer/OutlierDetectorTest.java
+++ b/core/src/test/java/spurroad/balancer/OutlierDetectorTest.java
@@ -22,13 +22,13 @@
 import spurroad.model.Fleet;
 import spurroad.model.Outcome;
 
-/** Which endpoints are ejected, and how they return. */
+/** Tests which endpoints are ejected, and how they return to use. */
 public class OutlierDetectorTest {
     private static final long KEY = 42;
 
     /**
-     * An endpoint accepts requests without any reply: attempts that may run twice are cancelled, others are
-     * not.
+     * If an endpoint accepts requests without any reply, attempts that may run twice are cancelled and sent
+     * elsewhere; others are not.
      */
     @Test
     public void ejectsAnUnresponsiveEndpointAndReturnsItThroughATrial() {
@@ -59,7 +59,7 @@
         assertEquals(fixture.targetOf(8, READ, KEY), unresponsive);
     }
 
-    /** Regression: long misses counted as missing replies, and healthy attempts were cancelled. */
+    /** Regression: long cache misses counted as missing replies, and healthy attempts were cancelled. */
     @Test
     public void doesNotCancelAttemptsIfLongResponseTimesAreUsual() {
         BalancerFixture fixture = BalancerFixture.of(5, false);
@@ -83,13 +83,15 @@
     }
 
     /**
-     * Draining for a while under one start time must not end the wait for the load probe.
+     * An ejected endpoint that is listed as draining for a while, without a restart, must still get its load
+     * probe.
      *
-     * <p>An endpoint was ejected, then listed as draining for 0.1 s and as ready again. No load probe went
-     * there in the next 10 s, and without one its trial never began: the proxy was without the endpoint until
-     * its restart. The check stops watching an idle endpoint that is not ready, and only an attempt or
-     * another ejection watched it again, neither of which an ejected endpoint gets. That is the cause: {@code
-     * probesAnEjectedEndpoint}, the same without the drain, has always passed.
+     * <p>Guards against the following failure: an ejected endpoint is listed as draining for 0.1 s and then
+     * as ready again, and no load probe is sent in the next 10 s. Without a probe its trial never begins, so
+     * the proxy does not use the endpoint again until the proxy restarts. The cause is that the check stops
+     * watching an idle endpoint that is not ready, while only an attempt or another ejection starts watching
+     * again, and an ejected endpoint gets neither. The drain makes the difference: {@code
+     * probesAnEjectedEndpoint} has the same steps without the drain.
      */
     @Test
     public void probesAnEjectedEndpointAfterItDrained() {
@@ -98,28 +100,29 @@
         fixture.updateEndpoint(failing, EndpointPhase.DRAINING, 0);
         fixture.advance(100);
         fixture.updateEndpoint(failing, EndpointPhase.READY, 0);
-        assertTrue(probedWithinSeconds(fixture, 10).contains(failing), "never probed, so never back");
+        assertTrue(probedWithinSeconds(fixture, 10).contains(failing),
+            "no load probe was sent, so the trial cannot begin");
     }
 
     /**
-     * A reload that forbids load probes must not leave an ejected endpoint waiting for one.
+     * A reload that disables load probes must not leave an ejected endpoint waiting for one.
      *
-     * <p>Whether a trial waits for a probe was decided once, at the ejection. After the reload nobody sent
-     * the probe, and the endpoint was not used again in 60 s of requests.
+     * <p>Guards against deciding only once, at the ejection, whether a trial awaits a load probe. After the
+     * reload no probe is sent, and the endpoint was not used again in 60 s of requests.
      */
     @Test
     public void returnsAnEjectedEndpointAfterAReloadDisablesLoadProbes() {
         BalancerFixture fixture = BalancerFixture.of(5, false);
         long failing = eject(fixture);
         fixture.changeDeployment(BalancerFixture.withLoadProbes(fixture.deployment, false));
-        assertTrue(isUsedWithinSeconds(fixture, failing, 10), "never back");
+        assertTrue(isUsedWithinSeconds(fixture, failing, 10), "the endpoint is not used again");
     }
 
     /**
-     * With gossip the detector is off, and so is an ejection from before.
+     * With gossip the detector is disabled, and so is an ejection from before gossip was enabled.
      *
-     * <p>The detector is not told how attempts end where there is gossip, and no load probe is sent. An
-     * endpoint that was ejected before gossip was switched on got its one trial request at most.
+     * <p>With gossip the detector is not notified how attempts end, and no load probes are sent. An endpoint
+     * that was ejected before gossip was enabled would get at most its one trial request.
      */
     @Test
     public void usesAnEjectedEndpointAfterGossipIsEnabled() {
@@ -132,11 +135,11 @@
     }
 
     /**
-     * A trial request whose client leaves must not use up the trial.
+     * A trial request whose client disconnects must not use up the trial.
      *
-     * <p>A trial begins with one request. Where its client left, the attempt was cancelled and its end said
-     * nothing of the endpoint, so that it was passed to nobody: no request was left for the trial and none in
-     * flight that could have gone on with it. The endpoint was not used again.
+     * <p>A trial begins with one request. If its client disconnects, the attempt is cancelled, and its end
+     * says nothing about the endpoint. Guards against ignoring such an end: the trial then has neither a
+     * request left nor an attempt in flight that could continue it, and the endpoint is not used again.
      */
     @Test
     public void returnsAnEjectedEndpointWhoseTrialRequestWasCancelled() {
@@ -144,18 +147,19 @@
         long failing = eject(fixture);
         fixture.advance(1_000);
         fixture.endLoadProbe(failing, Outcome.SUCCEEDED, 0);
-        assertEquals(fixture.targetOf(100, READ, KEY), failing, "the trial request");
+        assertEquals(fixture.targetOf(100, READ, KEY), failing,
+            "the trial request goes to the ejected endpoint");
         fixture.disconnectClient(100);
         fixture.endAttempt(100, 0, Outcome.CANCELLED);
-        assertTrue(isUsedWithinSeconds(fixture, failing, 10), "never back");
+        assertTrue(isUsedWithinSeconds(fixture, failing, 10), "the endpoint is not used again");
     }
 
     /**
-     * A former incarnation is watched by nobody.
+     * The state of a previous incarnation must not be watched.
      *
-     * <p>An attempt that ends after its endpoint has started anew may eject the state of the former
-     * incarnation. That still counted as ready and waited for a probe whose reply goes to the new one: it was
-     * checked each 50 ms for as long as the proxy ran.
+     * <p>An attempt that ends after its endpoint has restarted may eject the state of the previous
+     * incarnation. Guards against that state counting as ready and awaiting a load probe whose reply goes to
+     * the new incarnation: the detector would check it every 50 ms for as long as the proxy runs.
      */
     @Test
     public void stopsWatchingAReplacedIncarnation() {
@@ -171,10 +175,14 @@
         }
         fixture.advance(10_000);
         fixture.advance(10_000);
-        assertTrue(fixture.decisions.wakeAtNanos > fixture.nowNanos + 1_000 * MS, "still checked");
+        assertTrue(fixture.decisions.wakeAtNanos > fixture.nowNanos + 1_000 * MS,
+            "the previous incarnation is still checked");
     }
 
-    /** Staff can tell what an ejected endpoint waits for, and one that waits for a probe is not in use. */
+    /**
+     * Operators see what an ejected endpoint awaits, and an endpoint that awaits a load probe counts as
+     * unavailable.
+     */
     @Test
     public void reportsWhatAnEjectedEndpointAwaits() {
         BalancerFixture fixture = BalancerFixture.of(5, false);
@@ -198,7 +206,9 @@
         assertEquals(status.unavailableAt(fixture.nowNanos), expectedUnavailable, "unavailable");
     }
 
-    /** Sends a successful request each 50 ms; returns whether the endpoint got one. */
+    /**
+     * Sends a request that succeeds every 50 ms; returns whether the endpoint got one within the given time.
+     */
     private static boolean isUsedWithinSeconds(BalancerFixture fixture, long endpoint, int seconds) {
         for (int i = 0; i < 20 * seconds; i++) {
             fixture.advance(50);
@@ -220,7 +230,7 @@
         return probed;
     }
 
-    /** Fails attempts at an endpoint until its keys are sent elsewhere; returns the endpoint. */
+    /** Fails attempts at an endpoint until its key is sent elsewhere; returns the endpoint. */
     private static long eject(BalancerFixture fixture) {
         long failing = fixture.targetOf(1, READ, KEY);
         for (long id = 1; id < 10; id++) {
@@ -231,6 +241,6 @@
                 return failing;
             }
         }
-        throw new AssertionError("never ejected: " + failing);
+        throw new AssertionError("endpoint was not ejected after nine failed attempts: " + failing);
     }
 }
--- a/core/src/test/java/spurroad/balancer/OwnershipTest.java
+++ b/core/src/test/java/spurroad/balancer/OwnershipTest.java
@@ -20,16 +20,17 @@
 import spurroad.model.PeerUpdate;
 import spurroad.model.PeerUpdate.Topic;
 
-/** Which updates owners send about their endpoints, and how the other proxies use them. */
+/** Tests which updates owners send about their endpoints, and how the other proxies use them. */
 public class OwnershipTest {
+    /** Delivery of peer updates, and the minimum percentage of keys that migrate; 0 expects none. */
     @DataProvider
     Object[][] deliveries() {
         return new Object[][] {{Delivery.DELIVERED, 40}, {Delivery.DOUBLED, 40}, {Delivery.LOST, 0}};
     }
 
     /**
-     * Regression: a proxy with two requests a second continued to send to an endpoint that all others had
-     * found unresponsive.
+     * Regression: a proxy with only two requests per second continued to send to an endpoint that all other
+     * proxies had found unresponsive.
      */
     @Test(dataProvider = "deliveries")
     public void avoidsAnEndpointThatAnotherProxyFoundUnresponsive(Delivery delivery, int minMigratedPercent) {
@@ -54,7 +55,8 @@
     }
 
     /**
-     * Regression: keys migrated with each change of the queue, and returned with it, and missed both times.
+     * Regression: keys migrated away and back with each change of the queue length, and caused cache misses
+     * both times.
      */
     @Test
     public void migratesTheSameKeysAtAllProxiesUntilTheFractionExpires() {
@@ -70,7 +72,7 @@
             assertEquals(targets[0], targets[1], "the same endpoint at both proxies");
             advanceClocks(fixtures, 3000 * MS);
             assertEquals(targetOfSuccessfulRead(fixtures.get(0), 1000 + id, keys[id]), targets[0],
-                "whatever the queue is now");
+                "the target does not depend on the current queue length");
         }
         int migrated = 0;
         for (int id = 0; id < keys.length; id++) {
@@ -87,7 +89,8 @@
     }
 
     /**
-     * Attempts in flight at an endpoint for each one at the others; bounds of the cached fraction after 6 s.
+     * Number of attempts in flight at the owner's endpoint for each one at any other endpoint, which equals
+     * the attempts that begin there in each step; bounds of the cached fraction after 6 s.
      */
     @DataProvider
     Object[][] loads() {
@@ -116,8 +119,8 @@
     }
 
     /**
-     * Whether ten attempts at an endpoint succeed, after how many milliseconds; bounds of the service time in
-     * milliseconds that the owner sends.
+     * Whether ten attempts at an endpoint succeed, their duration in milliseconds, and bounds of the service
+     * time in milliseconds that the owner publishes.
      */
     @DataProvider
     Object[][] attemptEnds() {
@@ -125,8 +128,8 @@
     }
 
     /**
-     * Incident i1e1366: the service time of an overloaded endpoint was that of the few requests that it
-     * completed in time.
+     * Incident i1e1366: the service time of an overloaded endpoint was computed only from the few requests
+     * that it completed in time.
      */
     @Test(dataProvider = "attemptEnds")
     public void publishesAServiceTimeThatIncludesTimeouts(boolean succeeds, long elapsedMillis,
@@ -152,6 +155,6 @@
         assertTrue(
             owner.receive(new PeerUpdate(Topic.CACHE_QUERY, 3, PROXIES, new CacheKey(7))).peerUpdates
                 .isEmpty(),
-            "no proxy has that index");
+            "no reply to an index beyond the fleet");
     }
 }
--- a/core/src/test/java/spurroad/balancer/SimulatedEndpoints.java
+++ b/core/src/test/java/spurroad/balancer/SimulatedEndpoints.java
@@ -9,7 +9,7 @@
 
 /**
  * Simulated endpoints that are healthy, slow, unresponsive, failing, full or unreachable for a while. Each
- * call uses the next random numbers of the caller's source, so that the order of calls determines all
+ * call draws the next numbers from the caller's random generator, so that the order of calls determines all
  * replies.
  */
 final class SimulatedEndpoints {
@@ -23,7 +23,7 @@
     /**
      * How an attempt ends.
      *
-     * @param delayNanos from its start to its end
+     * @param delayNanos time from the start of the attempt to its end
      */
     record Reply(long delayNanos, Outcome outcome) {}
 
@@ -72,7 +72,7 @@
         };
     }
 
-    /** Ends an attempt; returns the load report that comes with its reply. */
+    /** Ends an attempt, and returns the load report in its reply. */
     LoadReport endAttempt(long endpoint) {
         int remaining = inFlight.merge(endpoint, -1, Integer::sum);
         return switch (random.nextInt(4)) {
@@ -88,7 +88,7 @@
             || random.nextInt(30) == 0;
     }
 
-    /** Changes the behaviour of one endpoint and heals another one, or all. */
+    /** Changes the behaviour of one endpoint at random, and makes another one healthy, or sometimes all. */
     void changeBehaviours(List<Long> endpoints) {
         long changed = endpoints.get(random.nextInt(endpoints.size()));
         behaviours.put(changed, Behaviour.values()[random.nextInt(Behaviour.values().length)]);
--- a/core/src/test/java/spurroad/balancer/SlowStartFleetTest.java
+++ b/core/src/test/java/spurroad/balancer/SlowStartFleetTest.java
@@ -9,11 +9,11 @@
 import spurroad.balancer.ColdEndpointSimulation.Traffic;
 import spurroad.balancer.ColdEndpointSimulation.WorstWindow;
 
-/** The load that proxies without gossip together send to one cold endpoint. */
+/** Tests the total load that proxies without gossip send to one cold endpoint. */
 public class SlowStartFleetTest {
     private static final int DEFAULT_SIMULATIONS = 40;
 
-    /** Traffic, number of proxies, and requests a second that a warm endpoint can serve. */
+    /** Traffic, number of proxies, and requests per second that a warm endpoint can serve. */
     @DataProvider
     Object[][] fleets() {
         List<Object[]> cases = new ArrayList<>();
@@ -36,10 +36,10 @@
             new ColdEndpointSimulation(traffic, proxyCount, capacityPerSecond, seed, worst).run();
         }
         System.out.printf(
-            "cold endpoint, %s, %d proxies, %.0f a second: worst window %d of %.1f, %d of %d plays over%n",
+            "cold endpoint, %s, %d proxies, %.0f per second: worst window %d of %.1f, %d of %d runs over%n",
             traffic, proxyCount, capacityPerSecond, worst.attempts(), worst.allowed(), worst.failures(),
             simulations);
         assertEquals(worst.failures(), 0,
-            worst.attempts() + " attempts where " + worst.allowed() + " were allowed");
+            worst.attempts() + " attempts in the worst window, " + worst.allowed() + " were allowed");
     }
 }
--- a/core/src/test/java/spurroad/balancer/SlowStartTest.java
+++ b/core/src/test/java/spurroad/balancer/SlowStartTest.java
@@ -22,7 +22,7 @@
 import spurroad.model.PeerUpdate;
 import spurroad.model.PeerUpdate.Topic;
 
-/** How many requests are sent to endpoints that are warming up. */
+/** Tests how many requests are sent to endpoints that are warming up. */
 public class SlowStartTest {
     private static final long KEY = 42;
 
@@ -67,7 +67,8 @@
                 fixture.endAttempt(key, 0, Outcome.SUCCEEDED);
             }
         }
-        assertTrue(cold > 0 && cold < 0.6 * warm, cold + " against " + warm);
+        assertTrue(cold > 0 && cold < 0.6 * warm,
+            cold + " requests to the cold endpoint, to a warm one " + warm);
     }
 
     /** Regression: retries of requests that full endpoints rejected overloaded cold ones. */
@@ -128,6 +129,6 @@
             sentToCold += target == 1 || target == 5 ? 1 : 0;
             fixture.nowNanos += 20 * MS;
         }
-        assertEquals(sentToCold, 0, "of " + keys.length);
+        assertEquals(sentToCold, 0, "requests to cold endpoints, of " + keys.length);
     }
 }
--- a/core/src/test/java/spurroad/balancer/endpoint/LoadEstimateTest.java
+++ b/core/src/test/java/spurroad/balancer/endpoint/LoadEstimateTest.java
@@ -33,7 +33,7 @@
         load.onReport(reportOf(0), START_NANOS);
         assertEquals(load.queueLength(START_NANOS, 3), 3.0);
         load.onReport(reportOf(-5), START_NANOS);
-        assertEquals(load.queueLength(START_NANOS, 0), 0.0, "a false report counts as none in flight");
+        assertEquals(load.queueLength(START_NANOS, 0), 0.0, "a negative queue length counts as zero");
     }
 
     @Test
--- a/core/src/test/java/spurroad/balancer/endpoint/OutlierStateTest.java
+++ b/core/src/test/java/spurroad/balancer/endpoint/OutlierStateTest.java
@@ -54,23 +54,24 @@
         state.eject(START_NANOS);
         for (int batch : new int[] {1, 2, 4, 8}) {
             for (int i = 0; i < batch; i++) {
-                assertTrue(state.trialAllows(true, false), "request " + i + " of " + batch);
+                assertTrue(state.trialAllows(true, false), "request " + i + " of a batch of " + batch);
                 state.onAttemptStart();
             }
-            assertFalse(state.trialAllows(true, false), "a batch of " + batch + " is used up");
+            assertFalse(state.trialAllows(true, false), "a batch of " + batch + " allows no further request");
             for (int i = 0; i < batch; i++) {
                 state.onSuccess(START_NANOS);
             }
         }
         assertFalse(state.isOnTrial());
         state.eject(START_NANOS);
-        assertFalse(state.isEjected(START_NANOS + 500 * NANOS_PER_MILLI), "the ejection time starts over");
+        assertFalse(state.isEjected(START_NANOS + 500 * NANOS_PER_MILLI),
+            "the ejection time is reset to its base");
     }
 
     @Test
     public void extendsAnEjectionAfterAFailedProbe() {
         OutlierState state = new OutlierState();
-        assertFalse(state.onProbeFailure(START_NANOS), "it is not ejected");
+        assertFalse(state.onProbeFailure(START_NANOS), "the endpoint is not ejected");
         state.eject(START_NANOS);
         assertTrue(state.onProbeFailure(START_NANOS + 400 * NANOS_PER_MILLI));
         assertTrue(state.isEjected(START_NANOS + 1300 * NANOS_PER_MILLI));
--- a/core/src/test/java/spurroad/balancer/endpoint/RingTest.java
+++ b/core/src/test/java/spurroad/balancer/endpoint/RingTest.java
@@ -61,7 +61,7 @@
         skewed.add(endpoint(10, 1_000));
         int meanPoints = 96;
         assertEquals(new Ring(skewed).size(), 9 + 3 * meanPoints,
-            "at least one each, at most three times the mean");
+            "each endpoint has at least one point and at most three times the mean");
     }
 
     @Test
--- a/core/src/test/java/spurroad/balancer/statistics/DecayingAverageTest.java
+++ b/core/src/test/java/spurroad/balancer/statistics/DecayingAverageTest.java
@@ -26,7 +26,7 @@
         decayed.add(START_NANOS, 3, 1);
         double firstSum = decayed.sum(START_NANOS + 7);
         assertEquals(decayed.sum(START_NANOS + 7), firstSum);
-        assertEquals(decayed.sum(START_NANOS + 6), firstSum, "a time that went back changes nothing");
+        assertEquals(decayed.sum(START_NANOS + 6), firstSum, "an earlier time changes nothing");
     }
 
     @Test
@@ -36,7 +36,7 @@
         observed.add(START_NANOS, 4, 2);
         assertEquals(observed.mean(START_NANOS, 2, 10), 6, TOLERANCE);
         assertEquals(new DecayingAverage(TIME_CONSTANT_NANOS).mean(START_NANOS, 0, 0), 0.0,
-            "nothing of nothing");
+            "an empty average without a prior");
     }
 
     @Test
--- a/core/src/test/java/spurroad/balancer/statistics/RecentKeySetTest.java
+++ b/core/src/test/java/spurroad/balancer/statistics/RecentKeySetTest.java
@@ -23,7 +23,8 @@
         }
         full.add(key(1), 50);
         full.add(key(4), 60);
-        assertFalse(full.contains(key(1), 60, MAX_AGE_NANOS), "renewing its time does not move it back");
+        assertFalse(full.contains(key(1), 60, MAX_AGE_NANOS),
+            "adding a key again does not change its position");
         assertTrue(full.contains(key(2), 60, MAX_AGE_NANOS));
         assertTrue(full.contains(key(4), 60, MAX_AGE_NANOS));
     }
