--- a/core/src/main/java/spurroad/balancer/endpoint/EndpointOwnership.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/EndpointOwnership.java
@@ -8,24 +8,29 @@
 import spurroad.model.PeerUpdate;
 
 /**
- * Both sides of an endpoint's ownership: telling the owner of attempts there, and, for endpoints that this
- * proxy owns, telling all proxies the queue length and the fraction of its keys that the endpoint keeps.
+ * Handles both sides of endpoint ownership: notifies an endpoint's owner of attempts there, and, for the
+ * endpoints that this proxy owns, notifies all proxies of the queue length and of the fraction of its keys
+ * that the endpoint keeps.
  *
- * <p>That fraction falls while a request is expected to take longer at the endpoint than at the mean of all,
- * and grows back slowly otherwise: keys leave in place of single requests, and stay away, as each move costs
- * a cache miss. Used by the endpoints' owners only; the origin that the proxies themselves fetch from has
- * none.
+ * <p>That fraction falls while a request is expected to take longer at the endpoint than the mean over all
+ * endpoints, and otherwise grows back slowly. Keys move instead of single requests, and they stay away for a
+ * while, because each move costs a cache miss. Only the endpoints' owners compute the fraction; the origin
+ * from which the proxies themselves fetch has no owner.
  */
 public final class EndpointOwnership {
-    // of the cached fraction, per second, for each unit of excess: cached copies move slower than queues
-    private static final double GAIN = 0.4;
-    private static final double RECOVERY = 0.1; // units by which keys come home by themselves
-    private static final double MIN_EXCESS = -1; // units
-    private static final double MAX_EXCESS = 3; // units
-    // of the shortest latency objective, over the mean of all endpoints: one unit
-    private static final double EXCESS_UNIT_FRACTION = 0.5;
-    // of the shortest latency objective: more queueing is published to all proxies
-    private static final double OVERLOADED_WAIT_FRACTION = 0.1;
+    // growth rate of the cached fraction per second and unit of excess; low, so that cached copies move more
+    // slowly than queues change
+    private static final double GROWTH_RATE_PER_EXCESS_UNIT = 0.4;
+    // below this excess the cached fraction grows, so that keys return while the endpoint is at the mean
+    private static final double RECOVERY_EXCESS_UNITS = 0.1;
+    private static final double MIN_EXCESS_UNITS = -1;
+    private static final double MAX_EXCESS_UNITS = 3;
+    // one unit of excess: expected time above the mean of all endpoints, as a fraction of the shortest
+    // latency objective
+    private static final double EXCESS_UNIT_OBJECTIVE_FRACTION = 0.5;
+    // with more queueing than this fraction of the shortest latency objective, an endpoint counts as
+    // overloaded and its queue length is published to all proxies
+    private static final double OVERLOADED_WAIT_OBJECTIVE_FRACTION = 0.1;
 
     private final ActiveDeployment deployment;
     private final EventContext event;
@@ -33,7 +38,7 @@
     private final ServiceTimeModel serviceTimes;
     private final PeerUpdates peers;
 
-    /** Creates the two sides over the endpoints of a proxy. */
+    /** Creates the ownership logic for the endpoints of a proxy. */
     public EndpointOwnership(ActiveDeployment deployment, EventContext event, EndpointTable endpoints,
                              ServiceTimeModel serviceTimes, PeerUpdates peers) {
         this.deployment = deployment;
@@ -43,8 +48,10 @@
         this.peers = peers;
     }
 
-    /** Notifies the owner of an endpoint, where gossip is on; the origin that proxies fetch from has none. */
-    public void tellOwner(EndpointState endpoint, PeerUpdate.Topic topic, double value, CacheKey key) {
+    /**
+     * Notifies an endpoint's owner if gossip is enabled; the origin that the proxies fetch from has no owner.
+     */
+    public void notifyOwner(EndpointState endpoint, PeerUpdate.Topic topic, double value, CacheKey key) {
         if (deployment.gossipEnabled() && !endpoints.isOrigin(endpoint)) {
             long id = endpoint.id().value();
             peers.sendToOwner(id, new PeerUpdate(topic, id, value, key));
@@ -52,38 +59,44 @@
     }
 
     /**
-     * As the owner: records that an attempt from some proxy began or ended, and notifies all if that is due.
+     * Records, as the owner, that an attempt from some proxy began or ended, and notifies all proxies if an
+     * update is due.
      */
     public void onInFlightUpdate(EndpointState endpoint, PeerUpdate update) {
         long now = event.now();
         endpoint.onInFlightUpdate(update, now, serviceTimes.defaultNanos());
-        CachedFraction cached = endpoint.cachedFraction();
-        if (now - cached.updatedNanos() >= UpdateBudget.MIN_INTERVAL_NANOS) {
-            cached.grow(GAIN * (RECOVERY - excess(endpoint)), now);
+        CachedFraction cachedFraction = endpoint.cachedFraction();
+        if (now - cachedFraction.updatedNanos() >= UpdateBudget.MIN_INTERVAL_NANOS) {
+            cachedFraction
+                .adjust(GROWTH_RATE_PER_EXCESS_UNIT * (RECOVERY_EXCESS_UNITS - excessUnits(endpoint)), now);
         }
-        double waitNanos = OVERLOADED_WAIT_FRACTION * deployment.shortestObjectiveNanos();
-        boolean overloaded = endpoint.load().reportedLoad()
-            >= serviceTimes.softLimit(endpoint, waitNanos, now);
-        if (endpoint.ownership().tryAnnounce(cached.fraction(), overloaded, now,
+        double maxWaitNanos = OVERLOADED_WAIT_OBJECTIVE_FRACTION * deployment.shortestObjectiveNanos();
+        boolean overloaded = endpoint.load().reportedQueueLength()
+            >= serviceTimes.softLimit(endpoint, maxWaitNanos, now);
+        if (endpoint.ownership().tryAnnounce(cachedFraction.fraction(), overloaded, now,
             deployment.fleet().proxyCount())) {
             peers.sendToAll(endpoint.loadUpdate());
         }
     }
 
-    /** As the owner: replies to a proxy's query for the queue and whether a key is cached. */
+    /** Replies, as the owner, to a proxy that queries the queue length and whether a key is cached. */
     public void onCacheQuery(EndpointState endpoint, PeerUpdate query) {
-        if (query.value() < deployment.fleet().proxyCount()) { // else there is no such proxy
+        if (query.value() < deployment.fleet().proxyCount()) { // ignores the index of an unknown proxy
             peers.sendTo((int) query.value(), endpoint.cacheStatus(query.key(), event.now()));
         }
     }
 
-    /** Returns how far the expected time at an endpoint is over the mean of all, in units, bounded. */
-    private double excess(EndpointState endpoint) {
+    /**
+     * Returns how far the expected time at an endpoint exceeds the mean of all cache endpoints, in units of
+     * {@link #EXCESS_UNIT_OBJECTIVE_FRACTION} and bounded.
+     */
+    private double excessUnits(EndpointState endpoint) {
         long now = event.now();
         double meanNanos = endpoints.cacheEndpoints().stream()
-            .mapToDouble(each -> serviceTimes.expectedNanos(each, 0, now)).average().orElse(0);
-        double overNanos = serviceTimes.expectedNanos(endpoint, 0, now) - meanNanos;
-        double units = overNanos / (EXCESS_UNIT_FRACTION * deployment.shortestObjectiveNanos());
-        return Math.max(MIN_EXCESS, Math.min(MAX_EXCESS, units));
+            .mapToDouble(cacheEndpoint -> serviceTimes.expectedNanos(cacheEndpoint, 0, now)).average()
+            .orElse(0);
+        double excessNanos = serviceTimes.expectedNanos(endpoint, 0, now) - meanNanos;
+        double units = excessNanos / (EXCESS_UNIT_OBJECTIVE_FRACTION * deployment.shortestObjectiveNanos());
+        return Math.max(MIN_EXCESS_UNITS, Math.min(MAX_EXCESS_UNITS, units));
     }
 }
--- a/core/src/test/java/spurroad/balancer/OwnershipTest.java
+++ b/core/src/test/java/spurroad/balancer/OwnershipTest.java
@@ -20,16 +20,17 @@
 import spurroad.model.PeerUpdate;
 import spurroad.model.PeerUpdate.Topic;
 
-/** Which updates owners send about their endpoints, and how the other proxies use them. */
+/** Tests which updates owners send about their endpoints, and how the other proxies use them. */
 public class OwnershipTest {
+    /** Delivery of peer updates, and the minimum percentage of keys that migrate; 0 expects none. */
     @DataProvider
     Object[][] deliveries() {
         return new Object[][] {{Delivery.DELIVERED, 40}, {Delivery.DOUBLED, 40}, {Delivery.LOST, 0}};
     }
 
     /**
-     * Regression: a proxy with two requests a second continued to send to an endpoint that all others had
-     * found unresponsive.
+     * Regression: a proxy with only two requests per second continued to send to an endpoint that all other
+     * proxies had found unresponsive.
      */
     @Test(dataProvider = "deliveries")
     public void avoidsAnEndpointThatAnotherProxyFoundUnresponsive(Delivery delivery, int minMigratedPercent) {
@@ -54,7 +55,8 @@
     }
 
     /**
-     * Regression: keys migrated with each change of the queue, and returned with it, and missed both times.
+     * Regression: keys migrated away and back with each change of the queue length, and caused cache misses
+     * both times.
      */
     @Test
     public void migratesTheSameKeysAtAllProxiesUntilTheFractionExpires() {
@@ -62,15 +64,15 @@
         List<BalancerFixture> fixtures = fleet(null);
         fixtures.remove(ownerOf(3)); // the owner uses its own measurements
         for (int id = 0; id < keys.length; id++) {
-            long[] to = new long[2];
-            for (int i = 0; i < to.length; i++) {
+            long[] targets = new long[2];
+            for (int i = 0; i < targets.length; i++) {
                 fixtures.get(i).receive(new PeerUpdate(Topic.LOAD, 3, 9, 20 * MS, 0.5));
-                to[i] = targetOfSuccessfulRead(fixtures.get(i), id, keys[id]);
+                targets[i] = targetOfSuccessfulRead(fixtures.get(i), id, keys[id]);
             }
-            assertEquals(to[0], to[1], "the same endpoint at both proxies");
+            assertEquals(targets[0], targets[1], "the same endpoint at both proxies");
             advanceClocks(fixtures, 3000 * MS);
-            assertEquals(targetOfSuccessfulRead(fixtures.get(0), 1000 + id, keys[id]), to[0],
-                "whatever the queue is now");
+            assertEquals(targetOfSuccessfulRead(fixtures.get(0), 1000 + id, keys[id]), targets[0],
+                "the target does not depend on the current queue length");
         }
         int migrated = 0;
         for (int id = 0; id < keys.length; id++) {
@@ -87,7 +89,8 @@
     }
 
     /**
-     * Attempts in flight at an endpoint for each one at the others; bounds of the cached fraction after 6 s.
+     * Number of attempts in flight at the owner's endpoint for each one at any other endpoint, which equals
+     * the attempts that begin there in each step; bounds of the cached fraction after 6 s.
      */
     @DataProvider
     Object[][] loads() {
@@ -95,27 +98,29 @@
     }
 
     @Test(dataProvider = "loads")
-    public void ownerLowersTheCachedFractionAboveTheMeanQueue(int times, double least, double most) {
+    public void lowersTheCachedFractionIfTheQueueExceedsTheMean(int attemptsPerStep, double minFraction,
+                                                                double maxFraction) {
         BalancerFixture owner = fleet(null).get(ownerOf(3));
         double cachedFraction = 1;
         for (int i = 0; i < 300; i++) {
             for (long endpoint : new long[] {0, 1, 2, 4, 5, 6, 7}) {
                 owner.receive(new PeerUpdate(Topic.LOAD, endpoint, 50, 33 * MS, 1));
             }
-            for (int j = 0; j < times; j++) {
+            for (int j = 0; j < attemptsPerStep; j++) {
                 owner.receive(new PeerUpdate(Topic.IN_FLIGHT, 3, 1));
                 cachedFraction = owner.decisions.peerUpdates.stream()
-                    .filter(t -> t.update().topic() == Topic.LOAD)
-                    .mapToDouble(t -> t.update().cachedFraction()).findFirst().orElse(cachedFraction);
+                    .filter(sent -> sent.update().topic() == Topic.LOAD)
+                    .mapToDouble(sent -> sent.update().cachedFraction()).findFirst().orElse(cachedFraction);
             }
             owner.nowNanos += 20 * MS;
         }
-        assertTrue(cachedFraction >= least && cachedFraction <= most, "cached fraction " + cachedFraction);
+        assertTrue(cachedFraction >= minFraction && cachedFraction <= maxFraction,
+            "cached fraction " + cachedFraction);
     }
 
     /**
-     * Whether ten attempts at an endpoint succeed, after how many milliseconds; bounds of the service time in
-     * milliseconds that the owner sends.
+     * Whether ten attempts at an endpoint succeed, their duration in milliseconds, and bounds of the service
+     * time in milliseconds that the owner publishes.
      */
     @DataProvider
     Object[][] attemptEnds() {
@@ -123,32 +128,33 @@
     }
 
     /**
-     * Incident i1e1366: the service time of an overloaded endpoint was that of the few requests that it
-     * completed in time.
+     * Incident i1e1366: the service time of an overloaded endpoint was computed only from the few requests
+     * that it completed in time.
      */
     @Test(dataProvider = "attemptEnds")
-    public void ownerReportsAServiceTimeThatIncludesTimeOuts(boolean succeeds, long ms, long least,
-                                                             long most) {
+    public void publishesAServiceTimeThatIncludesTimeouts(boolean succeeds, long elapsedMillis,
+                                                          long minMillis, long maxMillis) {
         BalancerFixture owner = fleet(null).get(ownerOf(3));
         for (int i = 0; i < 10; i++) {
             owner.receive(new PeerUpdate(Topic.IN_FLIGHT, 3, 1));
         }
-        owner.nowNanos += ms * MS;
+        owner.nowNanos += elapsedMillis * MS;
         for (int i = 0; i < 10; i++) {
-            owner.receive(new PeerUpdate(Topic.IN_FLIGHT, 3, (succeeds ? -1 : 1) * Math.exp(-ms / 1000.0),
-                new CacheKey(7)));
+            owner.receive(
+                new PeerUpdate(Topic.IN_FLIGHT, 3, (succeeds ? -1 : 1) * Math.exp(-elapsedMillis / 1000.0),
+                    new CacheKey(7)));
         }
         owner.nowNanos += 4001 * MS;
         int querying = (ownerOf(3) + 1) % PROXIES;
-        PeerUpdate answer = owner
+        PeerUpdate reply = owner
             .receive(new PeerUpdate(Topic.CACHE_QUERY, 3, querying, new CacheKey(7))).peerUpdates
             .get(0).update();
-        assertEquals(answer.cachedFraction(), succeeds ? 1.0 : 0.0);
-        assertTrue(answer.serviceTimeNanos() >= least * MS && answer.serviceTimeNanos() <= most * MS,
-            answer.serviceTimeNanos() / MS + " ms");
+        assertEquals(reply.cachedFraction(), succeeds ? 1.0 : 0.0);
+        assertTrue(reply.serviceTimeNanos() >= minMillis * MS && reply.serviceTimeNanos() <= maxMillis * MS,
+            reply.serviceTimeNanos() / MS + " ms");
         assertTrue(
             owner.receive(new PeerUpdate(Topic.CACHE_QUERY, 3, PROXIES, new CacheKey(7))).peerUpdates
                 .isEmpty(),
-            "no proxy has that index");
+            "no reply to an index beyond the fleet");
     }
 }
--- a/core/src/test/java/spurroad/balancer/statistics/RecentKeySetTest.java
+++ b/core/src/test/java/spurroad/balancer/statistics/RecentKeySetTest.java
@@ -23,7 +23,8 @@
         }
         full.add(key(1), 50);
         full.add(key(4), 60);
-        assertFalse(full.contains(key(1), 60, MAX_AGE_NANOS), "renewing its time does not move it back");
+        assertFalse(full.contains(key(1), 60, MAX_AGE_NANOS),
+            "adding a key again does not change its position");
         assertTrue(full.contains(key(2), 60, MAX_AGE_NANOS));
         assertTrue(full.contains(key(4), 60, MAX_AGE_NANOS));
     }
@@ -38,14 +39,14 @@
 
     @Test
     public void removesARecentKeyOnce() {
-        RecentKeySet once = new RecentKeySet(3);
-        once.add(key(7), 0);
-        assertTrue(once.removeIfRecent(key(7), 10, MAX_AGE_NANOS));
-        assertFalse(once.removeIfRecent(key(7), 10, MAX_AGE_NANOS));
+        RecentKeySet recent = new RecentKeySet(3);
+        recent.add(key(7), 0);
+        assertTrue(recent.removeIfRecent(key(7), 10, MAX_AGE_NANOS));
+        assertFalse(recent.removeIfRecent(key(7), 10, MAX_AGE_NANOS));
     }
 
     @Test
-    public void neverContainsNoKey() {
+    public void neverContainsTheNoneKey() {
         keys.add(CacheKey.NONE, 0);
         assertEquals(keys.contains(CacheKey.NONE, 0, MAX_AGE_NANOS), false);
     }
