--- a/core/src/main/java/spurroad/balancer/request/AttemptDispatch.java
+++ b/core/src/main/java/spurroad/balancer/request/AttemptDispatch.java
@@ -55,9 +55,9 @@
         // a write voids what the endpoint has cached of its key
         ownership.tellOwner(endpoint, PeerUpdate.Topic.IN_FLIGHT, 1,
             request.isWrite() ? request.key() : CacheKey.NONE);
-        long untilNanos = request.isWrite() ? request.deadlineNanos() : request.lastUsefulNanos();
+        long expiryNanos = request.isWrite() ? request.deadlineNanos() : request.lastUsefulNanos();
         event.decisions().attemptsToStart.add(new Decisions.StartAttempt(request.id(), endpoint.id(),
-            untilNanos - event.now(), request.deduplicatedUntilNanos()));
+            expiryNanos - event.now(), request.deduplicatedUntilNanos()));
         return true;
     }
 
@@ -79,10 +79,10 @@
     }
 
     /** Cancels the attempts at an unresponsive endpoint that may be made elsewhere. */
-    void cancelMovable(EndpointState endpoint, Function<RequestId, PendingRequest> requests) {
+    void cancelRetryable(EndpointState endpoint, Function<RequestId, PendingRequest> pendingRequests) {
         for (Attempt attempt : endpoint.inFlight()) {
-            PendingRequest request = requests.apply(attempt.requestId());
-            if (request != null && retryPolicy.mayMoveElsewhere(request)) {
+            PendingRequest request = pendingRequests.apply(attempt.requestId());
+            if (request != null && retryPolicy.mayCancelForRetry(request)) {
                 cancel(attempt);
             }
         }
--- a/core/src/main/java/spurroad/balancer/request/AttemptFeedback.java
+++ b/core/src/main/java/spurroad/balancer/request/AttemptFeedback.java
@@ -22,7 +22,7 @@
  * limit, idle connections, and either outlier detection or, with gossip, the owner of the endpoint.
  */
 public final class AttemptFeedback {
-    private static final long ORIGIN_OWNER_SUBJECT = 0;
+    private static final long ORIGIN_SUBJECT = 0;
 
     private final ActiveDeployment deployment;
     private final EventContext event;
@@ -57,39 +57,40 @@
      *     a core that passed for slow endpoints, and rejections brought clients back at once
      */
     void onAttemptEnd(Attempt attempt, Outcome outcome, long proxyDelayNanos) {
-        long tookNanos = Math.max(0, event.now() - attempt.sentNanos() - proxyDelayNanos);
+        long durationNanos = Math.max(0, event.now() - attempt.sentNanos() - proxyDelayNanos);
         EndpointState endpoint = attempt.endpoint();
         if (outcome.hasReply()) {
             outlierDetector.onReply(endpoint);
         }
         idleConnections.onConnectResult(outcome == Outcome.NO_CONNECTION);
         if (endpoints.isOrigin(endpoint)) {
-            recordAtOrigin(attempt, outcome, tookNanos);
+            recordOriginAttempt(attempt, outcome, durationNanos);
         } else {
-            recordAtCache(attempt, outcome, tookNanos);
+            recordCacheAttempt(attempt, outcome, durationNanos);
         }
     }
 
-    private void recordAtOrigin(Attempt attempt, Outcome outcome, long tookNanos) {
-        boolean timed = outcome == Outcome.SUCCEEDED || outcome == Outcome.TIMED_OUT
+    private void recordOriginAttempt(Attempt attempt, Outcome outcome, long durationNanos) {
+        boolean isServiceTimeSample = outcome == Outcome.SUCCEEDED || outcome == Outcome.TIMED_OUT
             || outcome == Outcome.REJECTED;
-        long readNanos = timed ? originLimit.onAttemptEnd(attempt, tookNanos, outcome, event.now())
-            : tookNanos;
-        serviceTimes.recordForEndpoint(attempt, timed, readNanos, event.now());
+        long readEquivalentNanos = isServiceTimeSample
+            ? originLimit.onAttemptEnd(attempt, durationNanos, outcome, event.now())
+            : durationNanos;
+        serviceTimes.recordForEndpoint(attempt, isServiceTimeSample, readEquivalentNanos, event.now());
     }
 
-    private void recordAtCache(Attempt attempt, Outcome outcome, long tookNanos) {
-        boolean timed = outcome == Outcome.SUCCEEDED;
-        serviceTimes.recordForEndpoint(attempt, timed, tookNanos, event.now());
-        boolean cancelledByUs = outcome == Outcome.CANCELLED && attempt.isCancellationRequested();
-        if (outcome == Outcome.NOT_SENT || cancelledByUs) {
+    private void recordCacheAttempt(Attempt attempt, Outcome outcome, long durationNanos) {
+        boolean isServiceTimeSample = outcome == Outcome.SUCCEEDED;
+        serviceTimes.recordForEndpoint(attempt, isServiceTimeSample, durationNanos, event.now());
+        boolean cancelledByProxy = outcome == Outcome.CANCELLED && attempt.isCancellationRequested();
+        if (outcome == Outcome.NOT_SENT || cancelledByProxy) {
             return; // no evidence on the endpoint
         }
-        serviceTimes.recordOverall(attempt, timed, tookNanos, event.now());
+        serviceTimes.recordOverall(attempt, isServiceTimeSample, durationNanos, event.now());
         if (deployment.gossipEnabled()) {
-            tellOwners(attempt, outcome, tookNanos);
+            notifyOwners(attempt, outcome, durationNanos);
         } else {
-            outlierDetector.onAttemptEnd(attempt, outcome, timed, tookNanos);
+            outlierDetector.onAttemptEnd(attempt, outcome, isServiceTimeSample, durationNanos);
         }
     }
 
@@ -97,15 +98,16 @@
      * A read that succeeds notifies the endpoint's owner that its key is cached; a write's end the origin's
      * how.
      */
-    private void tellOwners(Attempt attempt, Outcome outcome, long tookNanos) {
+    private void notifyOwners(Attempt attempt, Outcome outcome, long durationNanos) {
         boolean succeeded = outcome == Outcome.SUCCEEDED;
-        double remaining = OwnershipState.remainingWeight(tookNanos);
+        double remainingWeight = OwnershipState.remainingWeight(durationNanos);
         ownership.tellOwner(attempt.endpoint(), PeerUpdate.Topic.IN_FLIGHT,
-            succeeded ? -remaining : remaining,
+            succeeded ? -remainingWeight : remainingWeight,
             attempt.isWrite() ? CacheKey.NONE : attempt.key());
         if (attempt.isWrite() && outcome != Outcome.REJECTED) {
-            boolean late = !succeeded || LoadShedder.isOverloadedTime(attempt.requestClass(), tookNanos);
-            peers.sendToOwner(ORIGIN_OWNER_SUBJECT, PeerUpdate.ofOriginWrite(late));
+            boolean isLate = !succeeded
+                || LoadShedder.isOverloadedTime(attempt.requestClass(), durationNanos);
+            peers.sendToOwner(ORIGIN_SUBJECT, PeerUpdate.ofOriginWrite(isLate));
         }
     }
 }
--- a/core/src/main/java/spurroad/balancer/request/CandidateFinder.java
+++ b/core/src/main/java/spurroad/balancer/request/CandidateFinder.java
@@ -35,20 +35,20 @@
      */
     List<EndpointState> find(PendingRequest request) {
         if (!request.hasAttempts()) {
-            countHomeRequest(request);
-            EndpointState returned = awaitingFirstRequest(request);
-            if (returned != null) {
-                return List.of(returned);
+            countPrimaryRequest(request);
+            EndpointState awaitingFirstRequest = findAwaitingFirstRequest(request);
+            if (awaitingFirstRequest != null) {
+                return List.of(awaitingFirstRequest);
             }
         }
-        List<EndpointState> available = walk(request, true);
-        return available.isEmpty() ? walk(request, false) : available;
+        List<EndpointState> available = walkRing(request, true);
+        return available.isEmpty() ? walkRing(request, false) : available;
     }
 
     /**
      * Where few requests come, the keys of an endpoint that staff returned may not be among them for long.
      */
-    private EndpointState awaitingFirstRequest(PendingRequest request) {
+    private EndpointState findAwaitingFirstRequest(PendingRequest request) {
         if (!endpoints.anyAwaitsFirstRequest()) {
             return null;
         }
@@ -60,19 +60,19 @@
         return null;
     }
 
-    private void countHomeRequest(PendingRequest request) {
+    private void countPrimaryRequest(PendingRequest request) {
         Ring ring = endpoints.ring();
         if (ring.size() > 0) {
             endpointAt(ring, ring.firstPointFrom(request.ringPoint())).slowStart().onHomeRequest(event.now());
         }
     }
 
-    private List<EndpointState> walk(PendingRequest request, boolean availableOnly) {
+    private List<EndpointState> walkRing(PendingRequest request, boolean availableOnly) {
         Ring ring = endpoints.ring();
         List<EndpointState> found = new ArrayList<>(Ring.CANDIDATES);
-        int first = ring.firstPointFrom(request.ringPoint());
+        int firstPoint = ring.firstPointFrom(request.ringPoint());
         for (int i = 0; i < ring.size() && found.size() < Ring.CANDIDATES; i++) {
-            EndpointState endpoint = endpointAt(ring, first + i);
+            EndpointState endpoint = endpointAt(ring, firstPoint + i);
             if (!found.contains(endpoint) && isCandidate(endpoint, request, i == 0, availableOnly)) {
                 found.add(endpoint);
             }
@@ -85,10 +85,10 @@
         return endpoints.cacheEndpoints().get(ring.owner(point));
     }
 
-    private boolean isCandidate(EndpointState endpoint, PendingRequest request, boolean home,
+    private boolean isCandidate(EndpointState endpoint, PendingRequest request, boolean isPrimary,
                                 boolean availableOnly) {
         // a hot key that a full endpoint had left pushed the cold one over that came next
-        if (!home && deployment.gossipEnabled() && !availability.isWarm(endpoint)) {
+        if (!isPrimary && deployment.gossipEnabled() && !availability.isWarm(endpoint)) {
             return false;
         }
         return availableOnly ? availability.isAvailable(endpoint, request)
@@ -101,11 +101,11 @@
         if (ownZone == null) {
             return;
         }
-        int next = 0;
+        int nextPosition = 0;
         for (int i = 0; i < candidates.size(); i++) {
             if (candidates.get(i).listing().zone().equals(ownZone)) {
-                candidates.add(next, candidates.remove(i));
-                next++;
+                candidates.add(nextPosition, candidates.remove(i));
+                nextPosition++;
             }
         }
     }
--- a/core/src/main/java/spurroad/balancer/request/CandidateSelection.java
+++ b/core/src/main/java/spurroad/balancer/request/CandidateSelection.java
@@ -36,7 +36,7 @@
     private final LoadProbes loadProbes;
     private final EndpointOwnership ownership;
     private final WaitQueue waitQueue;
-    private boolean conservesProbes;
+    private boolean skipsOptionalProbes;
 
     /** Creates the selection over the modules that know the candidates and their load. */
     public CandidateSelection(ActiveDeployment deployment, EventContext event, RandomDraws random,
@@ -55,44 +55,44 @@
     }
 
     /** Sets whether probes that no request waits for are left out for now. */
-    void setConservesProbes(boolean conserves) {
-        conservesProbes = conserves;
+    void setSkipsOptionalProbes(boolean skips) {
+        skipsOptionalProbes = skips;
     }
 
     /** Chooses for a request that is to go to a cache endpoint. */
     NextStep select(PendingRequest request) {
         List<EndpointState> candidates = finder.find(request);
-        if (candidates.isEmpty() || isOutOfTime(request)) {
+        if (candidates.isEmpty() || hasNoTimeLeft(request)) {
             return NextStep.REJECT;
         }
-        return deployment.gossipEnabled() ? selectByKeys(request, candidates)
-            : selectByQueues(request, candidates);
+        return deployment.gossipEnabled() ? selectByKeyPlacement(request, candidates)
+            : selectByQueueLength(request, candidates);
     }
 
-    private NextStep selectByQueues(PendingRequest request, List<EndpointState> candidates) {
+    private NextStep selectByQueueLength(PendingRequest request, List<EndpointState> candidates) {
         EndpointState first = candidates.get(0);
         if (latency.isUnderSoftLimit(first, request)) {
-            probeIfOutdated(first);
-            return assign(request, first);
+            probeIfReportStale(first);
+            return dispatchUnlessLate(request, first);
         }
         if (candidates.size() == 1 || !deployment.settings().loadProbesAllowed()) {
-            probeIfOutdated(first);
-            return assign(request, firstUnderLimit(request, candidates));
+            probeIfReportStale(first);
+            return dispatchUnlessLate(request, firstUnderLimit(request, candidates));
         }
         List<EndpointState> others = candidates.subList(1, candidates.size());
-        request.setReplies(new PendingReplies(candidates, others));
+        request.setPendingReplies(new PendingReplies(candidates, others));
         waitQueue.add(request, WaitReason.LOAD_REPLIES, event.now() + LOAD_PROBE_WAIT_NANOS);
         others.forEach(loadProbes::send);
         return NextStep.WAIT;
     }
 
-    private NextStep selectByKeys(PendingRequest request, List<EndpointState> candidates) {
-        EndpointState home = firstUnderLimit(request, candidates);
-        if (latency.mayRiskMiss(request, home)) {
-            return assign(request, home);
+    private NextStep selectByKeyPlacement(PendingRequest request, List<EndpointState> candidates) {
+        EndpointState preferred = firstUnderLimit(request, candidates);
+        if (latency.maySendWithoutCacheQuery(request, preferred)) {
+            return dispatchUnlessLate(request, preferred);
         }
         long waitNanos = (long) (CACHE_QUERY_WAIT_FRACTION * deployment.shortestObjectiveNanos());
-        request.setReplies(new PendingReplies(candidates, candidates));
+        request.setPendingReplies(new PendingReplies(candidates, candidates));
         waitQueue.add(request, WaitReason.LOAD_REPLIES, event.now() + waitNanos);
         for (EndpointState candidate : candidates) {
             // one that this proxy owns is answered at once, and may end the wait
@@ -112,15 +112,15 @@
     }
 
     /** An old report is renewed alongside, for the requests that come next. */
-    private void probeIfOutdated(EndpointState endpoint) {
-        if (!conservesProbes && endpoint.load().wasReported() && !endpoint.load().isFresh(event.now())) {
+    private void probeIfReportStale(EndpointState endpoint) {
+        if (!skipsOptionalProbes && endpoint.load().wasReported() && !endpoint.load().isFresh(event.now())) {
             loadProbes.send(endpoint);
         }
     }
 
     /** Continues a request that was waiting for an endpoint's load, which is now known. */
     NextStep onLoadReport(PendingRequest request, EndpointState endpoint) {
-        if (!request.replies().onReply(endpoint)) {
+        if (!request.pendingReplies().onReply(endpoint)) {
             return NextStep.WAIT;
         }
         return onReply(request, endpoint, latency.isUnderSoftLimit(endpoint, request));
@@ -128,61 +128,62 @@
 
     /** Goes on with a request that waits to hear whether an endpoint has its key cached. */
     NextStep onCacheStatus(PendingRequest request, EndpointState endpoint, boolean cached) {
-        if (!request.replies().onReply(endpoint)) {
+        if (!request.pendingReplies().onReply(endpoint)) {
             return NextStep.WAIT;
         }
         return onReply(request, endpoint, cached);
     }
 
-    private NextStep onReply(PendingRequest request, EndpointState endpoint, boolean good) {
-        if (good && availability.isAvailable(endpoint, request)) {
+    private NextStep onReply(PendingRequest request, EndpointState endpoint, boolean isAcceptable) {
+        if (isAcceptable && availability.isAvailable(endpoint, request)) {
             waitQueue.release(request);
-            return assign(request, endpoint);
+            return dispatchUnlessLate(request, endpoint);
         }
-        return request.replies().isComplete() ? onWaitOver(request) : NextStep.WAIT;
+        return request.pendingReplies().isComplete() ? onWaitExpired(request) : NextStep.WAIT;
     }
 
     /** Goes on with a request none of whose candidates replied, in time, that it is under its limit. */
-    NextStep onWaitOver(PendingRequest request) {
-        List<EndpointState> candidates = request.replies().candidates().stream()
+    NextStep onWaitExpired(PendingRequest request) {
+        List<EndpointState> candidates = request.pendingReplies().candidates().stream()
             .filter(candidate -> availability.isAvailable(candidate, request)).toList();
         waitQueue.release(request);
-        if (deployment.gossipEnabled() || candidates.isEmpty() || isOutOfTime(request)) {
+        if (deployment.gossipEnabled() || candidates.isEmpty() || hasNoTimeLeft(request)) {
             return NextStep.REJECT;
         }
-        EndpointState chosen = request.replies().anyReplied() ? shortestQueue(request, candidates)
+        EndpointState chosen = request.pendingReplies().anyReplied() ? shortestQueue(request, candidates)
             : candidates.get(random.candidateIndex(candidates.size()));
-        return assign(request, chosen);
+        return dispatchUnlessLate(request, chosen);
     }
 
     /** Returns the shortest queue in time; one that has not replied counts as the mean of the others. */
     private EndpointState shortestQueue(PendingRequest request, List<EndpointState> candidates) {
-        double meanNanos = candidates.stream().filter(candidate -> !isReplyAwaited(request, candidate))
+        double meanLatencyNanos = candidates.stream().filter(candidate -> !isReplyAwaited(request, candidate))
             .mapToDouble(latency::expectedNanos).average().orElse(0);
         EndpointState shortest = null;
-        double shortestNanos = 0;
+        double shortestLatencyNanos = 0;
         for (EndpointState candidate : candidates) {
-            double nanos = isReplyAwaited(request, candidate) ? meanNanos : latency.expectedNanos(candidate);
-            if (shortest == null || Double.compare(nanos, shortestNanos) < 0) {
+            double latencyNanos = isReplyAwaited(request, candidate) ? meanLatencyNanos
+                : latency.expectedNanos(candidate);
+            if (shortest == null || Double.compare(latencyNanos, shortestLatencyNanos) < 0) {
                 shortest = candidate;
-                shortestNanos = nanos;
+                shortestLatencyNanos = latencyNanos;
             }
         }
         return shortest;
     }
 
     private static boolean isReplyAwaited(PendingRequest request, EndpointState candidate) {
-        return request.replies() != null && request.replies().isAwaited(candidate);
+        return request.pendingReplies() != null && request.pendingReplies().isAwaited(candidate);
     }
 
-    private NextStep assign(PendingRequest request, EndpointState endpoint) {
+    private NextStep dispatchUnlessLate(PendingRequest request, EndpointState endpoint) {
         if (!request.hasAttempts() && latency.isTooLate(endpoint, request)) {
             return NextStep.REJECT;
         }
         return NextStep.dispatchTo(endpoint);
     }
 
-    private boolean isOutOfTime(PendingRequest request) {
+    private boolean hasNoTimeLeft(PendingRequest request) {
         return request.deadlineNanos() <= event.now() + deployment.settings().clockTickNanos();
     }
 }
--- a/core/src/main/java/spurroad/balancer/request/EndpointAvailability.java
+++ b/core/src/main/java/spurroad/balancer/request/EndpointAvailability.java
@@ -52,9 +52,9 @@
             return false;
         }
         double demand = slowStart.demand(proxyRequests.sum(now), now);
-        double allowed = slowStart.sustainableFraction(now, deployment.settings())
+        double allowedFraction = slowStart.sustainableFraction(now, deployment.settings())
             * (1 - loadShedder.overloadedFraction());
-        return request.requestDraw() * demand < allowed;
+        return request.requestDraw() * demand < allowedFraction;
     }
 
     /** Returns whether an endpoint's warm-up is over. */
--- a/core/src/main/java/spurroad/balancer/request/ExpectedLatency.java
+++ b/core/src/main/java/spurroad/balancer/request/ExpectedLatency.java
@@ -24,9 +24,9 @@
     // of the shortest latency objective: lower priorities must leave short queues to the highest
     private static final double LOW_PRIORITY_QUEUE_FRACTION = 0.5;
     // latency objectives of queue less for a request that may miss, for each overloaded fraction
-    private static final double MISS_OVERLOAD_PENALTY = 2;
+    private static final double OVERLOAD_PENALTY_OBJECTIVES = 2;
     // of the requests by their draw: some always go without asking, so that caches are filled
-    private static final double ALWAYS_RISKED_FRACTION = 0.05;
+    private static final double MIN_UNQUERIED_FRACTION = 0.05;
 
     private final ActiveDeployment deployment;
     private final EventContext event;
@@ -61,13 +61,13 @@
             return endpoint.keepsKey(request.ringPoint(), event.now());
         }
         double waitNanos = SOFT_LIMIT_WAIT_FRACTION * request.requestClass().latencyObjectiveNanos()
-            + missCostNanos();
+            + expectedMissCostNanos();
         return endpoint.queueLength(event.now()) < serviceTimes.softLimit(endpoint, waitNanos, event.now())
             && !isTooLate(endpoint, request);
     }
 
     /** A request that moves may miss, so a slow origin makes for patience and a quick one spreads load. */
-    private double missCostNanos() {
+    private double expectedMissCostNanos() {
         EndpointState origin = endpoints.origin();
         return origin == null ? 0 : MISS_PROBABILITY_WHEN_MOVED * expectedNanos(origin);
     }
@@ -80,7 +80,7 @@
         }
         double maxFraction = deployment.gossipEnabled() ? MAX_EXPECTED_FRACTION_WITH_GOSSIP
             : MAX_EXPECTED_FRACTION;
-        return queueNanos > maxFraction * (request.objectiveNanos() - event.now());
+        return queueNanos > maxFraction * (request.objectiveEndNanos() - event.now());
     }
 
     /**
@@ -89,14 +89,14 @@
      * nothing was sent any more that could have shown better.
      */
     private double queueNanos(EndpointState endpoint) {
-        boolean queueIsKnown = deployment.gossipEnabled() && endpoint.load().isFresh(event.now());
-        return endpoint.isIdle() && !queueIsKnown ? 0 : expectedNanos(endpoint);
+        boolean isQueueReported = deployment.gossipEnabled() && endpoint.load().isFresh(event.now());
+        return endpoint.isIdle() && !isQueueReported ? 0 : expectedNanos(endpoint);
     }
 
     private double maxQueueNanos(PendingRequest request) {
-        boolean unbounded = deployment.gossipEnabled()
+        boolean isUnlimited = deployment.gossipEnabled()
             || request.requestClass().priorityWeight() >= deployment.highestPriorityWeight();
-        return unbounded ? Double.POSITIVE_INFINITY
+        return isUnlimited ? Double.POSITIVE_INFINITY
             : deployment.shortestObjectiveNanos() * LOW_PRIORITY_QUEUE_FRACTION;
     }
 
@@ -104,18 +104,18 @@
      * Returns whether, where proxies talk, a request goes to an endpoint that may not have its key cached;
      * else the owners of the candidates are queried first. Writes and requests without a key always go.
      */
-    boolean mayRiskMiss(PendingRequest request, EndpointState endpoint) {
-        if (request.isWrite() || !request.hasKey() || request.requestDraw() < ALWAYS_RISKED_FRACTION) {
+    boolean maySendWithoutCacheQuery(PendingRequest request, EndpointState endpoint) {
+        if (request.isWrite() || !request.hasKey() || request.requestDraw() < MIN_UNQUERIED_FRACTION) {
             return true;
         }
         if (request.requestDraw() >= originBacklog.admittedReads()) {
             return false;
         }
-        double objectiveNanos = deployment.shortestObjectiveNanos();
-        double maxNanos = objectiveNanos
-            * (MAX_EXPECTED_FRACTION - MISS_OVERLOAD_PENALTY * loadShedder.overloadedFraction());
+        double shortestObjectiveNanos = deployment.shortestObjectiveNanos();
+        double maxNanos = shortestObjectiveNanos
+            * (MAX_EXPECTED_FRACTION - OVERLOAD_PENALTY_OBJECTIVES * loadShedder.overloadedFraction());
         double queueNanos = endpoint.load().isFresh(event.now()) ? expectedNanos(endpoint)
-            : MAX_EXPECTED_FRACTION / 2 * objectiveNanos;
+            : MAX_EXPECTED_FRACTION / 2 * shortestObjectiveNanos;
         return queueNanos < maxNanos;
     }
 }
--- a/core/src/main/java/spurroad/balancer/request/OriginFetch.java
+++ b/core/src/main/java/spurroad/balancer/request/OriginFetch.java
@@ -20,7 +20,7 @@
  */
 public final class OriginFetch {
     // of the shortest latency objective: queueing at the origin itself; the rest waits here, in order
-    private static final double WAIT_FRACTION = 0.4;
+    private static final double MAX_ORIGIN_WAIT_FRACTION = 0.4;
     private static final int STARTS_PER_READ = 8;
 
     private static final Comparator<PendingRequest> BY_PRECEDENCE = OriginFetch::comparePrecedence;
@@ -33,7 +33,7 @@
     private final WaitQueue waitQueue;
     private final RequestCoalescer coalescer = new RequestCoalescer();
     private final TreeSet<PendingRequest> queue = new TreeSet<>(BY_PRECEDENCE);
-    private long started;
+    private long startCount;
 
     /** Creates an empty queue; the concurrency limit is learnt elsewhere. */
     public OriginFetch(ActiveDeployment deployment, EventContext event, EndpointTable endpoints,
@@ -47,17 +47,18 @@
         this.waitQueue = waitQueue;
     }
 
-    private static int comparePrecedence(PendingRequest a, PendingRequest b) {
-        int byQuota = Boolean.compare(a.isOverQuota(), b.isOverQuota());
+    private static int comparePrecedence(PendingRequest first, PendingRequest second) {
+        int byQuota = Boolean.compare(first.isOverQuota(), second.isOverQuota());
         if (byQuota != 0) {
             return byQuota;
         }
-        int byWeight = Double.compare(b.requestClass().priorityWeight(), a.requestClass().priorityWeight());
+        int byWeight = Double.compare(second.requestClass().priorityWeight(),
+            first.requestClass().priorityWeight());
         if (byWeight != 0) {
             return byWeight;
         }
-        int byKind = Boolean.compare(b.isWrite(), a.isWrite());
-        return byKind != 0 ? byKind : Long.compare(a.sequence(), b.sequence());
+        int byWrite = Boolean.compare(second.isWrite(), first.isWrite());
+        return byWrite != 0 ? byWrite : Long.compare(first.sequence(), second.sequence());
     }
 
     /** Returns whether a request has to go to the origin, where proxies fetch from it. */
@@ -70,18 +71,18 @@
      */
     NextStep enqueue(PendingRequest request) {
         if (!request.isWrite() && request.hasKey() && coalescer.joinOrLead(request)) {
-            waitQueue.add(request, WaitReason.SHARED_FETCH, request.objectiveNanos());
+            waitQueue.add(request, WaitReason.SHARED_FETCH, request.objectiveEndNanos());
             return NextStep.WAIT;
         }
-        if (!isServedInTime(request)) {
+        if (!isExpectedInTime(request)) {
             return NextStep.REJECT;
         }
         queue.add(request);
-        waitQueue.add(request, WaitReason.ORIGIN_CAPACITY, request.objectiveNanos());
+        waitQueue.add(request, WaitReason.ORIGIN_CAPACITY, request.objectiveEndNanos());
         return NextStep.WAIT;
     }
 
-    private boolean isServedInTime(PendingRequest request) {
+    private boolean isExpectedInTime(PendingRequest request) {
         EndpointState origin = endpoints.origin();
         if (origin == null) {
             return false;
@@ -89,9 +90,9 @@
         if (origin.isIdle()) {
             return true; // whatever its state was: the next response shows the current one
         }
-        int ahead = queue.headSet(request).size();
-        long remainingNanos = request.objectiveNanos() - event.now();
-        return serviceTimes.expectedNanos(origin, ahead, event.now()) <= remainingNanos;
+        int requestsAhead = queue.headSet(request).size();
+        long remainingNanos = request.objectiveEndNanos() - event.now();
+        return serviceTimes.expectedNanos(origin, requestsAhead, event.now()) <= remainingNanos;
     }
 
     /** Takes the next request to start out of the queue, if the origin has capacity; else returns null. */
@@ -99,8 +100,8 @@
         if (queue.isEmpty() || endpoints.origin() == null || !hasCapacity(endpoints.origin())) {
             return null;
         }
-        started++;
-        PendingRequest next = started % STARTS_PER_READ == 0 ? firstRead() : null;
+        startCount++;
+        PendingRequest next = startCount % STARTS_PER_READ == 0 ? firstQueuedRead() : null;
         if (next == null) {
             next = queue.first();
         }
@@ -109,12 +110,12 @@
     }
 
     private boolean hasCapacity(EndpointState origin) {
-        double waitNanos = WAIT_FRACTION * deployment.shortestObjectiveNanos();
+        double waitNanos = MAX_ORIGIN_WAIT_FRACTION * deployment.shortestObjectiveNanos();
         double softLimit = serviceTimes.softLimit(origin, waitNanos, event.now());
         return origin.inFlight().size() < Math.max(concurrencyLimit.limit(), softLimit);
     }
 
-    private PendingRequest firstRead() {
+    private PendingRequest firstQueuedRead() {
         for (PendingRequest waiting : queue) {
             if (!waiting.isWrite()) {
                 return waiting;
--- a/core/src/main/java/spurroad/balancer/request/PendingRequest.java
+++ b/core/src/main/java/spurroad/balancer/request/PendingRequest.java
@@ -19,7 +19,7 @@
 public final class PendingRequest {
     private final RequestArrival arrival;
     private final long sequence;
-    private final long objectiveNanos;
+    private final long objectiveEndNanos;
     private final long deadlineNanos;
     private final int maxAttempts;
     private final List<Attempt> attempts = new ArrayList<>(2);
@@ -32,7 +32,7 @@
     private boolean finished;
     private WaitReason waitReason = WaitReason.NONE;
     private int waitCount;
-    private PendingReplies replies;
+    private PendingReplies pendingReplies;
 
     /**
      * Creates a request that has just arrived.
@@ -46,7 +46,7 @@
         this.sequence = sequence;
         this.maxAttempts = maxAttempts;
         deadlineNanos = now + arrival.timeoutNanos();
-        objectiveNanos = Math.min(deadlineNanos, now + arrival.latencyObjectiveNanos());
+        objectiveEndNanos = Math.min(deadlineNanos, now + arrival.latencyObjectiveNanos());
     }
 
     RequestId id() {
@@ -94,8 +94,8 @@
     }
 
     /** Returns when its latency objective ends, in nanoseconds; never after the deadline. */
-    long objectiveNanos() {
-        return objectiveNanos;
+    long objectiveEndNanos() {
+        return objectiveEndNanos;
     }
 
     /** Returns when its client stops waiting, in nanoseconds. */
@@ -105,7 +105,7 @@
 
     /** Returns the time after which a response has no value for its client, in nanoseconds. */
     long lastUsefulNanos() {
-        return requestClass().lateValueFraction() > 0 ? deadlineNanos : objectiveNanos;
+        return requestClass().lateValueFraction() > 0 ? deadlineNanos : objectiveEndNanos;
     }
 
     /** Returns the bound on its attempts by the deployment under which it arrived. */
@@ -126,8 +126,8 @@
         return cacheMissed;
     }
 
-    void setCacheMissed(boolean missed) {
-        cacheMissed = missed;
+    void setCacheMissed(boolean isMissed) {
+        cacheMissed = isMissed;
     }
 
     boolean hasAttempts() {
@@ -228,11 +228,11 @@
     /**
      * Returns the replies that it waits for, or waited for last; null before the first wait.
      */
-    PendingReplies replies() {
-        return replies;
+    PendingReplies pendingReplies() {
+        return pendingReplies;
     }
 
-    void setReplies(PendingReplies pending) {
-        replies = pending;
+    void setPendingReplies(PendingReplies newReplies) {
+        pendingReplies = newReplies;
     }
 }
--- a/core/src/main/java/spurroad/balancer/request/RequestArrival.java
+++ b/core/src/main/java/spurroad/balancer/request/RequestArrival.java
@@ -22,11 +22,11 @@
     /** Makes the draws of a request, in this order. */
     static RequestArrival of(RequestId id, RequestClass requestClass, CacheKey key, boolean write,
                              long workNanos, long timeoutNanos, RandomDraws random) {
-        long objectiveNanos = requestClass.latencyObjectiveNanos()
+        long latencyObjectiveNanos = requestClass.latencyObjectiveNanos()
             + (long) (requestClass.latencyObjectiveStretch() * workNanos);
         long ringPoint = key.value() == 0 ? random.ringPoint() : Ring.hash(key.value());
         double requestDraw = random.requestDraw();
-        return new RequestArrival(id, requestClass, key, write, objectiveNanos, timeoutNanos, ringPoint,
+        return new RequestArrival(id, requestClass, key, write, latencyObjectiveNanos, timeoutNanos, ringPoint,
             requestDraw, Ring.uniform(ringPoint));
     }
 }
--- a/core/src/main/java/spurroad/balancer/request/RequestPipeline.java
+++ b/core/src/main/java/spurroad/balancer/request/RequestPipeline.java
@@ -34,7 +34,7 @@
     private static final double RETRY_AFTER_FRACTION = 0.5;
     private static final int MAX_REJECTED_KEYS = 4_096;
     // clients that come again have done so by then
-    private static final long REJECTED_KEY_NANOS = 4_000_000_000L;
+    private static final long REJECTED_KEY_MAX_AGE_NANOS = 4_000_000_000L;
 
     private final ActiveDeployment deployment;
     private final EventContext event;
@@ -80,7 +80,7 @@
             deployment.settings().maxAttempts());
         nextSequence++;
         // a rejected client that comes again would use up its tenant's quota twice
-        if (!rejectedKeys.removeIfRecent(key, event.now(), REJECTED_KEY_NANOS)) {
+        if (!rejectedKeys.removeIfRecent(key, event.now(), REJECTED_KEY_MAX_AGE_NANOS)) {
             tenantQuotas.countRequest(tenant);
         }
         request.setOverQuota(tenantQuotas.drawOverQuota(tenant));
@@ -90,8 +90,8 @@
     }
 
     private RequestClass requestClass(RequestClassId id) {
-        int last = deployment.settings().requestClasses().size() - 1; // a reload may have left fewer
-        return deployment.settings().requestClasses().get(Math.min(id.value(), last));
+        int lastIndex = deployment.settings().requestClasses().size() - 1; // a reload may have left fewer
+        return deployment.settings().requestClasses().get(Math.min(id.value(), lastIndex));
     }
 
     private void admit(PendingRequest request) {
@@ -106,10 +106,10 @@
 
     private void route(PendingRequest request) {
         boolean toOrigin = originFetch.isNeeded(request);
-        perform(request, toOrigin ? originFetch.enqueue(request) : selection.select(request));
+        applyStep(request, toOrigin ? originFetch.enqueue(request) : selection.select(request));
     }
 
-    private void perform(PendingRequest request, NextStep step) {
+    private void applyStep(PendingRequest request, NextStep step) {
         switch (step.action()) {
             case DISPATCH -> dispatch(request, step.endpoint());
             case REJECT -> reject(request);
@@ -126,7 +126,8 @@
     }
 
     /** Handles the end of an attempt; the parameters are those of {@code LoadBalancer.onAttemptEnd}. */
-    public void onAttemptEnd(RequestId id, int number, Outcome outcome, LoadReport report, boolean last,
+    public void onAttemptEnd(RequestId id, int number, Outcome outcome, LoadReport report,
+                             boolean finalAnswerSent,
                              long proxyDelayNanos) {
         PendingRequest request = requests.get(id);
         Attempt attempt = request == null ? null : request.attemptInFlight(number);
@@ -137,7 +138,7 @@
             request.onSuccess();
         }
         recordSuccess(request, proxyDelayNanos);
-        if (last) {
+        if (finalAnswerSent) {
             finish(request); // requests this attempt's cancellation too, which the host ignores
         }
         attempt.endpoint().onReport(report, event.now());
@@ -148,13 +149,13 @@
         if (!request.isFinished()) {
             continueAfterAttempt(request, attempt.endpoint(), outcome);
         }
-        forgetIfComplete(request);
+        removeIfComplete(request);
     }
 
     private void recordSuccess(PendingRequest request, long proxyDelayNanos) {
         if (request.hasSucceeded() && !request.isFinished()) {
             long completedNanos = event.now() - proxyDelayNanos;
-            loadShedder.onSuccess(request.requestClass(), request.objectiveNanos() - completedNanos);
+            loadShedder.onSuccess(request.requestClass(), request.objectiveEndNanos() - completedNanos);
         }
     }
 
@@ -178,7 +179,7 @@
     public void onLoadReport(EndpointState endpoint) {
         for (PendingRequest request : waitQueue.awaitingReplies()) {
             if (request.waitReason() == WaitReason.LOAD_REPLIES) {
-                perform(request, selection.onLoadReport(request, endpoint));
+                applyStep(request, selection.onLoadReport(request, endpoint));
             }
         }
     }
@@ -187,7 +188,7 @@
     public void onCacheStatus(EndpointState endpoint, CacheKey key, boolean cached) {
         for (PendingRequest request : waitQueue.awaitingReplies()) {
             if (request.waitReason() == WaitReason.LOAD_REPLIES && request.key().equals(key)) {
-                perform(request, selection.onCacheStatus(request, endpoint, cached));
+                applyStep(request, selection.onCacheStatus(request, endpoint, cached));
             }
         }
     }
@@ -202,20 +203,20 @@
 
     /** Cancels what waits for an unresponsive endpoint and may be attempted elsewhere. */
     public void onUnresponsive(EndpointState endpoint) {
-        dispatch.cancelMovable(endpoint, requests::get);
+        dispatch.cancelRetryable(endpoint, requests::get);
     }
 
     /** Sets whether to do without retries that are not saved up yet and probes that no request waits for. */
     public void conserveResources(boolean conserve) {
         retryBudget.setFrozen(conserve);
-        selection.setConservesProbes(conserve);
+        selection.setSkipsOptionalProbes(conserve);
     }
 
     /** Goes on with the requests whose waits are over. */
     public void endWaits() {
         for (PendingRequest due = waitQueue.pollDue(); due != null; due = waitQueue.pollDue()) {
             if (due.waitReason() == WaitReason.LOAD_REPLIES) {
-                perform(due, selection.onWaitOver(due));
+                applyStep(due, selection.onWaitExpired(due));
             } else {
                 reject(due);
             }
@@ -247,10 +248,11 @@
     }
 
     private long retryAfterNanos(PendingRequest request) {
-        long maxNanos = deployment.settings().maxRetryAfterNanos();
-        double meanNanos = request.requestClass().latencyObjectiveNanos() * RETRY_AFTER_FRACTION;
-        long drawnNanos = (long) (meanNanos * random.retryAfterFactor());
-        return request.isOverQuota() ? maxNanos : Math.min(maxNanos, drawnNanos);
+        long maxRetryAfterNanos = deployment.settings().maxRetryAfterNanos();
+        double meanRetryAfterNanos = request.requestClass().latencyObjectiveNanos() * RETRY_AFTER_FRACTION;
+        long drawnRetryAfterNanos = (long) (meanRetryAfterNanos * random.retryAfterFactor());
+        return request.isOverQuota() ? maxRetryAfterNanos
+            : Math.min(maxRetryAfterNanos, drawnRetryAfterNanos);
     }
 
     private void finish(PendingRequest request) {
@@ -261,7 +263,7 @@
         dispatch.cancelAll(request);
         waitQueue.release(request);
         endFetch(request);
-        forgetIfComplete(request);
+        removeIfComplete(request);
     }
 
     /**
@@ -278,7 +280,7 @@
         }
     }
 
-    private void forgetIfComplete(PendingRequest request) {
+    private void removeIfComplete(PendingRequest request) {
         if (request.isFinished() && !request.hasAttemptInFlight()) {
             requests.remove(request.id());
         }
--- a/core/src/main/java/spurroad/balancer/request/RetryBudget.java
+++ b/core/src/main/java/spurroad/balancer/request/RetryBudget.java
@@ -33,9 +33,9 @@
         if (frozen) {
             return;
         }
-        boolean gossip = deployment.gossipEnabled();
-        double earned = gossip ? TOKENS_PER_REQUEST_WITH_GOSSIP : TOKENS_PER_REQUEST;
-        tokens = Math.min(gossip ? MAX_TOKENS_WITH_GOSSIP : MAX_TOKENS, tokens + earned);
+        boolean gossipEnabled = deployment.gossipEnabled();
+        double earnedTokens = gossipEnabled ? TOKENS_PER_REQUEST_WITH_GOSSIP : TOKENS_PER_REQUEST;
+        tokens = Math.min(gossipEnabled ? MAX_TOKENS_WITH_GOSSIP : MAX_TOKENS, tokens + earnedTokens);
     }
 
     /** Returns whether a retry is left, which is then used. */
--- a/core/src/main/java/spurroad/balancer/request/RetryPolicy.java
+++ b/core/src/main/java/spurroad/balancer/request/RetryPolicy.java
@@ -35,15 +35,15 @@
         if (request.hasAttemptInFlight() || !hasAttemptsLeft(request) || !endpoint.isReady()) {
             return false;
         }
-        Attempt earlier = request.possiblyExecuted();
-        if (earlier == null) {
+        Attempt earlierAttempt = request.possiblyExecuted();
+        if (earlierAttempt == null) {
             return true;
         }
         return switch (request.requestClass().effect()) {
             case IDEMPOTENT -> true;
             case NON_IDEMPOTENT -> false;
-            case DEDUPLICATED -> isDeduplicated(request)
-                && recognisesRepeat(request.requestClass(), earlier.endpoint(), endpoint);
+            case DEDUPLICATED -> isWithinDeduplicationWindow(request)
+                && recognisesRepeat(request.requestClass(), earlierAttempt.endpoint(), endpoint);
         };
     }
 
@@ -68,12 +68,12 @@
         if (request.possiblyExecuted() == null) {
             return true;
         }
-        return requestClass.effect() == Effect.DEDUPLICATED && isDeduplicated(request)
+        return requestClass.effect() == Effect.DEDUPLICATED && isWithinDeduplicationWindow(request)
             && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
     /** Returns whether an attempt in flight may be cancelled in favour of one elsewhere. */
-    boolean mayMoveElsewhere(PendingRequest request) {
+    boolean mayCancelForRetry(PendingRequest request) {
         return request.requestClass().effect() != Effect.NON_IDEMPOTENT && hasAttemptsLeft(request);
     }
 
@@ -82,14 +82,14 @@
      * the candidates that are proven not to have run it.
      */
     boolean allowsRetry(PendingRequest request, Outcome outcome) {
-        boolean inTime = event.now() + deployment.settings().clockTickNanos() < request.lastUsefulNanos();
-        if (outcome == Outcome.NOT_SENT || !inTime) {
+        boolean isInTime = event.now() + deployment.settings().clockTickNanos() < request.lastUsefulNanos();
+        if (outcome == Outcome.NOT_SENT || !isInTime) {
             return false;
         }
         // beyond the candidates it would miss, and hold a place for that at endpoint after endpoint
-        boolean free = outcome.provesNotExecuted() && request.excludedCount() < Ring.CANDIDATES
+        boolean isExemptFromBudget = outcome.provesNotExecuted() && request.excludedCount() < Ring.CANDIDATES
             && !deployment.gossipEnabled();
-        return free || budget.tryWithdraw();
+        return isExemptFromBudget || budget.tryWithdraw();
     }
 
     /** Returns whether attempts are left; where a reload changed the bound, the lower one holds. */
@@ -98,7 +98,7 @@
         return request.attempts().size() < maxAttempts;
     }
 
-    private boolean isDeduplicated(PendingRequest request) {
+    private boolean isWithinDeduplicationWindow(PendingRequest request) {
         return event.now() + deployment.settings().clockTickNanos() < request.deduplicatedUntilNanos();
     }
 }
--- a/core/src/main/java/spurroad/balancer/request/WaitQueue.java
+++ b/core/src/main/java/spurroad/balancer/request/WaitQueue.java
@@ -16,20 +16,20 @@
  * turn for ever.
  */
 public final class WaitQueue {
-    private record Entry(long dueNanos, long order, PendingRequest request, int waitNumber) {
+    private record Entry(long dueNanos, long sequence, PendingRequest request, int waitNumber) {
         boolean isCurrent() {
             return request.waitReason() != WaitReason.NONE && request.waitNumber() == waitNumber;
         }
     }
 
     private static final Comparator<Entry> BY_DUE_TIME = Comparator.comparingLong(Entry::dueNanos)
-        .thenComparingLong(Entry::order);
+        .thenComparingLong(Entry::sequence);
 
     private final ActiveDeployment deployment;
     private final EventContext event;
     private final PriorityQueue<Entry> entries = new PriorityQueue<>(BY_DUE_TIME);
     private final List<PendingRequest> awaitingReplies = new ArrayList<>();
-    private long nextOrder;
+    private long nextSequence;
 
     /** Creates an empty queue. */
     public WaitQueue(ActiveDeployment deployment, EventContext event) {
@@ -46,8 +46,8 @@
         if (reason == WaitReason.LOAD_REPLIES) {
             awaitingReplies.add(request);
         }
-        entries.add(new Entry(dueNanos, nextOrder, request, request.waitNumber()));
-        nextOrder++;
+        entries.add(new Entry(dueNanos, nextSequence, request, request.waitNumber()));
+        nextSequence++;
     }
 
     /** Ends a request's wait, if it waits. */
--- a/core/src/test/java/spurroad/balancer/CandidateSelectionTest.java
+++ b/core/src/test/java/spurroad/balancer/CandidateSelectionTest.java
@@ -35,20 +35,22 @@
     }
 
     @Test(dataProvider = "queues")
-    public void choosesBySoftLimitThenFirstReplyThenShortestQueue(double first, double[] others, int chosen) {
+    public void choosesBySoftLimitThenFirstReplyThenShortestQueue(double firstQueue, double[] otherQueues,
+                                                                  int chosenIndex) {
         List<Long> candidates = BalancerFixture.candidatesOf(KEY);
         BalancerFixture fixture = BalancerFixture.of(8, false);
-        fixture.endLoadProbe(candidates.get(0), Outcome.SUCCEEDED, first);
+        fixture.endLoadProbe(candidates.get(0), Outcome.SUCCEEDED, firstQueue);
         Decisions decisions = fixture.request(1, READ, KEY);
         for (int i = 0; decisions.attemptsToStart.isEmpty() && i < 2; i++) {
-            decisions = fixture.endLoadProbe(candidates.get(i + 1), Outcome.SUCCEEDED, others[i]);
+            decisions = fixture.endLoadProbe(candidates.get(i + 1), Outcome.SUCCEEDED, otherQueues[i]);
         }
         if (!decisions.attemptsToStart.isEmpty()) {
-            assertEquals(decisions.attemptsToStart.get(0).endpoint().value(), (long) candidates.get(chosen));
+            assertEquals(decisions.attemptsToStart.get(0).endpoint().value(),
+                (long) candidates.get(chosenIndex));
         } else {
             // every candidate would be too late: rejected in the same call
             assertTrue(decisions.responses.get(0).rejected());
-            assertTrue(first >= 100 && others[0] > 0);
+            assertTrue(firstQueue >= 100 && otherQueues[0] > 0);
         }
     }
 
@@ -57,7 +59,7 @@
      * longer queues.
      */
     @Test
-    public void probesTheOtherCandidatesDespiteOlderReportsOfLongerQueues() {
+    public void probesOtherCandidatesDespiteOlderReportsOfLongerQueues() {
         List<Long> candidates = BalancerFixture.candidatesOf(KEY);
         BalancerFixture fixture = BalancerFixture.of(8, false);
         for (int i = 0; i < 3; i++) {
@@ -65,11 +67,12 @@
         }
         Decisions decisions = fixture.request(1, READ, KEY);
         assertTrue(decisions.attemptsToStart.isEmpty());
-        assertEquals(decisions.loadProbes.stream().map(n -> n.value()).toList(), candidates.subList(1, 3));
+        assertEquals(decisions.loadProbes.stream().map(endpoint -> endpoint.value()).toList(),
+            candidates.subList(1, 3));
     }
 
     @Test
-    public void choosesAtRandomWithoutAnyReply() {
+    public void choosesRandomCandidateWithoutAnyReply() {
         Set<Long> targets = new TreeSet<>();
         List<Long> candidates = BalancerFixture.candidatesOf(KEY);
         for (long id = 1; id <= 30; id++) {
@@ -86,20 +89,20 @@
     }
 
     @Test
-    public void migratesOnlyTheKeysOfARemovedEndpoint() {
-        BalancerFixture before = BalancerFixture.of(8, false);
-        BalancerFixture after = BalancerFixture.of(8, false);
-        after.updateEndpoint(3, EndpointPhase.REMOVED, 0);
-        int moved = 0;
+    public void migratesOnlyKeysOfRemovedEndpoint() {
+        BalancerFixture fixtureBefore = BalancerFixture.of(8, false);
+        BalancerFixture fixtureAfter = BalancerFixture.of(8, false);
+        fixtureAfter.updateEndpoint(3, EndpointPhase.REMOVED, 0);
+        int movedKeys = 0;
         for (long key = 1; key <= 300; key++) {
-            long was = before.targetOf(key, READ, key);
-            long is = after.targetOf(key, READ, key);
-            before.endAttempt(key, 0, Outcome.SUCCEEDED);
-            after.endAttempt(key, 0, Outcome.SUCCEEDED);
-            assertTrue(was == is || (was == 3 && is != 3));
-            moved += was == 3 ? 1 : 0;
+            long targetBefore = fixtureBefore.targetOf(key, READ, key);
+            long targetAfter = fixtureAfter.targetOf(key, READ, key);
+            fixtureBefore.endAttempt(key, 0, Outcome.SUCCEEDED);
+            fixtureAfter.endAttempt(key, 0, Outcome.SUCCEEDED);
+            assertTrue(targetBefore == targetAfter || (targetBefore == 3 && targetAfter != 3));
+            movedKeys += targetBefore == 3 ? 1 : 0;
         }
-        assertTrue(moved > 10 && moved < 90, "moved " + moved);
+        assertTrue(movedKeys > 10 && movedKeys < 90, "moved " + movedKeys);
     }
 
     /**
@@ -107,7 +110,7 @@
      * improved.
      */
     @Test
-    public void sendsToAnIdleEndpointWhateverItsPastServiceTime() {
+    public void sendsToIdleEndpointRegardlessOfPastServiceTime() {
         for (boolean withOrigin : new boolean[] {false, true}) {
             BalancerFixture fixture = BalancerFixture.of(6, withOrigin);
             for (int i = 0; i < 20; i++) {
@@ -124,7 +127,7 @@
      * seconds.
      */
     @Test
-    public void excludesTheProxysDelayFromServiceTimes() {
+    public void excludesProxyDelayFromServiceTimes() {
         for (boolean isDelayReported : new boolean[] {true, false}) {
             BalancerFixture fixture = BalancerFixture.of(6, false);
             for (int i = 0; i < 20; i++) {
@@ -149,19 +152,20 @@
      * The first candidate in the proxy's own zone is preferred; without one the order of the ring applies.
      */
     @Test(dataProvider = "zones")
-    public void prefersTheCandidateInItsOwnZone(ZoneId own) {
-        BalancerFixture fixture = fleet(own).get(0);
+    public void prefersCandidateInOwnZone(ZoneId ownZone) {
+        BalancerFixture fixture = fleet(ownZone).get(0);
         int ringOrderCount = 0;
         for (long key = 1; key <= 200; key++) {
             List<Long> ringOrder = KeyCandidates
                 .of(BalancerFixture.endpoints(NODES, false), BalancerFixture.ORIGIN, new CacheKey(key))
-                .candidates().stream().map(f -> f.endpoint().value()).toList();
-            long to = targetOfSuccessfulRead(fixture, key, key);
-            long expected = ringOrder.stream().filter(n -> own != null && n % 2 == own.value()).findFirst()
+                .candidates().stream().map(candidate -> candidate.endpoint().value()).toList();
+            long target = targetOfSuccessfulRead(fixture, key, key);
+            long expected = ringOrder.stream()
+                .filter(endpoint -> ownZone != null && endpoint % 2 == ownZone.value()).findFirst()
                 .orElse(ringOrder.get(0));
-            assertEquals(to, expected);
-            ringOrderCount += to == ringOrder.get(0) ? 1 : 0;
+            assertEquals(target, expected);
+            ringOrderCount += target == ringOrder.get(0) ? 1 : 0;
         }
-        assertEquals(ringOrderCount == 200, own == null || own.value() == 7);
+        assertEquals(ringOrderCount == 200, ownZone == null || ownZone.value() == 7);
     }
 }
--- a/core/src/test/java/spurroad/balancer/LoadBalancerTest.java
+++ b/core/src/test/java/spurroad/balancer/LoadBalancerTest.java
@@ -26,22 +26,23 @@
      * of the proxy.
      */
     @Test
-    public void forgetsRemovedEndpointsBeyondTheBound() throws Exception {
+    public void forgetsRemovedEndpointsBeyondLimit() throws Exception {
         BalancerFixture fixture = BalancerFixture.of(4, true);
-        long inUse = fixture.targetOf(1, READ, KEY);
-        for (long n = 100; n < 3 * EndpointTable.MAX_KNOWN_ENDPOINTS; n++) {
-            fixture.updateEndpoint(n, EndpointPhase.READY, 0);
-            fixture.updateEndpoint(n, EndpointPhase.REMOVED, 0);
+        long endpointInUse = fixture.targetOf(1, READ, KEY);
+        for (long id = 100; id < 3 * EndpointTable.MAX_KNOWN_ENDPOINTS; id++) {
+            fixture.updateEndpoint(id, EndpointPhase.READY, 0);
+            fixture.updateEndpoint(id, EndpointPhase.REMOVED, 0);
         }
-        fixture.updateEndpoint(inUse, EndpointPhase.REMOVED, 0);
-        int known = fixture.balancer.knownEndpoints();
+        fixture.updateEndpoint(endpointInUse, EndpointPhase.REMOVED, 0);
+        int knownCount = fixture.balancer.knownEndpoints();
         assertTrue(
-            known <= EndpointTable.MAX_KNOWN_ENDPOINTS && known > EndpointTable.MAX_KNOWN_ENDPOINTS / 2,
-            "known: " + known);
+            knownCount <= EndpointTable.MAX_KNOWN_ENDPOINTS
+                && knownCount > EndpointTable.MAX_KNOWN_ENDPOINTS / 2,
+            "known: " + knownCount);
         assertEquals(fixture.endAttempt(1, 0, Outcome.SUCCEEDED).responses, List.of(),
             "an attempt in flight there ends as usual");
         assertEquals(fixture.balancer.adminStatus().listedEndpoints(), 3);
-        assertTrue(fixture.targetOf(2, READ, KEY) != inUse);
+        assertTrue(fixture.targetOf(2, READ, KEY) != endpointInUse);
     }
 
     /** Endpoint lists without a ready cache endpoint. */
@@ -53,20 +54,20 @@
     }
 
     @Test(dataProvider = "unusableLists")
-    public void rejectsWithoutWaitingWhereNoEndpointIsReady(List<Endpoint> entries) {
+    public void respondsImmediatelyIfNoCacheEndpointIsReady(List<Endpoint> endpoints) {
         BalancerFixture fixture = new BalancerFixture(true, DeduplicationScope.ALL);
-        fixture.updateEndpoints(true, entries);
+        fixture.updateEndpoints(true, endpoints);
         for (RequestClassId requestClass : List.of(READ, NON_IDEMPOTENT)) {
             Decisions decisions = fixture.request(requestClass.value(), requestClass, KEY);
-            boolean toOrigin = requestClass.equals(NON_IDEMPOTENT) && entries.size() == 1
-                && entries.get(0).kind().equals(BalancerFixture.ORIGIN);
+            boolean toOrigin = requestClass.equals(NON_IDEMPOTENT) && endpoints.size() == 1
+                && endpoints.get(0).kind().equals(BalancerFixture.ORIGIN);
             assertEquals(decisions.attemptsToStart.size(), toOrigin ? 1 : 0);
             assertEquals(decisions.responses.size(), toOrigin ? 0 : 1);
         }
     }
 
     @Test
-    public void respondsImmediatelyAfterTheDeadlineAndIgnoresLateEvents() {
+    public void respondsImmediatelyAfterDeadlineAndIgnoresLateEvents() {
         BalancerFixture fixture = BalancerFixture.of(4, false);
         assertEquals(fixture.request(1, READ, KEY, 1, 0).responses.size(), 1);
         fixture.endAttempt(1, 0, Outcome.SUCCEEDED);
@@ -81,16 +82,16 @@
 
     /** Regression: a request near its deadline was queued and released in an endless loop. */
     @Test(timeOut = 20_000)
-    public void endsWaitsBeforeTheDeadline() {
+    public void endsWaitsBeforeDeadline() {
         BalancerFixture fixture = BalancerFixture.of(3, false);
-        int started = 0;
-        int ended = 0;
+        int startedCount = 0;
+        int endedCount = 0;
         for (long id = 0; id < 60; id++) {
-            started += fixture.request(id, READ, KEY, 1, 12 * MS).attemptsToStart.size();
-            ended += fixture.decisions.responses.size();
+            startedCount += fixture.request(id, READ, KEY, 1, 12 * MS).attemptsToStart.size();
+            endedCount += fixture.decisions.responses.size();
         }
-        ended += fixture.advance(7).responses.size();
-        assertTrue(ended > 0);
-        assertEquals(started + ended, 60);
+        endedCount += fixture.advance(7).responses.size();
+        assertTrue(endedCount > 0);
+        assertEquals(startedCount + endedCount, 60);
     }
 }
--- a/core/src/test/java/spurroad/balancer/OriginFetchTest.java
+++ b/core/src/test/java/spurroad/balancer/OriginFetchTest.java
@@ -19,7 +19,7 @@
     private static final long KEY = 42;
 
     @Test
-    public void coalescesFetchesOfAKeyAndThenRetriesTheCache() {
+    public void coalescesFetchesOfKeyThenRetriesCache() {
         BalancerFixture fixture = BalancerFixture.of(5, true);
         fixture.request(1, READ, KEY);
         fixture.request(2, READ, KEY);
@@ -42,9 +42,9 @@
         fixture.disconnectClient(77);
         fixture.disconnectClient(29);
         for (long id = 0; id < 30; id++) {
-            for (Decisions.StartAttempt s : List
+            for (Decisions.StartAttempt attempt : List
                 .copyOf(fixture.endAttempt(id, 0, Outcome.SUCCEEDED).attemptsToStart)) {
-                assertNotEquals(s.request().value(), 29L);
+                assertNotEquals(attempt.request().value(), 29L);
                 started++;
             }
         }
@@ -56,13 +56,13 @@
      * rejected none.
      */
     @Test
-    public void raisesTheOriginLimitWhileResponsesAreInTime() {
+    public void raisesOriginLimitWhileResponsesAreInTime() {
         BalancerFixture fixture = BalancerFixture.of(5, true);
         List<Long> inFlight = new ArrayList<>();
         List<Long> startedNanos = new ArrayList<>();
         for (int step = 0; step < 4000; step++) {
             fixture.request(step, DEDUPLICATED, step).attemptsToStart
-                .forEach(s -> inFlight.add(s.request().value()));
+                .forEach(attempt -> inFlight.add(attempt.request().value()));
             while (startedNanos.size() < inFlight.size()) {
                 startedNanos.add(fixture.nowNanos);
             }
@@ -71,29 +71,30 @@
                 && fixture.nowNanos - startedNanos.get(0) >= (step < 2000 ? 600 : 900) * MS) {
                 startedNanos.remove(0);
                 fixture.endAttempt(inFlight.remove(0), 0, Outcome.SUCCEEDED).attemptsToStart
-                    .forEach(s -> inFlight.add(s.request().value()));
+                    .forEach(attempt -> inFlight.add(attempt.request().value()));
             }
             assertTrue(step != 1999 || inFlight.size() > 6, "concurrent fetches: " + inFlight.size());
         }
         assertTrue(inFlight.size() <= 4, "late responses lower the limit: " + inFlight.size());
     }
 
-    private record Fetch(long request, int number, long endsAt) {}
+    private record Fetch(long request, int number, long endNanos) {}
 
     /**
      * Records the fetches that were started: of a write, or of a read that its cache endpoint misses at once.
      */
     private static void recordFetches(BalancerFixture fixture, Decisions decisions, List<Fetch> inFlight) {
-        for (Decisions.StartAttempt s : List.copyOf(decisions.attemptsToStart)) {
-            boolean write = s.request().value() % 2 == 1;
+        for (Decisions.StartAttempt attempt : List.copyOf(decisions.attemptsToStart)) {
+            boolean isWrite = attempt.request().value() % 2 == 1;
             // reads are slow for the first four seconds, some writes always
-            if (s.endpoint().value() == 99) {
-                long durationMillis = write ? s.request().value() % 3 == 0 ? 950 : 600
-                    : s.request().value() < 1600 ? 900 : 230;
+            if (attempt.endpoint().value() == 99) {
+                long durationMillis = isWrite ? attempt.request().value() % 3 == 0 ? 950 : 600
+                    : attempt.request().value() < 1600 ? 900 : 230;
                 inFlight.add(
-                    new Fetch(s.request().value(), write ? 0 : 1, fixture.nowNanos + durationMillis * MS));
+                    new Fetch(attempt.request().value(), isWrite ? 0 : 1,
+                        fixture.nowNanos + durationMillis * MS));
             } else {
-                recordFetches(fixture, fixture.endAttempt(s.request().value(), 0, Outcome.CACHE_MISS),
+                recordFetches(fixture, fixture.endAttempt(attempt.request().value(), 0, Outcome.CACHE_MISS),
                     inFlight);
             }
         }
@@ -105,7 +106,7 @@
      * recovered.
      */
     @Test
-    public void doesNotLowerTheOriginLimitForSlowWrites() {
+    public void doesNotLowerOriginLimitForSlowWrites() {
         BalancerFixture fixture = BalancerFixture.of(5, true);
         List<Fetch> inFlight = new ArrayList<>();
         int reads = 0;
@@ -118,7 +119,7 @@
             recordFetches(fixture, decisions, inFlight);
             fixture.nowNanos += 5 * MS;
             for (Fetch fetch : List.copyOf(inFlight)) {
-                if (fetch.endsAt <= fixture.nowNanos) {
+                if (fetch.endNanos <= fixture.nowNanos) {
                     inFlight.remove(fetch);
                     recordFetches(fixture, fixture.endAttempt(fetch.request, fetch.number, Outcome.SUCCEEDED),
                         inFlight);
--- a/core/src/test/java/spurroad/balancer/RetryPolicyTest.java
+++ b/core/src/test/java/spurroad/balancer/RetryPolicyTest.java
@@ -41,9 +41,9 @@
     }
 
     @Test(dataProvider = "effects")
-    public void retriesOnlyWhatTheEffectAllows(RequestClassId requestClass, Outcome outcome,
-                                               boolean isRetried,
-                                               boolean rejected) {
+    public void retriesOnlyIfEffectAllows(RequestClassId requestClass, Outcome outcome,
+                                          boolean isRetried,
+                                          boolean isRejected) {
         BalancerFixture fixture = BalancerFixture.of(6, false);
         long firstEndpoint = fixture.targetOf(1, requestClass, KEY);
         Decisions decisions = fixture.endAttempt(1, 0, outcome);
@@ -52,12 +52,12 @@
         if (isRetried) {
             assertNotEquals(decisions.attemptsToStart.get(0).endpoint().value(), firstEndpoint);
         } else {
-            assertEquals(decisions.responses.get(0).rejected(), rejected);
+            assertEquals(decisions.responses.get(0).rejected(), isRejected);
         }
     }
 
     @Test
-    public void limitsRetriesToTheDeduplicationWindow() {
+    public void limitsRetriesToDeduplicationWindow() {
         BalancerFixture fixture = BalancerFixture.of(6, false);
         fixture.request(1, DEDUPLICATED, KEY);
         assertEquals(fixture.decisions.attemptsToStart.get(0).sendDeadlineNanos(), Long.MAX_VALUE,
@@ -91,25 +91,27 @@
     }
 
     @Test(dataProvider = "deduplicationScopes")
-    public void limitsRetriesToTheDeduplicationScope(DeduplicationScope scope, long ms,
-                                                     int endpointsInScope) {
+    public void limitsRetriesToDeduplicationScope(DeduplicationScope scope, long failAfterMillis,
+                                                  int endpointsInScope) {
         BalancerFixture fixture = new BalancerFixture(false, scope);
         fixture.updateEndpoints(true, BalancerFixture.endpoints(6, false));
         for (long id = 1; id <= 40; id++) {
-            long first = fixture.targetOf(id, DEDUPLICATED, id);
-            fixture.nowNanos += ms * MS;
+            long firstTarget = fixture.targetOf(id, DEDUPLICATED, id);
+            fixture.nowNanos += failAfterMillis * MS;
             Decisions decisions = fixture.endAttempt(id, 0, Outcome.FAILED);
             decisions = decisions.attemptsToStart.isEmpty() && decisions.responses.isEmpty()
                 ? fixture.advance(25) : decisions;
-            for (Decisions.StartAttempt s : decisions.attemptsToStart) {
-                long to = s.endpoint().value();
+            for (Decisions.StartAttempt attempt : decisions.attemptsToStart) {
+                long target = attempt.endpoint().value();
                 assertTrue(endpointsInScope == 6
-                    || (endpointsInScope == 3 ? to % 2 == first % 2 : to / 2 == first / 2));
+                    || (endpointsInScope == 3 ? target % 2 == firstTarget % 2
+                        : target / 2 == firstTarget / 2));
             }
             assertTrue(endpointsInScope > 0 || decisions.attemptsToStart.isEmpty());
             assertEquals(decisions.attemptsToStart.size() + decisions.responses.size(), 1);
-            boolean safe = scope == DeduplicationScope.ALL && ms < 800;
-            assertTrue(decisions.responses.isEmpty() || decisions.responses.get(0).rejected() == safe);
+            boolean isRejectionSafe = scope == DeduplicationScope.ALL && failAfterMillis < 800;
+            assertTrue(
+                decisions.responses.isEmpty() || decisions.responses.get(0).rejected() == isRejectionSafe);
             fixture.nowNanos += 20_000 * MS;
             fixture.endAttempt(id, 1, Outcome.SUCCEEDED);
         }
@@ -117,7 +119,7 @@
 
     /** Regression: every request was sent to one full endpoint after the other. */
     @Test
-    public void stopsAfterThreeRejectionsOnceTheRetryBudgetIsSpent() {
+    public void stopsAfterThreeRejectionsWithoutRetryBudget() {
         BalancerFixture fixture = BalancerFixture.of(12, false);
         int retries = 0;
         int rejected = 0;
@@ -139,7 +141,7 @@
      * Regression: every request that a full endpoint rejected was retried at two others, and missed at each.
      */
     @Test
-    public void allowsOneRetryForTwentyRequests() {
+    public void allowsOneRetryPerTwentyRequestsWithGossip() {
         BalancerFixture fixture = fleet(null).get(0);
         int retries = 0;
         for (int id = 0; id < 100; id++) {
@@ -159,7 +161,7 @@
     }
 
     @Test(dataProvider = "failedOutcomes")
-    public void respondsToAFailedRequestInTheSameCall(Outcome outcome) {
+    public void respondsToFailedRequestInSameCall(Outcome outcome) {
         BalancerFixture fixture = fleet(null).get(0);
         for (RequestClassId requestClass : List.of(READ, DEDUPLICATED, NON_IDEMPOTENT)) {
             int id = requestClass.value();
--- a/core/src/test/java/spurroad/balancer/request/RequestCoalescerTest.java
+++ b/core/src/test/java/spurroad/balancer/request/RequestCoalescerTest.java
@@ -13,22 +13,22 @@
     }
 
     @Test
-    public void releasesTheFollowersOfAKeyInOrderOfArrival() {
+    public void releasesFollowersInArrivalOrder() {
         RequestCoalescer coalescer = new RequestCoalescer();
         PendingRequest leader = request(1, 7);
-        PendingRequest second = request(2, 7);
-        PendingRequest third = request(3, 7);
+        PendingRequest firstFollower = request(2, 7);
+        PendingRequest secondFollower = request(3, 7);
         assertFalse(coalescer.joinOrLead(leader));
         assertFalse(coalescer.joinOrLead(leader), "it leads already");
-        assertTrue(coalescer.joinOrLead(second));
-        assertTrue(coalescer.joinOrLead(third));
+        assertTrue(coalescer.joinOrLead(firstFollower));
+        assertTrue(coalescer.joinOrLead(secondFollower));
         assertFalse(coalescer.joinOrLead(request(4, 8)), "another key has another leader");
-        assertEquals(coalescer.end(leader), List.of(second, third));
+        assertEquals(coalescer.end(leader), List.of(firstFollower, secondFollower));
         assertEquals(coalescer.end(leader), List.of());
     }
 
     @Test
-    public void keepsTheLeaderWhenAFollowerEnds() {
+    public void keepsLeaderWhenFollowerEnds() {
         RequestCoalescer coalescer = new RequestCoalescer();
         PendingRequest leader = request(1, 7);
         PendingRequest follower = request(2, 7);
--- a/core/src/test/java/spurroad/balancer/request/RetryBudgetTest.java
+++ b/core/src/test/java/spurroad/balancer/request/RetryBudgetTest.java
@@ -7,11 +7,11 @@
 import spurroad.model.Fleet;
 
 public class RetryBudgetTest {
-    private static RetryBudget budget(boolean gossip) {
-        return new RetryBudget(RequestFixture.activeDeployment(0, new Fleet(null, 0, 4, gossip)));
+    private static RetryBudget newBudget(boolean gossipEnabled) {
+        return new RetryBudget(RequestFixture.activeDeployment(0, new Fleet(null, 0, 4, gossipEnabled)));
     }
 
-    private static int retries(RetryBudget budget) {
+    private static int withdrawAll(RetryBudget budget) {
         int retries = 0;
         while (budget.tryWithdraw()) {
             retries++;
@@ -26,18 +26,18 @@
     }
 
     @Test(dataProvider = "budgets")
-    public void accumulatesABoundedNumberOfRetries(boolean gossip, int requests, int allowed) {
-        RetryBudget budget = budget(gossip);
+    public void limitsAccumulatedRetries(boolean gossipEnabled, int requests, int expectedRetries) {
+        RetryBudget budget = newBudget(gossipEnabled);
         for (int i = 0; i < requests; i++) {
             budget.onRequest();
         }
-        assertEquals(retries(budget), allowed);
+        assertEquals(withdrawAll(budget), expectedRetries);
     }
 
     @Test
-    public void earnsOneRetryWithFiveRequests() {
-        RetryBudget budget = budget(false);
-        retries(budget);
+    public void earnsOneRetryPerFiveRequests() {
+        RetryBudget budget = newBudget(false);
+        withdrawAll(budget);
         int earned = 0;
         for (int i = 0; i < 100; i++) {
             budget.onRequest();
@@ -47,13 +47,13 @@
     }
 
     @Test
-    public void earnsNothingWhileItIsFrozen() {
-        RetryBudget budget = budget(false);
-        retries(budget);
+    public void earnsNoRetriesWhileFrozen() {
+        RetryBudget budget = newBudget(false);
+        withdrawAll(budget);
         budget.setFrozen(true);
         for (int i = 0; i < 100; i++) {
             budget.onRequest();
         }
-        assertEquals(retries(budget), 0);
+        assertEquals(withdrawAll(budget), 0);
     }
 }
--- a/core/src/test/java/spurroad/balancer/request/WaitQueueTest.java
+++ b/core/src/test/java/spurroad/balancer/request/WaitQueueTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    public void returnsRequestsInOrderOfTheirDueTimes() {
+    public void returnsRequestsInDueTimeOrder() {
         PendingRequest dueLater = request(1);
         PendingRequest dueSooner = request(2);
         queue.add(dueLater, WaitReason.ORIGIN_CAPACITY, START_NANOS + 200);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    public void endsWaitsATickBeforeTheDeadlineAndATickFromNow() {
+    public void endsWaitsOneTickBeforeDeadlineButNotBeforeNextTick() {
         queue.add(request(1), WaitReason.SHARED_FETCH, Long.MAX_VALUE);
         assertEquals(queue.nextDueNanos(), START_NANOS + TIMEOUT_NANOS - TICK_NANOS);
         queue.add(request(2), WaitReason.SHARED_FETCH, START_NANOS - 100);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    public void listsRequestsThatAwaitRepliesUntilTheyAreReleased() {
+    public void listsRequestsAwaitingRepliesUntilReleased() {
         PendingRequest first = request(1);
         PendingRequest second = request(2);
         queue.add(first, WaitReason.LOAD_REPLIES, START_NANOS + 100);
