--- a/core/src/main/java/spurroad/balancer/request/AttemptDispatch.java
+++ b/core/src/main/java/spurroad/balancer/request/AttemptDispatch.java
@@ -15,7 +15,7 @@
 import spurroad.model.PeerUpdate;
 import spurroad.model.RequestId;
 
-/** Starts, cancels and ends attempts, and keeps the books of what is in flight where. */
+/** Starts, cancels and ends attempts, and records which attempts are in flight at which endpoint. */
 public final class AttemptDispatch {
     private final ActiveDeployment deployment;
     private final EventContext event;
@@ -26,7 +26,7 @@
     private final RetryPolicy retryPolicy;
     private final AttemptFeedback feedback;
 
-    /** Creates the dispatch, under the rules of a retry policy. */
+    /** Creates a dispatcher that starts only the attempts that {@code retryPolicy} allows. */
     public AttemptDispatch(ActiveDeployment deployment, EventContext event, EndpointTable endpoints,
                            OutlierDetector outlierDetector, IdleConnections idleConnections,
                            EndpointOwnership ownership, RetryPolicy retryPolicy, AttemptFeedback feedback) {
@@ -40,7 +40,7 @@
         this.feedback = feedback;
     }
 
-    /** Starts an attempt, and returns whether the rules let it. */
+    /** Starts an attempt at an endpoint if the retry policy allows it, and returns whether it was started. */
     boolean tryStart(PendingRequest request, EndpointState endpoint) {
         if (!retryPolicy.mayAttempt(request, endpoint)) {
             return false;
@@ -52,7 +52,7 @@
         outlierDetector.onAttemptStart(endpoint);
         endpoints.onAttemptStart(endpoint);
         idleConnections.onAttemptStart(endpoint);
-        // a write voids what the endpoint has cached of its key
+        // a write invalidates the endpoint's cached copy of its key
         ownership.tellOwner(endpoint, PeerUpdate.Topic.IN_FLIGHT, 1,
             request.isWrite() ? request.key() : CacheKey.NONE);
         long expiryNanos = request.isWrite() ? request.deadlineNanos() : request.lastUsefulNanos();
@@ -61,7 +61,12 @@
         return true;
     }
 
-    /** Ends an attempt; {@code proxyDelayNanos} of its time were stalls of this proxy. */
+    /**
+     * Records the end of an attempt.
+     *
+     * @param proxyDelayNanos part of the attempt's duration, in nanoseconds, during which this proxy was
+     *     stalled
+     */
     void onAttemptEnd(PendingRequest request, Attempt attempt, Outcome outcome, long proxyDelayNanos) {
         EndpointState endpoint = attempt.endpoint();
         request.onAttemptEnd(attempt, outcome);
@@ -73,12 +78,17 @@
         }
     }
 
-    /** Cancels whatever a request has in flight. */
+    /** Cancels the attempts of a request that are in flight, if the settings allow cancellation. */
     void cancelAll(PendingRequest request) {
         request.attempts().forEach(this::cancel);
     }
 
-    /** Cancels the attempts at an unresponsive endpoint that may be made elsewhere. */
+    /**
+     * Cancels the attempts in flight at an unresponsive endpoint that may be retried at another endpoint, if
+     * the settings allow cancellation.
+     *
+     * @param pendingRequests finds a pending request by its id; returns null for an unknown id
+     */
     void cancelRetryable(EndpointState endpoint, Function<RequestId, PendingRequest> pendingRequests) {
         for (Attempt attempt : endpoint.inFlight()) {
             PendingRequest request = pendingRequests.apply(attempt.requestId());
--- a/core/src/main/java/spurroad/balancer/request/AttemptFeedback.java
+++ b/core/src/main/java/spurroad/balancer/request/AttemptFeedback.java
@@ -18,10 +18,12 @@
 import spurroad.model.PeerUpdate;
 
 /**
- * Passes the end of an attempt on to the modules that learn from it: service times, the origin's concurrency
- * limit, idle connections, and either outlier detection or, with gossip, the owner of the endpoint.
+ * Reports the end of each attempt to the modules that base their estimates on it: service times, the origin's
+ * concurrency limit, idle connections, and either outlier detection or, with gossip, the owner of the
+ * endpoint.
  */
 public final class AttemptFeedback {
+    // subject of updates on how origin writes end; the proxy that owns it is the owner of the origin
     private static final long ORIGIN_SUBJECT = 0;
 
     private final ActiveDeployment deployment;
@@ -34,7 +36,7 @@
     private final EndpointOwnership ownership;
     private final PeerUpdates peers;
 
-    /** Creates the distribution to the modules that learn. */
+    /** Creates feedback that reports to the given modules. */
     public AttemptFeedback(ActiveDeployment deployment, EventContext event, EndpointTable endpoints,
                            ServiceTimeModel serviceTimes, ConcurrencyLimit originLimit,
                            IdleConnections idleConnections, OutlierDetector outlierDetector,
@@ -51,10 +53,11 @@
     }
 
     /**
-     * Handles the end of an attempt.
+     * Reports the end of an attempt.
      *
-     * @param proxyDelayNanos part of the attempt's time for which this proxy itself was stalled: on a part of
-     *     a core that passed for slow endpoints, and rejections brought clients back at once
+     * @param proxyDelayNanos part of the attempt's duration, in nanoseconds, during which this proxy itself
+     *     was stalled. It is subtracted: on a fraction of a CPU core the stalls made endpoints look slow, and
+     *     the rejections that followed made clients retry at once
      */
     void onAttemptEnd(Attempt attempt, Outcome outcome, long proxyDelayNanos) {
         long durationNanos = Math.max(0, event.now() - attempt.sentNanos() - proxyDelayNanos);
@@ -84,7 +87,7 @@
         serviceTimes.recordForEndpoint(attempt, isServiceTimeSample, durationNanos, event.now());
         boolean cancelledByProxy = outcome == Outcome.CANCELLED && attempt.isCancellationRequested();
         if (outcome == Outcome.NOT_SENT || cancelledByProxy) {
-            return; // no evidence on the endpoint
+            return; // shows nothing about the endpoint
         }
         serviceTimes.recordOverall(attempt, isServiceTimeSample, durationNanos, event.now());
         if (deployment.gossipEnabled()) {
@@ -95,8 +98,9 @@
     }
 
     /**
-     * A read that succeeds notifies the endpoint's owner that its key is cached; a write's end the origin's
-     * how.
+     * Notifies the endpoint's owner that an attempt ended; a successful read means that its key is now
+     * cached, a failed one that this is uncertain. Also notifies the origin's owner whether a write was late,
+     * unless it was rejected.
      */
     private void notifyOwners(Attempt attempt, Outcome outcome, long durationNanos) {
         boolean succeeded = outcome == Outcome.SUCCEEDED;
--- a/core/src/main/java/spurroad/balancer/request/CandidateFinder.java
+++ b/core/src/main/java/spurroad/balancer/request/CandidateFinder.java
@@ -10,7 +10,7 @@
 import spurroad.model.ZoneId;
 
 /**
- * Finds a request's candidates: the first distinct available endpoints clockwise on the ring from its key.
+ * Finds the candidates of a request: the first distinct available endpoints clockwise from its ring point.
  */
 public final class CandidateFinder {
     private final ActiveDeployment deployment;
@@ -19,7 +19,7 @@
     private final EndpointAvailability availability;
     private final RetryPolicy retryPolicy;
 
-    /** Creates a finder over the endpoints of a proxy. */
+    /** Creates a finder that searches the ring of the given endpoint table. */
     public CandidateFinder(ActiveDeployment deployment, EventContext event, EndpointTable endpoints,
                            EndpointAvailability availability, RetryPolicy retryPolicy) {
         this.deployment = deployment;
@@ -30,8 +30,10 @@
     }
 
     /**
-     * Returns at most {@link Ring#CANDIDATES} endpoints, the first choice first; where none is available,
-     * those that the rules allow at all, outliers too.
+     * Returns at most {@link Ring#CANDIDATES} endpoints in order of preference. If an endpoint that operators
+     * returned to use is due for its first request, it is the only candidate of a first attempt. If no
+     * endpoint is available, returns those that slow start and the retry policy allow, even if they are
+     * ejected or excluded.
      */
     List<EndpointState> find(PendingRequest request) {
         if (!request.hasAttempts()) {
@@ -46,7 +48,9 @@
     }
 
     /**
-     * Where few requests come, the keys of an endpoint that staff returned may not be among them for long.
+     * Returns an available endpoint that operators returned to use and that is due for its first request, or
+     * null if there is none. At a low request rate it could otherwise take long until a request for one of
+     * its keys arrives.
      */
     private EndpointState findAwaitingFirstRequest(PendingRequest request) {
         if (!endpoints.anyAwaitsFirstRequest()) {
@@ -60,6 +64,7 @@
         return null;
     }
 
+    /** Counts a first attempt for the first endpoint from its ring point, even if it is sent elsewhere. */
     private void countPrimaryRequest(PendingRequest request) {
         Ring ring = endpoints.ring();
         if (ring.size() > 0) {
@@ -87,7 +92,7 @@
 
     private boolean isCandidate(EndpointState endpoint, PendingRequest request, boolean isPrimary,
                                 boolean availableOnly) {
-        // a hot key that a full endpoint had left pushed the cold one over that came next
+        // a hot key that moved away from a full endpoint overloaded a cold one that was next on the ring
         if (!isPrimary && deployment.gossipEnabled() && !availability.isWarm(endpoint)) {
             return false;
         }
@@ -95,7 +100,11 @@
             : availability.slowStartAllows(endpoint, request) && retryPolicy.mayAttempt(request, endpoint);
     }
 
-    /** Where crossing between zones is dear, a key has a home in each; otherwise the ring's order stands. */
+    /**
+     * Moves the candidates in this proxy's zone to the front if the fleet names that zone, as it does if
+     * traffic between zones is expensive: each key then has a preferred endpoint in every zone. Otherwise
+     * keeps the order of the ring.
+     */
     private void moveOwnZoneFirst(List<EndpointState> candidates) {
         ZoneId ownZone = deployment.fleet().zone();
         if (ownZone == null) {
--- a/core/src/main/java/spurroad/balancer/request/CandidateSelection.java
+++ b/core/src/main/java/spurroad/balancer/request/CandidateSelection.java
@@ -10,21 +10,23 @@
 import spurroad.model.PeerUpdate;
 
 /**
- * Chooses the endpoint of an attempt, by soft limits on the queues of a key's candidates ("Smarter
+ * Chooses the endpoint of an attempt by soft limits on the queues of the key's candidates ("Smarter
  * Coordinator Selection with Vnode Queue Soft Limits", Riak).
  *
- * <p>The first candidate gets the request while its queue is under the soft limit. Otherwise the others are
- * probed for their load in parallel, and the first reply under its limit wins; if all have replied or the
- * wait is over, the shortest queue does, and without any reply a random candidate. A request that is expected
- * to be late where it would go is rejected.
+ * <p>The first candidate gets the request while its queue is below the soft limit. Otherwise load probes are
+ * sent to the other candidates in parallel, and the first one that replies with a queue below its limit gets
+ * the request. If all have replied or the wait has expired, the candidate with the shortest queue gets it, or
+ * a random candidate if none has replied. A request is rejected if its first attempt is expected to be late
+ * at the chosen endpoint.
  *
- * <p>With gossip the limit is on keys: the first candidate that keeps the key is its home. A read that had
- * better not miss waits while the owners of the candidates are queried for who has its key cached; where
- * nobody has, it is rejected.
+ * <p>With gossip, the soft limit applies to keys instead of requests: the preferred endpoint is the first
+ * candidate that keeps the key. A read that should not risk a cache miss waits while the owners of the
+ * candidates are queried whether the key is cached there. If no owner replies in time that it is, the read is
+ * rejected.
  */
 public final class CandidateSelection {
-    private static final long LOAD_PROBE_WAIT_NANOS = 20_000_000L; // the design's figure
-    // of the shortest latency objective: owners that take longer to answer are too far or too busy
+    private static final long LOAD_PROBE_WAIT_NANOS = 20_000_000L; // prescribed by the design
+    // fraction of the shortest latency objective: an owner that takes longer is too far away or too busy
     private static final double CACHE_QUERY_WAIT_FRACTION = 0.25;
 
     private final ActiveDeployment deployment;
@@ -38,7 +40,7 @@
     private final WaitQueue waitQueue;
     private boolean skipsOptionalProbes;
 
-    /** Creates the selection over the modules that know the candidates and their load. */
+    /** Creates a selection from the modules that find the candidates and estimate their load. */
     public CandidateSelection(ActiveDeployment deployment, EventContext event, RandomDraws random,
                               CandidateFinder finder, EndpointAvailability availability,
                               ExpectedLatency latency, LoadProbes loadProbes, EndpointOwnership ownership,
@@ -54,12 +56,12 @@
         this.waitQueue = waitQueue;
     }
 
-    /** Sets whether probes that no request waits for are left out for now. */
+    /** Sets whether to skip load probes that no request waits for. */
     void setSkipsOptionalProbes(boolean skips) {
         skipsOptionalProbes = skips;
     }
 
-    /** Chooses for a request that is to go to a cache endpoint. */
+    /** Returns the next step of a request that needs a cache endpoint. */
     NextStep select(PendingRequest request) {
         List<EndpointState> candidates = finder.find(request);
         if (candidates.isEmpty() || hasNoTimeLeft(request)) {
@@ -95,7 +97,7 @@
         request.setPendingReplies(new PendingReplies(candidates, candidates));
         waitQueue.add(request, WaitReason.LOAD_REPLIES, event.now() + waitNanos);
         for (EndpointState candidate : candidates) {
-            // one that this proxy owns is answered at once, and may end the wait
+            // if this proxy is the owner, the reply comes during the call and may end the wait
             ownership.tellOwner(candidate, PeerUpdate.Topic.CACHE_QUERY, deployment.fleet().proxyIndex(),
                 request.key());
         }
@@ -111,14 +113,17 @@
         return shortestQueue(request, candidates);
     }
 
-    /** An old report is renewed alongside, for the requests that come next. */
+    /** Sends a load probe to an endpoint whose last load report is stale, for the requests that follow. */
     private void probeIfReportStale(EndpointState endpoint) {
         if (!skipsOptionalProbes && endpoint.load().wasReported() && !endpoint.load().isFresh(event.now())) {
             loadProbes.send(endpoint);
         }
     }
 
-    /** Continues a request that was waiting for an endpoint's load, which is now known. */
+    /**
+     * Returns the next step of a request that waits for load reports, after an endpoint has reported its
+     * load.
+     */
     NextStep onLoadReport(PendingRequest request, EndpointState endpoint) {
         if (!request.pendingReplies().onReply(endpoint)) {
             return NextStep.WAIT;
@@ -126,7 +131,9 @@
         return onReply(request, endpoint, latency.isUnderSoftLimit(endpoint, request));
     }
 
-    /** Goes on with a request that waits to hear whether an endpoint has its key cached. */
+    /**
+     * Returns the next step of a request that waits for cache queries, after an endpoint's owner has replied.
+     */
     NextStep onCacheStatus(PendingRequest request, EndpointState endpoint, boolean cached) {
         if (!request.pendingReplies().onReply(endpoint)) {
             return NextStep.WAIT;
@@ -142,7 +149,10 @@
         return request.pendingReplies().isComplete() ? onWaitExpired(request) : NextStep.WAIT;
     }
 
-    /** Goes on with a request none of whose candidates replied, in time, that it is under its limit. */
+    /**
+     * Returns the next step of a request after its wait expired or all candidates replied, with none of them
+     * acceptable: no queue below its soft limit or, with gossip, no endpoint that has the key cached.
+     */
     NextStep onWaitExpired(PendingRequest request) {
         List<EndpointState> candidates = request.pendingReplies().candidates().stream()
             .filter(candidate -> availability.isAvailable(candidate, request)).toList();
@@ -155,7 +165,10 @@
         return dispatchUnlessLate(request, chosen);
     }
 
-    /** Returns the shortest queue in time; one that has not replied counts as the mean of the others. */
+    /**
+     * Returns the candidate with the shortest expected latency. One whose reply is still awaited counts with
+     * the mean of the others.
+     */
     private EndpointState shortestQueue(PendingRequest request, List<EndpointState> candidates) {
         double meanLatencyNanos = candidates.stream().filter(candidate -> !isReplyAwaited(request, candidate))
             .mapToDouble(latency::expectedNanos).average().orElse(0);
--- a/core/src/main/java/spurroad/balancer/request/EndpointAvailability.java
+++ b/core/src/main/java/spurroad/balancer/request/EndpointAvailability.java
@@ -8,7 +8,10 @@
 import spurroad.balancer.overload.LoadShedder;
 import spurroad.balancer.statistics.DecayingAverage;
 
-/** Whether an endpoint is available to a request: ready, not excluded, no outlier, and warm enough. */
+/**
+ * Decides whether an endpoint is available to a request: ready, not excluded after an earlier attempt,
+ * allowed by outlier detection, and warm enough.
+ */
 public final class EndpointAvailability {
     private final ActiveDeployment deployment;
     private final EventContext event;
@@ -17,9 +20,10 @@
     private final DecayingAverage proxyRequests;
 
     /**
-     * Creates the question.
+     * Creates the check.
      *
-     * @param proxyRequests requests at this proxy, counted by the load balancer
+     * @param proxyRequests exponentially decayed number of requests at this proxy, counted by the load
+     *     balancer
      */
     public EndpointAvailability(ActiveDeployment deployment, EventContext event,
                                 OutlierDetector outlierDetector, LoadShedder loadShedder,
@@ -39,8 +43,9 @@
     }
 
     /**
-     * Returns whether an endpoint's warm-up allows a request, by the request's draw: first attempts only, as
-     * what others rejected pushed cold endpoints over, and fewer under overload, when clients retry.
+     * Returns whether the slow start of an endpoint allows a request, by the request's random draw. An
+     * endpoint that is not warm gets first attempts only, because retries of requests that others had
+     * rejected overloaded cold endpoints. It gets fewer of them during overload, when clients retry as well.
      */
     boolean slowStartAllows(EndpointState endpoint, PendingRequest request) {
         SlowStart slowStart = endpoint.slowStart();
@@ -57,7 +62,7 @@
         return request.requestDraw() * demand < allowedFraction;
     }
 
-    /** Returns whether an endpoint's warm-up is over. */
+    /** Returns whether the warm-up of an endpoint has ended. */
     boolean isWarm(EndpointState endpoint) {
         return endpoint.slowStart().isWarm(event.now(), deployment.settings());
     }
--- a/core/src/main/java/spurroad/balancer/request/ExpectedLatency.java
+++ b/core/src/main/java/spurroad/balancer/request/ExpectedLatency.java
@@ -9,23 +9,23 @@
 import spurroad.balancer.overload.OriginBacklog;
 
 /**
- * Whether the queue at an endpoint is too long for a request: over the soft limit, so that others are looked
- * at first; or so long that the request would be late, so that it is not sent there at all.
+ * Decides whether the queue at an endpoint is too long for a request: above the soft limit, so that other
+ * candidates are considered first, or so long that the request would be late and is not sent there at all.
  */
 public final class ExpectedLatency {
-    // of the request's latency objective: queueing at an endpoint before other candidates are probed
+    // fraction of the latency objective: if queueing takes longer, other candidates are probed
     private static final double SOFT_LIMIT_WAIT_FRACTION = 0.1;
-    // of a fetch from the origin: a request that moves misses about as often as not
+    // weights the cost of an origin fetch: a request sent to another candidate misses about half the time
     private static final double MISS_PROBABILITY_WHEN_MOVED = 0.5;
-    // of the time left: a request that is expected to take longer is late too often
+    // fraction of the time until the latency objective: a request expected to take longer is late too often
     private static final double MAX_EXPECTED_FRACTION = 0.7;
-    // the same where owners publish the queues: their mean is more accurate
+    // higher with gossip: the owners publish the queues, so the expected mean is more accurate
     private static final double MAX_EXPECTED_FRACTION_WITH_GOSSIP = 0.85;
-    // of the shortest latency objective: lower priorities must leave short queues to the highest
+    // fraction of the shortest latency objective: queue limit of lower priorities, to spare the highest
     private static final double LOW_PRIORITY_QUEUE_FRACTION = 0.5;
-    // latency objectives of queue less for a request that may miss, for each overloaded fraction
+    // reduces the queueing of reads that may miss, in latency objectives per unit of overloaded fraction
     private static final double OVERLOAD_PENALTY_OBJECTIVES = 2;
-    // of the requests by their draw: some always go without asking, so that caches are filled
+    // fraction of requests, by their draw, that are always sent without a cache query to fill the caches
     private static final double MIN_UNQUERIED_FRACTION = 0.05;
 
     private final ActiveDeployment deployment;
@@ -35,7 +35,7 @@
     private final LoadShedder loadShedder;
     private final OriginBacklog originBacklog;
 
-    /** Creates the estimates over the given state of the endpoints. */
+    /** Creates estimates from the state of the given modules. */
     public ExpectedLatency(ActiveDeployment deployment, EventContext event, EndpointTable endpoints,
                            ServiceTimeModel serviceTimes, LoadShedder loadShedder,
                            OriginBacklog originBacklog) {
@@ -47,14 +47,15 @@
         this.originBacklog = originBacklog;
     }
 
-    /** Returns how long a request sent now is expected to take at an endpoint, in nanoseconds. */
+    /** Returns the expected latency, in nanoseconds, of a request sent to an endpoint now. */
     double expectedNanos(EndpointState endpoint) {
         return serviceTimes.expectedNanos(endpoint, 0, event.now());
     }
 
     /**
-     * Returns whether a request may go to a candidate without looking at others. With gossip the limit is on
-     * keys, not on the queue: by the queue of the moment keys left and came back, and missed each time.
+     * Returns whether a request may go to a candidate without considering others. With gossip this depends on
+     * whether the endpoint keeps the key and not on its current queue: with a limit on the queue, keys moved
+     * away and back and missed the cache each time.
      */
     boolean isUnderSoftLimit(EndpointState endpoint, PendingRequest request) {
         if (deployment.gossipEnabled()) {
@@ -66,13 +67,16 @@
             && !isTooLate(endpoint, request);
     }
 
-    /** A request that moves may miss, so a slow origin makes for patience and a quick one spreads load. */
+    /**
+     * Returns the expected cost, in nanoseconds, of a cache miss at another candidate: requests wait longer
+     * for the first candidate if the origin is slow, and spread sooner if it is fast.
+     */
     private double expectedMissCostNanos() {
         EndpointState origin = endpoints.origin();
         return origin == null ? 0 : MISS_PROBABILITY_WHEN_MOVED * expectedNanos(origin);
     }
 
-    /** Returns whether a request is expected to end too late at an endpoint to be sent there. */
+    /** Returns whether a request is expected to complete too late at an endpoint to be sent there. */
     boolean isTooLate(EndpointState endpoint, PendingRequest request) {
         double queueNanos = queueNanos(endpoint);
         if (queueNanos > maxQueueNanos(request)) {
@@ -84,9 +88,9 @@
     }
 
     /**
-     * Returns the expected time at an endpoint; at one where nothing is in flight from here it counts as
-     * nothing, whatever its past: the slow first requests of a starting proxy passed for slow endpoints, and
-     * nothing was sent any more that could have shown better.
+     * Returns the expected latency at an endpoint in nanoseconds. It is 0 if no attempt from this proxy is in
+     * flight there and the queue is not known from gossip: the slow first requests of a starting proxy made
+     * endpoints look slow, and no request was sent that could have corrected this.
      */
     private double queueNanos(EndpointState endpoint) {
         boolean isQueueReported = deployment.gossipEnabled() && endpoint.load().isFresh(event.now());
@@ -101,8 +105,9 @@
     }
 
     /**
-     * Returns whether, where proxies talk, a request goes to an endpoint that may not have its key cached;
-     * else the owners of the candidates are queried first. Writes and requests without a key always go.
+     * Returns whether, with gossip, a request may be sent to an endpoint that may not have its key cached.
+     * Otherwise the owners of the candidates are queried first. Always true for writes and for requests
+     * without a key.
      */
     boolean maySendWithoutCacheQuery(PendingRequest request, EndpointState endpoint) {
         if (request.isWrite() || !request.hasKey() || request.requestDraw() < MIN_UNQUERIED_FRACTION) {
--- a/core/src/main/java/spurroad/balancer/request/NextStep.java
+++ b/core/src/main/java/spurroad/balancer/request/NextStep.java
@@ -3,18 +3,18 @@
 import spurroad.balancer.endpoint.EndpointState;
 
 /**
- * The next step of a request as a decision module chose it; {@link RequestPipeline} carries it out.
+ * The next step of a request, which a decision module chooses and {@link RequestPipeline} carries out.
  *
- * @param endpoint where to send it, with {@link Action#DISPATCH}; else null
+ * @param endpoint endpoint of the attempt with {@link Action#DISPATCH}; null otherwise
  */
 record NextStep(Action action, EndpointState endpoint) {
-    /** The three things that can be done. */
+    /** The possible steps of a request. */
     enum Action {
-        /** An attempt is started. */
+        /** Starts an attempt. */
         DISPATCH,
-        /** It has been put into the {@link WaitQueue}, or stays there. */
+        /** Waits: the request is in the {@link WaitQueue}. */
         WAIT,
-        /** It gets its final answer now. */
+        /** Gives the final answer now. */
         REJECT
     }
 
--- a/core/src/main/java/spurroad/balancer/request/OriginFetch.java
+++ b/core/src/main/java/spurroad/balancer/request/OriginFetch.java
@@ -11,15 +11,16 @@
 import spurroad.balancer.overload.ConcurrencyLimit;
 
 /**
- * Sends writes and cache misses to the origin that the proxy itself fetches from, through one queue.
+ * Sends writes and cache misses through one queue to the origin, if the proxy itself fetches from it.
  *
- * <p>As many are in flight at once as the origin's service time lets wait a bounded time, or as it has lately
- * borne if that is more. The queue goes by quota, priority weight, writes first, age; but every few starts
- * one is a read, if one waits: where only writes went, nothing showed that the origin had recovered, as they
- * take longer. Misses of one key share a fetch.
+ * <p>The number in flight is limited to the queue that the origin serves within a bounded wait, or to the
+ * concurrency that it has recently sustained if that is higher. The queue is ordered by quota, priority
+ * weight, writes before reads, and age. Every few starts, a waiting read goes first: when only writes were
+ * sent, which take longer, nothing showed that the origin had recovered. Cache misses of one key share a
+ * fetch.
  */
 public final class OriginFetch {
-    // of the shortest latency objective: queueing at the origin itself; the rest waits here, in order
+    // fraction of the shortest latency objective spent queueing at the origin; the rest wait here, in order
     private static final double MAX_ORIGIN_WAIT_FRACTION = 0.4;
     private static final int STARTS_PER_READ = 8;
 
@@ -35,7 +36,7 @@
     private final TreeSet<PendingRequest> queue = new TreeSet<>(BY_PRECEDENCE);
     private long startCount;
 
-    /** Creates an empty queue; the concurrency limit is learnt elsewhere. */
+    /** Creates an empty queue. {@link AttemptFeedback} updates the concurrency limit. */
     public OriginFetch(ActiveDeployment deployment, EventContext event, EndpointTable endpoints,
                        ServiceTimeModel serviceTimes, ConcurrencyLimit concurrencyLimit,
                        WaitQueue waitQueue) {
@@ -61,13 +62,16 @@
         return byWrite != 0 ? byWrite : Long.compare(first.sequence(), second.sequence());
     }
 
-    /** Returns whether a request has to go to the origin, where proxies fetch from it. */
+    /**
+     * Returns whether a request has to go to the origin; always false if endpoints fetch from it themselves.
+     */
     boolean isNeeded(PendingRequest request) {
         return deployment.settings().originKind() != null && (request.isWrite() || request.isCacheMissed());
     }
 
     /**
-     * Has a request wait for the origin, or for another's fetch of its key; rejects what would be too late.
+     * Queues a request for the origin, or for another request's fetch of its key. Returns a rejection instead
+     * if the origin is expected to respond after the latency objective, or if no origin is ready.
      */
     NextStep enqueue(PendingRequest request) {
         if (!request.isWrite() && request.hasKey() && coalescer.joinOrLead(request)) {
@@ -88,14 +92,17 @@
             return false;
         }
         if (origin.isIdle()) {
-            return true; // whatever its state was: the next response shows the current one
+            return true; // whatever the past service time: the next response shows the current one
         }
         int requestsAhead = queue.headSet(request).size();
         long remainingNanos = request.objectiveEndNanos() - event.now();
         return serviceTimes.expectedNanos(origin, requestsAhead, event.now()) <= remainingNanos;
     }
 
-    /** Takes the next request to start out of the queue, if the origin has capacity; else returns null. */
+    /**
+     * Removes and returns the next request to start, or returns null if none waits or the origin has no
+     * capacity.
+     */
     PendingRequest pollStartable() {
         if (queue.isEmpty() || endpoints.origin() == null || !hasCapacity(endpoints.origin())) {
             return null;
@@ -124,7 +131,10 @@
         return null;
     }
 
-    /** Ends a request's fetch, if it waits for one or leads one, and returns those that followed it. */
+    /**
+     * Removes a request from the queue and ends the fetch that it leads, if any. Returns the requests that
+     * followed this fetch.
+     */
     List<PendingRequest> end(PendingRequest request) {
         queue.remove(request);
         return coalescer.end(request);
--- a/core/src/main/java/spurroad/balancer/request/PendingReplies.java
+++ b/core/src/main/java/spurroad/balancer/request/PendingReplies.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import spurroad.balancer.endpoint.EndpointState;
 
-/** The candidates of a request that waits for their load, and which of them have not replied yet. */
+/** The candidates of a request that waits for their load or cache status, and the replies still awaited. */
 final class PendingReplies {
     private final List<EndpointState> candidates;
     private final Set<EndpointState> awaited;
@@ -19,7 +19,7 @@
         return candidates;
     }
 
-    /** Returns whether a candidate's reply was still awaited, which it then no longer is. */
+    /** Records the reply of a candidate, and returns whether it was still awaited. */
     boolean onReply(EndpointState endpoint) {
         return awaited.remove(endpoint);
     }
@@ -32,7 +32,7 @@
         return awaited.isEmpty();
     }
 
-    /** Returns whether any probed candidate has replied; the first candidate is not probed. */
+    /** Returns whether any candidate has replied to a load probe; the first candidate is not probed. */
     boolean anyReplied() {
         return awaited.size() + 1 < candidates.size();
     }
--- a/core/src/main/java/spurroad/balancer/request/PendingRequest.java
+++ b/core/src/main/java/spurroad/balancer/request/PendingRequest.java
@@ -11,10 +11,10 @@
 import spurroad.model.RequestId;
 
 /**
- * A request that has not got its final answer, or has an attempt in flight.
+ * A request that has no final answer yet or has an attempt in flight.
  *
- * <p>Invariants: at most one attempt is in flight; a request waits only while none is; it is finished once,
- * and nothing starts for it afterwards.
+ * <p>Invariants: at most one attempt is in flight; a request waits only while it has no attempt in flight; it
+ * is finished once, and no attempt starts afterwards.
  */
 public final class PendingRequest {
     private final RequestArrival arrival;
@@ -37,9 +37,9 @@
     /**
      * Creates a request that has just arrived.
      *
-     * @param sequence number of the request in the order of arrival
-     * @param now time of its arrival in nanoseconds
-     * @param maxAttempts bound of the deployment on its attempts
+     * @param sequence position in the order of arrival
+     * @param now arrival time in nanoseconds
+     * @param maxAttempts limit on its attempts in the settings at arrival
      */
     PendingRequest(RequestArrival arrival, long sequence, long now, int maxAttempts) {
         this.arrival = arrival;
@@ -73,12 +73,12 @@
         return requestClass().effect() == Effect.IDEMPOTENT;
     }
 
-    /** Returns its number in the order of arrival. */
+    /** Returns the position in the order of arrival. */
     long sequence() {
         return sequence;
     }
 
-    /** Returns where its key lies on the ring; without a key a random place. */
+    /** Returns the position of the key on the ring; a random position for a request without a key. */
     long ringPoint() {
         return arrival.ringPoint();
     }
@@ -88,27 +88,29 @@
         return arrival.requestDraw();
     }
 
-    /** Returns the number from 0 to 1 of its ring point, the same at every proxy. */
+    /**
+     * Returns the number from 0 to 1 derived from the ring point; for a key it is the same at every proxy.
+     */
     double keyDraw() {
         return arrival.keyDraw();
     }
 
-    /** Returns when its latency objective ends, in nanoseconds; never after the deadline. */
+    /** Returns when the latency objective ends, in nanoseconds; never after the deadline. */
     long objectiveEndNanos() {
         return objectiveEndNanos;
     }
 
-    /** Returns when its client stops waiting, in nanoseconds. */
+    /** Returns when the client stops waiting, in nanoseconds. */
     long deadlineNanos() {
         return deadlineNanos;
     }
 
-    /** Returns the time after which a response has no value for its client, in nanoseconds. */
+    /** Returns the time, in nanoseconds, after which a response has no value for the client. */
     long lastUsefulNanos() {
         return requestClass().lateValueFraction() > 0 ? deadlineNanos : objectiveEndNanos;
     }
 
-    /** Returns the bound on its attempts by the deployment under which it arrived. */
+    /** Returns the limit on attempts in the settings under which the request arrived. */
     int maxAttempts() {
         return maxAttempts;
     }
@@ -121,7 +123,7 @@
         overQuota = isOverQuota;
     }
 
-    /** Returns whether an endpoint reported a cache miss, so that the origin is next. */
+    /** Returns whether an endpoint reported a cache miss, so that the request goes to the origin next. */
     boolean isCacheMissed() {
         return cacheMissed;
     }
@@ -138,7 +140,7 @@
         return attempts;
     }
 
-    /** Returns an attempt by its number if it is in flight, else null. */
+    /** Returns the attempt with the given number, or null if it is not in flight. */
     Attempt attemptInFlight(int number) {
         if (number >= attempts.size() || !attempts.get(number).isInFlight()) {
             return null;
@@ -162,14 +164,14 @@
         }
     }
 
-    /** Returns the first attempt that may have had an effect, or null if none has. */
+    /** Returns the first attempt that may have had an effect, or null if there is none. */
     Attempt possiblyExecuted() {
         return possiblyExecuted;
     }
 
     /**
-     * Returns until when endpoints recognise a repeat, in nanoseconds; Long.MAX_VALUE where nothing may have
-     * run that they would have to recognise.
+     * Returns the time, in nanoseconds, until which endpoints recognise a repeat of this request;
+     * Long.MAX_VALUE if no attempt may have run or the request class is not deduplicated.
      */
     long deduplicatedUntilNanos() {
         if (possiblyExecuted == null || requestClass().effect() != Effect.DEDUPLICATED) {
@@ -178,7 +180,7 @@
         return possiblyExecuted.sentNanos() + requestClass().deduplicationWindowNanos();
     }
 
-    /** Leaves an endpoint out of its further attempts. */
+    /** Excludes an endpoint from further attempts, as long as another one is available. */
     void exclude(EndpointState endpoint) {
         excluded.add(endpoint);
     }
@@ -211,7 +213,7 @@
         return waitReason;
     }
 
-    /** Returns the number of this wait; an earlier wait of the request has a lower one. */
+    /** Returns the number of the current or last wait, which increases with each wait. */
     int waitNumber() {
         return waitCount;
     }
@@ -225,9 +227,7 @@
         waitReason = WaitReason.NONE;
     }
 
-    /**
-     * Returns the replies that it waits for, or waited for last; null before the first wait.
-     */
+    /** Returns the replies of the current or last wait for replies; null before the first one. */
     PendingReplies pendingReplies() {
         return pendingReplies;
     }
--- a/core/src/main/java/spurroad/balancer/request/RequestCoalescer.java
+++ b/core/src/main/java/spurroad/balancer/request/RequestCoalescer.java
@@ -7,17 +7,17 @@
 import spurroad.model.CacheKey;
 
 /**
- * Coalesces the fetches of one key: the first request leads, the others follow and wait for its end.
+ * Coalesces the fetches of one key: the first request leads, later ones follow it and wait for its end.
  *
- * <p>Bounded by the pending requests: a leader is removed as it finishes.
+ * <p>Bounded by the number of pending requests: a leader is removed when it finishes.
  */
 final class RequestCoalescer {
     private final Map<CacheKey, PendingRequest> leaders = new HashMap<>();
     private final Map<PendingRequest, List<PendingRequest>> followers = new HashMap<>();
 
     /**
-     * Returns whether another request leads the fetch of this one's key, which it then follows; else it
-     * leads.
+     * Makes a request follow the fetch of its key and returns true, if another request leads one; otherwise
+     * makes it the leader and returns false.
      */
     boolean joinOrLead(PendingRequest request) {
         PendingRequest leader = leaders.putIfAbsent(request.key(), request);
@@ -29,7 +29,8 @@
     }
 
     /**
-     * Ends what a request leads, if anything, and returns its followers in the order in which they joined.
+     * Ends the fetch that a request leads, if any, and returns its followers in the order in which they
+     * joined.
      */
     List<PendingRequest> end(PendingRequest request) {
         leaders.remove(request.key(), request);
--- a/core/src/main/java/spurroad/balancer/request/RequestPipeline.java
+++ b/core/src/main/java/spurroad/balancer/request/RequestPipeline.java
@@ -21,19 +21,19 @@
 import spurroad.model.TenantId;
 
 /**
- * The way of a request from its arrival to its one final answer.
+ * Takes each request from its arrival to its single final answer.
  *
- * <p>It flows one way: {@link LoadShedder}, then {@link OriginFetch} or {@link CandidateSelection}, then
- * {@link AttemptDispatch}. The end of an attempt comes back here: a cache miss goes to the origin, another
- * end asks {@link RetryPolicy}. The modules say what to do next and this class does it, so that none of them
- * calls another. Invariant: each accepted request either waits, has an attempt in flight, or gets its final
- * answer in the same call.
+ * <p>A request passes through {@link LoadShedder}, then {@link OriginFetch} or {@link CandidateSelection},
+ * then {@link AttemptDispatch}. This class also handles the end of each attempt: a cache miss continues at
+ * the origin, and after any other failure {@link RetryPolicy} decides. The modules return the next step and
+ * this class applies it, so that none of them calls another. Invariant: each accepted request either waits,
+ * has an attempt in flight, or gets its final answer in the same call.
  */
 public final class RequestPipeline {
-    // of the latency objective until a rejected client may come again: queues have moved by then
+    // fraction of the latency objective: mean Retry-After of a rejection; queues have advanced by then
     private static final double RETRY_AFTER_FRACTION = 0.5;
     private static final int MAX_REJECTED_KEYS = 4_096;
-    // clients that come again have done so by then
+    // by then, the clients that retry a rejected request have done so
     private static final long REJECTED_KEY_MAX_AGE_NANOS = 4_000_000_000L;
 
     private final ActiveDeployment deployment;
@@ -52,7 +52,7 @@
     private final RecentKeySet rejectedKeys = new RecentKeySet(MAX_REJECTED_KEYS);
     private long nextSequence;
 
-    /** Creates the pipeline from its modules. */
+    /** Creates a pipeline of the given modules. */
     public RequestPipeline(ActiveDeployment deployment, EventContext event, RandomDraws random,
                            EndpointTable endpoints, TenantQuotas tenantQuotas, LoadShedder loadShedder,
                            OriginFetch originFetch, CandidateSelection selection, AttemptDispatch dispatch,
@@ -71,7 +71,7 @@
         this.waitQueue = waitQueue;
     }
 
-    /** Starts a request; the parameters are those of {@code LoadBalancer.onRequest}. */
+    /** Handles the arrival of a request; the parameters are those of {@code LoadBalancer.onRequest}. */
     public void onRequest(RequestId id, RequestClassId requestClassId, TenantId tenant, CacheKey key,
                           boolean write, long workNanos, long timeoutNanos) {
         RequestArrival arrival = RequestArrival.of(id, requestClass(requestClassId), key, write, workNanos,
@@ -79,7 +79,7 @@
         PendingRequest request = new PendingRequest(arrival, nextSequence, event.now(),
             deployment.settings().maxAttempts());
         nextSequence++;
-        // a rejected client that comes again would use up its tenant's quota twice
+        // a retry of a rejected request must not count against the tenant's quota again
         if (!rejectedKeys.removeIfRecent(key, event.now(), REJECTED_KEY_MAX_AGE_NANOS)) {
             tenantQuotas.countRequest(tenant);
         }
@@ -90,7 +90,7 @@
     }
 
     private RequestClass requestClass(RequestClassId id) {
-        int lastIndex = deployment.settings().requestClasses().size() - 1; // a reload may have left fewer
+        int lastIndex = deployment.settings().requestClasses().size() - 1; // a reload may have removed some
         return deployment.settings().requestClasses().get(Math.min(id.value(), lastIndex));
     }
 
@@ -114,7 +114,7 @@
             case DISPATCH -> dispatch(request, step.endpoint());
             case REJECT -> reject(request);
             case WAIT -> {
-                // its wait ends in onTimer, or with the event that it waits for
+                // the request continues with the awaited event, or in endWaits once its wait has expired
             }
         }
     }
@@ -132,14 +132,14 @@
         PendingRequest request = requests.get(id);
         Attempt attempt = request == null ? null : request.attemptInFlight(number);
         if (attempt == null) {
-            return; // it has ended before
+            return; // already ended
         }
         if (outcome == Outcome.SUCCEEDED) {
             request.onSuccess();
         }
         recordSuccess(request, proxyDelayNanos);
         if (finalAnswerSent) {
-            finish(request); // requests this attempt's cancellation too, which the host ignores
+            finish(request); // also requests the cancellation of this attempt, which the host ignores
         }
         attempt.endpoint().onReport(report, event.now());
         dispatch.onAttemptEnd(request, attempt, outcome, proxyDelayNanos);
@@ -175,7 +175,7 @@
         }
     }
 
-    /** Goes on with the requests that wait for an endpoint's load, which has just been reported. */
+    /** Continues the requests that wait for the load of an endpoint that has just reported it. */
     public void onLoadReport(EndpointState endpoint) {
         for (PendingRequest request : waitQueue.awaitingReplies()) {
             if (request.waitReason() == WaitReason.LOAD_REPLIES) {
@@ -184,7 +184,7 @@
         }
     }
 
-    /** Goes on with the requests that wait to hear whether an endpoint has a key cached. */
+    /** Continues the requests that wait for a reply on whether an endpoint has a key cached. */
     public void onCacheStatus(EndpointState endpoint, CacheKey key, boolean cached) {
         for (PendingRequest request : waitQueue.awaitingReplies()) {
             if (request.waitReason() == WaitReason.LOAD_REPLIES && request.key().equals(key)) {
@@ -201,18 +201,20 @@
         }
     }
 
-    /** Cancels what waits for an unresponsive endpoint and may be attempted elsewhere. */
+    /** Cancels the attempts in flight at an unresponsive endpoint that may be retried at another endpoint. */
     public void onUnresponsive(EndpointState endpoint) {
         dispatch.cancelRetryable(endpoint, requests::get);
     }
 
-    /** Sets whether to do without retries that are not saved up yet and probes that no request waits for. */
+    /**
+     * Sets whether to add no tokens to the retry budget and to skip load probes that no request waits for.
+     */
     public void conserveResources(boolean conserve) {
         retryBudget.setFrozen(conserve);
         selection.setSkipsOptionalProbes(conserve);
     }
 
-    /** Goes on with the requests whose waits are over. */
+    /** Continues or rejects the requests whose waits have expired. */
     public void endWaits() {
         for (PendingRequest due = waitQueue.pollDue(); due != null; due = waitQueue.pollDue()) {
             if (due.waitReason() == WaitReason.LOAD_REPLIES) {
@@ -223,7 +225,7 @@
         }
     }
 
-    /** Starts the queued requests that the origin has capacity for. */
+    /** Starts queued requests at the origin while it has capacity. */
     public void startAtOrigin() {
         for (PendingRequest next = originFetch.pollStartable(); next
             != null; next = originFetch.pollStartable()) {
@@ -232,12 +234,12 @@
         }
     }
 
-    /** Returns when the next wait is over, in nanoseconds; Long.MAX_VALUE without any. */
+    /** Returns when the next wait expires, in nanoseconds; Long.MAX_VALUE if there is none. */
     public long nextWaitEndNanos() {
         return waitQueue.nextDueNanos();
     }
 
-    /** Gives a request its final answer at once: a rejection, if the rules let it be one, else a failure. */
+    /** Gives a request its final answer: a rejection if the retry policy allows it, otherwise a failure. */
     private void reject(PendingRequest request) {
         boolean rejected = retryPolicy.mayReject(request);
         rejectedKeys.add(request.key(), event.now());
@@ -267,8 +269,8 @@
     }
 
     /**
-     * Handles the end of a key's fetch: the followers look at the cache again, or one of them becomes the
-     * leader.
+     * Ends the fetch that a request leads, if any. After a successful fetch its followers try the cache
+     * again; otherwise they go to the origin, where one of them becomes the new leader.
      */
     private void endFetch(PendingRequest request) {
         for (PendingRequest follower : originFetch.end(request)) {
--- a/core/src/main/java/spurroad/balancer/request/RetryPolicy.java
+++ b/core/src/main/java/spurroad/balancer/request/RetryPolicy.java
@@ -11,19 +11,20 @@
 import spurroad.model.RequestClass;
 
 /**
- * The rules by effect: the only place that decides what may be attempted, attempted again, or rejected.
+ * Decides by effect which requests may be attempted, retried or rejected; no other class decides this.
  *
- * <p>A non-idempotent request is attempted again, or rejected, only if all earlier attempts are proven not to
- * have run. A deduplicated one that may have run goes only to endpoints that recognise its repeat, and while
- * they do; it is rejected only then, and only where all endpoints recognise it, as a rejection promises that
- * a retry by the client does no harm. Two attempts of a request are never in flight together.
+ * <p>A non-idempotent request is retried or rejected only if all earlier attempts are proven not to have run.
+ * A deduplicated request that may have run is retried only at endpoints that recognise the repeat, and only
+ * within the deduplication window. It is rejected only within that window and only if all endpoints recognise
+ * the repeat, because a rejection promises that a retry by the client does no harm. Two attempts of a request
+ * are never in flight at the same time.
  */
 public final class RetryPolicy {
     private final ActiveDeployment deployment;
     private final EventContext event;
     private final RetryBudget budget;
 
-    /** Creates the rules, with the budget that retries draw on. */
+    /** Creates a policy that limits retries by a budget. */
     public RetryPolicy(ActiveDeployment deployment, EventContext event, RetryBudget budget) {
         this.deployment = deployment;
         this.event = event;
@@ -56,7 +57,7 @@
         };
     }
 
-    /** Returns whether a request may be rejected, so that its client may try again without harm. */
+    /** Returns whether a request may be rejected, so that its client may retry it without harm. */
     boolean mayReject(PendingRequest request) {
         RequestClass requestClass = request.requestClass();
         if (requestClass.effect() == Effect.IDEMPOTENT) {
@@ -72,27 +73,28 @@
             && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
-    /** Returns whether an attempt in flight may be cancelled in favour of one elsewhere. */
+    /** Returns whether an attempt in flight may be cancelled in favour of one at another endpoint. */
     boolean mayCancelForRetry(PendingRequest request) {
         return request.requestClass().effect() != Effect.NON_IDEMPOTENT && hasAttemptsLeft(request);
     }
 
     /**
-     * Decides whether a request goes on after an attempt that did not succeed; draws on the budget, but for
-     * the candidates that are proven not to have run it.
+     * Returns whether a request may be retried after an attempt that did not succeed. A retry withdraws a
+     * token from the budget; without gossip, one after an attempt that is proven not to have run withdraws
+     * none while fewer than {@link Ring#CANDIDATES} endpoints are excluded.
      */
     boolean allowsRetry(PendingRequest request, Outcome outcome) {
         boolean isInTime = event.now() + deployment.settings().clockTickNanos() < request.lastUsefulNanos();
         if (outcome == Outcome.NOT_SENT || !isInTime) {
             return false;
         }
-        // beyond the candidates it would miss, and hold a place for that at endpoint after endpoint
+        // beyond its candidates a request misses, taking up capacity at one endpoint after another
         boolean isExemptFromBudget = outcome.provesNotExecuted() && request.excludedCount() < Ring.CANDIDATES
             && !deployment.gossipEnabled();
         return isExemptFromBudget || budget.tryWithdraw();
     }
 
-    /** Returns whether attempts are left; where a reload changed the bound, the lower one holds. */
+    /** Returns whether attempts are left; if a reload changed the limit, the lower one applies. */
     private boolean hasAttemptsLeft(PendingRequest request) {
         int maxAttempts = Math.min(request.maxAttempts(), deployment.settings().maxAttempts());
         return request.attempts().size() < maxAttempts;
--- a/core/src/main/java/spurroad/balancer/request/WaitQueue.java
+++ b/core/src/main/java/spurroad/balancer/request/WaitQueue.java
@@ -8,12 +8,12 @@
 import spurroad.balancer.context.EventContext;
 
 /**
- * Requests that wait, in the order in which their waits end.
+ * Waiting requests in the order in which their waits expire.
  *
- * <p>An entry whose request was released, or waits anew, is skipped when it comes up, so releasing costs no
- * search. Invariants: each wait ends at least one clock tick before the deadline, so that the answer is in
- * time, and at least one after now: a request without time left would otherwise be queued and released in
- * turn for ever.
+ * <p>An entry whose request was released or has started another wait is skipped when it is due, so that a
+ * release does not search the queue. Invariants: each wait expires at least one clock tick before the
+ * deadline, so that the answer is in time, but not before one clock tick from now: a request without time
+ * left would otherwise be queued and released in an endless loop.
  */
 public final class WaitQueue {
     private record Entry(long dueNanos, long sequence, PendingRequest request, int waitNumber) {
@@ -37,7 +37,10 @@
         this.event = event;
     }
 
-    /** Has a request wait until a time in nanoseconds, or shortly before its deadline if that is earlier. */
+    /**
+     * Adds a request that waits until a time in nanoseconds, or until one clock tick before its deadline if
+     * that is earlier.
+     */
     void add(PendingRequest request, WaitReason reason, long untilNanos) {
         long tickNanos = deployment.settings().clockTickNanos();
         long dueNanos = Math.max(event.now() + tickNanos,
@@ -50,7 +53,7 @@
         nextSequence++;
     }
 
-    /** Ends a request's wait, if it waits. */
+    /** Ends the wait of a request; does nothing if it does not wait. */
     void release(PendingRequest request) {
         if (request.waitReason() == WaitReason.LOAD_REPLIES) {
             awaitingReplies.remove(request);
@@ -58,12 +61,16 @@
         request.endWait();
     }
 
-    /** Returns a copy of the requests that wait for load replies, in the order in which they began to. */
+    /**
+     * Returns a copy of the requests that wait for load replies, in the order in which their waits started.
+     */
     List<PendingRequest> awaitingReplies() {
         return awaitingReplies.isEmpty() ? List.of() : List.copyOf(awaitingReplies);
     }
 
-    /** Returns a request whose wait is over, which it still has to be released from, or null. */
+    /**
+     * Returns a request whose wait has expired and that the caller has to release, or null if there is none.
+     */
     PendingRequest pollDue() {
         while (nextDueNanos() <= event.now()) {
             Entry due = entries.poll();
@@ -74,7 +81,7 @@
         return null;
     }
 
-    /** Returns when the next entry is due, in nanoseconds; Long.MAX_VALUE without any. */
+    /** Returns when the next entry is due, in nanoseconds; Long.MAX_VALUE if the queue is empty. */
     long nextDueNanos() {
         return entries.isEmpty() ? Long.MAX_VALUE : entries.peek().dueNanos;
     }
--- a/core/src/main/java/spurroad/balancer/request/WaitReason.java
+++ b/core/src/main/java/spurroad/balancer/request/WaitReason.java
@@ -1,13 +1,13 @@
 package spurroad.balancer.request;
 
-/** Why a request has no attempt in flight and no answer yet. */
+/** The reason why a request has neither an attempt in flight nor a final answer. */
 enum WaitReason {
-    /** It does not wait. */
+    /** The request does not wait. */
     NONE,
-    /** For load probes, or for what the owners of its candidates answer. */
+    /** Waits for replies to load probes, or to cache queries to the owners of its candidates. */
     LOAD_REPLIES,
-    /** For the origin to have capacity. */
+    /** Waits until the origin has capacity. */
     ORIGIN_CAPACITY,
-    /** For another request's fetch of the same key. */
+    /** Waits for another request's fetch of the same key. */
     SHARED_FETCH
 }
--- a/core/src/main/java/spurroad/balancer/request/package-info.java
+++ b/core/src/main/java/spurroad/balancer/request/package-info.java
@@ -1,13 +1,13 @@
 /**
- * The way of a request: from its arrival through the choice of an endpoint and its attempts to its final
+ * Processing of requests: from their arrival through the choice of an endpoint and the attempts to the final
  * answer.
  *
- * <p>{@link spurroad.balancer.request.RequestPipeline} is the way in and takes requests from module to
- * module; the others are public only to be created. {@link spurroad.balancer.request.RetryPolicy} is the one
- * place that decides what may be attempted again or rejected.
+ * <p>{@link spurroad.balancer.request.RequestPipeline} is the entry point and passes requests from module to
+ * module; the other classes are public only so that the parent package can create them.
+ * {@link spurroad.balancer.request.RetryPolicy} alone decides what may be retried or rejected.
  *
  * <p>Invariants: each accepted request gets exactly one final answer; at most one attempt of it is in flight;
- * a request that may have had an effect is repeated only where its class allows it. Thread: the load
- * balancer's.
+ * a request that may have had an effect is repeated only if its class allows it. Everything is called from
+ * the load balancer's thread only.
  */
 package spurroad.balancer.request;
--- a/core/src/test/java/spurroad/balancer/CandidateSelectionTest.java
+++ b/core/src/test/java/spurroad/balancer/CandidateSelectionTest.java
@@ -20,13 +20,11 @@
 import spurroad.model.Outcome;
 import spurroad.model.ZoneId;
 
-/** Which candidate a request is sent to. */
+/** Tests which candidate a request is sent to. */
 public class CandidateSelectionTest {
     private static final long KEY = 42;
 
-    /**
-     * Reported queues of the first candidate and the others, and the index of the candidate that is chosen.
-     */
+    /** Reported queues of the first candidate and of the others, and the index of the chosen candidate. */
     @DataProvider
     Object[][] queues() {
         return new Object[][] {{0.0, new double[] {0, 0}, 0}, {500.0, new double[] {400, 0}, 2},
@@ -48,15 +46,15 @@
             assertEquals(decisions.attemptsToStart.get(0).endpoint().value(),
                 (long) candidates.get(chosenIndex));
         } else {
-            // every candidate would be too late: rejected in the same call
+            // the request would be late at every candidate: rejected in the same call
             assertTrue(decisions.responses.get(0).rejected());
             assertTrue(firstQueue >= 100 && otherQueues[0] > 0);
         }
     }
 
     /**
-     * The other candidates' reports are older than the request, and so prove nothing although they show
-     * longer queues.
+     * Load reports that are older than the request prove nothing, even if they show longer queues at the
+     * other candidates.
      */
     @Test
     public void probesOtherCandidatesDespiteOlderReportsOfLongerQueues() {
@@ -102,12 +100,12 @@
             assertTrue(targetBefore == targetAfter || (targetBefore == 3 && targetAfter != 3));
             movedKeys += targetBefore == 3 ? 1 : 0;
         }
-        assertTrue(movedKeys > 10 && movedKeys < 90, "moved " + movedKeys);
+        assertTrue(movedKeys > 10 && movedKeys < 90, "moved keys: " + movedKeys);
     }
 
     /**
-     * Regression: after slow first requests all later ones were rejected, so that the estimate never
-     * improved.
+     * Regression: after slow first requests all later ones were rejected, so that the estimate of the service
+     * time never improved.
      */
     @Test
     public void sendsToIdleEndpointRegardlessOfPastServiceTime() {
@@ -123,8 +121,8 @@
     }
 
     /**
-     * Regression: a proxy short of processor time attributed its own stalls to endpoints, and rejected for
-     * seconds.
+     * Regression: a proxy that got too little CPU time attributed its own stalls to endpoints and rejected
+     * requests for seconds.
      */
     @Test
     public void excludesProxyDelayFromServiceTimes() {
@@ -149,7 +147,8 @@
     }
 
     /**
-     * The first candidate in the proxy's own zone is preferred; without one the order of the ring applies.
+     * The first candidate in the proxy's own zone is preferred; if there is none, the order of the ring
+     * applies.
      */
     @Test(dataProvider = "zones")
     public void prefersCandidateInOwnZone(ZoneId ownZone) {
--- a/core/src/test/java/spurroad/balancer/LoadBalancerTest.java
+++ b/core/src/test/java/spurroad/balancer/LoadBalancerTest.java
@@ -17,13 +17,13 @@
 import spurroad.model.Outcome;
 import spurroad.model.RequestClassId;
 
-/** Invariants of the load balancer as a whole. */
+/** Tests invariants of the load balancer as a whole. */
 public class LoadBalancerTest {
     private static final long KEY = 42;
 
     /**
-     * Regression: each release adds endpoints with other ids, and removed ones were retained for the lifetime
-     * of the proxy.
+     * Regression: each release adds endpoints with new ids, and removed endpoints were retained for the
+     * lifetime of the proxy.
      */
     @Test
     public void forgetsRemovedEndpointsBeyondLimit() throws Exception {
@@ -38,9 +38,9 @@
         assertTrue(
             knownCount <= EndpointTable.MAX_KNOWN_ENDPOINTS
                 && knownCount > EndpointTable.MAX_KNOWN_ENDPOINTS / 2,
-            "known: " + knownCount);
+            "known endpoints: " + knownCount);
         assertEquals(fixture.endAttempt(1, 0, Outcome.SUCCEEDED).responses, List.of(),
-            "an attempt in flight there ends as usual");
+            "an attempt in flight at the removed endpoint ends as usual");
         assertEquals(fixture.balancer.adminStatus().listedEndpoints(), 3);
         assertTrue(fixture.targetOf(2, READ, KEY) != endpointInUse);
     }
--- a/core/src/test/java/spurroad/balancer/OriginFetchTest.java
+++ b/core/src/test/java/spurroad/balancer/OriginFetchTest.java
@@ -14,7 +14,9 @@
 import spurroad.model.Decisions;
 import spurroad.model.Outcome;
 
-/** Which requests are sent to an origin that the proxy itself fetches from, and how many concurrently. */
+/**
+ * Tests which requests are sent to an origin that the proxy itself fetches from, and how many concurrently.
+ */
 public class OriginFetchTest {
     private static final long KEY = 42;
 
@@ -38,7 +40,7 @@
         for (long id = 0; id < 30; id++) {
             started += fixture.request(id, NON_IDEMPOTENT, id).attemptsToStart.size();
         }
-        assertTrue(started >= 2 && started < 30, "started " + started);
+        assertTrue(started >= 2 && started < 30, "started fetches: " + started);
         fixture.disconnectClient(77);
         fixture.disconnectClient(29);
         for (long id = 0; id < 30; id++) {
@@ -52,8 +54,8 @@
     }
 
     /**
-     * Regression: one proxy had two fetches in flight and rejected misses, while another had eight and
-     * rejected none.
+     * Regression: one proxy had two fetches in flight and rejected cache misses, while another had eight in
+     * flight and rejected none.
      */
     @Test
     public void raisesOriginLimitWhileResponsesAreInTime() {
@@ -75,18 +77,19 @@
             }
             assertTrue(step != 1999 || inFlight.size() > 6, "concurrent fetches: " + inFlight.size());
         }
-        assertTrue(inFlight.size() <= 4, "late responses lower the limit: " + inFlight.size());
+        assertTrue(inFlight.size() <= 4, "concurrent fetches after late responses: " + inFlight.size());
     }
 
     private record Fetch(long request, int number, long endNanos) {}
 
     /**
-     * Records the fetches that were started: of a write, or of a read that its cache endpoint misses at once.
+     * Records the started fetches: those of writes, and those of reads after a cache miss, which is reported
+     * at once.
      */
     private static void recordFetches(BalancerFixture fixture, Decisions decisions, List<Fetch> inFlight) {
         for (Decisions.StartAttempt attempt : List.copyOf(decisions.attemptsToStart)) {
             boolean isWrite = attempt.request().value() % 2 == 1;
-            // reads are slow for the first four seconds, some writes always
+            // reads are slow for the first four seconds, some writes all the time
             if (attempt.endpoint().value() == 99) {
                 long durationMillis = isWrite ? attempt.request().value() % 3 == 0 ? 950 : 600
                     : attempt.request().value() < 1600 ? 900 : 230;
@@ -101,8 +104,8 @@
     }
 
     /**
-     * Regression: one of two proxies sent the origin ever fewer reads, so that most of its fetches were
-     * writes, which take twice as long; its limit fell for that reason, and stayed low after the origin had
+     * Regression: one of two proxies sent the origin fewer and fewer reads until most of its fetches were
+     * writes, which take twice as long. Its limit fell for this reason and stayed low after the origin had
      * recovered.
      */
     @Test
--- a/core/src/test/java/spurroad/balancer/RetryPolicyTest.java
+++ b/core/src/test/java/spurroad/balancer/RetryPolicyTest.java
@@ -17,13 +17,13 @@
 import spurroad.model.Outcome;
 import spurroad.model.RequestClassId;
 
-/** Which requests are retried, at which endpoints, and how often. */
+/** Tests which requests are retried, at which endpoints, and how often. */
 public class RetryPolicyTest {
     private static final long KEY = 42;
 
     /**
-     * Request class, outcome of the first attempt, whether a retry starts, and otherwise whether the request
-     * is rejected.
+     * Request class, outcome of the first attempt, whether a retry starts, and if not, whether the request is
+     * rejected.
      */
     @DataProvider
     Object[][] effects() {
@@ -61,12 +61,12 @@
         BalancerFixture fixture = BalancerFixture.of(6, false);
         fixture.request(1, DEDUPLICATED, KEY);
         assertEquals(fixture.decisions.attemptsToStart.get(0).sendDeadlineNanos(), Long.MAX_VALUE,
-            "a first attempt is no retry");
+            "the first attempt is not a repeat");
         fixture.nowNanos += 300 * MS;
         assertEquals(
             fixture.endAttempt(1, 0, Outcome.NO_CONNECTION).attemptsToStart.get(0).sendDeadlineNanos(),
             Long.MAX_VALUE,
-            "no earlier attempt has run");
+            "no earlier attempt may have run");
         long firstRunNanos = fixture.nowNanos;
         fixture.nowNanos += 300 * MS;
         assertEquals(
@@ -76,12 +76,12 @@
         fixture.nowNanos += 300 * MS;
         assertEquals(
             fixture.endAttempt(2, 0, Outcome.CONNECTION_LOST).attemptsToStart.get(0).sendDeadlineNanos(),
-            Long.MAX_VALUE, "idempotent: may run twice");
+            Long.MAX_VALUE, "an idempotent request may run twice");
     }
 
     /**
-     * Deduplication scope, after how many milliseconds the first attempt fails, and how many endpoints a
-     * retry may use.
+     * Deduplication scope, milliseconds until the first attempt fails, and number of endpoints that a retry
+     * may use.
      */
     @DataProvider
     Object[][] deduplicationScopes() {
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Regression: every request was sent to one full endpoint after the other. */
+    /** Regression: every request was sent to one full endpoint after another. */
     @Test
     public void stopsAfterThreeRejectionsWithoutRetryBudget() {
         BalancerFixture fixture = BalancerFixture.of(12, false);
@@ -138,7 +138,8 @@
     }
 
     /**
-     * Regression: every request that a full endpoint rejected was retried at two others, and missed at each.
+     * Regression: every request that a full endpoint rejected was retried at two others and missed the cache
+     * at both.
      */
     @Test
     public void allowsOneRetryPerTwentyRequestsWithGossip() {
--- a/core/src/test/java/spurroad/balancer/request/RequestCoalescerTest.java
+++ b/core/src/test/java/spurroad/balancer/request/RequestCoalescerTest.java
@@ -19,10 +19,10 @@
         PendingRequest firstFollower = request(2, 7);
         PendingRequest secondFollower = request(3, 7);
         assertFalse(coalescer.joinOrLead(leader));
-        assertFalse(coalescer.joinOrLead(leader), "it leads already");
+        assertFalse(coalescer.joinOrLead(leader), "the leader does not follow itself");
         assertTrue(coalescer.joinOrLead(firstFollower));
         assertTrue(coalescer.joinOrLead(secondFollower));
-        assertFalse(coalescer.joinOrLead(request(4, 8)), "another key has another leader");
+        assertFalse(coalescer.joinOrLead(request(4, 8)), "the first request of another key leads");
         assertEquals(coalescer.end(leader), List.of(firstFollower, secondFollower));
         assertEquals(coalescer.end(leader), List.of());
     }
@@ -35,6 +35,6 @@
         coalescer.joinOrLead(leader);
         coalescer.joinOrLead(follower);
         assertEquals(coalescer.end(follower), List.of());
-        assertTrue(coalescer.joinOrLead(request(3, 7)), "the first still leads");
+        assertTrue(coalescer.joinOrLead(request(3, 7)), "the first request still leads");
     }
 }
--- a/core/src/test/java/spurroad/balancer/request/RequestFixture.java
+++ b/core/src/test/java/spurroad/balancer/request/RequestFixture.java
@@ -10,7 +10,7 @@
 import spurroad.model.RequestClass;
 import spurroad.model.RequestId;
 
-/** Requests and settings for the tests of this package. Times are nanoseconds. */
+/** Creates requests and settings for the tests of this package. All times are in nanoseconds. */
 final class RequestFixture {
     private RequestFixture() {}
 
@@ -20,7 +20,7 @@
             0, clockTickNanos, 0, fleet));
     }
 
-    /** Returns a pending read. */
+    /** Returns a pending read whose latency objective is its timeout. */
     static PendingRequest read(long id, long key, long arrivedNanos, long timeoutNanos) {
         RequestClass requestClass = new RequestClass(Effect.IDEMPOTENT, DeduplicationScope.ALL, 0,
             timeoutNanos, 0, 1, 0);
--- a/core/src/test/java/spurroad/balancer/request/RetryBudgetTest.java
+++ b/core/src/test/java/spurroad/balancer/request/RetryBudgetTest.java
@@ -19,7 +19,7 @@
         return retries;
     }
 
-    /** Whether gossip is enabled, number of requests, and the retries that are allowed after them. */
+    /** Whether gossip is enabled, the number of requests, and the number of retries allowed after them. */
     @DataProvider
     Object[][] budgets() {
         return new Object[][] {{false, 0, 5}, {false, 1000, 5}, {true, 0, 0}, {true, 21, 1}, {true, 1000, 1}};
