--- a/core/src/main/java/spurroad/balancer/request/CandidateSelection.java
+++ b/core/src/main/java/spurroad/balancer/request/CandidateSelection.java
@@ -10,21 +10,23 @@
 import spurroad.model.PeerUpdate;
 
 /**
- * Chooses the endpoint of an attempt, by soft limits on the queues of a key's candidates ("Smarter
+ * Chooses the endpoint of an attempt by soft limits on the queues of the key's candidates ("Smarter
  * Coordinator Selection with Vnode Queue Soft Limits", Riak).
  *
- * <p>The first candidate gets the request while its queue is under the soft limit. Otherwise the others are
- * probed for their load in parallel, and the first reply under its limit wins; if all have replied or the
- * wait is over, the shortest queue does, and without any reply a random candidate. A request that is expected
- * to be late where it would go is rejected.
+ * <p>The first candidate gets the request while its queue is below the soft limit. Otherwise load probes are
+ * sent to the other candidates in parallel, and the first one that replies with a queue below its limit gets
+ * the request. If all have replied or the wait has expired, the candidate with the shortest queue gets it, or
+ * a random candidate if none has replied. A request is rejected if its first attempt is expected to be late
+ * at the chosen endpoint.
  *
- * <p>With gossip the limit is on keys: the first candidate that keeps the key is its home. A read that had
- * better not miss waits while the owners of the candidates are queried for who has its key cached; where
- * nobody has, it is rejected.
+ * <p>With gossip, the soft limit applies to keys instead of requests: the preferred endpoint is the first
+ * candidate that keeps the key. A read that should not risk a cache miss waits while the owners of the
+ * candidates are queried whether the key is cached there. If no owner replies in time that it is, the read is
+ * rejected.
  */
 public final class CandidateSelection {
-    private static final long LOAD_PROBE_WAIT_NANOS = 20_000_000L; // the design's figure
-    // of the shortest latency objective: owners that take longer to answer are too far or too busy
+    private static final long LOAD_PROBE_WAIT_NANOS = 20_000_000L; // prescribed by the design
+    // fraction of the shortest latency objective: an owner that takes longer is too far away or too busy
     private static final double CACHE_QUERY_WAIT_FRACTION = 0.25;
 
     private final ActiveDeployment deployment;
@@ -36,9 +38,9 @@
     private final LoadProbes loadProbes;
     private final EndpointOwnership ownership;
     private final WaitQueue waitQueue;
-    private boolean conservesProbes;
+    private boolean skipsOptionalProbes;
 
-    /** Creates the selection over the modules that know the candidates and their load. */
+    /** Creates a selection from the modules that find the candidates and estimate their load. */
     public CandidateSelection(ActiveDeployment deployment, EventContext event, RandomDraws random,
                               CandidateFinder finder, EndpointAvailability availability,
                               ExpectedLatency latency, LoadProbes loadProbes, EndpointOwnership ownership,
@@ -54,48 +56,48 @@
         this.waitQueue = waitQueue;
     }
 
-    /** Sets whether probes that no request waits for are left out for now. */
-    void setConservesProbes(boolean conserves) {
-        conservesProbes = conserves;
+    /** Sets whether to skip load probes that no request waits for. */
+    void setSkipsOptionalProbes(boolean skips) {
+        skipsOptionalProbes = skips;
     }
 
-    /** Chooses for a request that is to go to a cache endpoint. */
+    /** Returns the next step of a request that needs a cache endpoint. */
     NextStep select(PendingRequest request) {
         List<EndpointState> candidates = finder.find(request);
-        if (candidates.isEmpty() || isOutOfTime(request)) {
+        if (candidates.isEmpty() || hasNoTimeLeft(request)) {
             return NextStep.REJECT;
         }
-        return deployment.gossipEnabled() ? selectByKeys(request, candidates)
-            : selectByQueues(request, candidates);
+        return deployment.gossipEnabled() ? selectByKeyPlacement(request, candidates)
+            : selectByQueueLength(request, candidates);
     }
 
-    private NextStep selectByQueues(PendingRequest request, List<EndpointState> candidates) {
+    private NextStep selectByQueueLength(PendingRequest request, List<EndpointState> candidates) {
         EndpointState first = candidates.get(0);
         if (latency.isUnderSoftLimit(first, request)) {
-            probeIfOutdated(first);
-            return assign(request, first);
+            probeIfReportStale(first);
+            return dispatchUnlessLate(request, first);
         }
         if (candidates.size() == 1 || !deployment.settings().loadProbesAllowed()) {
-            probeIfOutdated(first);
-            return assign(request, firstUnderLimit(request, candidates));
+            probeIfReportStale(first);
+            return dispatchUnlessLate(request, firstUnderLimit(request, candidates));
         }
         List<EndpointState> others = candidates.subList(1, candidates.size());
-        request.setReplies(new PendingReplies(candidates, others));
+        request.setPendingReplies(new PendingReplies(candidates, others));
         waitQueue.add(request, WaitReason.LOAD_REPLIES, event.now() + LOAD_PROBE_WAIT_NANOS);
         others.forEach(loadProbes::send);
         return NextStep.WAIT;
     }
 
-    private NextStep selectByKeys(PendingRequest request, List<EndpointState> candidates) {
-        EndpointState home = firstUnderLimit(request, candidates);
-        if (latency.mayRiskMiss(request, home)) {
-            return assign(request, home);
+    private NextStep selectByKeyPlacement(PendingRequest request, List<EndpointState> candidates) {
+        EndpointState preferred = firstUnderLimit(request, candidates);
+        if (latency.maySendWithoutCacheQuery(request, preferred)) {
+            return dispatchUnlessLate(request, preferred);
         }
         long waitNanos = (long) (CACHE_QUERY_WAIT_FRACTION * deployment.shortestObjectiveNanos());
-        request.setReplies(new PendingReplies(candidates, candidates));
+        request.setPendingReplies(new PendingReplies(candidates, candidates));
         waitQueue.add(request, WaitReason.LOAD_REPLIES, event.now() + waitNanos);
         for (EndpointState candidate : candidates) {
-            // one that this proxy owns is answered at once, and may end the wait
+            // if this proxy is the owner, the reply comes during the call and may end the wait
             ownership.notifyOwner(candidate, PeerUpdate.Topic.CACHE_QUERY, deployment.fleet().proxyIndex(),
                 request.key());
         }
@@ -111,78 +113,90 @@
         return shortestQueue(request, candidates);
     }
 
-    /** An old report is renewed alongside, for the requests that come next. */
-    private void probeIfOutdated(EndpointState endpoint) {
-        if (!conservesProbes && endpoint.load().hasReport() && !endpoint.load().isFresh(event.now())) {
+    /** Sends a load probe to an endpoint whose last load report is stale, for the requests that follow. */
+    private void probeIfReportStale(EndpointState endpoint) {
+        if (!skipsOptionalProbes && endpoint.load().hasReport() && !endpoint.load().isFresh(event.now())) {
             loadProbes.send(endpoint);
         }
     }
 
-    /** Continues a request that was waiting for an endpoint's load, which is now known. */
+    /**
+     * Returns the next step of a request that waits for load reports, after an endpoint has reported its
+     * load.
+     */
     NextStep onLoadReport(PendingRequest request, EndpointState endpoint) {
-        if (!request.replies().onReply(endpoint)) {
+        if (!request.pendingReplies().onReply(endpoint)) {
             return NextStep.WAIT;
         }
         return onReply(request, endpoint, latency.isUnderSoftLimit(endpoint, request));
     }
 
-    /** Goes on with a request that waits to hear whether an endpoint has its key cached. */
+    /**
+     * Returns the next step of a request that waits for cache queries, after an endpoint's owner has replied.
+     */
     NextStep onCacheStatus(PendingRequest request, EndpointState endpoint, boolean cached) {
-        if (!request.replies().onReply(endpoint)) {
+        if (!request.pendingReplies().onReply(endpoint)) {
             return NextStep.WAIT;
         }
         return onReply(request, endpoint, cached);
     }
 
-    private NextStep onReply(PendingRequest request, EndpointState endpoint, boolean good) {
-        if (good && availability.isAvailable(endpoint, request)) {
+    private NextStep onReply(PendingRequest request, EndpointState endpoint, boolean isAcceptable) {
+        if (isAcceptable && availability.isAvailable(endpoint, request)) {
             waitQueue.release(request);
-            return assign(request, endpoint);
+            return dispatchUnlessLate(request, endpoint);
         }
-        return request.replies().isComplete() ? onWaitOver(request) : NextStep.WAIT;
+        return request.pendingReplies().isComplete() ? onWaitExpired(request) : NextStep.WAIT;
     }
 
-    /** Goes on with a request none of whose candidates replied, in time, that it is under its limit. */
-    NextStep onWaitOver(PendingRequest request) {
-        List<EndpointState> candidates = request.replies().candidates().stream()
+    /**
+     * Returns the next step of a request after its wait expired or all candidates replied, with none of them
+     * acceptable: no queue below its soft limit or, with gossip, no endpoint that has the key cached.
+     */
+    NextStep onWaitExpired(PendingRequest request) {
+        List<EndpointState> candidates = request.pendingReplies().candidates().stream()
             .filter(candidate -> availability.isAvailable(candidate, request)).toList();
         waitQueue.release(request);
-        if (deployment.gossipEnabled() || candidates.isEmpty() || isOutOfTime(request)) {
+        if (deployment.gossipEnabled() || candidates.isEmpty() || hasNoTimeLeft(request)) {
             return NextStep.REJECT;
         }
-        EndpointState chosen = request.replies().anyReplied() ? shortestQueue(request, candidates)
+        EndpointState chosen = request.pendingReplies().anyReplied() ? shortestQueue(request, candidates)
             : candidates.get(random.candidateIndex(candidates.size()));
-        return assign(request, chosen);
+        return dispatchUnlessLate(request, chosen);
     }
 
-    /** Returns the shortest queue in time; one that has not replied counts as the mean of the others. */
+    /**
+     * Returns the candidate with the shortest expected latency. One whose reply is still awaited counts with
+     * the mean of the others.
+     */
     private EndpointState shortestQueue(PendingRequest request, List<EndpointState> candidates) {
-        double meanNanos = candidates.stream().filter(candidate -> !isReplyAwaited(request, candidate))
+        double meanLatencyNanos = candidates.stream().filter(candidate -> !isReplyAwaited(request, candidate))
             .mapToDouble(latency::expectedNanos).average().orElse(0);
         EndpointState shortest = null;
-        double shortestNanos = 0;
+        double shortestLatencyNanos = 0;
         for (EndpointState candidate : candidates) {
-            double nanos = isReplyAwaited(request, candidate) ? meanNanos : latency.expectedNanos(candidate);
-            if (shortest == null || Double.compare(nanos, shortestNanos) < 0) {
+            double latencyNanos = isReplyAwaited(request, candidate) ? meanLatencyNanos
+                : latency.expectedNanos(candidate);
+            if (shortest == null || Double.compare(latencyNanos, shortestLatencyNanos) < 0) {
                 shortest = candidate;
-                shortestNanos = nanos;
+                shortestLatencyNanos = latencyNanos;
             }
         }
         return shortest;
     }
 
     private static boolean isReplyAwaited(PendingRequest request, EndpointState candidate) {
-        return request.replies() != null && request.replies().isAwaited(candidate);
+        return request.pendingReplies() != null && request.pendingReplies().isAwaited(candidate);
     }
 
-    private NextStep assign(PendingRequest request, EndpointState endpoint) {
+    private NextStep dispatchUnlessLate(PendingRequest request, EndpointState endpoint) {
         if (!request.hasAttempts() && latency.isTooLate(endpoint, request)) {
             return NextStep.REJECT;
         }
         return NextStep.dispatchTo(endpoint);
     }
 
-    private boolean isOutOfTime(PendingRequest request) {
+    private boolean hasNoTimeLeft(PendingRequest request) {
         return request.deadlineNanos() <= event.now() + deployment.settings().clockTickNanos();
     }
 }
--- a/core/src/main/java/spurroad/balancer/request/OriginFetch.java
+++ b/core/src/main/java/spurroad/balancer/request/OriginFetch.java
@@ -11,16 +11,17 @@
 import spurroad.balancer.overload.ConcurrencyLimit;
 
 /**
- * Sends writes and cache misses to the origin that the proxy itself fetches from, through one queue.
+ * Sends writes and cache misses through one queue to the origin, if the proxy itself fetches from it.
  *
- * <p>As many are in flight at once as the origin's service time lets wait a bounded time, or as it has lately
- * borne if that is more. The queue goes by quota, priority weight, writes first, age; but every few starts
- * one is a read, if one waits: where only writes went, nothing showed that the origin had recovered, as they
- * take longer. Misses of one key share a fetch.
+ * <p>The number in flight is limited to the queue that the origin serves within a bounded wait, or to the
+ * concurrency that it has recently sustained if that is higher. The queue is ordered by quota, priority
+ * weight, writes before reads, and age. Every few starts, a waiting read goes first: when only writes were
+ * sent, which take longer, nothing showed that the origin had recovered. Cache misses of one key share a
+ * fetch.
  */
 public final class OriginFetch {
-    // of the shortest latency objective: queueing at the origin itself; the rest waits here, in order
-    private static final double WAIT_FRACTION = 0.4;
+    // fraction of the shortest latency objective spent queueing at the origin; the rest wait here, in order
+    private static final double MAX_ORIGIN_WAIT_FRACTION = 0.4;
     private static final int STARTS_PER_READ = 8;
 
     private static final Comparator<PendingRequest> BY_PRECEDENCE = OriginFetch::comparePrecedence;
@@ -33,9 +34,9 @@
     private final WaitQueue waitQueue;
     private final RequestCoalescer coalescer = new RequestCoalescer();
     private final TreeSet<PendingRequest> queue = new TreeSet<>(BY_PRECEDENCE);
-    private long started;
+    private long startCount;
 
-    /** Creates an empty queue; the concurrency limit is learnt elsewhere. */
+    /** Creates an empty queue. {@link AttemptFeedback} updates the concurrency limit. */
     public OriginFetch(ActiveDeployment deployment, EventContext event, EndpointTable endpoints,
                        ServiceTimeModel serviceTimes, ConcurrencyLimit concurrencyLimit,
                        WaitQueue waitQueue) {
@@ -47,60 +48,67 @@
         this.waitQueue = waitQueue;
     }
 
-    private static int comparePrecedence(PendingRequest a, PendingRequest b) {
-        int byQuota = Boolean.compare(a.isOverQuota(), b.isOverQuota());
+    private static int comparePrecedence(PendingRequest first, PendingRequest second) {
+        int byQuota = Boolean.compare(first.isOverQuota(), second.isOverQuota());
         if (byQuota != 0) {
             return byQuota;
         }
-        int byWeight = Double.compare(b.requestClass().priorityWeight(), a.requestClass().priorityWeight());
+        int byWeight = Double.compare(second.requestClass().priorityWeight(),
+            first.requestClass().priorityWeight());
         if (byWeight != 0) {
             return byWeight;
         }
-        int byKind = Boolean.compare(b.isWrite(), a.isWrite());
-        return byKind != 0 ? byKind : Long.compare(a.sequence(), b.sequence());
+        int byWrite = Boolean.compare(second.isWrite(), first.isWrite());
+        return byWrite != 0 ? byWrite : Long.compare(first.sequence(), second.sequence());
     }
 
-    /** Returns whether a request has to go to the origin, where proxies fetch from it. */
+    /**
+     * Returns whether a request has to go to the origin; always false if endpoints fetch from it themselves.
+     */
     boolean isNeeded(PendingRequest request) {
         return deployment.settings().originKind() != null && (request.isWrite() || request.isCacheMissed());
     }
 
     /**
-     * Has a request wait for the origin, or for another's fetch of its key; rejects what would be too late.
+     * Queues a request for the origin, or for another request's fetch of its key. Returns a rejection instead
+     * if the origin is expected to respond after the latency objective, or if no origin is ready.
      */
     NextStep enqueue(PendingRequest request) {
         if (!request.isWrite() && request.hasKey() && coalescer.joinOrLead(request)) {
-            waitQueue.add(request, WaitReason.SHARED_FETCH, request.objectiveNanos());
+            waitQueue.add(request, WaitReason.SHARED_FETCH, request.objectiveEndNanos());
             return NextStep.WAIT;
         }
-        if (!isServedInTime(request)) {
+        if (!isExpectedInTime(request)) {
             return NextStep.REJECT;
         }
         queue.add(request);
-        waitQueue.add(request, WaitReason.ORIGIN_CAPACITY, request.objectiveNanos());
+        waitQueue.add(request, WaitReason.ORIGIN_CAPACITY, request.objectiveEndNanos());
         return NextStep.WAIT;
     }
 
-    private boolean isServedInTime(PendingRequest request) {
+    private boolean isExpectedInTime(PendingRequest request) {
         EndpointState origin = endpoints.origin();
         if (origin == null) {
             return false;
         }
         if (origin.isIdle()) {
-            return true; // whatever its state was: the next response shows the current one
+            return true; // whatever the past service time: the next response shows the current one
         }
-        int ahead = queue.headSet(request).size();
-        long remainingNanos = request.objectiveNanos() - event.now();
-        return serviceTimes.expectedNanos(origin, ahead, event.now()) <= remainingNanos;
+        int requestsAhead = queue.headSet(request).size();
+        long remainingNanos = request.objectiveEndNanos() - event.now();
+        return serviceTimes.expectedNanos(origin, requestsAhead, event.now()) <= remainingNanos;
     }
 
-    /** Takes the next request to start out of the queue, if the origin has capacity; else returns null. */
+    /**
+     * Removes and returns the next request to start, or returns null if none waits or the origin has no
+     * capacity.
+     */
     PendingRequest pollStartable() {
         if (queue.isEmpty() || endpoints.origin() == null || !hasCapacity(endpoints.origin())) {
             return null;
         }
-        started++;
-        PendingRequest next = started % STARTS_PER_READ == 0 ? firstRead() : null;
+        startCount++;
+        PendingRequest next = startCount % STARTS_PER_READ == 0 ? firstQueuedRead() : null;
         if (next == null) {
             next = queue.first();
         }
@@ -109,12 +117,12 @@
     }
 
     private boolean hasCapacity(EndpointState origin) {
-        double waitNanos = WAIT_FRACTION * deployment.shortestObjectiveNanos();
+        double waitNanos = MAX_ORIGIN_WAIT_FRACTION * deployment.shortestObjectiveNanos();
         double softLimit = serviceTimes.softLimit(origin, waitNanos, event.now());
         return origin.inFlight().size() < Math.max(concurrencyLimit.limit(), softLimit);
     }
 
-    private PendingRequest firstRead() {
+    private PendingRequest firstQueuedRead() {
         for (PendingRequest waiting : queue) {
             if (!waiting.isWrite()) {
                 return waiting;
@@ -123,7 +131,10 @@
         return null;
     }
 
-    /** Ends a request's fetch, if it waits for one or leads one, and returns those that followed it. */
+    /**
+     * Removes a request from the queue and ends the fetch that it leads, if any. Returns the requests that
+     * followed this fetch.
+     */
     List<PendingRequest> end(PendingRequest request) {
         queue.remove(request);
         return coalescer.end(request);
--- a/core/src/test/java/spurroad/balancer/CandidateSelectionTest.java
+++ b/core/src/test/java/spurroad/balancer/CandidateSelectionTest.java
@@ -20,13 +20,11 @@
 import spurroad.model.Outcome;
 import spurroad.model.ZoneId;
 
-/** Which candidate a request is sent to. */
+/** Tests which candidate a request is sent to. */
 public class CandidateSelectionTest {
     private static final long KEY = 42;
 
-    /**
-     * Reported queues of the first candidate and the others, and the index of the candidate that is chosen.
-     */
+    /** Reported queues of the first candidate and of the others, and the index of the chosen candidate. */
     @DataProvider
     Object[][] queues() {
         return new Object[][] {{0.0, new double[] {0, 0}, 0}, {500.0, new double[] {400, 0}, 2},
@@ -35,29 +33,31 @@
     }
 
     @Test(dataProvider = "queues")
-    public void choosesBySoftLimitThenFirstReplyThenShortestQueue(double first, double[] others, int chosen) {
+    public void choosesBySoftLimitThenFirstReplyThenShortestQueue(double firstQueue, double[] otherQueues,
+                                                                  int chosenIndex) {
         List<Long> candidates = BalancerFixture.candidatesOf(KEY);
         BalancerFixture fixture = BalancerFixture.of(8, false);
-        fixture.endLoadProbe(candidates.get(0), Outcome.SUCCEEDED, first);
+        fixture.endLoadProbe(candidates.get(0), Outcome.SUCCEEDED, firstQueue);
         Decisions decisions = fixture.request(1, READ, KEY);
         for (int i = 0; decisions.attemptsToStart.isEmpty() && i < 2; i++) {
-            decisions = fixture.endLoadProbe(candidates.get(i + 1), Outcome.SUCCEEDED, others[i]);
+            decisions = fixture.endLoadProbe(candidates.get(i + 1), Outcome.SUCCEEDED, otherQueues[i]);
         }
         if (!decisions.attemptsToStart.isEmpty()) {
-            assertEquals(decisions.attemptsToStart.get(0).endpoint().value(), (long) candidates.get(chosen));
+            assertEquals(decisions.attemptsToStart.get(0).endpoint().value(),
+                (long) candidates.get(chosenIndex));
         } else {
-            // every candidate would be too late: rejected in the same call
+            // the request would be late at every candidate: rejected in the same call
             assertTrue(decisions.responses.get(0).rejected());
-            assertTrue(first >= 100 && others[0] > 0);
+            assertTrue(firstQueue >= 100 && otherQueues[0] > 0);
         }
     }
 
     /**
-     * The other candidates' reports are older than the request, and so prove nothing although they show
-     * longer queues.
+     * Load reports that are older than the request prove nothing, even if they show longer queues at the
+     * other candidates.
      */
     @Test
-    public void probesTheOtherCandidatesDespiteOlderReportsOfLongerQueues() {
+    public void probesOtherCandidatesDespiteOlderReportsOfLongerQueues() {
         List<Long> candidates = BalancerFixture.candidatesOf(KEY);
         BalancerFixture fixture = BalancerFixture.of(8, false);
         for (int i = 0; i < 3; i++) {
@@ -65,11 +65,12 @@
         }
         Decisions decisions = fixture.request(1, READ, KEY);
         assertTrue(decisions.attemptsToStart.isEmpty());
-        assertEquals(decisions.loadProbes.stream().map(n -> n.value()).toList(), candidates.subList(1, 3));
+        assertEquals(decisions.loadProbes.stream().map(endpoint -> endpoint.value()).toList(),
+            candidates.subList(1, 3));
     }
 
     @Test
-    public void choosesAtRandomWithoutAnyReply() {
+    public void choosesRandomCandidateWithoutAnyReply() {
         Set<Long> targets = new TreeSet<>();
         List<Long> candidates = BalancerFixture.candidatesOf(KEY);
         for (long id = 1; id <= 30; id++) {
@@ -86,28 +87,28 @@
     }
 
     @Test
-    public void migratesOnlyTheKeysOfARemovedEndpoint() {
-        BalancerFixture before = BalancerFixture.of(8, false);
-        BalancerFixture after = BalancerFixture.of(8, false);
-        after.updateEndpoint(3, EndpointPhase.REMOVED, 0);
-        int moved = 0;
+    public void migratesOnlyKeysOfRemovedEndpoint() {
+        BalancerFixture fixtureBefore = BalancerFixture.of(8, false);
+        BalancerFixture fixtureAfter = BalancerFixture.of(8, false);
+        fixtureAfter.updateEndpoint(3, EndpointPhase.REMOVED, 0);
+        int movedKeys = 0;
         for (long key = 1; key <= 300; key++) {
-            long was = before.targetOf(key, READ, key);
-            long is = after.targetOf(key, READ, key);
-            before.endAttempt(key, 0, Outcome.SUCCEEDED);
-            after.endAttempt(key, 0, Outcome.SUCCEEDED);
-            assertTrue(was == is || (was == 3 && is != 3));
-            moved += was == 3 ? 1 : 0;
+            long targetBefore = fixtureBefore.targetOf(key, READ, key);
+            long targetAfter = fixtureAfter.targetOf(key, READ, key);
+            fixtureBefore.endAttempt(key, 0, Outcome.SUCCEEDED);
+            fixtureAfter.endAttempt(key, 0, Outcome.SUCCEEDED);
+            assertTrue(targetBefore == targetAfter || (targetBefore == 3 && targetAfter != 3));
+            movedKeys += targetBefore == 3 ? 1 : 0;
         }
-        assertTrue(moved > 10 && moved < 90, "moved " + moved);
+        assertTrue(movedKeys > 10 && movedKeys < 90, "moved keys: " + movedKeys);
     }
 
     /**
-     * Regression: after slow first requests all later ones were rejected, so that the estimate never
-     * improved.
+     * Regression: after slow first requests all later ones were rejected, so that the estimate of the service
+     * time never improved.
      */
     @Test
-    public void sendsToAnIdleEndpointWhateverItsPastServiceTime() {
+    public void sendsToIdleEndpointRegardlessOfPastServiceTime() {
         for (boolean withOrigin : new boolean[] {false, true}) {
             BalancerFixture fixture = BalancerFixture.of(6, withOrigin);
             for (int i = 0; i < 20; i++) {
@@ -120,11 +121,11 @@
     }
 
     /**
-     * Regression: a proxy short of processor time attributed its own stalls to endpoints, and rejected for
-     * seconds.
+     * Regression: a proxy that got too little CPU time attributed its own stalls to endpoints and rejected
+     * requests for seconds.
      */
     @Test
-    public void excludesTheProxysDelayFromServiceTimes() {
+    public void excludesProxyDelayFromServiceTimes() {
         for (boolean isDelayReported : new boolean[] {true, false}) {
             BalancerFixture fixture = BalancerFixture.of(6, false);
             for (int i = 0; i < 20; i++) {
@@ -146,22 +147,24 @@
     }
 
     /**
-     * The first candidate in the proxy's own zone is preferred; without one the order of the ring applies.
+     * The first candidate in the proxy's own zone is preferred; if there is none, the order of the ring
+     * applies.
      */
     @Test(dataProvider = "zones")
-    public void prefersTheCandidateInItsOwnZone(ZoneId own) {
-        BalancerFixture fixture = fleet(own).get(0);
+    public void prefersCandidateInOwnZone(ZoneId ownZone) {
+        BalancerFixture fixture = fleet(ownZone).get(0);
         int ringOrderCount = 0;
         for (long key = 1; key <= 200; key++) {
             List<Long> ringOrder = KeyCandidates
                 .of(BalancerFixture.endpoints(NODES, false), BalancerFixture.ORIGIN, new CacheKey(key))
-                .candidates().stream().map(f -> f.endpoint().value()).toList();
-            long to = targetOfSuccessfulRead(fixture, key, key);
-            long expected = ringOrder.stream().filter(n -> own != null && n % 2 == own.value()).findFirst()
+                .candidates().stream().map(candidate -> candidate.endpoint().value()).toList();
+            long target = targetOfSuccessfulRead(fixture, key, key);
+            long expected = ringOrder.stream()
+                .filter(endpoint -> ownZone != null && endpoint % 2 == ownZone.value()).findFirst()
                 .orElse(ringOrder.get(0));
-            assertEquals(to, expected);
-            ringOrderCount += to == ringOrder.get(0) ? 1 : 0;
+            assertEquals(target, expected);
+            ringOrderCount += target == ringOrder.get(0) ? 1 : 0;
         }
-        assertEquals(ringOrderCount == 200, own == null || own.value() == 7);
+        assertEquals(ringOrderCount == 200, ownZone == null || ownZone.value() == 7);
     }
 }
--- a/core/src/test/java/spurroad/balancer/RetryPolicyTest.java
+++ b/core/src/test/java/spurroad/balancer/RetryPolicyTest.java
@@ -17,13 +17,13 @@
 import spurroad.model.Outcome;
 import spurroad.model.RequestClassId;
 
-/** Which requests are retried, at which endpoints, and how often. */
+/** Tests which requests are retried, at which endpoints, and how often. */
 public class RetryPolicyTest {
     private static final long KEY = 42;
 
     /**
-     * Request class, outcome of the first attempt, whether a retry starts, and otherwise whether the request
-     * is rejected.
+     * Request class, outcome of the first attempt, whether a retry starts, and if not, whether the request is
+     * rejected.
      */
     @DataProvider
     Object[][] effects() {
@@ -41,9 +41,9 @@
     }
 
     @Test(dataProvider = "effects")
-    public void retriesOnlyWhatTheEffectAllows(RequestClassId requestClass, Outcome outcome,
-                                               boolean isRetried,
-                                               boolean rejected) {
+    public void retriesOnlyIfEffectAllows(RequestClassId requestClass, Outcome outcome,
+                                          boolean isRetried,
+                                          boolean isRejected) {
         BalancerFixture fixture = BalancerFixture.of(6, false);
         long firstEndpoint = fixture.targetOf(1, requestClass, KEY);
         Decisions decisions = fixture.endAttempt(1, 0, outcome);
@@ -52,21 +52,21 @@
         if (isRetried) {
             assertNotEquals(decisions.attemptsToStart.get(0).endpoint().value(), firstEndpoint);
         } else {
-            assertEquals(decisions.responses.get(0).rejected(), rejected);
+            assertEquals(decisions.responses.get(0).rejected(), isRejected);
         }
     }
 
     @Test
-    public void limitsRetriesToTheDeduplicationWindow() {
+    public void limitsRetriesToDeduplicationWindow() {
         BalancerFixture fixture = BalancerFixture.of(6, false);
         fixture.request(1, DEDUPLICATED, KEY);
         assertEquals(fixture.decisions.attemptsToStart.get(0).sendDeadlineNanos(), Long.MAX_VALUE,
-            "a first attempt is no retry");
+            "the first attempt is not a repeat");
         fixture.nowNanos += 300 * MS;
         assertEquals(
             fixture.endAttempt(1, 0, Outcome.NO_CONNECTION).attemptsToStart.get(0).sendDeadlineNanos(),
             Long.MAX_VALUE,
-            "no earlier attempt has run");
+            "no earlier attempt may have run");
         long firstRunNanos = fixture.nowNanos;
         fixture.nowNanos += 300 * MS;
         assertEquals(
@@ -76,12 +76,12 @@
         fixture.nowNanos += 300 * MS;
         assertEquals(
             fixture.endAttempt(2, 0, Outcome.CONNECTION_LOST).attemptsToStart.get(0).sendDeadlineNanos(),
-            Long.MAX_VALUE, "idempotent: may run twice");
+            Long.MAX_VALUE, "an idempotent request may run twice");
     }
 
     /**
-     * Deduplication scope, after how many milliseconds the first attempt fails, and how many endpoints a
-     * retry may use.
+     * Deduplication scope, milliseconds until the first attempt fails, and number of endpoints that a retry
+     * may use.
      */
     @DataProvider
     Object[][] deduplicationScopes() {
@@ -91,33 +91,35 @@
     }
 
     @Test(dataProvider = "deduplicationScopes")
-    public void limitsRetriesToTheDeduplicationScope(DeduplicationScope scope, long ms,
-                                                     int endpointsInScope) {
+    public void limitsRetriesToDeduplicationScope(DeduplicationScope scope, long failAfterMillis,
+                                                  int endpointsInScope) {
         BalancerFixture fixture = new BalancerFixture(false, scope);
         fixture.updateEndpoints(true, BalancerFixture.endpoints(6, false));
         for (long id = 1; id <= 40; id++) {
-            long first = fixture.targetOf(id, DEDUPLICATED, id);
-            fixture.nowNanos += ms * MS;
+            long firstTarget = fixture.targetOf(id, DEDUPLICATED, id);
+            fixture.nowNanos += failAfterMillis * MS;
             Decisions decisions = fixture.endAttempt(id, 0, Outcome.FAILED);
             decisions = decisions.attemptsToStart.isEmpty() && decisions.responses.isEmpty()
                 ? fixture.advance(25) : decisions;
-            for (Decisions.StartAttempt s : decisions.attemptsToStart) {
-                long to = s.endpoint().value();
+            for (Decisions.StartAttempt attempt : decisions.attemptsToStart) {
+                long target = attempt.endpoint().value();
                 assertTrue(endpointsInScope == 6
-                    || (endpointsInScope == 3 ? to % 2 == first % 2 : to / 2 == first / 2));
+                    || (endpointsInScope == 3 ? target % 2 == firstTarget % 2
+                        : target / 2 == firstTarget / 2));
             }
             assertTrue(endpointsInScope > 0 || decisions.attemptsToStart.isEmpty());
             assertEquals(decisions.attemptsToStart.size() + decisions.responses.size(), 1);
-            boolean safe = scope == DeduplicationScope.ALL && ms < 800;
-            assertTrue(decisions.responses.isEmpty() || decisions.responses.get(0).rejected() == safe);
+            boolean isRejectionSafe = scope == DeduplicationScope.ALL && failAfterMillis < 800;
+            assertTrue(
+                decisions.responses.isEmpty() || decisions.responses.get(0).rejected() == isRejectionSafe);
             fixture.nowNanos += 20_000 * MS;
             fixture.endAttempt(id, 1, Outcome.SUCCEEDED);
         }
     }
 
-    /** Regression: every request was sent to one full endpoint after the other. */
+    /** Regression: every request was sent to one full endpoint after another. */
     @Test
-    public void stopsAfterThreeRejectionsOnceTheRetryBudgetIsSpent() {
+    public void stopsAfterThreeRejectionsWithoutRetryBudget() {
         BalancerFixture fixture = BalancerFixture.of(12, false);
         int retries = 0;
         int rejected = 0;
@@ -136,10 +138,11 @@
     }
 
     /**
-     * Regression: every request that a full endpoint rejected was retried at two others, and missed at each.
+     * Regression: every request that a full endpoint rejected was retried at two others and missed the cache
+     * at both.
      */
     @Test
-    public void allowsOneRetryForTwentyRequests() {
+    public void allowsOneRetryPerTwentyRequestsWithGossip() {
         BalancerFixture fixture = fleet(null).get(0);
         int retries = 0;
         for (int id = 0; id < 100; id++) {
@@ -159,7 +162,7 @@
     }
 
     @Test(dataProvider = "failedOutcomes")
-    public void respondsToAFailedRequestInTheSameCall(Outcome outcome) {
+    public void respondsToFailedRequestInSameCall(Outcome outcome) {
         BalancerFixture fixture = fleet(null).get(0);
         for (RequestClassId requestClass : List.of(READ, DEDUPLICATED, NON_IDEMPOTENT)) {
             int id = requestClass.value();
--- a/core/src/test/java/spurroad/balancer/request/RequestCoalescerTest.java
+++ b/core/src/test/java/spurroad/balancer/request/RequestCoalescerTest.java
@@ -13,28 +13,28 @@
     }
 
     @Test
-    public void releasesTheFollowersOfAKeyInOrderOfArrival() {
+    public void releasesFollowersInArrivalOrder() {
         RequestCoalescer coalescer = new RequestCoalescer();
         PendingRequest leader = request(1, 7);
-        PendingRequest second = request(2, 7);
-        PendingRequest third = request(3, 7);
+        PendingRequest firstFollower = request(2, 7);
+        PendingRequest secondFollower = request(3, 7);
         assertFalse(coalescer.joinOrLead(leader));
-        assertFalse(coalescer.joinOrLead(leader), "it leads already");
-        assertTrue(coalescer.joinOrLead(second));
-        assertTrue(coalescer.joinOrLead(third));
-        assertFalse(coalescer.joinOrLead(request(4, 8)), "another key has another leader");
-        assertEquals(coalescer.end(leader), List.of(second, third));
+        assertFalse(coalescer.joinOrLead(leader), "the leader does not follow itself");
+        assertTrue(coalescer.joinOrLead(firstFollower));
+        assertTrue(coalescer.joinOrLead(secondFollower));
+        assertFalse(coalescer.joinOrLead(request(4, 8)), "the first request of another key leads");
+        assertEquals(coalescer.end(leader), List.of(firstFollower, secondFollower));
         assertEquals(coalescer.end(leader), List.of());
     }
 
     @Test
-    public void keepsTheLeaderWhenAFollowerEnds() {
+    public void keepsLeaderWhenFollowerEnds() {
         RequestCoalescer coalescer = new RequestCoalescer();
         PendingRequest leader = request(1, 7);
         PendingRequest follower = request(2, 7);
         coalescer.joinOrLead(leader);
         coalescer.joinOrLead(follower);
         assertEquals(coalescer.end(follower), List.of());
-        assertTrue(coalescer.joinOrLead(request(3, 7)), "the first still leads");
+        assertTrue(coalescer.joinOrLead(request(3, 7)), "the first request still leads");
     }
 }
