--- a/core/src/main/java/spurroad/admission/AdmissionPolicy.java
+++ b/core/src/main/java/spurroad/admission/AdmissionPolicy.java
@@ -3,21 +3,22 @@
 import java.util.Random;
 
 /**
- * Decides which requests a proxy admits by its own resources: its share of a core, its memory, and how long
- * things wait in it. The load balancer decides afterwards by the state of endpoints and by deadlines; what is
- * refused here has cost the reading of one request and the writing of one response.
+ * Decides which requests a proxy admits by its own resources: its CPU share, its memory and its queueing
+ * delay. The load balancer decides afterwards by the state of endpoints and by deadlines; a request rejected
+ * here costs only the reading of the request and the writing of the response.
  *
- * <p>Of all that comes a fraction is admitted that follows the scarcest resource ({@link AdmittedFraction}:
- * additive increase, multiplicative decrease, Chiu and Jain, 1989). It is filled by priority, as in DAGOR
- * (Zhou et al., 2018): the best class first, the last one that fits by chance ({@link PriorityClasses}).
- * Besides, the {@link ServiceLevel} may leave out whole classes; it follows the pressure, which is what is
- * demanded over what can be borne.
+ * <p>The admitted fraction of requests follows the utilization of the scarcest resource
+ * ({@link AdmittedFraction}: additive increase, multiplicative decrease, Chiu and Jain, 1989). It is filled
+ * by priority, as in DAGOR (Zhou et al., 2018): higher classes first; requests of the last class, which fits
+ * in part only, are drawn at random ({@link PriorityClasses}). In addition the {@link ServiceLevel} may
+ * exclude whole classes; it follows the pressure, which is the ratio of offered load to capacity.
  *
- * <p>No I/O, no clock: callers pass the time. Not safe for use by several threads.
+ * <p>Performs no I/O and reads no clock: callers pass the time. Not thread-safe.
  */
 public final class AdmissionPolicy {
     /**
-     * How often {@link #onInterval} is to be called, in nanoseconds: some ten stops by the platform's quota.
+     * Interval between calls of {@link #onInterval}, in nanoseconds. It spans about ten of the pauses with
+     * which the host enforces a CPU quota.
      */
     public static final long INTERVAL_NANOS = 100_000_000L;
 
@@ -31,7 +32,10 @@
     private long retryAfterNanos;
     private long maxRetryAfterNanos;
 
-    /** Creates a policy that admits everything, with settings as {@link #configure} takes them. */
+    /**
+     * Creates a policy that initially admits everything. The seed determines its random draws; the other
+     * parameters are those of {@link #configure}.
+     */
     public AdmissionPolicy(double[] priorityWeights, double[] quotasPerSecond, long maxQueueDelay,
                            long retryAfter, long maxRetryAfter, long seed) {
         random = new Random(seed);
@@ -39,15 +43,14 @@
     }
 
     /**
-     * Takes other settings for all that comes from now on; the admitted fraction and the level stay as they
-     * are.
+     * Replaces the settings for subsequent requests; the admitted fraction and the service level are kept.
      *
-     * @param priorityWeights of each request class
-     * @param quotasPerSecond this proxy's part of each tenant's quota, requests a second
-     * @param maxQueueDelay how long things may wait in the proxy, in nanoseconds: a part of the shortest
-     *     latency objective
-     * @param retryAfter how long a rejected client is to stay away without pressure, in nanoseconds
-     * @param maxRetryAfter longest Retry-After; zero where clients get none
+     * @param priorityWeights priority weight of each request class
+     * @param quotasPerSecond this proxy's share of each tenant's quota, in requests per second
+     * @param maxQueueDelay longest acceptable queueing delay in the proxy, in nanoseconds: a fraction of the
+     *     shortest latency objective
+     * @param retryAfter mean Retry-After of rejections while the pressure is at most 1, in nanoseconds
+     * @param maxRetryAfter longest Retry-After, in nanoseconds; zero if rejections carry none
      */
     public void configure(double[] priorityWeights, double[] quotasPerSecond, long maxQueueDelay,
                           long retryAfter, long maxRetryAfter) {
@@ -58,26 +61,26 @@
         maxRetryAfterNanos = maxRetryAfter;
     }
 
-    /** Returns how much service there is now. */
+    /** Returns the current service level. */
     public ServiceLevel level() {
         return levels.level();
     }
 
-    /** Returns the fraction of all that comes that is taken in now, from 0 to 1. */
+    /** Returns the fraction of requests that is currently admitted, from 0 to 1. */
     public double admittedFraction() {
         return admitted.fraction();
     }
 
-    /** Returns what is demanded over what can be borne, as last measured; 1 is just as much. */
+    /** Returns the ratio of offered load to capacity, as of the last interval. */
     public double pressure() {
         return demand.pressure();
     }
 
     /**
-     * Decides whether a request that has come is taken in.
+     * Decides whether a request is admitted, and counts it.
      *
-     * @param requestClass its index among the priority weights
-     * @param tenant its index among the quotas; any other number is an unknown tenant
+     * @param requestClass index of its class among the priority weights
+     * @param tenant index of its tenant among the quotas; any other number denotes an unknown tenant
      */
     public boolean admits(int requestClass, int tenant) {
         boolean overQuota = tenants.countRequest(tenant);
@@ -102,11 +105,11 @@
     }
 
     /**
-     * Updates the admitted fraction by the use over the last interval; to be called once an interval, with
-     * times that never go back.
+     * Updates the admitted fraction and the service level by the resource usage of the last interval. Must be
+     * called once per interval, with times that never decrease.
      *
      * @param warmingUp whether endpoints are still warming up
-     * @return whether the level has changed
+     * @return whether the service level has changed
      */
     public boolean onInterval(long now, ResourceUsage usage, boolean warmingUp) {
         double used = usage.scarcest(maxQueueDelayNanos);
@@ -118,8 +121,8 @@
     }
 
     /**
-     * Returns how long a rejected client is to stay away, in nanoseconds: longer the more keep coming, and
-     * each by chance, so that they don't come back together. Zero where clients get none.
+     * Returns the Retry-After of a rejection, in nanoseconds: it grows with the pressure, and jitter keeps
+     * clients from returning together. Zero if rejections carry none.
      */
     public long retryAfterNanos() {
         double meanNanos = retryAfterNanos * Math.max(1, demand.pressure());
--- a/core/src/main/java/spurroad/admission/AdmittedFraction.java
+++ b/core/src/main/java/spurroad/admission/AdmittedFraction.java
@@ -1,21 +1,25 @@
 package spurroad.admission;
 
 /**
- * The fraction of all requests that is admitted, so that the scarcest resource is used just under its limit:
- * additive increase, multiplicative decrease (Chiu and Jain, 1989).
+ * The fraction of requests that is admitted, which keeps the utilization of the scarcest resource just below
+ * its limit by additive increase and multiplicative decrease (Chiu and Jain, 1989).
  *
- * <p>It is cut at once, in proportion to the excess, but raised only after some quiet and by small steps.
- * Invariant: between {@link #MIN_FRACTION} and 1.
+ * <p>It decreases immediately, in proportion to the excess, but increases only while the recent utilization
+ * is low, and by small steps. Invariant: it lies between {@link #MIN_FRACTION} and 1.
  */
 final class AdmittedFraction {
-    private static final double MIN_FRACTION = 0.01; // some are always admitted, which show what can be borne
-    private static final double TARGET = 0.97; // of the resource: at the limit the platform stops the process
-    private static final double RAISE_BELOW = 0.9; // of the resource
-    private static final double MAX_STEP = 0.05; // an interval: from half to all within a second
-    // steps are whole from a sixth on: of a smaller fraction a whole step may be all that can be borne
+    // the requests that are always admitted show the capacity
+    private static final double MIN_FRACTION = 0.01;
+    private static final double TARGET = 0.97; // at full utilization the host throttles the process
+    private static final double RAISE_BELOW = 0.9;
+    private static final double MAX_STEP = 0.05; // per interval; from half to all requests within a second
+    // increases are proportionally smaller below a fraction of 1/6, where the largest one may use up the
+    // whole capacity
     private static final double STEP_PER_FRACTION = 6;
-    private static final double MIN_CUT_FACTOR = 0.5; // one bad interval does not shut the proxy
-    // no more is ever used than there is, however much is demanded, so the excess alone cuts too little
+    // a single bad interval must not reject nearly everything
+    private static final double MIN_CUT_FACTOR = 0.5;
+    // utilization does not exceed the capacity however high the demand, so a decrease by the excess alone
+    // would be too small
     private static final double MAX_CUT_FACTOR = 0.92;
 
     private double fraction = 1;
@@ -25,13 +29,14 @@
         return fraction;
     }
 
-    /** Returns the used part of the scarcest resource: falling slowly, rising at once. */
+    /** Returns the recent utilization of the scarcest resource, which rises immediately and falls slowly. */
     double recentlyUsed() {
         return recentlyUsed;
     }
 
     /**
-     * Updates the fraction by the used part of the scarcest resource over the last interval; 1 is all of it.
+     * Updates the fraction by the utilization of the scarcest resource over the last interval; 1 is full
+     * utilization.
      */
     void adjust(double used) {
         recentlyUsed = Math.max(used, (recentlyUsed + used) / 2);
--- a/core/src/main/java/spurroad/admission/DemandEstimate.java
+++ b/core/src/main/java/spurroad/admission/DemandEstimate.java
@@ -1,16 +1,16 @@
 package spurroad.admission;
 
 /**
- * What is demanded over what can be borne. Unlike what is used it does not fall as requests are rejected, so
- * a level of service that goes by it does not undo its own cause.
+ * Estimates the ratio of offered load to capacity. Unlike the utilization, this ratio does not fall as
+ * requests are rejected, so a service level that follows it does not remove its own cause.
  */
 final class DemandEstimate {
-    /** Part of a count that remains after an interval: about half a second's worth is remembered. */
+    /** Factor by which counts decay per interval, so that they cover about half a second. */
     static final double REMAINING = 0.8;
 
-    private static final double REJECTION_COST = 0.1; // of the cost of an admitted request
-    // with so much free it is not asked what the rest would cost: what a process does anyway passed for the
-    // cost of the few requests that it admitted, and a level of service kept itself up
+    private static final double REJECTION_COST = 0.1; // relative to an admitted request
+    // below this utilization the cost of rejected requests is not extrapolated: the background work of the
+    // process was attributed to the few requests that it admitted, and a service level sustained itself
     private static final double PLENTY_USED = 0.6;
 
     private double admitted;
@@ -25,16 +25,16 @@
         }
     }
 
-    /** Returns the last measure; 1 is just as much as can be borne. */
+    /** Returns the last estimate; at 1 the offered load equals the capacity. */
     double pressure() {
         return pressure;
     }
 
     /**
-     * Ends an interval.
+     * Updates the estimate at the end of an interval.
      *
-     * @param used part of the scarcest resource that was used in it
-     * @param recentlyUsed the same over the last intervals
+     * @param used utilization of the scarcest resource in the interval
+     * @param recentlyUsed utilization of the scarcest resource over the last intervals
      */
     void measure(double used, double recentlyUsed) {
         double work = admitted + REJECTION_COST * rejected;
--- a/core/src/main/java/spurroad/admission/EvictionPriority.java
+++ b/core/src/main/java/spurroad/admission/EvictionPriority.java
@@ -1,31 +1,32 @@
 package spurroad.admission;
 
 /**
- * How strong a client connection's claim to its place is, where places are short. Places are for those that
- * have a request; of the others, those go first that have been quiet the longest beside what their kind may
- * take.
+ * The state of a client connection, which decides how soon it is closed when descriptors for clients are
+ * scarce. Connections with a request are kept; of the others, those are evicted first that have been quiet
+ * for the longest time relative to what their state allows.
  */
 public enum EvictionPriority {
-    /** Waits for a response, or may still be taking one: never evicted. */
+    /** Its client waits for a response, or may still be reading one: never evicted. */
     REQUEST_IN_FLIGHT(Long.MAX_VALUE),
     /**
-     * Has had its responses and has sent nothing since; a client that continues at once has done so by then.
+     * All its requests were answered and its client has sent nothing since; a client that continues
+     * immediately does so within this time.
      */
     IDLE(50_000_000L),
-    /** Has sent nothing yet; a client that connects for a request sends it sooner. */
+    /** Its client has sent nothing yet; a client that connects for a request sends it sooner. */
     NEVER_USED(100_000_000L),
-    /** Has sent a part of a request; slow clients and networks pause, but seldom so long. */
+    /** Its client has sent part of a request; slow clients and networks pause, but rarely for so long. */
     PARTIAL_REQUEST(500_000_000L);
 
-    private final long patienceNanos; // so long none of the kind is evicted
+    private final long patienceNanos; // time for which a connection in this state is not evicted
 
     EvictionPriority(long patienceNanos) {
         this.patienceNanos = patienceNanos;
     }
 
     /**
-     * Returns how overdue a connection is that has been quiet for so many nanoseconds; from 1 on it may be
-     * evicted, the highest first.
+     * Returns how long a connection has been quiet relative to the time that its state allows; from 1 on it
+     * may be evicted, the highest value first.
      */
     public double overdue(long quietNanos) {
         return this == REQUEST_IN_FLIGHT ? 0 : (double) quietNanos / patienceNanos;
--- a/core/src/main/java/spurroad/admission/PriorityClasses.java
+++ b/core/src/main/java/spurroad/admission/PriorityClasses.java
@@ -3,17 +3,17 @@
 import java.util.Arrays;
 
 /**
- * Sorts requests into classes by priority, and computes which fraction of a class fits into the admitted part
- * of all: each class only into what the better ones leave.
+ * Sorts requests into classes by priority, and computes which fraction of each class fits into the admitted
+ * fraction of all requests. A class gets only what the classes of higher priority leave.
  *
- * <p>The best classes are those within their tenant's quota, by priority weight; what is over quota follows,
- * in the same order. Counts fade with each interval.
+ * <p>Requests within their tenant's quota come first, ordered by priority weight; requests over quota follow
+ * in the same order. Counts decay exponentially, once per interval.
  */
 final class PriorityClasses {
-    private double[] weights = {}; // by request class
-    private int[] ranks = {}; // of each request class by weight, 0 is the highest
+    private double[] weights = {}; // indexed by request class
+    private int[] ranks = {}; // rank of each request class by weight; 0 is the highest
     private double highestWeight;
-    private double[] counts = {}; // faded, by priority class, the best first
+    private double[] counts = {}; // exponentially decayed, by priority class, highest first
 
     void configure(double[] priorityWeights) {
         weights = priorityWeights.clone();
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Returns the fraction of a class that fits; at most 0 where better ones take up everything, and 1 or
-     * more where all of it fits.
+     * Returns the fraction of a class that fits; at most 0 if classes of higher priority take up everything,
+     * and 1 or more if the whole class fits.
      */
     double fittingFraction(int priorityClass, double admittedFraction) {
         double all = 0;
@@ -54,7 +54,7 @@
         return (admittedFraction * all - better) / counts[priorityClass];
     }
 
-    /** Ends an interval. */
+    /** Decays the counts at the end of an interval. */
     void fade() {
         for (int i = 0; i < counts.length; i++) {
             counts[i] *= DemandEstimate.REMAINING;
--- a/core/src/main/java/spurroad/admission/ResourceUsage.java
+++ b/core/src/main/java/spurroad/admission/ResourceUsage.java
@@ -1,15 +1,14 @@
 package spurroad.admission;
 
 /**
- * What the proxy itself used of its resources over the last interval; nothing of its endpoints.
+ * The proxy's use of its own resources over the last interval, without that of its endpoints.
  *
- * @param cpuFraction used part of its share of a core, from 0; NaN where it is not known. Slightly over 1 is
- *     possible
- * @param queueDelayNanos how long requests waited here for the load balancer, on average, in nanoseconds
- * @param memoryFraction used part of the memory for requests and responses under way, from 0 to 1
+ * @param cpuFraction used fraction of its CPU share, from 0; may slightly exceed 1. NaN if unknown
+ * @param queueDelayNanos mean time that requests waited in the proxy for the load balancer, in nanoseconds
+ * @param memoryFraction used fraction of the memory for requests and responses in progress, from 0 to 1
  */
 public record ResourceUsage(double cpuFraction, long queueDelayNanos, double memoryFraction) {
-    /** Returns the used part of the scarcest resource; 1 is all that can be had. */
+    /** Returns the utilization of the scarcest resource; 1 is full utilization. */
     double scarcest(long maxQueueDelayNanos) {
         double cpu = Double.isNaN(cpuFraction) ? 0 : cpuFraction;
         double queue = (double) queueDelayNanos / maxQueueDelayNanos;
--- a/core/src/main/java/spurroad/admission/ServiceLevel.java
+++ b/core/src/main/java/spurroad/admission/ServiceLevel.java
@@ -1,21 +1,22 @@
 package spurroad.admission;
 
 /**
- * How much service there is, from all of it down; each level leaves out what those before it do, and more.
+ * The levels of service, from full service downwards. Each level excludes what those before it exclude, and
+ * more.
  */
 public enum ServiceLevel {
-    /** Everything is admitted. */
+    /** Excludes nothing. */
     FULL,
-    /** Nothing of tenants over their quotas. */
+    /** Excludes requests of tenants over their quotas. */
     WITHIN_QUOTAS,
-    /** Besides, no retry after an attempt that may have run, and no load probe that no request waits for. */
+    /** Also excludes retries after attempts that may have run, and load probes no request waits for. */
     NO_RETRIES,
-    /** Besides, only requests of the classes with the highest priority weight. */
+    /** Also excludes requests of all classes except those with the highest priority weight. */
     HIGHEST_PRIORITY_ONLY,
-    /** No new requests at all: those in flight are completed. */
+    /** Excludes all new requests; those in flight are completed. */
     IN_FLIGHT_ONLY;
 
-    /** Returns whether this level leaves out at least what another does. */
+    /** Returns whether this level excludes at least what another level excludes. */
     public boolean atLeast(ServiceLevel other) {
         return compareTo(other) >= 0;
     }
--- a/core/src/main/java/spurroad/admission/ServiceLevels.java
+++ b/core/src/main/java/spurroad/admission/ServiceLevels.java
@@ -3,24 +3,24 @@
 import java.util.Arrays;
 
 /**
- * The level of service, one step at a time, by the pressure: what is demanded over what can be borne. That
- * does not fall as requests are rejected, so a level does not undo its own cause.
+ * Changes the service level, one step at a time, by the pressure: the ratio of offered load to capacity. The
+ * pressure does not fall as requests are rejected, so a level does not remove its own cause.
  *
- * <p>Against flapping each level is entered at a higher pressure than it is left at, lasts a least stay, and
- * lasts twice as long each time it is soon come back to. Invariant: a call changes the level by one step at
- * most. No I/O, no clock: callers pass the time.
+ * <p>To prevent flapping, each level is entered at a higher pressure than it is left at and lasts for a
+ * minimum stay, which doubles each time the level is entered again soon after it was left. Invariant: a call
+ * changes the level by at most one step. Performs no I/O and reads no clock: callers pass the time.
  */
 public final class ServiceLevels {
-    // pressure at which each level is entered. The last two are for when rejecting alone uses up the
-    // resources: before that the best part of the requests has more weight than one class
+    // pressure at which each level is entered. The last two are for when rejections alone use up the
+    // resources: until then the highest-priority part of all requests has more weight than a single class
     private static final double[] ENTER_PRESSURE = {0, 1.05, 1.4, 8, 20};
-    private static final double EXIT_FACTOR = 0.8; // of that pressure: more than a measure swings by
-    private static final long WORSE_NANOS = 300_000_000L; // three measures in a row: no single burst
-    private static final long MIN_STAY_NANOS = 1_000_000_000L; // until there is more service
-    private static final long MAX_STAY_NANOS = 16_000_000_000L; // the least stay is not doubled beyond this
+    private static final double EXIT_FACTOR = 0.8; // of the entry pressure; a measurement fluctuates by less
+    private static final long WORSE_NANOS = 300_000_000L; // three measurements in a row, not a single burst
+    private static final long MIN_STAY_NANOS = 1_000_000_000L; // before the next better level
+    private static final long MAX_STAY_NANOS = 16_000_000_000L; // bound of the doubled minimum stay
     // a level that is entered again within this time was left too early
     private static final long RELAPSE_NANOS = 10_000_000_000L;
-    private static final int WARM_UP_STAY_FACTOR = 2; // endpoints warm up in between
+    private static final int WARM_UP_STAY_FACTOR = 2; // lets endpoints warm up meanwhile
 
     private static final long NEVER_NANOS = Long.MIN_VALUE / 2;
     private static final long NOT_SINCE_NANOS = Long.MAX_VALUE;
@@ -33,31 +33,32 @@
     private long betterSinceNanos = NOT_SINCE_NANOS;
     private long changes;
 
-    /** Starts with full service, each level at its least stay. */
+    /** Creates the levels with full service and the shortest minimum stay at each level. */
     public ServiceLevels() {
         Arrays.fill(stayNanos, MIN_STAY_NANOS);
         Arrays.fill(leftNanos, NEVER_NANOS);
     }
 
-    /** Returns how much service there is now. */
+    /** Returns the current service level. */
     public ServiceLevel level() {
         return level;
     }
 
-    /** Returns how often the level has changed since the start. */
+    /** Returns the number of changes of the level since the start. */
     public long changes() {
         return changes;
     }
 
-    /** Returns how long the present level lasts at least before the next better one, in nanoseconds. */
+    /** Returns the minimum stay at the current level before the next better one, in nanoseconds. */
     public long minimumStayNanos() {
         return stayNanos[level.ordinal()];
     }
 
     /**
-     * Updates the level by the pressure; to be called some ten times a second, with times that never go back.
+     * Updates the level by the pressure. Must be called about ten times a second, with times that never
+     * decrease.
      *
-     * @param warmingUp whether endpoints are still warming up, which bear less than those measured before
+     * @param warmingUp whether endpoints are still warming up and so sustain less load than was measured
      * @return whether the level has changed
      */
     public boolean onPressure(long now, double pressure, boolean warmingUp) {
--- a/core/src/main/java/spurroad/admission/TenantRates.java
+++ b/core/src/main/java/spurroad/admission/TenantRates.java
@@ -3,25 +3,25 @@
 import java.util.Arrays;
 
 /**
- * Which tenants send more than this proxy's part of their quota, over about a second, with a margin for
- * chance.
+ * Detects tenants that exceed this proxy's share of their quota over about a second, with a margin for random
+ * variation.
  */
 final class TenantRates {
-    private static final long MEMORY_INTERVALS = 10; // over which a rate is taken
-    private static final double OVER_QUOTA_FACTOR = 1.2; // times the quota: less is chance
-    private static final double STANDARD_DEVIATIONS = 3; // of chance, allowed beside that
-    private static final double MIN_EXCESS = 3; // requests, allowed beside both
+    private static final long MEMORY_INTERVALS = 10; // over which a rate is averaged
+    private static final double OVER_QUOTA_FACTOR = 1.2; // of the quota; less may be random variation
+    private static final double STANDARD_DEVIATIONS = 3; // of random variation, tolerated in addition
+    private static final double MIN_EXCESS = 3; // requests, tolerated in addition to both
 
     private double[] quotasPerSecond = {};
-    private double[] counts = {}; // faded
+    private double[] counts = {}; // exponentially decayed, indexed by tenant
 
-    /** Replaces the quotas; counts of tenants that stay are retained. */
+    /** Replaces the quotas; the counts of remaining tenants are retained. */
     void configure(double[] quotas) {
         quotasPerSecond = quotas.clone();
         counts = Arrays.copyOf(counts, quotas.length);
     }
 
-    /** Counts a request and returns whether its tenant is over quota; an unknown one never is. */
+    /** Counts a request and returns whether its tenant is over quota; an unknown tenant never is. */
     boolean countRequest(int tenant) {
         if (tenant < 0 || tenant >= counts.length) {
             return false;
@@ -33,7 +33,7 @@
             + MIN_EXCESS;
     }
 
-    /** Ends an interval. */
+    /** Decays the counts at the end of an interval. */
     void fade() {
         for (int i = 0; i < counts.length; i++) {
             counts[i] *= 1 - 1.0 / MEMORY_INTERVALS;
--- a/core/src/main/java/spurroad/balancer/BalancerModules.java
+++ b/core/src/main/java/spurroad/balancer/BalancerModules.java
@@ -30,8 +30,8 @@
 import spurroad.model.PeerUpdate;
 
 /**
- * Creates the decision modules of one load balancer, lower ones first, and shows by its constructor which of
- * them know which. It decides nothing.
+ * Creates the decision modules of one load balancer and passes to each the modules that it depends on, so
+ * that modules with fewer dependencies come first. Makes no decisions itself.
  */
 final class BalancerModules {
     private final ActiveDeployment deployment;
@@ -98,8 +98,8 @@
     }
 
     /**
-     * Where this proxy's messages to itself as an owner go; the router is created last, as it knows all
-     * others.
+     * Handles the updates that this proxy sends to itself as an owner. The router depends on all other
+     * modules and is created last, so those get a reference to this method instead.
      */
     private void onLocalUpdate(PeerUpdate update) {
         peerUpdates.onUpdate(update);
@@ -113,7 +113,7 @@
         return event;
     }
 
-    /** Returns the number of requests at this proxy, faded; the load balancer counts them. */
+    /** Returns the exponentially decayed count of requests at this proxy; the load balancer updates it. */
     DecayingAverage proxyRequests() {
         return proxyRequests;
     }
--- a/core/src/main/java/spurroad/balancer/DiscoveryPolling.java
+++ b/core/src/main/java/spurroad/balancer/DiscoveryPolling.java
@@ -3,12 +3,14 @@
 import spurroad.balancer.context.RandomDraws;
 
 /**
- * When to subscribe to the endpoint list: at once at the start, and after each failure with exponential
- * backoff, spread by half of it either way so that proxies that failed together do not come back together.
+ * Schedules subscriptions to the endpoint list: immediately after the first list, and after each failure with
+ * exponential backoff. A jitter of half the backoff in either direction keeps proxies that failed together
+ * from reconnecting together.
  */
 final class DiscoveryPolling {
     private static final long BASE_BACKOFF_NANOS = 500_000_000L;
-    // half as much again and a call are over before a change counts as announced, 6 s
+    // with the longest jitter, 1.5 times this, and one call a poll ends before a change counts as announced,
+    // which is after 6 s
     private static final long MAX_BACKOFF_NANOS = 1_900_000_000L;
     private static final long NEVER_NANOS = Long.MAX_VALUE;
 
@@ -21,7 +23,7 @@
         this.random = random;
     }
 
-    /** Notes that an endpoint list came, and returns whether that was the first. */
+    /** Records the receipt of an endpoint list; returns whether it was the first one. */
     boolean onEndpointUpdate() {
         boolean first = !subscribed;
         if (subscribed) {
@@ -31,13 +33,13 @@
         return first;
     }
 
-    /** Notes that a call failed or a subscription ended. */
+    /** Schedules a poll after the backoff because a call failed or a subscription ended. */
     void onFailure(long now) {
         pollNanos = now + backoffNanos / 2 + (long) (random.backoffDraw() * backoffNanos);
         backoffNanos = Math.min(MAX_BACKOFF_NANOS, 2 * backoffNanos);
     }
 
-    /** Returns whether the backoff is over, which ends it. */
+    /** Clears the backoff if it has expired; returns whether it had. */
     boolean isDue(long now) {
         if (pollNanos > now) {
             return false;
@@ -46,7 +48,7 @@
         return true;
     }
 
-    /** Returns when the backoff is over, in nanoseconds; Long.MAX_VALUE without one. */
+    /** Returns the time at which the backoff expires, in nanoseconds; Long.MAX_VALUE if there is none. */
     long nextPollNanos() {
         return pollNanos;
     }
--- a/core/src/main/java/spurroad/balancer/KeyCandidates.java
+++ b/core/src/main/java/spurroad/balancer/KeyCandidates.java
@@ -12,25 +12,26 @@
 import spurroad.model.EndpointPhase;
 
 /**
- * Where a key's candidates lie on the ring that the load balancer builds of an endpoint list, to be shown to
- * staff. The load balancer itself leaves out further endpoints by its own observations.
+ * The candidates of a key on the hash ring that the load balancer builds from an endpoint list, for display
+ * to operators. The load balancer itself also excludes endpoints because of what it observes.
  *
- * @param point of the key on the ring
+ * @param point position of the key on the ring
  * @param ringPoints number of points on the ring
- * @param candidates the first ready cache endpoints clockwise, at most {@link Ring#CANDIDATES}
+ * @param candidates the first ready cache endpoints clockwise of the key, at most {@link Ring#CANDIDATES}
  */
 public record KeyCandidates(long point, int ringPoints, List<Candidate> candidates) {
     private static final double RING_LENGTH = 0x1p64;
 
     /**
-     * An endpoint on the way.
+     * A candidate endpoint of a key.
      *
-     * @param ringDistance from the key's point to the endpoint's, as a fraction of the ring
+     * @param ringDistance clockwise distance from the key's point to the endpoint's, as a fraction of the
+     *     ring
      * @param ringFraction fraction of the ring that the endpoint owns
      */
     public record Candidate(EndpointId endpoint, double ringDistance, double ringFraction) {}
 
-    /** Finds the candidates of a key in a complete list; the origin's kind is never a candidate. */
+    /** Finds the candidates of a key in a complete endpoint list; endpoints of the origin's kind are none. */
     public static KeyCandidates of(List<Endpoint> listed, EndpointKindId originKind, CacheKey key) {
         List<Endpoint> ready = listed.stream().filter(endpoint -> endpoint.phase() == EndpointPhase.READY)
             .filter(endpoint -> !endpoint.kind().equals(originKind)).toList();
--- a/core/src/main/java/spurroad/balancer/LoadBalancer.java
+++ b/core/src/main/java/spurroad/balancer/LoadBalancer.java
@@ -24,13 +24,14 @@
 /**
  * Decides, for one proxy, which endpoint gets a request, whether it is retried, and what is rejected.
  *
- * <p>A facade: it takes events, passes each to the module that it concerns, and fills {@link Decisions},
- * which its host carries out. It does no I/O, reads no clock and starts no thread; with the same deployment,
- * seed and events it decides the same. What each module decides stands in docs/design.md.
+ * <p>This class is a facade: it receives events, passes each to the responsible module, and fills
+ * {@link Decisions}, which the host executes. It performs no I/O, reads no clock and starts no threads; the
+ * same deployment, seed and events always result in the same decisions. docs/design.md describes what each
+ * module decides.
  *
- * <p>Each {@code on…} method is one event: times are nanoseconds of the host's clock and never go back, and
- * {@code decisions} is an empty object, to be cleared before the next event. The host calls {@link #onTimer}
- * at {@link Decisions#wakeAtNanos}, unless another event came first. Not safe for use by several threads.
+ * <p>Each {@code on…} method handles one event. Times are nanoseconds of the host's clock and never decrease;
+ * {@code decisions} must be empty, and be cleared before the next event. The host calls {@link #onTimer} at
+ * {@link Decisions#wakeAtNanos} unless another event comes first. Not thread-safe.
  */
 public final class LoadBalancer {
     private final BalancerModules modules;
@@ -42,7 +43,7 @@
     private final DecayingAverage proxyRequests;
     private final DiscoveryPolling discovery;
 
-    /** Creates a load balancer that knows no endpoint yet; the seed is that of all its random draws. */
+    /** Creates a load balancer without any endpoints; the seed determines all of its random draws. */
     public LoadBalancer(Deployment settings, long seed) {
         modules = new BalancerModules(settings, seed);
         deployment = modules.deployment();
@@ -57,7 +58,8 @@
     /**
      * Applies an endpoint update from discovery.
      *
-     * @param complete whether endpoints that are not listed have gone; else these are changes
+     * @param complete whether the list is complete, so that endpoints missing from it are removed; otherwise
+     *     it contains changes only
      */
     public void onEndpointUpdate(long now, List<Endpoint> listed, boolean complete, Decisions decisions) {
         begin(now, decisions);
@@ -68,7 +70,7 @@
         end();
     }
 
-    /** Handles that a call to discovery failed or its subscription ended: it is polled after a backoff. */
+    /** Handles a failed call to discovery or the end of its subscription: polls again after a backoff. */
     public void onDiscoveryFailure(long now, Decisions decisions) {
         begin(now, decisions);
         discovery.onFailure(now);
@@ -76,8 +78,8 @@
     }
 
     /**
-     * Handles that operators drain an endpoint, so that nothing starts there, or return it to use, cold.
-     * Repeats do nothing; an endpoint need not be listed.
+     * Drains an endpoint administratively, so that no attempts start there, or returns it to use as a cold
+     * endpoint. Repeated calls have no effect; the endpoint need not be listed.
      */
     public void onAdminDrain(long now, EndpointId id, boolean drained, Decisions decisions) {
         begin(now, decisions);
@@ -88,7 +90,8 @@
     }
 
     /**
-     * Takes up other settings; requests under way keep their class, and the lower of two bounds on attempts.
+     * Replaces the settings. Requests in progress keep their request class, and the lower of the old and the
+     * new maximum number of attempts applies to them.
      */
     public void onDeploymentChange(long now, Deployment settings, Decisions decisions) {
         begin(now, decisions);
@@ -100,12 +103,12 @@
     }
 
     /**
-     * Handles the arrival of a request, which gets exactly one final answer: a success that the host reports
+     * Handles the arrival of a request. It gets exactly one final answer: a success that the host reports
      * itself, or one of {@link Decisions#responses}.
      *
      * @param id unique among the requests that have no final answer yet
-     * @param workNanos a rough hint of what the request costs; zero without one
-     * @param timeoutNanos how long its client waits
+     * @param workNanos rough estimate of the request's cost, in nanoseconds; zero if unknown
+     * @param timeoutNanos how long the client waits for the answer, in nanoseconds
      */
     public void onRequest(long now, RequestId id, RequestClassId requestClass, TenantId tenant, CacheKey key,
                           boolean write, long workNanos, long timeoutNanos, Decisions decisions) {
@@ -116,12 +119,13 @@
     }
 
     /**
-     * Handles the end of an attempt; one that is not in flight is ignored.
+     * Handles the end of an attempt; ignored if the attempt is not in flight.
      *
-     * @param number of the attempt among those of its request, from 0
-     * @param report what the endpoint reported of its load with the end
-     * @param last whether the host has given the request its final answer by this
-     * @param proxyDelayNanos part of the attempt's time for which this proxy itself was stalled
+     * @param number index of the attempt within its request, from 0
+     * @param report load that the endpoint reported along with the outcome
+     * @param last whether the host has given the request its final answer with this attempt
+     * @param proxyDelayNanos part of the attempt's duration during which this proxy itself was stalled, in
+     *     nanoseconds
      */
     public void onAttemptEnd(long now, RequestId id, int number, Outcome outcome, LoadReport report,
                              boolean last, long proxyDelayNanos, Decisions decisions) {
@@ -130,7 +134,7 @@
         end();
     }
 
-    /** Handles the reply to a load probe, or its failure. */
+    /** Handles the reply to a load probe, or its failure; ignored if the endpoint is unknown. */
     public void onLoadProbeEnd(long now, EndpointId id, Outcome outcome, LoadReport report,
                                Decisions decisions) {
         begin(now, decisions);
@@ -147,28 +151,29 @@
         end();
     }
 
-    /** Applies an update from another proxy: a hint that ages, and that no rule rests on. */
+    /** Applies an update from another proxy: a hint that expires, and on which no rule depends. */
     public void onPeerUpdate(long now, PeerUpdate update, Decisions decisions) {
         begin(now, decisions);
         modules.peerUpdates().onUpdate(update);
         end();
     }
 
-    /** Handles the disconnect of a request's client; it gets no response. */
+    /** Handles the disconnection of a request's client; the request gets no response. */
     public void onClientDisconnect(long now, RequestId id, Decisions decisions) {
         begin(now, decisions);
         pipeline.onClientDisconnect(id);
         end();
     }
 
-    /** Handles a timer: the time that an earlier event requested, or any other. */
+    /** Handles a timer, at the time that an earlier event requested or at any other time. */
     public void onTimer(long now, Decisions decisions) {
         begin(now, decisions);
         end();
     }
 
     /**
-     * Sets whether to skip optional work: further retries, and probes that no request waits for.
+     * Sets whether to skip optional work: retries beyond the credit already saved in the retry budget, and
+     * load probes that no request waits for.
      */
     public void conserveResources(boolean conserve) {
         pipeline.conserveResources(conserve);
@@ -179,14 +184,14 @@
         return endpoints.adminStatus();
     }
 
-    /** Returns how many endpoints are known, also those that have gone. */
+    /** Returns the number of known endpoints, including those that were removed. */
     int knownEndpoints() {
         return endpoints.size();
     }
 
     private void begin(long now, Decisions decisions) {
         event.begin(now, decisions);
-        proxyRequests.sum(now); // fades with each event, so that its value depends on the events alone
+        proxyRequests.sum(now); // decays at each event, so that its value depends on the events alone
     }
 
     private void end() {
--- a/core/src/main/java/spurroad/balancer/PeerUpdateRouter.java
+++ b/core/src/main/java/spurroad/balancer/PeerUpdateRouter.java
@@ -10,7 +10,7 @@
 import spurroad.model.EndpointId;
 import spurroad.model.PeerUpdate;
 
-/** Brings each update from a proxy, also from this one itself, to the module that it is for. */
+/** Routes each peer update, including those of this proxy to itself, to the module that handles it. */
 final class PeerUpdateRouter {
     private final EventContext event;
     private final EndpointTable endpoints;
@@ -29,7 +29,7 @@
         this.pipeline = pipeline;
     }
 
-    /** Applies an update; one of an unknown endpoint or tenant is ignored. */
+    /** Applies an update; updates about unknown endpoints or tenants are ignored. */
     void onUpdate(PeerUpdate update) {
         switch (update.topic()) {
             case ORIGIN_WRITE -> originBacklog.onWriteEnd(update);
@@ -54,7 +54,8 @@
                 endpoint.onOwnerUpdate(update, event.now());
                 pipeline.onCacheStatus(endpoint, update.key(), update.cachedFraction() > 0);
             }
-            default -> throw new IllegalArgumentException("not an update of an endpoint: " + update.topic());
+            default -> throw new IllegalArgumentException(
+                "expected an update about an endpoint, got " + update.topic());
         }
     }
 }
--- a/core/src/main/java/spurroad/balancer/overload/ConcurrencyLimit.java
+++ b/core/src/main/java/spurroad/balancer/overload/ConcurrencyLimit.java
@@ -5,32 +5,33 @@
 import spurroad.model.Outcome;
 
 /**
- * How many attempts the origin that the proxy itself fetches from has lately sustained at once, as additive
- * increase and multiplicative decrease (Chiu and Jain, 1989) find it.
+ * The number of concurrent attempts that the origin has recently sustained, found by additive increase and
+ * multiplicative decrease (Chiu and Jain, 1989). Applies if the proxy itself fetches from the origin.
  *
- * <p>Each answer in time that came while so many were in flight raises the limit by one over itself, each
- * late one lowers it by a tenth. The service time alone is no limit: with few in flight an origin that serves
- * many at once looks slow, and the limit that followed from it stayed low for ever. Invariant: at least
- * {@link #MIN_LIMIT}.
+ * <p>An answer in time raises the limit by its reciprocal if that many attempts were in flight; a late answer
+ * lowers it by a tenth. The limit is not derived from the service time: with few attempts in flight an origin
+ * that serves many concurrently looks slow, and a limit derived from that stayed low forever. Invariant: the
+ * limit is at least {@link #MIN_LIMIT}.
  */
 public final class ConcurrencyLimit {
-    private static final double MIN_LIMIT = 2; // attempts; with fewer nothing would show that it is well
-    private static final double DECREASE_FACTOR = 0.9; // for each late answer
+    private static final double MIN_LIMIT = 2; // attempts; fewer would not show that the origin has recovered
+    private static final double DECREASE_FACTOR = 0.9; // per late answer
 
     private final DecayingAverage readTime = new DecayingAverage(DecayingAverage.LONG_TERM_NANOS);
     private final DecayingAverage writeTime = new DecayingAverage(DecayingAverage.LONG_TERM_NANOS);
     private double limit = MIN_LIMIT;
 
-    /** Returns the limit in attempts in flight. */
+    /** Returns the limit, in attempts in flight. */
     public double limit() {
         return limit;
     }
 
     /**
-     * Learns from an attempt that succeeded, timed out or was rejected.
+     * Adjusts the limit after an attempt that succeeded, timed out or was rejected.
      *
-     * @param tookNanos duration, without stalls of this proxy
-     * @return its time in nanoseconds as that of a read, at least the latency objective unless it succeeded
+     * @param tookNanos duration of the attempt in nanoseconds, excluding stalls of this proxy
+     * @return the duration scaled to that of a read, in nanoseconds; at least the latency objective unless
+     * the attempt succeeded
      */
     public long onAttemptEnd(Attempt attempt, long tookNanos, Outcome outcome, long now) {
         long readNanos = outcome == Outcome.SUCCEEDED ? asReadNanos(attempt, tookNanos, now)
@@ -38,15 +39,16 @@
         if (LoadShedder.isOverloadedTime(attempt.requestClass(), readNanos)) {
             limit = Math.max(MIN_LIMIT, DECREASE_FACTOR * limit);
         } else {
-            // no higher than the largest number in flight has shown to work
+            // bounded by the largest number of attempts in flight that has been observed to work
             limit = Math.max(limit, Math.min(limit + 1 / limit, attempt.queueLength() + 2));
         }
         return readNanos;
     }
 
     /**
-     * Returns the time of a write less what a write takes longer by itself. Unscaled, an origin that gets
-     * mostly writes looked saturated; as writes go first, its share of writes grew ever further.
+     * Returns the duration of an attempt scaled to that of a read: a write's duration is multiplied by the
+     * ratio of the mean read time to the mean write time. Without scaling, an origin that received mostly
+     * writes looked saturated; as writes take precedence, its fraction of writes kept growing.
      */
     private long asReadNanos(Attempt attempt, long tookNanos, long now) {
         DecayingAverage time = attempt.isWrite() ? writeTime : readTime;
--- a/core/src/main/java/spurroad/balancer/overload/LoadShedder.java
+++ b/core/src/main/java/spurroad/balancer/overload/LoadShedder.java
@@ -9,20 +9,22 @@
 /**
  * Decides which requests are rejected on arrival because of overload.
  *
- * <p>The sign of overload is the fraction of requests that lately ended after most of their latency
- * objective, or were rejected. It is taken of requests, not of attempts: a full endpoint costs little where
- * the next one answers. What is over quota is shed first, by chance; then reads, by key, so that the keys
- * that are still served stay in the caches. Writes are shed only where proxies talk and the origin behind the
- * endpoints is far behind.
+ * <p>Overload is measured as the fraction of recent requests that took most of their latency objective, or
+ * were rejected after an attempt. It counts requests rather than attempts, because a full endpoint costs
+ * little if the next candidate answers. Requests over quota are shed first, at random; then reads, by key, so
+ * that the keys that are still served stay cached. Writes are shed only with gossip and while the origin
+ * behind the endpoints has a large backlog.
  */
 public final class LoadShedder {
-    // of the latency objective: a longer time indicates queueing
+    // of the latency objective; a longer duration indicates queueing
     private static final double OVERLOADED_TIME_FRACTION = 0.7;
-    // of the requests, for all three: so many overloaded ones shed everything that is over quota
+    // overloaded fraction of requests at which all requests over quota are shed
     private static final double SHED_OVER_QUOTA_AT = 0.1;
-    // endpoints that do nothing but reject serve nobody: reads give way from here on, all of them at 1
+    // overloaded fraction of requests above which reads are shed, all of them at 1: endpoints that only
+    // reject requests serve nobody
     private static final double SHED_READS_FROM = 0.5;
-    // the same where proxies talk, and all of them at the former: a jam did not clear by itself
+    // the same with gossip, where all reads are shed at SHED_READS_FROM: with the higher limits an overload
+    // did not clear by itself
     private static final double SHED_READS_FROM_WITH_GOSSIP = 0.2;
 
     private final ActiveDeployment deployment;
@@ -31,7 +33,7 @@
     private final OriginBacklog originBacklog;
     private final DecayingAverage overloaded = new DecayingAverage(DecayingAverage.SHORT_TERM_NANOS);
 
-    /** Creates one that has seen no overload. */
+    /** Creates a load shedder that has not observed any overload. */
     public LoadShedder(ActiveDeployment deployment, EventContext event, RandomDraws random,
                        OriginBacklog originBacklog) {
         this.deployment = deployment;
@@ -40,23 +42,23 @@
         this.originBacklog = originBacklog;
     }
 
-    /** Returns the fraction of requests that lately ended overloaded or rejected. */
+    /** Returns the fraction of recent requests, from 0 to 1, that were slow or were rejected. */
     public double overloadedFraction() {
         return overloaded.mean(event.now(), DecayingAverage.PRIOR_WEIGHT, 0);
     }
 
     /**
-     * Returns whether a time, in nanoseconds, is long enough, relative to the latency objective, to indicate
-     * queueing.
+     * Returns whether a duration in nanoseconds is so long, relative to the latency objective, that it
+     * indicates queueing.
      */
     public static boolean isOverloadedTime(RequestClass requestClass, long tookNanos) {
         return tookNanos > OVERLOADED_TIME_FRACTION * requestClass.latencyObjectiveNanos();
     }
 
     /**
-     * Learns from a request that succeeded.
+     * Records a request that succeeded.
      *
-     * @param remainingNanos time that was left of its latency objective, below zero after it
+     * @param remainingNanos time left until its latency objective, in nanoseconds; negative after it
      */
     public void onSuccess(RequestClass requestClass, long remainingNanos) {
         boolean late = -remainingNanos
@@ -64,22 +66,23 @@
         overloaded.add(event.now(), late ? 1 : 0, 1);
     }
 
-    /** Takes into account a request that is abandoned after an attempt. */
+    /** Records a request that was abandoned after an attempt, which counts as overloaded. */
     public void onGiveUp() {
         overloaded.add(event.now(), 1, 1);
     }
 
     /**
-     * Decides whether a request that has just arrived is rejected at once.
+     * Decides whether to reject a request on arrival.
      *
-     * @param keyDraw number from 0 to 1 of its key, the same at every proxy
+     * @param keyDraw number from 0 to 1 derived from its key, the same at every proxy
      */
     public boolean sheds(boolean overQuota, boolean write, double keyDraw) {
         double overloadedFraction = overloadedFraction();
         if (overQuota) {
             return random.sheddingDraw() < overloadedFraction / SHED_OVER_QUOTA_AT;
         }
-        // the same keys at all proxies: with a random choice no key was requested often enough to stay cached
+        // all proxies shed the same keys: with a random choice no key was requested often enough to stay
+        // cached
         double draw = 1 - keyDraw;
         if (write) {
             return deployment.gossipEnabled() && draw < 1 - originBacklog.admittedWrites();
--- a/core/src/main/java/spurroad/balancer/overload/OriginBacklog.java
+++ b/core/src/main/java/spurroad/balancer/overload/OriginBacklog.java
@@ -8,25 +8,29 @@
 import spurroad.model.PeerUpdate;
 
 /**
- * Which fraction of what goes to an origin behind the endpoints is admitted, where proxies talk.
+ * Limits the requests that reach an origin behind the endpoints to an admitted fraction, with gossip.
  *
- * <p>Endpoints fetch for themselves there, so no proxy can limit what is in flight at the origin; one that is
- * behind serves nothing in time and so stays behind. All proxies notify the origin's owner how their writes
- * end, and the owner publishes the fraction: it shrinks exponentially while too many writes are late, and
- * grows evenly otherwise. Reads that may miss give way first; writes only below {@link #WRITES_LIMITED_BELOW}
- * and while most writes are late, as they would only void what is cached. Invariant: at least
- * {@link #MIN_ADMITTED_FRACTION}.
+ * <p>The endpoints fetch from that origin themselves, so no proxy can limit the requests in flight there, and
+ * an origin with a backlog answers nothing in time and so keeps its backlog. All proxies report how their
+ * writes end to the origin's owner, which publishes the fraction: it decreases exponentially while too many
+ * writes are late, and increases linearly otherwise. Reads that may miss are limited first; writes only below
+ * {@link #WRITES_LIMITED_BELOW} and while most writes are late, since they then only invalidate what is
+ * cached. Invariant: the fraction is at least {@link #MIN_ADMITTED_FRACTION}.
  */
 public final class OriginBacklog {
-    private static final double DECREASE_PER_SECOND = 1.0; // e-folds: an origin falls behind at once
-    private static final double INCREASE_PER_SECOND = 0.15; // of all that goes there: its queue is long
-    private static final double WRITES_LIMITED_BELOW = 0.5; // of the fraction; above it only reads give way
+    private static final double DECREASE_PER_SECOND = 1.0; // exponential rate; a backlog builds up quickly
+    // of all requests to the origin; a long queue drains slowly
+    private static final double INCREASE_PER_SECOND = 0.15;
+    // admitted fraction; above it only reads are limited
+    private static final double WRITES_LIMITED_BELOW = 0.5;
     private static final double LATE_WRITES_TO_LIMIT_READS = 0.3; // of the writes
     private static final double LATE_WRITES_TO_LIMIT_WRITES = 0.7; // of the writes
-    private static final double MIN_ADMITTED_FRACTION = 0.05; // so that caches go on being filled
-    private static final long LATE_WRITES_NANOS = 1_000_000_000L; // time constant, over all proxies' writes
-    private static final long MAX_STEP_NANOS = 1_000_000_000L; // of one adjustment, after a pause
-    private static final long MAX_AGE_NANOS = 4_000_000_000L; // of an update: the owner may have gone
+    private static final double MIN_ADMITTED_FRACTION = 0.05; // so that caches continue to be filled
+    // time constant, over the writes of all proxies
+    private static final long LATE_WRITES_NANOS = 1_000_000_000L;
+    // longest time that one adjustment covers, after a pause
+    private static final long MAX_STEP_NANOS = 1_000_000_000L;
+    private static final long MAX_AGE_NANOS = 4_000_000_000L; // of an update; the owner may have stopped
 
     private final ActiveDeployment deployment;
     private final EventContext event;
@@ -38,7 +42,7 @@
     private long adjustedNanos;
     private long updatedNanos = Long.MIN_VALUE / 2;
 
-    /** Creates one that admits everything. */
+    /** Creates a limit that initially admits everything. */
     public OriginBacklog(ActiveDeployment deployment, EventContext event, PeerUpdates peers) {
         this.deployment = deployment;
         this.event = event;
@@ -46,8 +50,8 @@
     }
 
     /**
-     * As the origin's owner: takes into account the end of a write at some proxy, and publishes the fraction
-     * if that is due.
+     * Records the end of a write at some proxy, as the origin's owner, and publishes the fraction if an
+     * update is due.
      */
     public void onWriteEnd(PeerUpdate update) {
         adjust(update.value() > 0);
@@ -73,18 +77,18 @@
         adjustedNanos = now;
     }
 
-    /** Applies an update from the origin's owner. */
+    /** Applies the fraction that the origin's owner has published. */
     public void onAdmissionUpdate(PeerUpdate update) {
         fraction = update.value();
         updatedNanos = event.now();
     }
 
-    /** Returns the admitted fraction of reads that may miss. */
+    /** Returns the admitted fraction of reads that may miss, at most 1. */
     public double admittedReads() {
         return Math.max(MIN_ADMITTED_FRACTION, 1 - (1 - admittedFraction()) / (1 - WRITES_LIMITED_BELOW));
     }
 
-    /** Returns the admitted fraction of writes; above 1 all are. */
+    /** Returns the admitted fraction of writes; all are admitted from 1 on. */
     public double admittedWrites() {
         return admittedFraction() / WRITES_LIMITED_BELOW;
     }
--- a/core/src/main/java/spurroad/balancer/overload/Tenant.java
+++ b/core/src/main/java/spurroad/balancer/overload/Tenant.java
@@ -4,12 +4,13 @@
 import spurroad.balancer.statistics.DecayingAverage;
 
 /**
- * What a proxy knows of a tenant's traffic: of its own part, or, as the tenant's owner where proxies talk, of
- * all proxies' together.
+ * The request rate of a tenant and the fraction of it over quota: at this proxy alone, or, if gossip is
+ * enabled and this proxy is the tenant's owner, at all proxies together.
  */
 final class Tenant {
-    private static final double UPDATES_EARNED_PER_REQUEST = 6; // the over-quota fraction changes slowly
-    private static final long ANY_INTERVAL_NANOS = -1; // updates are as far apart as they are earned
+    // messages; the over-quota fraction changes slowly
+    private static final double UPDATES_EARNED_PER_REQUEST = 6;
+    private static final long ANY_INTERVAL_NANOS = -1; // only the credit limits updates
     private static final long MAX_AGE_NANOS = 4_000_000_000L; // of the over-quota fraction
 
     private final DecayingAverage requests;
@@ -21,33 +22,33 @@
         requests = new DecayingAverage(timeConstantNanos);
     }
 
-    /** Returns whether the over-quota fraction is young enough to act by. */
+    /** Returns whether the over-quota fraction is recent enough to be used. */
     boolean isFresh(long now) {
         return now - updatedNanos < MAX_AGE_NANOS;
     }
 
-    /** Returns the fraction of its requests, from 0 to 1, that is over its quota. */
+    /** Returns the fraction of the tenant's requests, from 0 to 1, that is over quota. */
     double overQuotaFraction() {
         return overQuotaFraction;
     }
 
-    /** Applies an update from the tenant's owner. */
+    /** Applies the over-quota fraction that the tenant's owner has published. */
     void onOverQuotaUpdate(double fraction, long now) {
         overQuotaFraction = fraction;
         updatedNanos = now;
     }
 
-    /** Counts a request, where this proxy alone limits the tenant. */
+    /** Counts a request if each proxy limits the tenant on its own, without gossip. */
     void onRequest(double quotaPerSecond, long now) {
         count(quotaPerSecond, now);
         updatedNanos = now;
     }
 
     /**
-     * As the owner: counts a request of some proxy, and returns whether to notify all proxies; the message is
-     * then spent.
+     * Counts a request at some proxy, as the tenant's owner, and returns whether to notify all proxies; the
+     * credit is then spent.
      *
-     * @param quotaPerSecond of each proxy
+     * @param quotaPerSecond share of the tenant's quota of each proxy, in requests per second
      */
     boolean onRequestAsOwner(double quotaPerSecond, int proxies, long now) {
         count(proxies * quotaPerSecond, now);
@@ -61,7 +62,7 @@
     private void count(double quotaPerSecond, long now) {
         requests.addElapsedTime(now);
         requests.add(now, 1, 0);
-        // a handful of requests is mostly chance: one standard deviation is allowed
+        // small counts vary by chance: one standard deviation is tolerated
         double allowed = quotaPerSecond * requests.weight(now) / 1e9;
         double tolerated = allowed + Math.sqrt(allowed) + 1;
         overQuotaFraction = Math.max(0, 1 - tolerated / requests.sum(now));
--- a/core/src/main/java/spurroad/balancer/overload/TenantQuotas.java
+++ b/core/src/main/java/spurroad/balancer/overload/TenantQuotas.java
@@ -11,20 +11,20 @@
 import spurroad.model.TenantId;
 
 /**
- * Decides which requests are over their tenant's quota: a fraction of the tenant's requests, drawn by chance.
+ * Decides which requests are over their tenant's quota: a fraction of the tenant's requests, drawn at random.
  *
- * <p>Without gossip each proxy holds the tenant's rate here against its own part of the quota; with gossip
- * the tenant's owner holds the rate at all proxies against the whole, as some proxies are busier than others.
- * Being over quota rejects nothing by itself: {@link LoadShedder} does, once there is overload.
+ * <p>Without gossip each proxy compares the tenant's local rate with its own share of the quota; with gossip
+ * the tenant's owner compares the rate at all proxies with the whole quota, as some proxies are busier than
+ * others. Being over quota does not by itself reject a request: {@link LoadShedder} does so under overload.
  */
 public final class TenantQuotas {
     private final ActiveDeployment deployment;
     private final EventContext event;
     private final RandomDraws random;
     private final PeerUpdates peers;
-    private final List<Tenant> tenants = new ArrayList<>(); // by the tenant's index in the deployment
+    private final List<Tenant> tenants = new ArrayList<>(); // indexed by tenant
 
-    /** Creates one for the deployment's tenants. */
+    /** Creates the quotas of the deployment's tenants. */
     public TenantQuotas(ActiveDeployment deployment, EventContext event, RandomDraws random,
                         PeerUpdates peers) {
         this.deployment = deployment;
@@ -34,7 +34,7 @@
         onDeploymentChange();
     }
 
-    /** Changes the number of tenants; the state of those that stay is retained. */
+    /** Adjusts the number of tenants to the deployment; the state of remaining tenants is retained. */
     public void onDeploymentChange() {
         int count = deployment.settings().tenantQuotasPerSecond().size();
         if (tenants.size() > count) {
@@ -46,20 +46,20 @@
         }
     }
 
-    /** Counts a request of a tenant, which may be unknown. */
+    /** Reports a request to its tenant's owner, which counts it; the tenant may be unknown. */
     public void countRequest(TenantId tenant) {
         peers.sendToOwner(tenant.value(),
             new PeerUpdate(PeerUpdate.Topic.TENANT_REQUEST, tenant.value(), 1));
     }
 
-    /** Draws whether a request is one of those that are over its tenant's quota. */
+    /** Draws whether a request counts as over its tenant's quota; never true for an unknown tenant. */
     public boolean drawOverQuota(TenantId id) {
         Tenant tenant = find(id.value());
         return tenant != null && tenant.isFresh(event.now())
             && random.overQuotaDraw() < tenant.overQuotaFraction();
     }
 
-    /** As a tenant's owner: counts a request of it at some proxy, and notifies all proxies if that is due. */
+    /** Counts a request at some proxy, as its tenant's owner, and notifies all proxies if that is due. */
     public void onTenantRequest(PeerUpdate update) {
         Tenant tenant = find(update.subject());
         if (tenant == null) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Applies an update from a tenant's owner. */
+    /** Applies the over-quota fraction that a tenant's owner has published. */
     public void onOverQuotaUpdate(PeerUpdate update) {
         Tenant tenant = find(update.subject());
         if (tenant != null) {
--- a/core/src/main/java/spurroad/balancer/overload/package-info.java
+++ b/core/src/main/java/spurroad/balancer/overload/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What bounds the load: shedding on arrival, tenants' quotas, and the limits of the origin.
+ * Limits the load by shedding on arrival, tenant quotas, and the limits of the origin.
  *
- * <p>Invariants: being over quota rejects nothing without overload; each limit keeps a least flow, which
- * shows when things are well again. Thread: the load balancer's.
+ * <p>Invariants: requests over quota are rejected only under overload; each limit always lets some requests
+ * through, which show when the overload has ended. Used from the load balancer's thread only.
  */
 package spurroad.balancer.overload;
--- a/core/src/main/java/spurroad/balancer/peer/OwnershipState.java
+++ b/core/src/main/java/spurroad/balancer/peer/OwnershipState.java
@@ -6,50 +6,53 @@
 import spurroad.model.PeerUpdate;
 
 /**
- * What a proxy knows of an endpoint that it owns, from the attempts that all proxies notify it of.
+ * The state that a proxy keeps of an endpoint that it owns, derived from the attempts that all proxies
+ * report.
  *
- * <p>An attempt weighs 1 as it begins. As it succeeds, the rest of that weight is removed; one that fails is
- * left to fade, as the endpoint may still work on it or fail what it gets. So {@link #fleetInFlight} follows
- * the attempts in flight from the whole fleet, and messages that are lost only cost accuracy for about a
- * second. Of keys it knows those whose last read ended well: the endpoint is likely to have them cached.
+ * <p>An attempt has a weight of 1 when it begins, which decays exponentially. When it succeeds, its remaining
+ * weight is removed; when it fails, the remaining weight is left to decay, as the endpoint may still be
+ * working on it or may be failing its requests. So {@link #fleetInFlight} follows the attempts in flight from
+ * the whole fleet, and lost messages reduce its accuracy for about a second only. The keys whose last read
+ * succeeded are recorded: the endpoint is likely to have them cached.
  */
 public final class OwnershipState {
-    // time constant: an attempt that never ends well counts for about so long
+    // time constant; an attempt that never succeeds counts for about this long
     private static final long FLEET_IN_FLIGHT_DECAY_NANOS = 1_000_000_000L;
-    // below it the published weight would round to that of an attempt that begins
+    // after a shorter duration the remaining weight would round to 1, the value of an attempt that begins
     private static final long MIN_ATTEMPT_NANOS = 1_000_000L;
-    private static final int MAX_CACHED_KEYS = 4_000; // minutes of what hundreds of proxies read
+    private static final int MAX_CACHED_KEYS = 4_000; // minutes of reads by hundreds of proxies
     private static final long CACHED_KEY_MAX_AGE_NANOS = 20_000_000_000L;
-    // a new owner knows few keys; until then any key may be cached
+    // for this long after a proxy became owner, any key may be cached: it has recorded few keys
     private static final long UNKNOWN_KEYS_NANOS = 4_000_000_000L;
-    // of the cached fraction: a smaller change is not published
+    // of the cached fraction; smaller changes are not published
     private static final double MIN_ANNOUNCED_CHANGE = 0.05;
 
     private final DecayingAverage fleetInFlight = new DecayingAverage(FLEET_IN_FLIGHT_DECAY_NANOS);
     private final DecayingAverage serviceTime = new DecayingAverage(DecayingAverage.SHORT_TERM_NANOS);
     private final RecentKeySet cachedKeys = new RecentKeySet(MAX_CACHED_KEYS);
-    // the first update goes out at once
+    // the first update is sent immediately
     private final UpdateBudget updateBudget = new UpdateBudget(Double.MAX_VALUE,
         UpdateBudget.MIN_INTERVAL_NANOS);
     private long ownedSinceNanos = Long.MAX_VALUE;
     private double announcedCachedFraction = 1;
 
     /**
-     * Records that an attempt began (value 1), succeeded (minus the rest of its weight) or failed (the rest
-     * of it), and returns the service time per request in the queue, in nanoseconds.
+     * Records that an attempt began (value 1), succeeded (its negated remaining weight) or failed (its
+     * remaining weight), and returns the estimated service time per queued request, in nanoseconds.
      *
-     * <p>An attempt that ends badly can only raise the service time: a jammed endpoint ends in time what it
-     * ends at all, and one that fails everything is quick.
+     * <p>A failed attempt can only raise the service time. Successful attempts alone do not show that an
+     * endpoint is overloaded, as those that it completes at all end in time; and quick failures do not show
+     * that it is fast, as an endpoint that fails everything is quick.
      *
-     * @param serviceTimeNanos as known before
-     * @param usualServiceTimeNanos the value for an endpoint that has not been observed yet
+     * @param serviceTimeNanos the estimate before this update
+     * @param usualServiceTimeNanos the estimate for an endpoint that has not been observed yet
      */
     public double onInFlightUpdate(PeerUpdate update, long now, double serviceTimeNanos,
                                    double usualServiceTimeNanos) {
         double change = update.value();
         double before = fleetInFlight.sum(now);
         ownedSinceNanos = Math.min(ownedSinceNanos, now);
-        cachedKeys.remove(update.key()); // written, or no longer certain
+        cachedKeys.remove(update.key()); // it is being written, or may not be cached any more
         double tookNanos = -FLEET_IN_FLIGHT_DECAY_NANOS * Math.log(Math.abs(change));
         boolean endedWell = change < 0;
         boolean endedSlowly = change < 1 && tookNanos > serviceTimeNanos * (before + 1);
@@ -73,12 +76,12 @@
         return change < 0 ? Math.max(change, -before) : 0;
     }
 
-    /** Returns the attempts in flight at the endpoint from all proxies, faded where their end is unknown. */
+    /** Returns the attempts in flight at the endpoint from all proxies; those without a known end decay. */
     public double fleetInFlight(long now) {
         return fleetInFlight.sum(now);
     }
 
-    /** Returns the rest of an attempt's weight after so many nanoseconds, above 0 and below 1. */
+    /** Returns the remaining weight of an attempt after a duration in nanoseconds, above 0 and below 1. */
     public static double remainingWeight(long tookNanos) {
         double bounded = Math.max(MIN_ATTEMPT_NANOS,
             Math.min(DecayingAverage.LONG_TERM_NANOS, tookNanos));
@@ -88,7 +91,7 @@
     /**
      * Returns whether the endpoint is likely to have a key cached.
      *
-     * @param startedLongAgo whether the endpoint may have keys cached from before this proxy knew of it
+     * @param startedLongAgo whether the endpoint may have cached keys before this proxy became its owner
      */
     public boolean isCached(CacheKey key, boolean startedLongAgo, long now) {
         boolean anyKeyMayBe = startedLongAgo && now - ownedSinceNanos < UNKNOWN_KEYS_NANOS;
@@ -96,10 +99,10 @@
     }
 
     /**
-     * Returns whether to notify all proxies of the endpoint now: it has changed, and the broadcast is earned
-     * and due, in which case it is spent.
+     * Returns whether to notify all proxies of the endpoint now: the endpoint has changed, and the update
+     * budget allows a broadcast, which is then spent.
      *
-     * @param overloaded whether the queue is over the soft limit, which is always published
+     * @param overloaded whether the queue exceeds the soft limit, which always counts as a change
      */
     public boolean tryAnnounce(double cachedFraction, boolean overloaded, long now, int proxies) {
         boolean changed = overloaded
--- a/core/src/main/java/spurroad/balancer/peer/PeerUpdates.java
+++ b/core/src/main/java/spurroad/balancer/peer/PeerUpdates.java
@@ -7,19 +7,19 @@
 import spurroad.model.PeerUpdate;
 
 /**
- * Sends updates to other proxies, where the deployment lets them talk.
+ * Sends updates to other proxies if gossip is enabled in the deployment.
  *
- * <p>Each endpoint and tenant, and the origin, has one proxy as its owner, which is notified of all events of
- * it and publishes the sum to the others. A message of this proxy to itself is applied at once, so a proxy
- * that does not talk is the owner of everything that it sees. Updates are hints: they may be lost, doubled or
- * false, and no rule on what may be sent or answered rests on them.
+ * <p>Each endpoint, each tenant and the origin has one proxy as its owner, which is notified of all its
+ * events and publishes the aggregate to the others. An update of this proxy to itself is applied immediately,
+ * so without gossip a proxy is the owner of everything that it observes. Updates are hints: they may be lost,
+ * duplicated or wrong, and no rule on what may be sent or answered depends on them.
  */
 public final class PeerUpdates {
     private final ActiveDeployment deployment;
     private final EventContext event;
     private final Consumer<PeerUpdate> local;
 
-    /** Creates a sender; {@code local} handles the messages to this proxy itself. */
+    /** Creates a sender; {@code local} handles the updates of this proxy to itself. */
     public PeerUpdates(ActiveDeployment deployment, EventContext event, Consumer<PeerUpdate> local) {
         this.deployment = deployment;
         this.event = event;
@@ -27,13 +27,14 @@
     }
 
     /**
-     * Sends to the owner of an endpoint, by its id, or of a tenant, by its index; 0 stands for the origin.
+     * Sends an update to the owner of an endpoint, given by its id, or of a tenant, given by its index; 0
+     * represents the origin.
      */
     public void sendToOwner(long subject, PeerUpdate update) {
         sendTo(deployment.fleet().owner(subject), update);
     }
 
-    /** Sends to one proxy, by its index. */
+    /** Sends an update to one proxy, given by its index; it may be this one. */
     public void sendTo(int proxy, PeerUpdate update) {
         if (proxy == deployment.fleet().proxyIndex()) {
             local.accept(update);
@@ -42,7 +43,7 @@
         }
     }
 
-    /** Sends to all other proxies. */
+    /** Sends an update to all other proxies. */
     public void sendToAll(PeerUpdate update) {
         emit(Decisions.ALL_PEERS, update);
     }
--- a/core/src/main/java/spurroad/balancer/peer/UpdateBudget.java
+++ b/core/src/main/java/spurroad/balancer/peer/UpdateBudget.java
@@ -1,16 +1,16 @@
 package spurroad.balancer.peer;
 
 /**
- * Broadcasts that an owner has earned by the updates it received.
+ * Limits the broadcasts of an owner by credit, which it earns with the updates that it receives.
  *
- * <p>A message to all costs as many as there are proxies. As only received messages earn any, the messages of
- * the whole fleet stay bounded by its requests, at any number of proxies. Credit that was saved up is spent
- * with one update.
+ * <p>A broadcast costs one message per proxy. As credit is earned only with received messages, the number of
+ * messages in the whole fleet stays bounded by its requests, regardless of the number of proxies. One
+ * broadcast spends all the credit saved.
  */
 public final class UpdateBudget {
-    /** Messages that an attempt earns the owner of its endpoint, and a write the owner of the origin. */
+    /** Credit in messages that an endpoint's owner earns per attempt, and the origin's owner per write. */
     public static final double EARNED_PER_ATTEMPT = 24;
-    /** Least time in nanoseconds between two broadcasts of the same figure. */
+    /** Minimum interval between two broadcasts of the same value, in nanoseconds. */
     public static final long MIN_INTERVAL_NANOS = 200_000_000L;
 
     private final long minimumIntervalNanos;
@@ -20,20 +20,24 @@
     /**
      * Creates a budget.
      *
-     * @param earned messages that may be sent at once
-     * @param minimumIntervalNanos updates are further apart than this; below zero: as far as they are earned
+     * @param earned initial credit, in messages
+     * @param minimumIntervalNanos interval that must be exceeded between two updates; negative if only the
+     *     credit limits them
      */
     public UpdateBudget(double earned, long minimumIntervalNanos) {
         this.earned = earned;
         this.minimumIntervalNanos = minimumIntervalNanos;
     }
 
-    /** Adds messages that may be sent. */
+    /** Adds credit, in messages. */
     public void earn(double messages) {
         earned += messages;
     }
 
-    /** Returns whether an update to so many proxies is earned and due; all that was earned is then spent. */
+    /**
+     * Returns whether the credit suffices for an update to a number of proxies and the minimum interval has
+     * passed; all credit is then spent.
+     */
     public boolean trySpend(long now, int recipients) {
         if (earned < recipients || now - spentNanos <= minimumIntervalNanos) {
             return false;
--- a/core/src/main/java/spurroad/model/AdminStatus.java
+++ b/core/src/main/java/spurroad/model/AdminStatus.java
@@ -5,30 +5,30 @@
 /**
  * The status of the cache endpoints, for the admin server and the log.
  *
- * @param listedEndpoints how many discovery lists, in whatever phase
- * @param restricted of those, the ones that get no requests, or only trial requests, for another reason than
- *     their phase; in the order in which they became known
+ * @param listedEndpoints number of endpoints that discovery lists, in any phase
+ * @param restricted the listed endpoints that get no requests, or only trial requests, for a reason other
+ *     than their phase; in the order in which they became known
  */
 public record AdminStatus(int listedEndpoints, List<RestrictedEndpoint> restricted) {
-    /** No endpoint is known. */
+    /** The status without any known endpoints. */
     public static final AdminStatus NONE = new AdminStatus(0, List.of());
 
-    /** What has to happen before an endpoint gets its ordinary requests. */
+    /** The event that must occur before an endpoint gets regular requests. */
     public enum AwaitedEvent {
-        /** Staff return it to use. */
+        /** An operator returns the endpoint to use. */
         RETURN_BY_STAFF,
-        /** Its ejection time ends. */
+        /** The ejection of the endpoint ends. */
         EJECTION_END,
-        /** It answers a load probe. */
+        /** The endpoint answers a load probe. */
         LOAD_PROBE_REPLY,
-        /** Its trial requests succeed. */
+        /** The trial requests to the endpoint succeed. */
         TRIAL_SUCCESS
     }
 
     /**
-     * An endpoint that does not get its ordinary requests.
+     * An endpoint that does not get regular requests.
      *
-     * @param untilNanos the end of its ejection time where it waits for that, else Long.MAX_VALUE
+     * @param untilNanos time at which its ejection ends if it awaits that, otherwise Long.MAX_VALUE
      */
     public record RestrictedEndpoint(EndpointId id, AwaitedEvent awaits, long untilNanos) {
         private boolean isUnavailableAt(long now) {
@@ -36,12 +36,12 @@
         }
     }
 
-    /** Returns how many get no requests at a time in nanoseconds: ejected, or drained by staff. */
+    /** Returns how many endpoints are ejected or administratively drained at a time in nanoseconds. */
     public int unavailableAt(long now) {
         return (int) restricted.stream().filter(endpoint -> endpoint.isUnavailableAt(now)).count();
     }
 
-    /** Returns how many wait for an event. */
+    /** Returns how many endpoints await an event. */
     public int awaiting(AwaitedEvent event) {
         return (int) restricted.stream().filter(endpoint -> endpoint.awaits == event).count();
     }
--- a/core/src/main/java/spurroad/model/CacheKey.java
+++ b/core/src/main/java/spurroad/model/CacheKey.java
@@ -1,12 +1,12 @@
 package spurroad.model;
 
-/** The key of a request; zero, or {@link #NONE}, where it has none. */
+/** The key of a request; zero, or {@link #NONE}, if it has none. */
 public record CacheKey(long value) {
-    /** Stands for no key. */
+    /** The value of a request without a key. */
     public static final CacheKey NONE = new CacheKey(0);
 
     @Override
-    public boolean equals(Object other) { // a record's own are slow where only the quick compiler runs
+    public boolean equals(Object other) { // the generated method is slow if only the C1 compiler runs
         return other instanceof CacheKey that && that.value == value;
     }
 
--- a/core/src/main/java/spurroad/model/CacheStatus.java
+++ b/core/src/main/java/spurroad/model/CacheStatus.java
@@ -2,12 +2,12 @@
 
 /** The cache status that an endpoint reports in its response to an attempt. */
 public enum CacheStatus {
-    /** Nothing. */
+    /** The endpoint reported no cache status. */
     NONE,
-    /** It had the key. */
+    /** The endpoint had the key cached. */
     HIT,
-    /** It did not have the key. */
+    /** The endpoint did not have the key cached. */
     MISS,
-    /** It does not have the key yet; a fetch is under way. */
+    /** The endpoint does not have the key cached yet; it is fetching it. */
     FETCH_PENDING
 }
--- a/core/src/main/java/spurroad/model/CellId.java
+++ b/core/src/main/java/spurroad/model/CellId.java
@@ -1,9 +1,9 @@
 package spurroad.model;
 
-/** A group of cache endpoints that share which idempotency keys they have seen. */
+/** Identifies a cell: a group of cache endpoints that share their record of idempotency keys. */
 public record CellId(int value) {
     @Override
-    public boolean equals(Object other) { // a record's own are slow where only the quick compiler runs
+    public boolean equals(Object other) { // the generated method is slow if only the C1 compiler runs
         return other instanceof CellId that && that.value == value;
     }
 
--- a/core/src/main/java/spurroad/model/Decisions.java
+++ b/core/src/main/java/spurroad/model/Decisions.java
@@ -4,44 +4,43 @@
 import java.util.List;
 
 /**
- * What one event led to: filled by the load balancer, carried out by its host in this order, then cleared for
- * the next event. Used by one thread at a time.
+ * The decisions on one event: filled by the load balancer, executed by its host in the order of the fields,
+ * then cleared for the next event. Not thread-safe.
  */
 public final class Decisions {
     /**
      * An attempt to start; the attempts of a request are numbered from 0 in this order.
      *
-     * @param timeoutNanos how long to wait for its end, in nanoseconds
-     * @param sendDeadlineNanos until when its last byte may go out, in the load balancer's time;
-     *     Long.MAX_VALUE where that is as good later
+     * @param timeoutNanos how long to wait for the end of the attempt, in nanoseconds
+     * @param sendDeadlineNanos time until which its last byte may be sent, in the load balancer's time;
+     *     Long.MAX_VALUE if there is no such deadline
      */
     public record StartAttempt(RequestId request, EndpointId endpoint, long timeoutNanos,
                                long sendDeadlineNanos) {}
 
-    /** An attempt to cancel, by its number; one that has ended is to be ignored. */
+    /** An attempt to cancel, given by its number; the host ignores it if the attempt has ended. */
     public record CancelAttempt(RequestId request, int attempt) {}
 
     /**
      * A final response other than a success.
      *
-     * @param rejected whether this promises that a retry does no harm; else the request may have had an
-     *     effect
-     * @param retryAfterNanos how long the client is to stay away, in nanoseconds; zero where the response
-     *     names no time
+     * @param rejected whether the response promises that a retry does no harm; otherwise the request may have
+     *     had an effect
+     * @param retryAfterNanos Retry-After of the response, in nanoseconds; zero if it carries none
      */
     public record FinalResponse(RequestId request, boolean rejected, long retryAfterNanos) {}
 
-    /** An update to send to another proxy, by its index, or to {@link #ALL_PEERS}. */
+    /** An update to send to another proxy, given by its index, or to {@link #ALL_PEERS}. */
     public record SendPeerUpdate(int recipient, PeerUpdate update) {}
 
-    /** Stands for all proxies but this one. */
+    /** The recipient of an update to all proxies except this one. */
     public static final int ALL_PEERS = -1;
 
     /** Attempts to start. */
     public final List<StartAttempt> attemptsToStart = new ArrayList<>();
     /** Attempts to cancel. */
     public final List<CancelAttempt> attemptsToCancel = new ArrayList<>();
-    /** Final responses to give. */
+    /** Final responses to send to clients. */
     public final List<FinalResponse> responses = new ArrayList<>();
     /** Endpoints to send a load probe to. */
     public final List<EndpointId> loadProbes = new ArrayList<>();
@@ -53,10 +52,10 @@
     public boolean pollDiscovery;
     /** Whether the administrative status may have changed. */
     public boolean adminStatusChanged;
-    /** When the load balancer is to be called next, in its time; Long.MAX_VALUE for never. */
+    /** Time at which to call the load balancer next, in its time; Long.MAX_VALUE for never. */
     public long wakeAtNanos = Long.MAX_VALUE;
 
-    /** Empties everything, to be filled by the next event. */
+    /** Resets all fields for the next event. */
     public void clear() {
         attemptsToStart.clear();
         attemptsToCancel.clear();
--- a/core/src/main/java/spurroad/model/DeduplicationScope.java
+++ b/core/src/main/java/spurroad/model/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package spurroad.model;
 
-/** Which cache endpoints recognise, and discard, a repeat of a deduplicated request that another one ran. */
+/** The cache endpoints that recognise and discard a repeat of a deduplicated request that one of them ran. */
 public enum DeduplicationScope {
-    /** All of the deployment. */
+    /** All endpoints of the deployment. */
     ALL,
-    /** Those of the same zone. */
+    /** The endpoints of the same zone. */
     ZONE,
-    /** Those of the same cell. */
+    /** The endpoints of the same cell. */
     CELL
 }
--- a/core/src/main/java/spurroad/model/EndpointId.java
+++ b/core/src/main/java/spurroad/model/EndpointId.java
@@ -1,9 +1,9 @@
 package spurroad.model;
 
-/** A cache endpoint or the origin. The number carries no information on zone, kind or age. */
+/** Identifies a cache endpoint or the origin. The number carries no information on zone, kind or age. */
 public record EndpointId(long value) {
     @Override
-    public boolean equals(Object other) { // a record's own are slow where only the quick compiler runs
+    public boolean equals(Object other) { // the generated method is slow if only the C1 compiler runs
         return other instanceof EndpointId that && that.value == value;
     }
 
--- a/core/src/main/java/spurroad/model/EndpointKindId.java
+++ b/core/src/main/java/spurroad/model/EndpointKindId.java
@@ -1,9 +1,9 @@
 package spurroad.model;
 
-/** A kind of machine; distinguishes the origin from cache endpoints. */
+/** Identifies a kind of machine, which distinguishes the origin from cache endpoints. */
 public record EndpointKindId(int value) {
     @Override
-    public boolean equals(Object other) { // a record's own are slow where only the quick compiler runs
+    public boolean equals(Object other) { // the generated method is slow if only the C1 compiler runs
         return other instanceof EndpointKindId that && that.value == value;
     }
 
--- a/core/src/main/java/spurroad/model/EndpointPhase.java
+++ b/core/src/main/java/spurroad/model/EndpointPhase.java
@@ -2,10 +2,10 @@
 
 /** The phase of an endpoint as discovery reports it. */
 public enum EndpointPhase {
-    /** It takes requests. */
+    /** The endpoint accepts requests. */
     READY,
-    /** It finishes its requests and accepts no new ones. */
+    /** The endpoint completes its requests and accepts no new ones. */
     DRAINING,
-    /** It has gone. */
+    /** The endpoint has left. */
     REMOVED
 }
--- a/core/src/main/java/spurroad/model/LoadReport.java
+++ b/core/src/main/java/spurroad/model/LoadReport.java
@@ -1,16 +1,16 @@
 package spurroad.model;
 
 /**
- * What an endpoint reports of its own load; a figure that was not reported is NaN.
+ * The load that an endpoint reports of itself; a value that was not reported is NaN.
  *
- * @param inFlight requests that it holds
- * @param queued requests of these that wait
+ * @param inFlight number of requests in flight at the endpoint
+ * @param queued number of those that wait in its queue
  */
 public record LoadReport(double inFlight, double queued) {
-    /** Reports nothing. */
+    /** A report without any value. */
     public static final LoadReport NONE = new LoadReport(Double.NaN, Double.NaN);
 
-    /** Returns the requests in it, or else those that wait at it; NaN where neither was reported. */
+    /** Returns the requests in flight or, if not reported, the queued ones; NaN if neither was reported. */
     public double load() {
         return Double.isNaN(inFlight) ? queued : inFlight;
     }
--- a/core/src/main/java/spurroad/model/Outcome.java
+++ b/core/src/main/java/spurroad/model/Outcome.java
@@ -1,7 +1,8 @@
 package spurroad.model;
 
 /**
- * How an attempt, or a load probe, ended. Each ends exactly once. The order is that of the codes on the wire.
+ * The outcome of an attempt or a load probe; each has exactly one. The order of the constants defines their
+ * codes on the wire.
  */
 public enum Outcome {
     /** The endpoint executed the request. */
@@ -12,15 +13,15 @@
     REJECTED,
     /** No reply came in time. */
     TIMED_OUT,
-    /** No connection came up, so nothing was sent. */
+    /** No connection was established, so nothing was sent. */
     NO_CONNECTION,
     /** The connection broke after something was sent. */
     CONNECTION_LOST,
     /** It was cancelled; the request may have had an effect. */
     CANCELLED,
-    /** The proxy did not send it: the attempt was no longer allowed, or too late. */
+    /** The proxy did not send it, because it was no longer allowed or too late. */
     NOT_SENT,
-    /** The endpoint does not have the key, and did nothing. */
+    /** The endpoint does not have the key cached, and did nothing. */
     CACHE_MISS;
 
     /** Returns whether the outcome proves that the request had no effect anywhere. */
--- a/core/src/main/java/spurroad/model/RequestClassId.java
+++ b/core/src/main/java/spurroad/model/RequestClassId.java
@@ -1,4 +1,4 @@
 package spurroad.model;
 
-/** The class of a request, by its index in the deployment. */
+/** Identifies the class of a request by its index in the deployment. */
 public record RequestClassId(int value) {}
--- a/core/src/main/java/spurroad/model/RequestId.java
+++ b/core/src/main/java/spurroad/model/RequestId.java
@@ -1,9 +1,9 @@
 package spurroad.model;
 
-/** One request, as its host numbers it; a retry by the client is another request. */
+/** Identifies a request by the number that its host gives it; a retry by the client is another request. */
 public record RequestId(long value) {
     @Override
-    public boolean equals(Object other) { // a record's own are slow where only the quick compiler runs
+    public boolean equals(Object other) { // the generated method is slow if only the C1 compiler runs
         return other instanceof RequestId that && that.value == value;
     }
 
--- a/core/src/main/java/spurroad/model/SplitMix64.java
+++ b/core/src/main/java/spurroad/model/SplitMix64.java
@@ -1,16 +1,16 @@
 package spurroad.model;
 
 /**
- * The finisher of SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators", 2014):
- * spreads the bits of a number, so that numbers that differ little lie far apart.
+ * The mixing function of SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators",
+ * 2014), which maps similar numbers to very different ones.
  */
 public final class SplitMix64 {
-    /** What the generator adds from one number to the next: 2^64 over the golden ratio, odd. */
+    /** The increment of the generator: an odd number close to 2^64 divided by the golden ratio. */
     public static final long GAMMA = 0x9e3779b97f4a7c15L;
 
     private SplitMix64() {}
 
-    /** One to one; 0 stays 0. */
+    /** Returns the mixed bits of a number. The mapping is bijective and maps 0 to 0. */
     public static long finish(long x) {
         long z = (x ^ x >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
--- a/core/src/main/java/spurroad/model/TenantId.java
+++ b/core/src/main/java/spurroad/model/TenantId.java
@@ -1,6 +1,7 @@
 package spurroad.model;
 
 /**
- * The tenant that a request belongs to, by its index in the deployment; any other number is an unknown one.
+ * Identifies the tenant of a request by its index in the deployment; any other number denotes an unknown
+ * tenant.
  */
 public record TenantId(int value) {}
--- a/core/src/main/java/spurroad/model/ZoneId.java
+++ b/core/src/main/java/spurroad/model/ZoneId.java
@@ -1,9 +1,9 @@
 package spurroad.model;
 
-/** A data centre or server room. */
+/** Identifies a zone: a data centre or server room. */
 public record ZoneId(int value) {
     @Override
-    public boolean equals(Object other) { // a record's own are slow where only the quick compiler runs
+    public boolean equals(Object other) { // the generated method is slow if only the C1 compiler runs
         return other instanceof ZoneId that && that.value == value;
     }
 
--- a/core/src/test/java/spurroad/admission/AdmissionPolicyProperties.java
+++ b/core/src/test/java/spurroad/admission/AdmissionPolicyProperties.java
@@ -10,15 +10,15 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Properties of admission under any mix of request classes and any demand. */
+/** Properties of the admission policy under any mix of request classes and any demand. */
 class AdmissionPolicyProperties {
     private static final long STEP = AdmissionPolicy.INTERVAL_NANOS;
     private static final long S = 1_000_000_000L;
     private static final long AGE = 75_000_000L;
 
     /**
-     * Returns the admitted fraction of each class over the last ten seconds, with a demand in multiples of
-     * the proxy's capacity.
+     * Returns the admitted fraction of each class over the last ten of twenty seconds; the demand is a
+     * multiple of the proxy's capacity.
      */
     private static double[] admittedFractions(AdmissionPolicy policy, List<Double> weights, double demand,
                                               int seed) {
@@ -38,8 +38,8 @@
             }
             policy.onInterval(now, new ResourceUsage(Math.min(1, work / perInterval), 0, 0), false);
         }
-        for (int t = 0; t < admitted.length; t++) {
-            admitted[t] = arrived[t] == 0 ? 1 : admitted[t] / arrived[t];
+        for (int i = 0; i < admitted.length; i++) {
+            admitted[i] = arrived[i] == 0 ? 1 : admitted[i] / arrived[i];
         }
         return admitted;
     }
@@ -51,7 +51,7 @@
             150_000_000L, 2 * S, seed);
     }
 
-    /** While demand is below the capacity, all requests of every class are admitted. */
+    /** While the demand is below the capacity, all requests of every class are admitted. */
     @Property(tries = 60, seed = "20261203")
     void starvesNoClassAtFullService(@ForAll @Size(min = 1,
         max = 5) List<@DoubleRange(min = 0.1, max = 9) Double> weights,
@@ -60,8 +60,8 @@
         AdmissionPolicy policy = admission(weights, seed);
         double[] admitted = admittedFractions(policy, weights, demand, seed);
         assertTrue(policy.level() == ServiceLevel.FULL, "level " + policy.level());
-        for (double t : admitted) {
-            assertTrue(t == 1, "admitted fraction " + t);
+        for (double fraction : admitted) {
+            assertTrue(fraction == 1, "admitted fraction " + fraction);
         }
     }
 
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Retry-after times lie between zero and their bound, and the admitted fraction between its floor and
+     * Retry-After times lie between zero and their maximum, and the admitted fraction between its minimum and
      * one.
      */
     @Property(tries = 200, seed = "20261205")
@@ -98,9 +98,10 @@
             }
             policy.onInterval(now += STEP, new ResourceUsage(u, 0, 0), false);
             assertTrue(policy.admittedFraction() >= 0.01 && policy.admittedFraction() <= 1,
-                "fraction " + policy.admittedFraction());
+                "admitted fraction " + policy.admittedFraction());
             long retryAfterNanos = policy.retryAfterNanos();
-            assertTrue(retryAfterNanos >= 0 && retryAfterNanos <= 2 * S, "retry after " + retryAfterNanos);
+            assertTrue(retryAfterNanos >= 0 && retryAfterNanos <= 2 * S,
+                "Retry-After " + retryAfterNanos + " ns");
         }
     }
 }
--- a/core/src/test/java/spurroad/admission/AdmissionPolicyTest.java
+++ b/core/src/test/java/spurroad/admission/AdmissionPolicyTest.java
@@ -9,8 +9,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Admission at a simulated proxy with a capacity in requests a second, where a rejection costs a twentieth of
- * a request.
+ * Tests the admission policy at a simulated proxy with a capacity in requests per second, where a rejection
+ * costs a twentieth of an admitted request.
  */
 public class AdmissionPolicyTest {
     private static final long STEP = AdmissionPolicy.INTERVAL_NANOS;
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Simulates some seconds, in which the second tenant sends all requests that the first does not; returns
-     * the served requests a second.
+     * Simulates a number of seconds, in which the second tenant sends all requests that the first does not;
+     * returns the number of served requests per second.
      */
     private double simulate(double seconds, double requestsPerSecond, double requestsPerSecondOfFirst,
                             double capacity,
@@ -85,15 +85,16 @@
         admission = createPolicy();
         simulate(5, 1000 * times, 0, 1000, false);
         double served = simulate(20, 1000 * times, 0, 1000, false);
-        // rejections reduce the capacity; at least three quarters of the rest are served
+        // rejections reduce the capacity; at least three quarters of the remainder must be used
         double rest = Math.max(0, 1000 - REJECTION_COST * 1000 * times);
         assertTrue(served >= 0.75 * rest,
-            served + " a second of " + rest + " at " + admission.level());
+            served + " of " + rest + " requests per second at " + admission.level());
     }
 
     /**
-     * Regression: a proxy rejected half of all requests with 12% of its resources used, as all tenants
-     * counted as over quota.
+     * Regression: a proxy rejected half of all requests while 12% of its resources were used: the cost of
+     * background work was attributed to the few admitted requests, so that the service level never recovered,
+     * and all tenants counted as over quota.
      */
     @Test
     public void doesNotRetainALevelBecauseOfBackgroundWork() {
@@ -140,7 +141,7 @@
         assertTrue(withinQuota > 0.7 * requests, withinQuota + " of " + requests);
     }
 
-    /** A stall: nothing runs for some seconds, and then all queued requests arrive together. */
+    /** After a stall of some seconds all queued requests arrive together. */
     @Test
     public void servesAgainWithinThreeSecondsAfterAStall() {
         for (int seconds : new int[] {2, 8}) {
--- a/core/src/test/java/spurroad/admission/AdmissionPolicyTraceTest.java
+++ b/core/src/test/java/spurroad/admission/AdmissionPolicyTraceTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Holds admission to what it decided before, to the bit; see the decision trace of the load balancer. */
+/** Verifies that admission decisions are unchanged to the bit, like the load balancer's decision trace. */
 public class AdmissionPolicyTraceTest {
     private static final int INTERVALS = 600;
     private static final long MS = 1_000_000L;
--- a/core/src/test/java/spurroad/admission/ServiceLevelsProperties.java
+++ b/core/src/test/java/spurroad/admission/ServiceLevelsProperties.java
@@ -11,13 +11,14 @@
 import net.jqwik.api.Provide;
 
 /**
- * Properties of the service level under any course of demand; a failing course is shrunk to the shortest one.
+ * Properties of the service level under any sequence of pressures; a failing sequence is shrunk to the
+ * shortest one.
  */
 class ServiceLevelsProperties {
     private static final long STEP = AdmissionPolicy.INTERVAL_NANOS;
     private static final long S = 1_000_000_000L;
 
-    /** A pressure for a number of intervals. */
+    /** A constant pressure for a number of intervals. */
     record Stretch(int intervals, double pressure, boolean cold) {}
 
     @Provide
@@ -29,7 +30,10 @@
             .as(Stretch::new).list().ofMinSize(1).ofMaxSize(40);
     }
 
-    /** One step at a time; better service only after the minimum stay, worse only after three intervals. */
+    /**
+     * The level changes by one step at a time, to a better one only after the minimum stay and to a worse one
+     * only after three intervals.
+     */
     @Property(tries = 500, seed = "20261201")
     void changesOneLevelWithinAMinimumStay(@ForAll("courses") List<Stretch> course) {
         ServiceLevels levels = new ServiceLevels();
@@ -52,7 +56,7 @@
         }
     }
 
-    /** After any course, full service returns within the bound once there is no demand. */
+    /** After any sequence, full service returns within a bounded time once there is no pressure. */
     @Property(tries = 300, seed = "20261202")
     void returnsToFullServiceWithoutDemand(@ForAll("courses") List<Stretch> course) {
         ServiceLevels levels = new ServiceLevels();
--- a/core/src/test/java/spurroad/admission/ServiceLevelsTest.java
+++ b/core/src/test/java/spurroad/admission/ServiceLevelsTest.java
@@ -49,7 +49,7 @@
         assertEquals(levels.changes(), 0);
     }
 
-    /** Load that alternates by a tenth around each boundary, every 2 s for 5 minutes. */
+    /** The pressure alternates by a tenth around the boundary, with a period of 2 s, for 5 minutes. */
     @Test(dataProvider = "boundaries")
     public void doesNotOscillateAtABoundary(double entering) {
         ServiceLevels levels = new ServiceLevels();
@@ -65,7 +65,7 @@
         return new Object[][] {{1.05}, {1.4}, {8.0}, {20.0}};
     }
 
-    /** Load that alternates widely changes the level ever less often: the minimum stay doubles up to 16 s. */
+    /** Under widely alternating pressure changes become rarer, as the minimum stay doubles up to 16 s. */
     @Test
     public void extendsTheStayAtALevelThatIsEnteredAgainSoon() {
         ServiceLevels levels = new ServiceLevels();
@@ -94,8 +94,8 @@
     }
 
     /**
-     * For a thousand random courses of pressure: one step at a time, and never two levels within one minimum
-     * stay on the way to full service.
+     * For a thousand random sequences of pressures, the level changes by one step at a time, and never by two
+     * within one minimum stay on the way to full service.
      */
     @Test
     public void changesOneLevelWithinAMinimumStay() {
--- a/core/src/test/java/spurroad/balancer/BalancerFixture.java
+++ b/core/src/test/java/spurroad/balancer/BalancerFixture.java
@@ -54,14 +54,14 @@
         balancer = new LoadBalancer(deployment, seed);
     }
 
-    /** Creates a fixture with the cache endpoints 0 to {@code count - 1} and, if wanted, the origin as 99. */
+    /** Creates a fixture with the cache endpoints 0 to {@code count - 1} and optionally the origin, 99. */
     static BalancerFixture of(int count, boolean withOrigin) {
         BalancerFixture fixture = new BalancerFixture(withOrigin, DeduplicationScope.ALL);
         fixture.updateEndpoints(true, endpoints(count, withOrigin));
         return fixture;
     }
 
-    /** Returns the first three candidates of a key, found by failing them one after the other. */
+    /** Returns the first three candidates of a key, found by failing the attempts one after the other. */
     static List<Long> candidatesOf(long key) {
         BalancerFixture fixture = of(8, false);
         List<Long> found = new ArrayList<>(List.of(fixture.targetOf(1, READ, key)));
@@ -97,7 +97,7 @@
         return decisions;
     }
 
-    /** Reports one endpoint that is new or has changed. */
+    /** Updates one endpoint, which is new or has changed. */
     Decisions updateEndpoint(long id, EndpointPhase phase, long startedNanos) {
         return updateEndpoints(false, List.of(endpoint(id, phase, startedNanos)));
     }
@@ -108,7 +108,7 @@
         return decisions;
     }
 
-    /** Returns the same settings but for whether load probes are allowed. */
+    /** Returns a copy of the settings that allows load probes or not. */
     static Deployment withLoadProbes(Deployment current, boolean allowed) {
         return new Deployment(current.requestClasses(), current.tenantQuotasPerSecond(), current.originKind(),
             current.pollsDiscovery(), allowed, current.cancellationAllowed(), current.maxRetryAfterNanos(),
@@ -146,12 +146,12 @@
         return decisions;
     }
 
-    /** Returns the endpoint of the first attempt that was just started. */
+    /** Returns the endpoint of the first attempt in the latest decisions. */
     long firstTarget() {
         return decisions.attemptsToStart.get(0).endpoint().value();
     }
 
-    /** Sends a request; returns the endpoint of its first attempt, or -1 where none was started. */
+    /** Sends a request; returns the endpoint of its first attempt, or -1 if none was started. */
     long targetOf(long request, RequestClassId requestClass, long key) {
         request(request, requestClass, key);
         return decisions.attemptsToStart.isEmpty() ? -1 : firstTarget();
@@ -183,7 +183,7 @@
         return decisions;
     }
 
-    /** Advances the clock and calls the timer. */
+    /** Advances the clock by a time in milliseconds and calls the timer. */
     Decisions advance(long millis) {
         decisions.clear();
         nowNanos += millis * MS;
--- a/core/src/test/java/spurroad/balancer/DecisionTrace.java
+++ b/core/src/test/java/spurroad/balancer/DecisionTrace.java
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Writes one event, by its letter, and its arguments. */
+    /** Records one event, identified by a letter, and its arguments. */
     void call(char letter, Object... arguments) {
         calls++;
         line.append(letter);
@@ -101,7 +101,7 @@
         return calls;
     }
 
-    /** Returns the digest of all that was written, in hexadecimal digits, and ends the trace. */
+    /** Ends the trace; returns the digest of its text in hexadecimal digits. */
     String digest() {
         if (folder != null) {
             try {
--- a/core/src/test/java/spurroad/balancer/DecisionTraceTest.java
+++ b/core/src/test/java/spurroad/balancer/DecisionTraceTest.java
@@ -17,8 +17,8 @@
 
 /**
  * Verifies that decisions are unchanged to the bit: the same events result in the same decisions in the same
- * order, with the same random draws. A change of decisions comes with new digests and their reason; a change
- * that only moves or renames code comes with none.
+ * order, with the same random draws. A commit that changes decisions updates the digests and gives the
+ * reason; one that only moves or renames code must not.
  */
 public class DecisionTraceTest {
     private static final long CALLS = 7_000;
--- a/core/src/test/java/spurroad/balancer/DiscoveryPollingTest.java
+++ b/core/src/test/java/spurroad/balancer/DiscoveryPollingTest.java
@@ -8,15 +8,15 @@
 import spurroad.model.DeduplicationScope;
 import spurroad.model.Fleet;
 
-/** How long the load balancer waits before it polls discovery again. */
+/** Tests how long the load balancer waits before it polls discovery again. */
 public class DiscoveryPollingTest {
-    // how long after discovery could be reached a change counts as announced
+    // a change counts as announced this long after discovery became reachable
     private static final long ANNOUNCEMENT_MILLIS = 6000;
     private static final long MAX_CALL_MILLIS = 3100; // longest duration of an answered call
 
     /**
-     * However often discovery failed, a backoff and a call end before a change counts as announced; and
-     * backoffs differ between proxies.
+     * However often discovery has failed, a backoff and a call end before a change counts as announced.
+     * Backoffs differ between proxies.
      */
     @Test
     public void endsABackoffAndACallBeforeAChangeCounts() {
--- a/core/src/test/java/spurroad/balancer/GossipFixture.java
+++ b/core/src/test/java/spurroad/balancer/GossipFixture.java
@@ -11,14 +11,14 @@
 import spurroad.model.Outcome;
 import spurroad.model.ZoneId;
 
-/** Proxies that exchange updates, with the same endpoints. */
+/** Proxies with the same endpoints that exchange updates. */
 final class GossipFixture {
     static final int PROXIES = 4;
     static final int NODES = 8;
 
     private GossipFixture() {}
 
-    /** How often each update is delivered. */
+    /** Determines how often each update is delivered. */
     enum Delivery {
         DELIVERED(1), LOST(0), DOUBLED(2);
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Advances the clocks of all proxies by the same time, without a call of their timers. */
+    /** Advances the clocks of all proxies by the same time, without calling their timers. */
     static void advanceClocks(List<BalancerFixture> fixtures, long nanos) {
         fixtures.forEach(fixture -> fixture.nowNanos += nanos);
     }
@@ -64,14 +64,14 @@
         return new Fleet(null, 0, PROXIES, true).owner(subject);
     }
 
-    /** Sends a read, which succeeds at once; returns its endpoint, or -1 where it is not sent. */
+    /** Sends a read, which succeeds immediately; returns its endpoint, or -1 if it was not sent. */
     static long targetOfSuccessfulRead(BalancerFixture fixture, long request, long key) {
         long target = fixture.targetOf(request, READ, key);
         fixture.endAttempt(request, 0, Outcome.SUCCEEDED);
         return target;
     }
 
-    /** Returns the keys whose first candidate is an endpoint. */
+    /** Returns the keys whose first candidate is the given endpoint. */
     static long[] keysOf(long endpoint) {
         BalancerFixture fixture = BalancerFixture.of(NODES, false);
         return IntStream.range(1, 400).filter(key -> targetOfSuccessfulRead(fixture, key, key) == endpoint)
--- a/core/src/test/java/spurroad/balancer/LoadShedderTest.java
+++ b/core/src/test/java/spurroad/balancer/LoadShedderTest.java
@@ -11,9 +11,9 @@
 import org.testng.annotations.Test;
 import spurroad.model.Outcome;
 
-/** Which requests are rejected on arrival under overload. */
+/** Tests which requests are rejected on arrival under overload. */
 public class LoadShedderTest {
-    /** Regression: a tenant over its quota crowded out those within theirs. */
+    /** Regression: requests of a tenant over its quota displaced those of tenants within theirs. */
     @Test
     public void shedsRequestsOverQuotaWhileEndpointsAreFull() {
         BalancerFixture fixture = BalancerFixture.of(6, false);
@@ -29,7 +29,7 @@
         assertTrue(sent[0] < 100 && sent[1] > 190, sent[0] + " over quota, " + sent[1] + " within");
     }
 
-    /** Regression: endpoints were fully occupied with rejecting requests. */
+    /** Regression: endpoints spent all their capacity on rejecting requests. */
     @Test
     public void shedsReadsWhileMostRequestsAreRejected() {
         BalancerFixture fixture = BalancerFixture.of(6, false);
@@ -48,15 +48,15 @@
         assertTrue(reads > 5 && reads < 75 && writes == 50, reads + " reads, " + writes + " writes");
     }
 
-    /** How many of ten writes time out; bounds of how many of twenty reads are then rejected. */
+    /** Number of writes out of ten that time out; bounds of how many reads out of twenty are rejected. */
     @DataProvider
     Object[][] lateReads() {
         return new Object[][] {{0, 0, 0}, {1, 0, 0}, {3, 1, 14}, {8, 20, 20}};
     }
 
     /**
-     * Incident i1e1366: reads of cached keys were forwarded to overloaded endpoints, and nearly all ended
-     * late.
+     * Regression (incident i1e1366): reads of cached keys were forwarded to overloaded endpoints, and nearly
+     * all ended late.
      */
     @Test(dataProvider = "lateReads")
     public void shedsReadsWhileMostRequestsAreLate(int timedOut, int min, int max) {
--- a/core/src/test/java/spurroad/balancer/OriginBacklogTest.java
+++ b/core/src/test/java/spurroad/balancer/OriginBacklogTest.java
@@ -16,11 +16,11 @@
 import spurroad.model.Outcome;
 import spurroad.model.RequestClassId;
 
-/** Which requests are limited while the origin behind the endpoints is slow. */
+/** Tests which requests are limited while the origin behind the endpoints is slow. */
 public class OriginBacklogTest {
     /**
-     * How many of ten writes time out; bounds of how many of twenty reads of uncached keys are sent, and of
-     * twenty writes.
+     * Number of writes out of ten that time out; bounds of the number of reads of uncached keys, and of
+     * writes, that are then sent out of twenty each.
      */
     @DataProvider
     Object[][] lateWrites() {
@@ -29,9 +29,8 @@
     }
 
     /**
-     * Regression: misses and writes overloaded a slow origin, and reads that would have hit were rejected
-     * with those that missed. Now the owner is queried for what an endpoint has cached, and those reads are
-     * sent.
+     * Regression: misses and writes overloaded a slow origin, and reads of cached keys were rejected together
+     * with misses. Proxies now query an endpoint's owner for whether a key is cached, and send those reads.
      */
     @Test(dataProvider = "lateWrites")
     public void limitsMissesThenWritesButNoCachedReadsWhileTheOriginIsSlow(int timedOut, int minReads,
--- a/core/src/test/java/spurroad/balancer/PeerUpdatesTest.java
+++ b/core/src/test/java/spurroad/balancer/PeerUpdatesTest.java
@@ -19,9 +19,9 @@
 import spurroad.model.PeerUpdate.Topic;
 import spurroad.model.RequestClassId;
 
-/** Which updates proxies accept from each other, and which and how many they send. */
+/** Tests which updates proxies accept from one another, and which and how many they send. */
 public class PeerUpdatesTest {
-    /** Updates with false values or unknown subjects: an update may be anything that the codec accepts. */
+    /** Updates with invalid values or unknown subjects: an update may be anything that the codec accepts. */
     @DataProvider
     Object[][] falseUpdates() {
         return new Object[][] {{Topic.IN_FLIGHT, 99L, 1.0}, {Topic.IN_FLIGHT, 3L, -1.0},
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Duration of an attempt in seconds, and its outcome: the update about it must fit the codec in any case.
+     * Duration of an attempt in seconds, and its outcome. The codec must accept the update in every case.
      */
     @DataProvider
     Object[][] attemptEnds() {
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Regression: unbounded updates to a thousand proxies exceeded the network's bandwidth. */
+    /** Regression: an unbounded number of updates to a thousand proxies exceeded the network's bandwidth. */
     @Test
     public void boundsBroadcastsByReceivedUpdates() {
         int proxies = 1000;
--- a/core/src/test/java/spurroad/balancer/TenantQuotasTest.java
+++ b/core/src/test/java/spurroad/balancer/TenantQuotasTest.java
@@ -16,9 +16,9 @@
 import spurroad.model.Outcome;
 import spurroad.model.PeerUpdate.Topic;
 
-/** Which requests count towards their tenant's quota. */
+/** Tests which requests count towards their tenant's quota. */
 public class TenantQuotasTest {
-    /** Regression: retries of clients were counted again, and tenants within their quotas were shed. */
+    /** Regression: retries by clients were counted again, so tenants within their quotas were shed. */
     @Test
     public void countsTheRetryOfARejectedClientOnce() {
         List<BalancerFixture> fixtures = fleet(null);
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Requests a second at one proxy, with a quota of 20 for all four proxies, and whether more than a third
-     * is rejected.
+     * Requests per second at one proxy, with a quota of 20 for all four proxies together, and whether more
+     * than a third of them is rejected.
      */
     @DataProvider
     Object[][] rates() {
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Regression: a third of all requests was rejected, as busy proxies were limited to the mean proxy's part
-     * of a quota.
+     * Regression: a third of all requests was rejected, because busy proxies were limited to an equal share
+     * of the quota.
      */
     @Test(dataProvider = "rates")
     public void comparesATenantsRateWithItsWholeQuota(int rate, boolean manyRejected) {
@@ -62,12 +62,12 @@
             rejected += busy.decisions.responses.size();
             deliver(fixtures, busy, Delivery.DELIVERED);
             advanceClocks(fixtures, 1000 * MS / rate);
-            // a tenth ends rejected: enough overload to shed all requests over quota
+            // a tenth of the requests is rejected: enough overload to shed all requests over quota
             busy.endAttempt(id, 0, id % 10 == 0 ? Outcome.REJECTED : Outcome.SUCCEEDED);
             busy.endAttempt(id, 1, Outcome.REJECTED);
             deliver(fixtures, busy, Delivery.DELIVERED);
         }
-        // that overload also sheds a few requests within the quota; two thirds would be over the mean part
+        // that overload also sheds a few requests within the quota; two thirds would exceed an equal share
         assertEquals(3 * rejected > 10 * rate, manyRejected, rejected + " rejected");
     }
 }
--- a/core/src/test/java/spurroad/balancer/TracedDeployment.java
+++ b/core/src/test/java/spurroad/balancer/TracedDeployment.java
@@ -13,9 +13,9 @@
  * A deployment for a decision trace.
  *
  * @param name of the trace
- * @param endpoints listed cache endpoints
- * @param driven how many of the deployment's proxies are simulated
- * @param requestsPerSecond at each of them, three times that in bursts
+ * @param endpoints number of cache endpoints
+ * @param driven number of the deployment's proxies that are simulated
+ * @param requestsPerSecond rate of requests at each simulated proxy, tripled in bursts
  */
 record TracedDeployment(String name, int endpoints, int driven, double requestsPerSecond, long seed,
                         Deployment deployment) {
@@ -31,7 +31,7 @@
                 4, 0.3, 3000 * MS, 5 * MS, 2_000 * MS, Fleet.STANDALONE));
     }
 
-    /** Endpoints fetch for themselves; no load probes, no cancellation, pushed endpoint lists. */
+    /** Endpoints fetch from the origin; no load probes, no cancellation, pushed endpoint lists. */
     static TracedDeployment withoutOrigin() {
         return new TracedDeployment("without-origin", 8, 1, 200, 12,
             new Deployment(requestClasses(DeduplicationScope.ZONE), List.of(), null, false, false, false, 0,
@@ -102,14 +102,14 @@
                 3_000 * MS, Fleet.STANDALONE));
     }
 
-    /** Returns a deployment as the proxy with an index in its fleet has it. */
+    /** Returns a deployment for the proxy with the given index in its fleet. */
     static Deployment forProxy(Deployment deployment, int index) {
         Fleet fleet = deployment.fleet();
         return deployment
             .withFleet(new Fleet(fleet.zone(), index, fleet.proxyCount(), fleet.gossipEnabled()));
     }
 
-    /** Returns the deployment with other objectives, quotas and numbers of attempts. */
+    /** Returns the deployment with scaled latency objectives and quotas, and another number of attempts. */
     Deployment changed(double factor, int maxAttempts) {
         List<RequestClass> requestClasses = deployment.requestClasses().stream()
             .map(requestClass -> new RequestClass(requestClass.effect(), requestClass.deduplicationScope(),
--- a/core/src/test/java/spurroad/balancer/TracedFleet.java
+++ b/core/src/test/java/spurroad/balancer/TracedFleet.java
@@ -25,7 +25,7 @@
 
 /**
  * A simulated fleet: executes the decisions of one or several load balancers against simulated endpoints, and
- * calls the load balancers with all kinds of events. Time is simulated, in nanoseconds; the same seed results
+ * calls the load balancers with events of all kinds. Time is simulated, in nanoseconds; the same seed results
  * in the same calls as long as the load balancers make the same decisions.
  */
 final class TracedFleet {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** A proxy: its load balancer, and what that has decided and started. */
+    /** A proxy: its load balancer, the latest decisions, and the attempts in progress. */
     private static final class Proxy {
         private final int index;
         private final LoadBalancer balancer;
@@ -276,7 +276,7 @@
         call(proxy, () -> proxy.balancer.onPeerUpdate(now, update, proxy.decisions));
     }
 
-    /** Sends an update of a proxy that is not simulated: of an attempt, a tenant or a write. */
+    /** Sends an update of a proxy that is not simulated, about an attempt, a tenant or a write. */
     private void sendUpdateOfAnotherProxy() {
         at((1 + random.nextInt(6)) * MS, this::sendUpdateOfAnotherProxy);
         Proxy proxy = randomProxy();
@@ -297,7 +297,7 @@
             new CacheKey(1 + random.nextInt(KEYS)));
     }
 
-    /** Returns an update that no proxy would send: of an unknown subject, or with a value out of range. */
+    /** Returns an update that no proxy would send: about an unknown subject, or with a value out of range. */
     private PeerUpdate falseUpdate() {
         PeerUpdate.Topic topic = PeerUpdate.Topic.values()[random.nextInt(PeerUpdate.Topic.values().length)];
         long subject = random.nextInt(traced.endpoints() + 3);
@@ -351,10 +351,10 @@
         }
         boolean complete = random.nextInt(4) == 0;
         for (Proxy proxy : proxies) {
-            List<Endpoint> sent = complete
+            List<Endpoint> entries = complete
                 ? listed.values().stream().filter(entry -> entry.phase() != EndpointPhase.REMOVED).toList()
                 : changed;
-            at(random.nextInt(30) * MS, () -> updateEndpoints(proxy, complete, sent));
+            at(random.nextInt(30) * MS, () -> updateEndpoints(proxy, complete, entries));
         }
     }
 
--- a/core/src/test/java/spurroad/balancer/peer/OwnershipStateTest.java
+++ b/core/src/test/java/spurroad/balancer/peer/OwnershipStateTest.java
@@ -57,7 +57,7 @@
         state.onInFlightUpdate(update(1, CacheKey.NONE), START_NANOS, USUAL_NANOS, USUAL_NANOS);
         assertTrue(state.isCached(KEY, true, START_NANOS + 3_999 * MS));
         assertFalse(state.isCached(KEY, false, START_NANOS + 3_999 * MS),
-            "an endpoint that has just started has nothing cached");
+            "an endpoint that has only just started has nothing cached");
         assertFalse(state.isCached(KEY, true, START_NANOS + 4_000 * MS));
     }
 
