--- a/core/src/main/java/spurroad/admission/AdmissionPolicy.java
+++ b/core/src/main/java/spurroad/admission/AdmissionPolicy.java
@@ -85,7 +85,7 @@
     public boolean admits(int requestClass, int tenant) {
         boolean overQuota = tenants.countRequest(tenant);
         int priorityClass = classes.countRequest(requestClass, overQuota);
-        boolean admits = levelAllows(requestClass, overQuota) && fits(priorityClass);
+        boolean admits = levelAllows(requestClass, overQuota) && fitsAdmittedFraction(priorityClass);
         demand.countRequest(admits);
         return admits;
     }
@@ -99,9 +99,9 @@
         };
     }
 
-    private boolean fits(int priorityClass) {
+    private boolean fitsAdmittedFraction(int priorityClass) {
         double fraction = admitted.fraction();
-        return fraction >= 1 || random.nextDouble() < classes.fittingFraction(priorityClass, fraction);
+        return fraction >= 1 || random.nextDouble() < classes.admissibleFraction(priorityClass, fraction);
     }
 
     /**
@@ -112,11 +112,11 @@
      * @return whether the service level has changed
      */
     public boolean onInterval(long now, ResourceUsage usage, boolean warmingUp) {
-        double used = usage.scarcest(maxQueueDelayNanos);
-        admitted.adjust(used);
-        demand.measure(used, admitted.recentlyUsed());
-        classes.fade();
-        tenants.fade();
+        double utilization = usage.maxUtilization(maxQueueDelayNanos);
+        admitted.adjust(utilization);
+        demand.measure(utilization, admitted.recentUtilization());
+        classes.decay();
+        tenants.decay();
         return levels.onPressure(now, demand.pressure(), warmingUp);
     }
 
--- a/core/src/main/java/spurroad/admission/DemandEstimate.java
+++ b/core/src/main/java/spurroad/admission/DemandEstimate.java
@@ -6,12 +6,12 @@
  */
 final class DemandEstimate {
     /** Factor by which counts decay per interval, so that they cover about half a second. */
-    static final double REMAINING = 0.8;
+    static final double DECAY_FACTOR = 0.8;
 
     private static final double REJECTION_COST = 0.1; // relative to an admitted request
     // below this utilization the cost of rejected requests is not extrapolated: the background work of the
     // process was attributed to the few requests that it admitted, and a service level sustained itself
-    private static final double PLENTY_USED = 0.6;
+    private static final double MIN_EXTRAPOLATION_UTILIZATION = 0.6;
 
     private double admitted;
     private double rejected;
@@ -33,14 +33,14 @@
     /**
      * Updates the estimate at the end of an interval.
      *
-     * @param used utilization of the scarcest resource in the interval
-     * @param recentlyUsed utilization of the scarcest resource over the last intervals
+     * @param utilization utilization of the scarcest resource in the interval
+     * @param recentUtilization utilization of the scarcest resource over the last intervals
      */
-    void measure(double used, double recentlyUsed) {
+    void measure(double utilization, double recentUtilization) {
         double work = admitted + REJECTION_COST * rejected;
-        boolean known = recentlyUsed >= PLENTY_USED && work >= 1;
-        pressure = known ? used * (admitted + rejected) / work : used;
-        admitted *= REMAINING;
-        rejected *= REMAINING;
+        boolean extrapolates = recentUtilization >= MIN_EXTRAPOLATION_UTILIZATION && work >= 1;
+        pressure = extrapolates ? utilization * (admitted + rejected) / work : utilization;
+        admitted *= DECAY_FACTOR;
+        rejected *= DECAY_FACTOR;
     }
 }
--- a/core/src/main/java/spurroad/admission/EvictionPriority.java
+++ b/core/src/main/java/spurroad/admission/EvictionPriority.java
@@ -18,10 +18,10 @@
     /** Its client has sent part of a request; slow clients and networks pause, but rarely for so long. */
     PARTIAL_REQUEST(500_000_000L);
 
-    private final long patienceNanos; // time for which a connection in this state is not evicted
+    private final long minQuietNanos; // time for which a connection in this state is not evicted
 
-    EvictionPriority(long patienceNanos) {
-        this.patienceNanos = patienceNanos;
+    EvictionPriority(long minQuietNanos) {
+        this.minQuietNanos = minQuietNanos;
     }
 
     /**
@@ -29,6 +29,6 @@
      * may be evicted, the highest value first.
      */
     public double overdue(long quietNanos) {
-        return this == REQUEST_IN_FLIGHT ? 0 : (double) quietNanos / patienceNanos;
+        return this == REQUEST_IN_FLIGHT ? 0 : (double) quietNanos / minQuietNanos;
     }
 }
--- a/core/src/main/java/spurroad/admission/PriorityClasses.java
+++ b/core/src/main/java/spurroad/admission/PriorityClasses.java
@@ -44,20 +44,20 @@
      * Returns the fraction of a class that fits; at most 0 if classes of higher priority take up everything,
      * and 1 or more if the whole class fits.
      */
-    double fittingFraction(int priorityClass, double admittedFraction) {
-        double all = 0;
-        double better = 0;
+    double admissibleFraction(int priorityClass, double admittedFraction) {
+        double total = 0;
+        double higherPriority = 0;
         for (int i = 0; i < counts.length; i++) {
-            all += counts[i];
-            better += i < priorityClass ? counts[i] : 0;
+            total += counts[i];
+            higherPriority += i < priorityClass ? counts[i] : 0;
         }
-        return (admittedFraction * all - better) / counts[priorityClass];
+        return (admittedFraction * total - higherPriority) / counts[priorityClass];
     }
 
     /** Decays the counts at the end of an interval. */
-    void fade() {
+    void decay() {
         for (int i = 0; i < counts.length; i++) {
-            counts[i] *= DemandEstimate.REMAINING;
+            counts[i] *= DemandEstimate.DECAY_FACTOR;
         }
     }
 }
--- a/core/src/main/java/spurroad/admission/ResourceUsage.java
+++ b/core/src/main/java/spurroad/admission/ResourceUsage.java
@@ -9,7 +9,7 @@
  */
 public record ResourceUsage(double cpuFraction, long queueDelayNanos, double memoryFraction) {
     /** Returns the utilization of the scarcest resource; 1 is full utilization. */
-    double scarcest(long maxQueueDelayNanos) {
+    double maxUtilization(long maxQueueDelayNanos) {
         double cpu = Double.isNaN(cpuFraction) ? 0 : cpuFraction;
         double queue = (double) queueDelayNanos / maxQueueDelayNanos;
         return Math.max(Math.max(cpu, memoryFraction), queue);
--- a/core/src/main/java/spurroad/admission/ServiceLevels.java
+++ b/core/src/main/java/spurroad/admission/ServiceLevels.java
@@ -13,24 +13,26 @@
 public final class ServiceLevels {
     // pressure at which each level is entered. The last two are for when rejections alone use up the
     // resources: until then the highest-priority part of all requests has more weight than a single class
-    private static final double[] ENTER_PRESSURE = {0, 1.05, 1.4, 8, 20};
-    private static final double EXIT_FACTOR = 0.8; // of the entry pressure; a measurement fluctuates by less
-    private static final long WORSE_NANOS = 300_000_000L; // three measurements in a row, not a single burst
+    private static final double[] ENTRY_PRESSURES = {0, 1.05, 1.4, 8, 20};
+    // of the entry pressure; a measurement fluctuates by less
+    private static final double EXIT_PRESSURE_FACTOR = 0.8;
+    // three measurements in a row, not a single burst
+    private static final long MIN_OVERLOAD_NANOS = 300_000_000L;
     private static final long MIN_STAY_NANOS = 1_000_000_000L; // before the next better level
     private static final long MAX_STAY_NANOS = 16_000_000_000L; // bound of the doubled minimum stay
     // a level that is entered again within this time was left too early
-    private static final long RELAPSE_NANOS = 10_000_000_000L;
+    private static final long REENTRY_NANOS = 10_000_000_000L;
     private static final int WARM_UP_STAY_FACTOR = 2; // lets endpoints warm up meanwhile
 
     private static final long NEVER_NANOS = Long.MIN_VALUE / 2;
-    private static final long NOT_SINCE_NANOS = Long.MAX_VALUE;
+    private static final long UNSET_NANOS = Long.MAX_VALUE;
 
     private final long[] stayNanos = new long[ServiceLevel.values().length];
     private final long[] leftNanos = new long[ServiceLevel.values().length];
     private ServiceLevel level = ServiceLevel.FULL;
     private long enteredNanos = NEVER_NANOS;
-    private long worseSinceNanos = NOT_SINCE_NANOS;
-    private long betterSinceNanos = NOT_SINCE_NANOS;
+    private long worseDueSinceNanos = UNSET_NANOS;
+    private long betterDueSinceNanos = UNSET_NANOS;
     private long changes;
 
     /** Creates the levels with full service and the shortest minimum stay at each level. */
@@ -62,50 +64,51 @@
      * @return whether the level has changed
      */
     public boolean onPressure(long now, double pressure, boolean warmingUp) {
-        worseSinceNanos = calledForWorse(pressure) ? Math.min(worseSinceNanos, now) : NOT_SINCE_NANOS;
-        betterSinceNanos = calledForBetter(pressure) ? Math.min(betterSinceNanos, now) : NOT_SINCE_NANOS;
-        if (lasted(worseSinceNanos, WORSE_NANOS, now) && now - enteredNanos >= WORSE_NANOS) {
+        worseDueSinceNanos = isWorseDue(pressure) ? Math.min(worseDueSinceNanos, now) : UNSET_NANOS;
+        betterDueSinceNanos = isBetterDue(pressure) ? Math.min(betterDueSinceNanos, now) : UNSET_NANOS;
+        if (lasted(worseDueSinceNanos, MIN_OVERLOAD_NANOS, now) && now - enteredNanos >= MIN_OVERLOAD_NANOS) {
             enterWorse(now);
             return true;
         }
-        long stay = warmingUp ? WARM_UP_STAY_FACTOR * minimumStayNanos() : minimumStayNanos();
-        if (lasted(betterSinceNanos, stay / 2, now) && now - enteredNanos >= stay) {
-            leaveForBetter(now);
+        long minStayNanos = warmingUp ? WARM_UP_STAY_FACTOR * minimumStayNanos() : minimumStayNanos();
+        if (lasted(betterDueSinceNanos, minStayNanos / 2, now) && now - enteredNanos >= minStayNanos) {
+            enterBetter(now);
             return true;
         }
         return false;
     }
 
-    private boolean calledForWorse(double pressure) {
+    private boolean isWorseDue(double pressure) {
         int next = level.ordinal() + 1;
-        return next < ENTER_PRESSURE.length && pressure >= ENTER_PRESSURE[next];
+        return next < ENTRY_PRESSURES.length && pressure >= ENTRY_PRESSURES[next];
     }
 
-    private boolean calledForBetter(double pressure) {
-        return level != ServiceLevel.FULL && pressure < EXIT_FACTOR * ENTER_PRESSURE[level.ordinal()];
+    private boolean isBetterDue(double pressure) {
+        return level != ServiceLevel.FULL
+            && pressure < EXIT_PRESSURE_FACTOR * ENTRY_PRESSURES[level.ordinal()];
     }
 
-    private static boolean lasted(long sinceNanos, long nanos, long now) {
-        return sinceNanos != NOT_SINCE_NANOS && now - sinceNanos >= nanos;
+    private static boolean lasted(long sinceNanos, long durationNanos, long now) {
+        return sinceNanos != UNSET_NANOS && now - sinceNanos >= durationNanos;
     }
 
     private void enterWorse(long now) {
         int worse = level.ordinal() + 1;
-        boolean relapse = now - leftNanos[worse] < RELAPSE_NANOS;
-        stayNanos[worse] = relapse ? Math.min(MAX_STAY_NANOS, 2 * stayNanos[worse]) : MIN_STAY_NANOS;
+        boolean reenteredSoon = now - leftNanos[worse] < REENTRY_NANOS;
+        stayNanos[worse] = reenteredSoon ? Math.min(MAX_STAY_NANOS, 2 * stayNanos[worse]) : MIN_STAY_NANOS;
         change(now, ServiceLevel.values()[worse]);
     }
 
-    private void leaveForBetter(long now) {
+    private void enterBetter(long now) {
         leftNanos[level.ordinal()] = now;
         change(now, ServiceLevel.values()[level.ordinal() - 1]);
     }
 
-    private void change(long now, ServiceLevel to) {
-        level = to;
+    private void change(long now, ServiceLevel newLevel) {
+        level = newLevel;
         enteredNanos = now;
-        worseSinceNanos = NOT_SINCE_NANOS;
-        betterSinceNanos = NOT_SINCE_NANOS;
+        worseDueSinceNanos = UNSET_NANOS;
+        betterDueSinceNanos = UNSET_NANOS;
         changes++;
     }
 }
--- a/core/src/main/java/spurroad/admission/TenantRates.java
+++ b/core/src/main/java/spurroad/admission/TenantRates.java
@@ -7,10 +7,10 @@
  * variation.
  */
 final class TenantRates {
-    private static final long MEMORY_INTERVALS = 10; // over which a rate is averaged
+    private static final long AVERAGING_INTERVALS = 10; // over which a rate is averaged
     private static final double OVER_QUOTA_FACTOR = 1.2; // of the quota; less may be random variation
-    private static final double STANDARD_DEVIATIONS = 3; // of random variation, tolerated in addition
-    private static final double MIN_EXCESS = 3; // requests, tolerated in addition to both
+    private static final double MARGIN_STANDARD_DEVIATIONS = 3; // of random variation, tolerated in addition
+    private static final double MARGIN_REQUESTS = 3; // requests, tolerated in addition to both
 
     private double[] quotasPerSecond = {};
     private double[] counts = {}; // exponentially decayed, indexed by tenant
@@ -27,16 +27,17 @@
             return false;
         }
         counts[tenant]++;
-        double seconds = MEMORY_INTERVALS * AdmissionPolicy.INTERVAL_NANOS / 1e9;
-        double allowed = quotasPerSecond[tenant] * seconds;
-        return counts[tenant] > OVER_QUOTA_FACTOR * allowed + STANDARD_DEVIATIONS * Math.sqrt(allowed)
-            + MIN_EXCESS;
+        double seconds = AVERAGING_INTERVALS * AdmissionPolicy.INTERVAL_NANOS / 1e9;
+        double allowedRequests = quotasPerSecond[tenant] * seconds;
+        return counts[tenant]
+            > OVER_QUOTA_FACTOR * allowedRequests + MARGIN_STANDARD_DEVIATIONS * Math.sqrt(allowedRequests)
+                + MARGIN_REQUESTS;
     }
 
     /** Decays the counts at the end of an interval. */
-    void fade() {
+    void decay() {
         for (int i = 0; i < counts.length; i++) {
-            counts[i] *= 1 - 1.0 / MEMORY_INTERVALS;
+            counts[i] *= 1 - 1.0 / AVERAGING_INTERVALS;
         }
     }
 }
--- a/core/src/main/java/spurroad/balancer/DiscoveryPolling.java
+++ b/core/src/main/java/spurroad/balancer/DiscoveryPolling.java
@@ -16,7 +16,7 @@
 
     private final RandomDraws random;
     private long backoffNanos = BASE_BACKOFF_NANOS;
-    private long pollNanos = NEVER_NANOS;
+    private long nextPollNanos = NEVER_NANOS;
     private boolean subscribed;
 
     DiscoveryPolling(RandomDraws random) {
@@ -35,21 +35,21 @@
 
     /** Schedules a poll after the backoff because a call failed or a subscription ended. */
     void onFailure(long now) {
-        pollNanos = now + backoffNanos / 2 + (long) (random.backoffDraw() * backoffNanos);
+        nextPollNanos = now + backoffNanos / 2 + (long) (random.backoffDraw() * backoffNanos);
         backoffNanos = Math.min(MAX_BACKOFF_NANOS, 2 * backoffNanos);
     }
 
     /** Clears the backoff if it has expired; returns whether it had. */
-    boolean isDue(long now) {
-        if (pollNanos > now) {
+    boolean clearIfDue(long now) {
+        if (nextPollNanos > now) {
             return false;
         }
-        pollNanos = NEVER_NANOS;
+        nextPollNanos = NEVER_NANOS;
         return true;
     }
 
     /** Returns the time at which the backoff expires, in nanoseconds; Long.MAX_VALUE if there is none. */
     long nextPollNanos() {
-        return pollNanos;
+        return nextPollNanos;
     }
 }
--- a/core/src/main/java/spurroad/balancer/KeyCandidates.java
+++ b/core/src/main/java/spurroad/balancer/KeyCandidates.java
@@ -32,18 +32,18 @@
     public record Candidate(EndpointId endpoint, double ringDistance, double ringFraction) {}
 
     /** Finds the candidates of a key in a complete endpoint list; endpoints of the origin's kind are none. */
-    public static KeyCandidates of(List<Endpoint> listed, EndpointKindId originKind, CacheKey key) {
-        List<Endpoint> ready = listed.stream().filter(endpoint -> endpoint.phase() == EndpointPhase.READY)
+    public static KeyCandidates of(List<Endpoint> endpoints, EndpointKindId originKind, CacheKey key) {
+        List<Endpoint> ready = endpoints.stream().filter(endpoint -> endpoint.phase() == EndpointPhase.READY)
             .filter(endpoint -> !endpoint.kind().equals(originKind)).toList();
         Ring ring = new Ring(ready);
         long keyPoint = Ring.hash(key.value());
-        int first = ring.firstPointFrom(keyPoint);
-        Set<Integer> seen = new HashSet<>();
+        int firstPoint = ring.firstPointFrom(keyPoint);
+        Set<Integer> seenOwners = new HashSet<>();
         List<Candidate> candidates = new ArrayList<>();
         for (int i = 0; i < ring.size() && candidates.size() < Ring.CANDIDATES; i++) {
-            int owner = ring.owner(first + i);
-            if (seen.add(owner)) {
-                double distance = distance(keyPoint, ring.position(first + i));
+            int owner = ring.owner(firstPoint + i);
+            if (seenOwners.add(owner)) {
+                double distance = distance(keyPoint, ring.position(firstPoint + i));
                 candidates.add(new Candidate(ready.get(owner).id(), distance, ring.fraction(owner)));
             }
         }
--- a/core/src/main/java/spurroad/balancer/LoadBalancer.java
+++ b/core/src/main/java/spurroad/balancer/LoadBalancer.java
@@ -62,19 +62,19 @@
      *     it contains changes only
      */
     public void onEndpointUpdate(long now, List<Endpoint> listed, boolean complete, Decisions decisions) {
-        begin(now, decisions);
+        beginEvent(now, decisions);
         endpoints.update(listed, complete, proxyRequests.sum(now), now);
         decisions.adminStatusChanged = true;
         boolean first = discovery.onEndpointUpdate();
         decisions.pollDiscovery = first && deployment.settings().pollsDiscovery();
-        end();
+        endEvent();
     }
 
     /** Handles a failed call to discovery or the end of its subscription: polls again after a backoff. */
     public void onDiscoveryFailure(long now, Decisions decisions) {
-        begin(now, decisions);
+        beginEvent(now, decisions);
         discovery.onFailure(now);
-        end();
+        endEvent();
     }
 
     /**
@@ -82,11 +82,11 @@
      * endpoint. Repeated calls have no effect; the endpoint need not be listed.
      */
     public void onAdminDrain(long now, EndpointId id, boolean drained, Decisions decisions) {
-        begin(now, decisions);
+        beginEvent(now, decisions);
         boolean changed = drained ? endpoints.drain(id)
             : endpoints.returnToUse(id, proxyRequests.sum(now), now);
         decisions.adminStatusChanged |= changed;
-        end();
+        endEvent();
     }
 
     /**
@@ -94,12 +94,12 @@
      * new maximum number of attempts applies to them.
      */
     public void onDeploymentChange(long now, Deployment settings, Decisions decisions) {
-        begin(now, decisions);
+        beginEvent(now, decisions);
         deployment.replace(settings);
         modules.tenantQuotas().onDeploymentChange();
         endpoints.refresh();
         decisions.adminStatusChanged = true;
-        end();
+        endEvent();
     }
 
     /**
@@ -112,10 +112,10 @@
      */
     public void onRequest(long now, RequestId id, RequestClassId requestClass, TenantId tenant, CacheKey key,
                           boolean write, long workNanos, long timeoutNanos, Decisions decisions) {
-        begin(now, decisions);
+        beginEvent(now, decisions);
         proxyRequests.add(now, 1, 0);
         pipeline.onRequest(id, requestClass, tenant, key, write, workNanos, timeoutNanos);
-        end();
+        endEvent();
     }
 
     /**
@@ -123,21 +123,21 @@
      *
      * @param number index of the attempt within its request, from 0
      * @param report load that the endpoint reported along with the outcome
-     * @param last whether the host has given the request its final answer with this attempt
+     * @param completesRequest whether the host has given the request its final answer with this attempt
      * @param proxyDelayNanos part of the attempt's duration during which this proxy itself was stalled, in
      *     nanoseconds
      */
     public void onAttemptEnd(long now, RequestId id, int number, Outcome outcome, LoadReport report,
-                             boolean last, long proxyDelayNanos, Decisions decisions) {
-        begin(now, decisions);
-        pipeline.onAttemptEnd(id, number, outcome, report, last, proxyDelayNanos);
-        end();
+                             boolean completesRequest, long proxyDelayNanos, Decisions decisions) {
+        beginEvent(now, decisions);
+        pipeline.onAttemptEnd(id, number, outcome, report, completesRequest, proxyDelayNanos);
+        endEvent();
     }
 
     /** Handles the reply to a load probe, or its failure; ignored if the endpoint is unknown. */
     public void onLoadProbeEnd(long now, EndpointId id, Outcome outcome, LoadReport report,
                                Decisions decisions) {
-        begin(now, decisions);
+        beginEvent(now, decisions);
         EndpointState endpoint = endpoints.get(id);
         if (endpoint != null) {
             boolean answered = outcome == Outcome.SUCCEEDED;
@@ -148,27 +148,27 @@
                 pipeline.onLoadReport(endpoint);
             }
         }
-        end();
+        endEvent();
     }
 
     /** Applies an update from another proxy: a hint that expires, and on which no rule depends. */
     public void onPeerUpdate(long now, PeerUpdate update, Decisions decisions) {
-        begin(now, decisions);
+        beginEvent(now, decisions);
         modules.peerUpdates().onUpdate(update);
-        end();
+        endEvent();
     }
 
     /** Handles the disconnection of a request's client; the request gets no response. */
     public void onClientDisconnect(long now, RequestId id, Decisions decisions) {
-        begin(now, decisions);
+        beginEvent(now, decisions);
         pipeline.onClientDisconnect(id);
-        end();
+        endEvent();
     }
 
     /** Handles a timer, at the time that an earlier event requested or at any other time. */
     public void onTimer(long now, Decisions decisions) {
-        begin(now, decisions);
-        end();
+        beginEvent(now, decisions);
+        endEvent();
     }
 
     /**
@@ -185,28 +185,28 @@
     }
 
     /** Returns the number of known endpoints, including those that were removed. */
-    int knownEndpoints() {
+    int knownEndpointCount() {
         return endpoints.size();
     }
 
-    private void begin(long now, Decisions decisions) {
+    private void beginEvent(long now, Decisions decisions) {
         event.begin(now, decisions);
         proxyRequests.sum(now); // decays at each event, so that its value depends on the events alone
     }
 
-    private void end() {
+    private void endEvent() {
         long now = event.now();
         pipeline.endWaits();
-        if (discovery.isDue(now)) {
+        if (discovery.clearIfDue(now)) {
             event.decisions().pollDiscovery = true;
         }
         for (EndpointState unresponsive : outlierDetector.check(endpoints)) {
             pipeline.onUnresponsive(unresponsive);
         }
         pipeline.startAtOrigin();
-        long nextWaitOrClose = Math.min(pipeline.nextWaitEndNanos(),
+        long nextWaitOrCloseNanos = Math.min(pipeline.nextWaitEndNanos(),
             modules.idleConnections().closeExpired());
-        long nextPollOrCheck = Math.min(discovery.nextPollNanos(), outlierDetector.scheduleNextCheck());
-        event.decisions().wakeAtNanos = Math.min(nextWaitOrClose, nextPollOrCheck);
+        long nextPollOrCheckNanos = Math.min(discovery.nextPollNanos(), outlierDetector.scheduleNextCheck());
+        event.decisions().wakeAtNanos = Math.min(nextWaitOrCloseNanos, nextPollOrCheckNanos);
     }
 }
--- a/core/src/main/java/spurroad/balancer/endpoint/EndpointOwnership.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/EndpointOwnership.java
@@ -64,7 +64,7 @@
         double waitNanos = OVERLOADED_WAIT_FRACTION * deployment.shortestObjectiveNanos();
         boolean overloaded = endpoint.load().reportedLoad()
             >= serviceTimes.softLimit(endpoint, waitNanos, now);
-        if (endpoint.ownership().tryAnnounce(cached.fraction(), overloaded, now,
+        if (endpoint.ownership().tryPublish(cached.fraction(), overloaded, now,
             deployment.fleet().proxyCount())) {
             peers.sendToAll(endpoint.loadUpdate());
         }
--- a/core/src/main/java/spurroad/balancer/endpoint/EndpointTable.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/EndpointTable.java
@@ -90,7 +90,7 @@
      */
     public void update(List<Endpoint> listed, boolean complete, double proxyRequests, long now) {
         if (complete) {
-            endpoints.values().forEach(known -> known.setListing(known.listing().withoutListing()));
+            endpoints.values().forEach(known -> known.setListing(known.listing().asRemoved()));
         }
         for (Endpoint endpoint : listed) {
             EndpointState known = endpoints.get(endpoint.id());
@@ -142,7 +142,7 @@
         endpoints.put(endpoint.id(), started);
         if (former != null) {
             // what still refers to it, as attempts in flight do, must not take it for the one that is listed
-            former.setListing(former.listing().withoutListing());
+            former.setListing(former.listing().asRemoved());
             outlierDetector.onReplaced(former);
         }
         return started;
@@ -207,7 +207,7 @@
             }
             listed++;
             RestrictedEndpoint restriction = endpoint.admin().isDrained()
-                ? new RestrictedEndpoint(endpoint.id(), AwaitedEvent.RETURN_BY_STAFF, Long.MAX_VALUE)
+                ? new RestrictedEndpoint(endpoint.id(), AwaitedEvent.RETURN_BY_OPERATOR, Long.MAX_VALUE)
                 : outlierDetector.restriction(endpoint);
             if (restriction != null) {
                 restricted.add(restriction);
--- a/core/src/main/java/spurroad/balancer/endpoint/Ring.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/Ring.java
@@ -75,7 +75,7 @@
 
     /** Spreads the bits of an id evenly, so that it can serve as a place on the ring. */
     public static long hash(long id) {
-        return SplitMix64.finish(id + SplitMix64.GAMMA);
+        return SplitMix64.mix(id + SplitMix64.GAMMA);
     }
 
     /** Returns a number from 0 to 1 drawn from a hash, the same at every proxy. */
--- a/core/src/main/java/spurroad/balancer/overload/ConcurrencyLimit.java
+++ b/core/src/main/java/spurroad/balancer/overload/ConcurrencyLimit.java
@@ -29,14 +29,14 @@
     /**
      * Adjusts the limit after an attempt that succeeded, timed out or was rejected.
      *
-     * @param tookNanos duration of the attempt in nanoseconds, excluding stalls of this proxy
+     * @param durationNanos duration of the attempt in nanoseconds, excluding stalls of this proxy
      * @return the duration scaled to that of a read, in nanoseconds; at least the latency objective unless
      * the attempt succeeded
      */
-    public long onAttemptEnd(Attempt attempt, long tookNanos, Outcome outcome, long now) {
-        long readNanos = outcome == Outcome.SUCCEEDED ? asReadNanos(attempt, tookNanos, now)
-            : Math.max(tookNanos, attempt.requestClass().latencyObjectiveNanos());
-        if (LoadShedder.isOverloadedTime(attempt.requestClass(), readNanos)) {
+    public long onAttemptEnd(Attempt attempt, long durationNanos, Outcome outcome, long now) {
+        long readNanos = outcome == Outcome.SUCCEEDED ? readEquivalentNanos(attempt, durationNanos, now)
+            : Math.max(durationNanos, attempt.requestClass().latencyObjectiveNanos());
+        if (LoadShedder.indicatesQueueing(attempt.requestClass(), readNanos)) {
             limit = Math.max(MIN_LIMIT, DECREASE_FACTOR * limit);
         } else {
             // bounded by the largest number of attempts in flight that has been observed to work
@@ -50,11 +50,11 @@
      * ratio of the mean read time to the mean write time. Without scaling, an origin that received mostly
      * writes looked saturated; as writes take precedence, its fraction of writes kept growing.
      */
-    private long asReadNanos(Attempt attempt, long tookNanos, long now) {
-        DecayingAverage time = attempt.isWrite() ? writeTime : readTime;
-        time.add(now, (double) tookNanos, 1);
-        double readOverWrite = readTime.mean(now, 0, 0) / writeTime.mean(now, 0, 0);
-        boolean scales = attempt.isWrite() && readOverWrite > 0 && readOverWrite < 1;
-        return scales ? (long) (readOverWrite * tookNanos) : tookNanos;
+    private long readEquivalentNanos(Attempt attempt, long durationNanos, long now) {
+        DecayingAverage meanTime = attempt.isWrite() ? writeTime : readTime;
+        meanTime.add(now, (double) durationNanos, 1);
+        double readToWriteRatio = readTime.mean(now, 0, 0) / writeTime.mean(now, 0, 0);
+        boolean scalesToRead = attempt.isWrite() && readToWriteRatio > 0 && readToWriteRatio < 1;
+        return scalesToRead ? (long) (readToWriteRatio * durationNanos) : durationNanos;
     }
 }
--- a/core/src/main/java/spurroad/balancer/overload/LoadShedder.java
+++ b/core/src/main/java/spurroad/balancer/overload/LoadShedder.java
@@ -19,19 +19,19 @@
     // of the latency objective; a longer duration indicates queueing
     private static final double OVERLOADED_TIME_FRACTION = 0.7;
     // overloaded fraction of requests at which all requests over quota are shed
-    private static final double SHED_OVER_QUOTA_AT = 0.1;
+    private static final double OVER_QUOTA_SHEDDING_LIMIT = 0.1;
     // overloaded fraction of requests above which reads are shed, all of them at 1: endpoints that only
     // reject requests serve nobody
-    private static final double SHED_READS_FROM = 0.5;
-    // the same with gossip, where all reads are shed at SHED_READS_FROM: with the higher limits an overload
-    // did not clear by itself
-    private static final double SHED_READS_FROM_WITH_GOSSIP = 0.2;
+    private static final double READ_SHEDDING_START = 0.5;
+    // the same with gossip, where all reads are shed at READ_SHEDDING_START: with the higher limits an
+    // overload did not clear by itself
+    private static final double READ_SHEDDING_START_WITH_GOSSIP = 0.2;
 
     private final ActiveDeployment deployment;
     private final EventContext event;
     private final RandomDraws random;
     private final OriginBacklog originBacklog;
-    private final DecayingAverage overloaded = new DecayingAverage(DecayingAverage.SHORT_TERM_NANOS);
+    private final DecayingAverage overloadedRequests = new DecayingAverage(DecayingAverage.SHORT_TERM_NANOS);
 
     /** Creates a load shedder that has not observed any overload. */
     public LoadShedder(ActiveDeployment deployment, EventContext event, RandomDraws random,
@@ -44,15 +44,15 @@
 
     /** Returns the fraction of recent requests, from 0 to 1, that were slow or were rejected. */
     public double overloadedFraction() {
-        return overloaded.mean(event.now(), DecayingAverage.PRIOR_WEIGHT, 0);
+        return overloadedRequests.mean(event.now(), DecayingAverage.PRIOR_WEIGHT, 0);
     }
 
     /**
      * Returns whether a duration in nanoseconds is so long, relative to the latency objective, that it
      * indicates queueing.
      */
-    public static boolean isOverloadedTime(RequestClass requestClass, long tookNanos) {
-        return tookNanos > OVERLOADED_TIME_FRACTION * requestClass.latencyObjectiveNanos();
+    public static boolean indicatesQueueing(RequestClass requestClass, long durationNanos) {
+        return durationNanos > OVERLOADED_TIME_FRACTION * requestClass.latencyObjectiveNanos();
     }
 
     /**
@@ -61,14 +61,14 @@
      * @param remainingNanos time left until its latency objective, in nanoseconds; negative after it
      */
     public void onSuccess(RequestClass requestClass, long remainingNanos) {
-        boolean late = -remainingNanos
+        boolean slow = -remainingNanos
             > (OVERLOADED_TIME_FRACTION - 1) * requestClass.latencyObjectiveNanos();
-        overloaded.add(event.now(), late ? 1 : 0, 1);
+        overloadedRequests.add(event.now(), slow ? 1 : 0, 1);
     }
 
     /** Records a request that was abandoned after an attempt, which counts as overloaded. */
-    public void onGiveUp() {
-        overloaded.add(event.now(), 1, 1);
+    public void onFailure() {
+        overloadedRequests.add(event.now(), 1, 1);
     }
 
     /**
@@ -76,10 +76,10 @@
      *
      * @param keyDraw number from 0 to 1 derived from its key, the same at every proxy
      */
-    public boolean sheds(boolean overQuota, boolean write, double keyDraw) {
+    public boolean shouldShed(boolean overQuota, boolean write, double keyDraw) {
         double overloadedFraction = overloadedFraction();
         if (overQuota) {
-            return random.sheddingDraw() < overloadedFraction / SHED_OVER_QUOTA_AT;
+            return random.sheddingDraw() < overloadedFraction / OVER_QUOTA_SHEDDING_LIMIT;
         }
         // all proxies shed the same keys: with a random choice no key was requested often enough to stay
         // cached
@@ -87,8 +87,9 @@
         if (write) {
             return deployment.gossipEnabled() && draw < 1 - originBacklog.admittedWrites();
         }
-        double from = deployment.gossipEnabled() ? SHED_READS_FROM_WITH_GOSSIP : SHED_READS_FROM;
-        double all = deployment.gossipEnabled() ? SHED_READS_FROM : 1;
-        return draw < (overloadedFraction - from) / (all - from);
+        double startFraction = deployment.gossipEnabled() ? READ_SHEDDING_START_WITH_GOSSIP
+            : READ_SHEDDING_START;
+        double fullFraction = deployment.gossipEnabled() ? READ_SHEDDING_START : 1;
+        return draw < (overloadedFraction - startFraction) / (fullFraction - startFraction);
     }
 }
--- a/core/src/main/java/spurroad/balancer/overload/OriginBacklog.java
+++ b/core/src/main/java/spurroad/balancer/overload/OriginBacklog.java
@@ -23,22 +23,23 @@
     private static final double INCREASE_PER_SECOND = 0.15;
     // admitted fraction; above it only reads are limited
     private static final double WRITES_LIMITED_BELOW = 0.5;
-    private static final double LATE_WRITES_TO_LIMIT_READS = 0.3; // of the writes
-    private static final double LATE_WRITES_TO_LIMIT_WRITES = 0.7; // of the writes
+    private static final double LATE_FRACTION_TO_LIMIT_READS = 0.3; // of the writes
+    private static final double LATE_FRACTION_TO_LIMIT_WRITES = 0.7; // of the writes
     private static final double MIN_ADMITTED_FRACTION = 0.05; // so that caches continue to be filled
     // time constant, over the writes of all proxies
-    private static final long LATE_WRITES_NANOS = 1_000_000_000L;
+    private static final long LATE_WRITES_DECAY_NANOS = 1_000_000_000L;
     // longest time that one adjustment covers, after a pause
-    private static final long MAX_STEP_NANOS = 1_000_000_000L;
-    private static final long MAX_AGE_NANOS = 4_000_000_000L; // of an update; the owner may have stopped
+    private static final long MAX_ADJUSTMENT_NANOS = 1_000_000_000L;
+    // of an update; the owner may have stopped
+    private static final long MAX_UPDATE_AGE_NANOS = 4_000_000_000L;
 
     private final ActiveDeployment deployment;
     private final EventContext event;
     private final PeerUpdates peers;
-    private final DecayingAverage lateWrites = new DecayingAverage(LATE_WRITES_NANOS);
+    private final DecayingAverage lateWrites = new DecayingAverage(LATE_WRITES_DECAY_NANOS);
     private final UpdateBudget updateBudget = new UpdateBudget(0, UpdateBudget.MIN_INTERVAL_NANOS);
     private double fraction = 1;
-    private double announcedFraction = 1;
+    private double publishedFraction = 1;
     private long adjustedNanos;
     private long updatedNanos = Long.MIN_VALUE / 2;
 
@@ -55,11 +56,11 @@
      */
     public void onWriteEnd(PeerUpdate update) {
         adjust(update.value() > 0);
-        updateBudget.earn(UpdateBudget.EARNED_PER_ATTEMPT);
-        boolean worthPublishing = Math.min(fraction, announcedFraction) < 1;
-        if (worthPublishing && updateBudget.trySpend(event.now(), deployment.fleet().proxyCount())) {
+        updateBudget.earn(UpdateBudget.CREDIT_PER_ATTEMPT);
+        boolean limitsRequests = Math.min(fraction, publishedFraction) < 1;
+        if (limitsRequests && updateBudget.trySpend(event.now(), deployment.fleet().proxyCount())) {
             updatedNanos = event.now();
-            announcedFraction = fraction;
+            publishedFraction = fraction;
             peers.sendToAll(new PeerUpdate(PeerUpdate.Topic.ORIGIN_ADMISSION, 0, admittedFraction()));
         }
     }
@@ -67,12 +68,12 @@
     private void adjust(boolean late) {
         long now = event.now();
         lateWrites.add(now, late ? 1 : 0, 1);
-        double seconds = Math.min(MAX_STEP_NANOS, now - adjustedNanos) / 1e9;
-        double maxLate = fraction > WRITES_LIMITED_BELOW ? LATE_WRITES_TO_LIMIT_READS
-            : LATE_WRITES_TO_LIMIT_WRITES;
-        boolean shrinks = lateWrites.mean(now, DecayingAverage.PRIOR_WEIGHT, 0) > maxLate;
-        double adjusted = shrinks ? fraction * Math.exp(-DECREASE_PER_SECOND * seconds)
-            : fraction + INCREASE_PER_SECOND * seconds;
+        double elapsedSeconds = Math.min(MAX_ADJUSTMENT_NANOS, now - adjustedNanos) / 1e9;
+        double maxLateFraction = fraction > WRITES_LIMITED_BELOW ? LATE_FRACTION_TO_LIMIT_READS
+            : LATE_FRACTION_TO_LIMIT_WRITES;
+        boolean decreases = lateWrites.mean(now, DecayingAverage.PRIOR_WEIGHT, 0) > maxLateFraction;
+        double adjusted = decreases ? fraction * Math.exp(-DECREASE_PER_SECOND * elapsedSeconds)
+            : fraction + INCREASE_PER_SECOND * elapsedSeconds;
         fraction = Math.max(MIN_ADMITTED_FRACTION, Math.min(1, adjusted));
         adjustedNanos = now;
     }
@@ -94,6 +95,6 @@
     }
 
     private double admittedFraction() {
-        return event.now() - updatedNanos < MAX_AGE_NANOS ? fraction : 1;
+        return event.now() - updatedNanos < MAX_UPDATE_AGE_NANOS ? fraction : 1;
     }
 }
--- a/core/src/main/java/spurroad/balancer/overload/Tenant.java
+++ b/core/src/main/java/spurroad/balancer/overload/Tenant.java
@@ -9,12 +9,12 @@
  */
 final class Tenant {
     // messages; the over-quota fraction changes slowly
-    private static final double UPDATES_EARNED_PER_REQUEST = 6;
-    private static final long ANY_INTERVAL_NANOS = -1; // only the credit limits updates
-    private static final long MAX_AGE_NANOS = 4_000_000_000L; // of the over-quota fraction
+    private static final double CREDIT_PER_REQUEST = 6;
+    private static final long NO_MIN_INTERVAL_NANOS = -1; // only the credit limits updates
+    private static final long MAX_OVER_QUOTA_AGE_NANOS = 4_000_000_000L; // of the over-quota fraction
 
     private final DecayingAverage requests;
-    private final UpdateBudget updateBudget = new UpdateBudget(0, ANY_INTERVAL_NANOS);
+    private final UpdateBudget updateBudget = new UpdateBudget(0, NO_MIN_INTERVAL_NANOS);
     private double overQuotaFraction;
     private long updatedNanos = Long.MIN_VALUE / 2;
 
@@ -24,7 +24,7 @@
 
     /** Returns whether the over-quota fraction is recent enough to be used. */
     boolean isFresh(long now) {
-        return now - updatedNanos < MAX_AGE_NANOS;
+        return now - updatedNanos < MAX_OVER_QUOTA_AGE_NANOS;
     }
 
     /** Returns the fraction of the tenant's requests, from 0 to 1, that is over quota. */
@@ -40,7 +40,7 @@
 
     /** Counts a request if each proxy limits the tenant on its own, without gossip. */
     void onRequest(double quotaPerSecond, long now) {
-        count(quotaPerSecond, now);
+        countRequest(quotaPerSecond, now);
         updatedNanos = now;
     }
 
@@ -51,7 +51,7 @@
      * @param quotaPerSecond share of the tenant's quota of each proxy, in requests per second
      */
     boolean onRequestAsOwner(double quotaPerSecond, int proxies, long now) {
-        count(proxies * quotaPerSecond, now);
+        countRequest(proxies * quotaPerSecond, now);
         if (overQuotaFraction <= 0 || !updateBudget.trySpend(now, proxies)) {
             return false;
         }
@@ -59,13 +59,13 @@
         return true;
     }
 
-    private void count(double quotaPerSecond, long now) {
+    private void countRequest(double quotaPerSecond, long now) {
         requests.addElapsedTime(now);
         requests.add(now, 1, 0);
         // small counts vary by chance: one standard deviation is tolerated
-        double allowed = quotaPerSecond * requests.weight(now) / 1e9;
-        double tolerated = allowed + Math.sqrt(allowed) + 1;
-        overQuotaFraction = Math.max(0, 1 - tolerated / requests.sum(now));
-        updateBudget.earn(UPDATES_EARNED_PER_REQUEST);
+        double allowedRequests = quotaPerSecond * requests.weight(now) / 1e9;
+        double toleratedRequests = allowedRequests + Math.sqrt(allowedRequests) + 1;
+        overQuotaFraction = Math.max(0, 1 - toleratedRequests / requests.sum(now));
+        updateBudget.earn(CREDIT_PER_REQUEST);
     }
 }
--- a/core/src/main/java/spurroad/balancer/peer/OwnershipState.java
+++ b/core/src/main/java/spurroad/balancer/peer/OwnershipState.java
@@ -19,13 +19,13 @@
     // time constant; an attempt that never succeeds counts for about this long
     private static final long FLEET_IN_FLIGHT_DECAY_NANOS = 1_000_000_000L;
     // after a shorter duration the remaining weight would round to 1, the value of an attempt that begins
-    private static final long MIN_ATTEMPT_NANOS = 1_000_000L;
+    private static final long MIN_DURATION_NANOS = 1_000_000L;
     private static final int MAX_CACHED_KEYS = 4_000; // minutes of reads by hundreds of proxies
     private static final long CACHED_KEY_MAX_AGE_NANOS = 20_000_000_000L;
     // for this long after a proxy became owner, any key may be cached: it has recorded few keys
-    private static final long UNKNOWN_KEYS_NANOS = 4_000_000_000L;
+    private static final long ASSUME_CACHED_NANOS = 4_000_000_000L;
     // of the cached fraction; smaller changes are not published
-    private static final double MIN_ANNOUNCED_CHANGE = 0.05;
+    private static final double MIN_PUBLISHED_CHANGE = 0.05;
 
     private final DecayingAverage fleetInFlight = new DecayingAverage(FLEET_IN_FLIGHT_DECAY_NANOS);
     private final DecayingAverage serviceTime = new DecayingAverage(DecayingAverage.SHORT_TERM_NANOS);
@@ -34,7 +34,7 @@
     private final UpdateBudget updateBudget = new UpdateBudget(Double.MAX_VALUE,
         UpdateBudget.MIN_INTERVAL_NANOS);
     private long ownedSinceNanos = Long.MAX_VALUE;
-    private double announcedCachedFraction = 1;
+    private double publishedCachedFraction = 1;
 
     /**
      * Records that an attempt began (value 1), succeeded (its negated remaining weight) or failed (its
@@ -45,35 +45,36 @@
      * that it is fast, as an endpoint that fails everything is quick.
      *
      * @param serviceTimeNanos the estimate before this update
-     * @param usualServiceTimeNanos the estimate for an endpoint that has not been observed yet
+     * @param defaultServiceTimeNanos the estimate for an endpoint that has not been observed yet
      */
     public double onInFlightUpdate(PeerUpdate update, long now, double serviceTimeNanos,
-                                   double usualServiceTimeNanos) {
-        double change = update.value();
-        double before = fleetInFlight.sum(now);
+                                   double defaultServiceTimeNanos) {
+        double weightChange = update.value();
+        double inFlightBefore = fleetInFlight.sum(now);
         ownedSinceNanos = Math.min(ownedSinceNanos, now);
         cachedKeys.remove(update.key()); // it is being written, or may not be cached any more
-        double tookNanos = -FLEET_IN_FLIGHT_DECAY_NANOS * Math.log(Math.abs(change));
-        boolean endedWell = change < 0;
-        boolean endedSlowly = change < 1 && tookNanos > serviceTimeNanos * (before + 1);
-        if (endedWell || endedSlowly) {
-            serviceTime.add(now, tookNanos, before + 1);
+        double durationNanos = -FLEET_IN_FLIGHT_DECAY_NANOS * Math.log(Math.abs(weightChange));
+        boolean succeeded = weightChange < 0;
+        boolean slowerThanEstimated = weightChange < 1
+            && durationNanos > serviceTimeNanos * (inFlightBefore + 1);
+        if (succeeded || slowerThanEstimated) {
+            serviceTime.add(now, durationNanos, inFlightBefore + 1);
         }
-        if (endedWell) {
+        if (succeeded) {
             cachedKeys.add(update.key(), now);
         }
-        if (change == 1) {
-            updateBudget.earn(UpdateBudget.EARNED_PER_ATTEMPT);
+        if (weightChange == 1) {
+            updateBudget.earn(UpdateBudget.CREDIT_PER_ATTEMPT);
         }
-        fleetInFlight.add(now, inFlightChange(change, before), 0);
-        return serviceTime.mean(now, DecayingAverage.PRIOR_WEIGHT, usualServiceTimeNanos);
+        fleetInFlight.add(now, inFlightChange(weightChange, inFlightBefore), 0);
+        return serviceTime.mean(now, DecayingAverage.PRIOR_WEIGHT, defaultServiceTimeNanos);
     }
 
-    private static double inFlightChange(double change, double before) {
-        if (change == 1) {
+    private static double inFlightChange(double weightChange, double inFlightBefore) {
+        if (weightChange == 1) {
             return 1;
         }
-        return change < 0 ? Math.max(change, -before) : 0;
+        return weightChange < 0 ? Math.max(weightChange, -inFlightBefore) : 0;
     }
 
     /** Returns the attempts in flight at the endpoint from all proxies; those without a known end decay. */
@@ -82,9 +83,9 @@
     }
 
     /** Returns the remaining weight of an attempt after a duration in nanoseconds, above 0 and below 1. */
-    public static double remainingWeight(long tookNanos) {
-        double bounded = Math.max(MIN_ATTEMPT_NANOS,
-            Math.min(DecayingAverage.LONG_TERM_NANOS, tookNanos));
+    public static double remainingWeight(long durationNanos) {
+        double bounded = Math.max(MIN_DURATION_NANOS,
+            Math.min(DecayingAverage.LONG_TERM_NANOS, durationNanos));
         return Math.exp(-bounded / FLEET_IN_FLIGHT_DECAY_NANOS);
     }
 
@@ -94,8 +95,8 @@
      * @param startedLongAgo whether the endpoint may have cached keys before this proxy became its owner
      */
     public boolean isCached(CacheKey key, boolean startedLongAgo, long now) {
-        boolean anyKeyMayBe = startedLongAgo && now - ownedSinceNanos < UNKNOWN_KEYS_NANOS;
-        return anyKeyMayBe || cachedKeys.contains(key, now, CACHED_KEY_MAX_AGE_NANOS);
+        boolean assumesAnyKeyCached = startedLongAgo && now - ownedSinceNanos < ASSUME_CACHED_NANOS;
+        return assumesAnyKeyCached || cachedKeys.contains(key, now, CACHED_KEY_MAX_AGE_NANOS);
     }
 
     /**
@@ -104,13 +105,13 @@
      *
      * @param overloaded whether the queue exceeds the soft limit, which always counts as a change
      */
-    public boolean tryAnnounce(double cachedFraction, boolean overloaded, long now, int proxies) {
+    public boolean tryPublish(double cachedFraction, boolean overloaded, long now, int proxies) {
         boolean changed = overloaded
-            || Math.abs(cachedFraction - announcedCachedFraction) > MIN_ANNOUNCED_CHANGE;
+            || Math.abs(cachedFraction - publishedCachedFraction) > MIN_PUBLISHED_CHANGE;
         if (!changed || !updateBudget.trySpend(now, proxies)) {
             return false;
         }
-        announcedCachedFraction = cachedFraction;
+        publishedCachedFraction = cachedFraction;
         return true;
     }
 }
--- a/core/src/main/java/spurroad/balancer/peer/PeerUpdates.java
+++ b/core/src/main/java/spurroad/balancer/peer/PeerUpdates.java
@@ -17,13 +17,13 @@
 public final class PeerUpdates {
     private final ActiveDeployment deployment;
     private final EventContext event;
-    private final Consumer<PeerUpdate> local;
+    private final Consumer<PeerUpdate> localHandler;
 
-    /** Creates a sender; {@code local} handles the updates of this proxy to itself. */
-    public PeerUpdates(ActiveDeployment deployment, EventContext event, Consumer<PeerUpdate> local) {
+    /** Creates a sender; {@code localHandler} handles the updates of this proxy to itself. */
+    public PeerUpdates(ActiveDeployment deployment, EventContext event, Consumer<PeerUpdate> localHandler) {
         this.deployment = deployment;
         this.event = event;
-        this.local = local;
+        this.localHandler = localHandler;
     }
 
     /**
@@ -37,7 +37,7 @@
     /** Sends an update to one proxy, given by its index; it may be this one. */
     public void sendTo(int proxy, PeerUpdate update) {
         if (proxy == deployment.fleet().proxyIndex()) {
-            local.accept(update);
+            localHandler.accept(update);
         } else {
             emit(proxy, update);
         }
--- a/core/src/main/java/spurroad/balancer/peer/UpdateBudget.java
+++ b/core/src/main/java/spurroad/balancer/peer/UpdateBudget.java
@@ -9,29 +9,29 @@
  */
 public final class UpdateBudget {
     /** Credit in messages that an endpoint's owner earns per attempt, and the origin's owner per write. */
-    public static final double EARNED_PER_ATTEMPT = 24;
+    public static final double CREDIT_PER_ATTEMPT = 24;
     /** Minimum interval between two broadcasts of the same value, in nanoseconds. */
     public static final long MIN_INTERVAL_NANOS = 200_000_000L;
 
     private final long minimumIntervalNanos;
-    private double earned;
-    private long spentNanos;
+    private double credit;
+    private long lastSpentNanos;
 
     /**
      * Creates a budget.
      *
-     * @param earned initial credit, in messages
+     * @param credit initial credit, in messages
      * @param minimumIntervalNanos interval that must be exceeded between two updates; negative if only the
      *     credit limits them
      */
-    public UpdateBudget(double earned, long minimumIntervalNanos) {
-        this.earned = earned;
+    public UpdateBudget(double credit, long minimumIntervalNanos) {
+        this.credit = credit;
         this.minimumIntervalNanos = minimumIntervalNanos;
     }
 
     /** Adds credit, in messages. */
     public void earn(double messages) {
-        earned += messages;
+        credit += messages;
     }
 
     /**
@@ -39,11 +39,11 @@
      * passed; all credit is then spent.
      */
     public boolean trySpend(long now, int recipients) {
-        if (earned < recipients || now - spentNanos <= minimumIntervalNanos) {
+        if (credit < recipients || now - lastSpentNanos <= minimumIntervalNanos) {
             return false;
         }
-        earned = 0;
-        spentNanos = now;
+        credit = 0;
+        lastSpentNanos = now;
         return true;
     }
 }
--- a/core/src/main/java/spurroad/balancer/request/AttemptFeedback.java
+++ b/core/src/main/java/spurroad/balancer/request/AttemptFeedback.java
@@ -104,7 +104,7 @@
             succeeded ? -remaining : remaining,
             attempt.isWrite() ? CacheKey.NONE : attempt.key());
         if (attempt.isWrite() && outcome != Outcome.REJECTED) {
-            boolean late = !succeeded || LoadShedder.isOverloadedTime(attempt.requestClass(), tookNanos);
+            boolean late = !succeeded || LoadShedder.indicatesQueueing(attempt.requestClass(), tookNanos);
             peers.sendToOwner(ORIGIN_OWNER_SUBJECT, PeerUpdate.ofOriginWrite(late));
         }
     }
--- a/core/src/main/java/spurroad/balancer/request/RequestPipeline.java
+++ b/core/src/main/java/spurroad/balancer/request/RequestPipeline.java
@@ -96,7 +96,7 @@
 
     private void admit(PendingRequest request) {
         boolean shed = !request.hasAttempts()
-            && loadShedder.sheds(request.isOverQuota(), request.isWrite(), request.keyDraw());
+            && loadShedder.shouldShed(request.isOverQuota(), request.isWrite(), request.keyDraw());
         if (shed) {
             reject(request);
         } else {
@@ -169,7 +169,7 @@
         } else if (retryPolicy.allowsRetry(request, outcome)) {
             admit(request);
         } else {
-            loadShedder.onGiveUp();
+            loadShedder.onFailure();
             reject(request);
         }
     }
--- a/core/src/main/java/spurroad/model/AdminStatus.java
+++ b/core/src/main/java/spurroad/model/AdminStatus.java
@@ -16,7 +16,7 @@
     /** The event that must occur before an endpoint gets regular requests. */
     public enum AwaitedEvent {
         /** An operator returns the endpoint to use. */
-        RETURN_BY_STAFF,
+        RETURN_BY_OPERATOR,
         /** The ejection of the endpoint ends. */
         EJECTION_END,
         /** The endpoint answers a load probe. */
--- a/core/src/main/java/spurroad/model/Deployment.java
+++ b/core/src/main/java/spurroad/model/Deployment.java
@@ -32,10 +32,10 @@
     }
 
     /** Returns these settings with another position in the fleet. */
-    public Deployment withFleet(Fleet other) {
+    public Deployment withFleet(Fleet otherFleet) {
         return new Deployment(requestClasses, tenantQuotasPerSecond, originKind, pollsDiscovery,
             loadProbesAllowed, cancellationAllowed, maxRetryAfterNanos, maxAttempts,
-            slowStartInitialFraction, slowStartNanos, clockTickNanos, idleTimeoutNanos, other);
+            slowStartInitialFraction, slowStartNanos, clockTickNanos, idleTimeoutNanos, otherFleet);
     }
 
     /** Returns the shortest latency objective of the request classes, or the default if there are none. */
--- a/core/src/main/java/spurroad/model/Endpoint.java
+++ b/core/src/main/java/spurroad/model/Endpoint.java
@@ -16,7 +16,7 @@
     }
 
     /** Returns this endpoint in the phase that it has once discovery no longer lists it. */
-    public Endpoint withoutListing() {
+    public Endpoint asRemoved() {
         return new Endpoint(id, kind, zone, cell, startedAtNanos, weight, EndpointPhase.REMOVED);
     }
 }
--- a/core/src/main/java/spurroad/model/SplitMix64.java
+++ b/core/src/main/java/spurroad/model/SplitMix64.java
@@ -11,7 +11,7 @@
     private SplitMix64() {}
 
     /** Returns the mixed bits of a number. The mapping is bijective and maps 0 to 0. */
-    public static long finish(long x) {
+    public static long mix(long x) {
         long z = (x ^ x >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
         return z ^ z >>> 31;
--- a/core/src/test/java/spurroad/admission/AdmissionPolicyTest.java
+++ b/core/src/test/java/spurroad/admission/AdmissionPolicyTest.java
@@ -13,22 +13,22 @@
  * costs a twentieth of an admitted request.
  */
 public class AdmissionPolicyTest {
-    private static final long STEP = AdmissionPolicy.INTERVAL_NANOS;
-    private static final long S = 1_000_000_000L;
-    private static final long MAX_QUEUE_DELAY = 75_000_000L;
+    private static final long INTERVAL_NANOS = AdmissionPolicy.INTERVAL_NANOS;
+    private static final long SECOND_NANOS = 1_000_000_000L;
+    private static final long MAX_QUEUE_DELAY_NANOS = 75_000_000L;
     // request classes; the second has five times the weight
-    private static final int READ = 0;
-    private static final int PAY = 1;
+    private static final int LOW_PRIORITY = 0;
+    private static final int HIGH_PRIORITY = 1;
     private static final double REJECTION_COST = 0.05;
     private final Random random = new Random(5);
     private AdmissionPolicy admission = createPolicy();
-    private long now = 50 * S;
+    private long now = 50 * SECOND_NANOS;
     private final double[] arrived = new double[2];
     private final double[] admitted = new double[2];
 
     private static AdmissionPolicy createPolicy() {
-        return new AdmissionPolicy(new double[] {1, 5}, new double[] {100, 100_000}, MAX_QUEUE_DELAY,
-            150_000_000L, 2 * S,
+        return new AdmissionPolicy(new double[] {1, 5}, new double[] {100, 100_000}, MAX_QUEUE_DELAY_NANOS,
+            150_000_000L, 2 * SECOND_NANOS,
             3);
     }
 
@@ -36,30 +36,32 @@
      * Simulates a number of seconds, in which the second tenant sends all requests that the first does not;
      * returns the number of served requests per second.
      */
-    private double simulate(double seconds, double requestsPerSecond, double requestsPerSecondOfFirst,
+    private double simulate(double seconds, double requestsPerSecond, double requestsPerSecondOfFirstTenant,
                             double capacity,
                             boolean warmingUp) {
         double served = 0;
         double backlog = 0;
         arrived[0] = arrived[1] = admitted[0] = admitted[1] = 0;
-        int intervals = (int) (seconds * S / STEP);
+        int intervals = (int) (seconds * SECOND_NANOS / INTERVAL_NANOS);
         for (int i = 0; i < intervals; i++) {
-            double arriving = requestsPerSecond * STEP / S;
-            double capacityPerInterval = capacity * STEP / S;
+            double arriving = requestsPerSecond * INTERVAL_NANOS / SECOND_NANOS;
+            double capacityPerInterval = capacity * INTERVAL_NANOS / SECOND_NANOS;
             double work = backlog;
-            for (int n = 0; n < arriving; n++) {
-                int requestClass = random.nextInt(5) == 0 ? PAY : READ;
-                boolean first = random.nextDouble() * requestsPerSecond < requestsPerSecondOfFirst;
-                boolean admits = admission.admits(requestClass, first ? 0 : 1);
+            for (int request = 0; request < arriving; request++) {
+                int requestClass = random.nextInt(5) == 0 ? HIGH_PRIORITY : LOW_PRIORITY;
+                boolean fromFirstTenant = random.nextDouble() * requestsPerSecond
+                    < requestsPerSecondOfFirstTenant;
+                boolean admits = admission.admits(requestClass, fromFirstTenant ? 0 : 1);
                 work += admits ? 1 : REJECTION_COST;
                 arrived[requestClass]++;
                 admitted[requestClass] += admits ? 1 : 0;
                 served += admits ? 1 : 0;
             }
             backlog = Math.max(0, work - capacityPerInterval);
-            now += STEP;
+            now += INTERVAL_NANOS;
             admission.onInterval(now,
-                new ResourceUsage(Math.min(1, work / capacityPerInterval), (long) (backlog / capacity * S),
+                new ResourceUsage(Math.min(1, work / capacityPerInterval),
+                    (long) (backlog / capacity * SECOND_NANOS),
                     0.1),
                 warmingUp);
         }
@@ -76,19 +78,19 @@
     }
 
     @DataProvider
-    Object[][] multiples() {
+    Object[][] overloadFactors() {
         return new Object[][] {{1.5}, {2.0}, {4.0}, {8.0}, {16.0}};
     }
 
-    @Test(dataProvider = "multiples")
-    public void servesMostOfItsCapacityUnderOverload(double times) {
+    @Test(dataProvider = "overloadFactors")
+    public void servesMostOfItsCapacityUnderOverload(double overloadFactor) {
         admission = createPolicy();
-        simulate(5, 1000 * times, 0, 1000, false);
-        double served = simulate(20, 1000 * times, 0, 1000, false);
+        simulate(5, 1000 * overloadFactor, 0, 1000, false);
+        double served = simulate(20, 1000 * overloadFactor, 0, 1000, false);
         // rejections reduce the capacity; at least three quarters of the remainder must be used
-        double rest = Math.max(0, 1000 - REJECTION_COST * 1000 * times);
-        assertTrue(served >= 0.75 * rest,
-            served + " of " + rest + " requests per second at " + admission.level());
+        double remainingCapacity = Math.max(0, 1000 - REJECTION_COST * 1000 * overloadFactor);
+        assertTrue(served >= 0.75 * remainingCapacity,
+            served + " of " + remainingCapacity + " requests per second at " + admission.level());
     }
 
     /**
@@ -97,18 +99,18 @@
      * and all tenants counted as over quota.
      */
     @Test
-    public void doesNotRetainALevelBecauseOfBackgroundWork() {
+    public void returnsToFullServiceDespiteBackgroundWork() {
         admission = createPolicy();
-        for (int i = 0; i < 40; i++, now += STEP) {
-            for (int n = 0; n < 60; n++) {
-                admission.admits(READ, 0);
+        for (int i = 0; i < 40; i++, now += INTERVAL_NANOS) {
+            for (int request = 0; request < 60; request++) {
+                admission.admits(LOW_PRIORITY, 0);
             }
             admission.onInterval(now, new ResourceUsage(1, 0, 0), false);
         }
         assertTrue(admission.level().atLeast(ServiceLevel.WITHIN_QUOTAS));
-        for (int i = 0; i < 60; i++, now += STEP) {
-            for (int n = 0; n < 60; n++) {
-                admission.admits(READ, 0);
+        for (int i = 0; i < 60; i++, now += INTERVAL_NANOS) {
+            for (int request = 0; request < 60; request++) {
+                admission.admits(LOW_PRIORITY, 0);
             }
             admission.onInterval(now, new ResourceUsage(0.12, 0, 0), false);
         }
@@ -121,8 +123,9 @@
         admission = createPolicy();
         simulate(5, 2000, 0, 1000, false);
         simulate(10, 2000, 0, 1000, false);
-        assertTrue(admitted[PAY] > 0.95 * arrived[PAY], admitted[PAY] + " of " + arrived[PAY]);
-        assertTrue(admitted[READ] < 0.6 * arrived[READ]);
+        assertTrue(admitted[HIGH_PRIORITY] > 0.95 * arrived[HIGH_PRIORITY],
+            admitted[HIGH_PRIORITY] + " of " + arrived[HIGH_PRIORITY]);
+        assertTrue(admitted[LOW_PRIORITY] < 0.6 * arrived[LOW_PRIORITY]);
     }
 
     @Test
@@ -134,8 +137,8 @@
         double withinQuota = 0;
         double requests = 2000;
         for (int i = 0; i < requests; i++) {
-            overQuota += admission.admits(READ, 0) ? 1 : 0;
-            withinQuota += admission.admits(READ, 1) ? 1 : 0;
+            overQuota += admission.admits(LOW_PRIORITY, 0) ? 1 : 0;
+            withinQuota += admission.admits(LOW_PRIORITY, 1) ? 1 : 0;
         }
         assertEquals(overQuota, 0.0);
         assertTrue(withinQuota > 0.7 * requests, withinQuota + " of " + requests);
@@ -148,10 +151,10 @@
             admission = createPolicy();
             simulate(5, 800, 0, 1000, false);
             for (int i = 0; i < 3; i++) {
-                now += STEP;
-                admission.onInterval(now, new ResourceUsage(1, seconds * S, 0.9), false);
+                now += INTERVAL_NANOS;
+                admission.onInterval(now, new ResourceUsage(1, seconds * SECOND_NANOS, 0.9), false);
             }
-            now += seconds * S;
+            now += seconds * SECOND_NANOS;
             simulate(3, 800, 0, 1000, false);
             double served = simulate(2, 800, 0, 1000, false);
             assertTrue(served > 0.95 * 800, served + " after " + seconds + " s");
@@ -162,11 +165,11 @@
     public void spreadsRetryAfterAndRaisesItWithPressure() {
         admission = createPolicy();
         simulate(5, 500, 0, 1000, false);
-        double calm = meanRetryAfterNanos();
+        double withoutPressure = meanRetryAfterNanos();
         simulate(5, 4000, 0, 1000, false);
         double underPressure = meanRetryAfterNanos();
-        assertTrue(underPressure > 2 * calm, calm + " and " + underPressure);
-        assertTrue(admission.retryAfterNanos() <= 2 * S);
+        assertTrue(underPressure > 2 * withoutPressure, withoutPressure + " and " + underPressure);
+        assertTrue(admission.retryAfterNanos() <= 2 * SECOND_NANOS);
         assertTrue(LongStream.range(0, 50).map(i -> admission.retryAfterNanos()).distinct().count() > 10);
     }
 
@@ -175,12 +178,12 @@
     }
 
     @Test
-    public void reducesAdmissionForMemoryAndDelayAsForTheProcessor() {
+    public void reducesAdmissionForCpuMemoryAndQueueDelay() {
         for (ResourceUsage usage : new ResourceUsage[] {new ResourceUsage(0.1, 0, 1.2),
-            new ResourceUsage(0.1, 3 * MAX_QUEUE_DELAY, 0),
-            new ResourceUsage(Double.NaN, 3 * MAX_QUEUE_DELAY, 0), new ResourceUsage(1.3, 0, 0)}) {
+            new ResourceUsage(0.1, 3 * MAX_QUEUE_DELAY_NANOS, 0),
+            new ResourceUsage(Double.NaN, 3 * MAX_QUEUE_DELAY_NANOS, 0), new ResourceUsage(1.3, 0, 0)}) {
             admission = createPolicy();
-            admission.admits(READ, 1);
+            admission.admits(LOW_PRIORITY, 1);
             admission.onInterval(now, usage, false);
             assertTrue(admission.admittedFraction() < 0.85, usage.toString());
         }
--- a/core/src/test/java/spurroad/admission/AdmissionPolicyTraceTest.java
+++ b/core/src/test/java/spurroad/admission/AdmissionPolicyTraceTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test(dataProvider = "traces")
-    public void admitsAsBefore(String name, double[] weights, double[] quotas, String digest)
+    public void makesUnchangedDecisions(String name, double[] weights, double[] quotas, String digest)
         throws Exception {
         Random random = new Random(name.length());
         AdmissionPolicy admission = new AdmissionPolicy(weights, quotas, 50 * MS, 500 * MS, 2_000 * MS, 7);
--- a/core/src/test/java/spurroad/admission/ServiceLevelsProperties.java
+++ b/core/src/test/java/spurroad/admission/ServiceLevelsProperties.java
@@ -15,19 +15,19 @@
  * shortest one.
  */
 class ServiceLevelsProperties {
-    private static final long STEP = AdmissionPolicy.INTERVAL_NANOS;
-    private static final long S = 1_000_000_000L;
+    private static final long INTERVAL_NANOS = AdmissionPolicy.INTERVAL_NANOS;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
     /** A constant pressure for a number of intervals. */
-    record Stretch(int intervals, double pressure, boolean cold) {}
+    record PressurePhase(int intervals, double pressure, boolean warmingUp) {}
 
     @Provide
-    Arbitrary<List<Stretch>> courses() {
+    Arbitrary<List<PressurePhase>> pressurePhases() {
         Arbitrary<Double> pressure = Arbitraries.oneOf(Arbitraries.doubles().between(0, 40),
             Arbitraries.of(0.0, 0.84, 1.05, 1.12, 1.4, 6.4, 8.0, 16.0, 20.0));
         return Combinators
             .combine(Arbitraries.integers().between(1, 60), pressure, Arbitraries.of(true, false))
-            .as(Stretch::new).list().ofMinSize(1).ofMaxSize(40);
+            .as(PressurePhase::new).list().ofMinSize(1).ofMaxSize(40);
     }
 
     /**
@@ -35,38 +35,41 @@
      * only after three intervals.
      */
     @Property(tries = 500, seed = "20261201")
-    void changesOneLevelWithinAMinimumStay(@ForAll("courses") List<Stretch> course) {
+    void changesAtMostOneLevelPerMinimumStay(@ForAll("pressurePhases") List<PressurePhase> phases) {
         ServiceLevels levels = new ServiceLevels();
-        long now = 50 * S;
-        long changedAt = Long.MIN_VALUE / 2;
-        for (Stretch s : course) {
-            for (int i = 0; i < s.intervals; i++, now += STEP) {
+        long now = 50 * SECOND_NANOS;
+        long changedAtNanos = Long.MIN_VALUE / 2;
+        for (PressurePhase phase : phases) {
+            for (int i = 0; i < phase.intervals; i++, now += INTERVAL_NANOS) {
                 int before = levels.level().ordinal();
-                long stay = levels.minimumStayNanos();
-                boolean changed = levels.onPressure(now, s.pressure, s.cold);
+                long minStayNanos = levels.minimumStayNanos();
+                boolean changed = levels.onPressure(now, phase.pressure, phase.warmingUp);
                 int step = levels.level().ordinal() - before;
                 assertTrue(changed == (step != 0), "returns whether the level changed");
                 assertTrue(Math.abs(step) <= 1, "one step at a time");
-                assertTrue(step >= 0 || now - changedAt >= stay, "no better level before the minimum stay");
-                assertTrue(step <= 0 || now - changedAt >= 3 * STEP, "no worse level within three intervals");
-                assertTrue(step <= 0 || s.pressure >= 1.05,
+                assertTrue(step >= 0 || now - changedAtNanos >= minStayNanos,
+                    "no better level before the minimum stay");
+                assertTrue(step <= 0 || now - changedAtNanos >= 3 * INTERVAL_NANOS,
+                    "no worse level within three intervals");
+                assertTrue(step <= 0 || phase.pressure >= 1.05,
                     "no worse level below the lowest entering pressure");
-                changedAt = changed ? now : changedAt;
+                changedAtNanos = changed ? now : changedAtNanos;
             }
         }
     }
 
     /** After any sequence, full service returns within a bounded time once there is no pressure. */
     @Property(tries = 300, seed = "20261202")
-    void returnsToFullServiceWithoutDemand(@ForAll("courses") List<Stretch> course) {
+    void returnsToFullServiceWithoutDemand(@ForAll("pressurePhases") List<PressurePhase> phases) {
         ServiceLevels levels = new ServiceLevels();
-        long now = 50 * S;
-        for (Stretch s : course) {
-            for (int i = 0; i < s.intervals; i++, now += STEP) {
-                levels.onPressure(now, s.pressure, s.cold);
+        long now = 50 * SECOND_NANOS;
+        for (PressurePhase phase : phases) {
+            for (int i = 0; i < phase.intervals; i++, now += INTERVAL_NANOS) {
+                levels.onPressure(now, phase.pressure, phase.warmingUp);
             }
         }
-        for (long until = now + 4 * 16 * S + S; now < until; now += STEP) {
+        for (long endNanos = now + 4 * 16 * SECOND_NANOS + SECOND_NANOS; now
+            < endNanos; now += INTERVAL_NANOS) {
             levels.onPressure(now, 0, false);
         }
         assertTrue(levels.level() == ServiceLevel.FULL, "still " + levels.level());
--- a/core/src/test/java/spurroad/admission/ServiceLevelsTest.java
+++ b/core/src/test/java/spurroad/admission/ServiceLevelsTest.java
@@ -8,12 +8,12 @@
 import org.testng.annotations.Test;
 
 public class ServiceLevelsTest {
-    private static final long STEP = AdmissionPolicy.INTERVAL_NANOS;
-    private static final long S = 1_000_000_000L;
-    private long now = 50 * S;
+    private static final long INTERVAL_NANOS = AdmissionPolicy.INTERVAL_NANOS;
+    private static final long SECOND_NANOS = 1_000_000_000L;
+    private long now = 50 * SECOND_NANOS;
 
     private void simulate(ServiceLevels levels, double seconds, double pressure, boolean warmingUp) {
-        for (long until = now + (long) (seconds * S); now < until; now += STEP) {
+        for (long endNanos = now + (long) (seconds * SECOND_NANOS); now < endNanos; now += INTERVAL_NANOS) {
             levels.onPressure(now, pressure, warmingUp);
         }
     }
@@ -29,7 +29,7 @@
     }
 
     @Test(dataProvider = "pressures")
-    public void entersAndLeavesTheLevelOfAPressureStepByStep(double pressure, ServiceLevel level) {
+    public void entersAndLeavesLevelsOneStepAtATime(double pressure, ServiceLevel level) {
         ServiceLevels levels = new ServiceLevels();
         simulate(levels, 4, pressure, false);
         assertEquals(levels.level(), level);
@@ -51,11 +51,11 @@
 
     /** The pressure alternates by a tenth around the boundary, with a period of 2 s, for 5 minutes. */
     @Test(dataProvider = "boundaries")
-    public void doesNotOscillateAtABoundary(double entering) {
+    public void doesNotOscillateAtABoundary(double entryPressure) {
         ServiceLevels levels = new ServiceLevels();
         for (int i = 0; i < 150; i++) {
-            simulate(levels, 1, 1.1 * entering, false);
-            simulate(levels, 1, 0.9 * entering, false);
+            simulate(levels, 1, 1.1 * entryPressure, false);
+            simulate(levels, 1, 0.9 * entryPressure, false);
         }
         assertTrue(levels.changes() <= 4, levels.changes() + " changes");
     }
@@ -67,14 +67,14 @@
 
     /** Under widely alternating pressure changes become rarer, as the minimum stay doubles up to 16 s. */
     @Test
-    public void extendsTheStayAtALevelThatIsEnteredAgainSoon() {
+    public void extendsMinimumStayOfLevelEnteredAgainSoon() {
         ServiceLevels levels = new ServiceLevels();
         for (int i = 0; i < 60; i++) {
             simulate(levels, 1, 1.2, false);
             simulate(levels, 1, 0.5, false);
         }
         assertTrue(levels.changes() <= 20, levels.changes() + " changes in 2 minutes of 60 swings");
-        assertTrue(levels.minimumStayNanos() >= 1 * S);
+        assertTrue(levels.minimumStayNanos() >= 1 * SECOND_NANOS);
     }
 
     @Test
@@ -83,11 +83,11 @@
         for (int warmingUp = 0; warmingUp < 2; warmingUp++) {
             ServiceLevels levels = new ServiceLevels();
             simulate(levels, 4, 9, false);
-            long from = now;
+            long startNanos = now;
             while (levels.level() != ServiceLevel.FULL) {
                 simulate(levels, 0.1, 0, warmingUp == 1);
             }
-            durationNanos[warmingUp] = now - from;
+            durationNanos[warmingUp] = now - startNanos;
         }
         assertTrue(durationNanos[1] > 1.8 * durationNanos[0],
             durationNanos[0] + " and " + durationNanos[1] + " ns");
@@ -98,26 +98,26 @@
      * within one minimum stay on the way to full service.
      */
     @Test
-    public void changesOneLevelWithinAMinimumStay() {
+    public void changesAtMostOneLevelPerMinimumStay() {
         for (int seed = 0; seed < 1000; seed++) {
             Random random = new Random(seed);
             ServiceLevels levels = new ServiceLevels();
-            long changedAt = Long.MIN_VALUE / 2;
+            long changedAtNanos = Long.MIN_VALUE / 2;
             double pressure = 0;
             ServiceLevel before = ServiceLevel.FULL;
-            for (int i = 0; i < 600; i++, now += STEP) {
+            for (int i = 0; i < 600; i++, now += INTERVAL_NANOS) {
                 pressure = random.nextInt(8) == 0 ? 40 * random.nextDouble() * random.nextDouble() : pressure;
-                long stay = levels.minimumStayNanos();
+                long minStayNanos = levels.minimumStayNanos();
                 boolean changed = levels.onPressure(now, pressure, random.nextBoolean());
                 int step = levels.level().ordinal() - before.ordinal();
                 assertEquals(changed, step != 0);
                 assertTrue(Math.abs(step) <= 1, "seed " + seed);
                 if (step < 0) {
-                    assertTrue(now - changedAt >= stay, "seed " + seed);
+                    assertTrue(now - changedAtNanos >= minStayNanos, "seed " + seed);
                 } else if (step > 0) {
-                    assertTrue(now - changedAt >= 3 * STEP, "seed " + seed);
+                    assertTrue(now - changedAtNanos >= 3 * INTERVAL_NANOS, "seed " + seed);
                 }
-                changedAt = changed ? now : changedAt;
+                changedAtNanos = changed ? now : changedAtNanos;
                 before = levels.level();
             }
         }
--- a/core/src/test/java/spurroad/balancer/BalancerFixture.java
+++ b/core/src/test/java/spurroad/balancer/BalancerFixture.java
@@ -161,9 +161,10 @@
         return endAttempt(request, number, outcome, outcome == Outcome.SUCCEEDED);
     }
 
-    Decisions endAttempt(long request, int number, Outcome outcome, boolean last) {
+    Decisions endAttempt(long request, int number, Outcome outcome, boolean completesRequest) {
         decisions.clear();
-        balancer.onAttemptEnd(nowNanos, new RequestId(request), number, outcome, LoadReport.NONE, last,
+        balancer.onAttemptEnd(nowNanos, new RequestId(request), number, outcome, LoadReport.NONE,
+            completesRequest,
             proxyDelayNanos, decisions);
         return decisions;
     }
--- a/core/src/test/java/spurroad/balancer/CandidateSelectionTest.java
+++ b/core/src/test/java/spurroad/balancer/CandidateSelectionTest.java
@@ -5,7 +5,7 @@
 import static spurroad.balancer.BalancerFixture.DEDUPLICATED;
 import static spurroad.balancer.BalancerFixture.MS;
 import static spurroad.balancer.BalancerFixture.READ;
-import static spurroad.balancer.GossipFixture.NODES;
+import static spurroad.balancer.GossipFixture.ENDPOINTS;
 import static spurroad.balancer.GossipFixture.fleet;
 import static spurroad.balancer.GossipFixture.targetOfSuccessfulRead;
 
@@ -154,7 +154,7 @@
         int ringOrderCount = 0;
         for (long key = 1; key <= 200; key++) {
             List<Long> ringOrder = KeyCandidates
-                .of(BalancerFixture.endpoints(NODES, false), BalancerFixture.ORIGIN, new CacheKey(key))
+                .of(BalancerFixture.endpoints(ENDPOINTS, false), BalancerFixture.ORIGIN, new CacheKey(key))
                 .candidates().stream().map(f -> f.endpoint().value()).toList();
             long to = targetOfSuccessfulRead(fixture, key, key);
             long expected = ringOrder.stream().filter(n -> own != null && n % 2 == own.value()).findFirst()
--- a/core/src/test/java/spurroad/balancer/DecisionTrace.java
+++ b/core/src/test/java/spurroad/balancer/DecisionTrace.java
@@ -26,7 +26,7 @@
     private final StringBuilder text = new StringBuilder();
     private final String name;
     private final String folder = System.getProperty("trace.folder");
-    private long calls;
+    private long callCount;
 
     DecisionTrace(String name) {
         this.name = name;
@@ -38,19 +38,20 @@
     }
 
     /** Records one event, identified by a letter, and its arguments. */
-    void call(char letter, Object... arguments) {
-        calls++;
+    void recordCall(char letter, Object... arguments) {
+        callCount++;
         line.append(letter);
         for (Object argument : arguments) {
             line.append(' ').append(argument);
         }
-        end();
+        endLine();
     }
 
-    void decided(Decisions decisions) {
-        for (Decisions.StartAttempt start : decisions.attemptsToStart) {
-            line.append(" S ").append(start.request().value()).append(' ').append(start.endpoint().value())
-                .append(' ').append(start.timeoutNanos()).append(' ').append(start.sendDeadlineNanos());
+    void recordDecisions(Decisions decisions) {
+        for (Decisions.StartAttempt attempt : decisions.attemptsToStart) {
+            line.append(" S ").append(attempt.request().value()).append(' ')
+                .append(attempt.endpoint().value())
+                .append(' ').append(attempt.timeoutNanos()).append(' ').append(attempt.sendDeadlineNanos());
         }
         for (Decisions.CancelAttempt cancel : decisions.attemptsToCancel) {
             line.append(" C ").append(cancel.request().value()).append(' ').append(cancel.attempt());
@@ -61,34 +62,34 @@
         }
         decisions.loadProbes.forEach(endpoint -> line.append(" P ").append(endpoint.value()));
         decisions.idleConnectionsToClose.forEach(endpoint -> line.append(" I ").append(endpoint.value()));
-        for (Decisions.SendPeerUpdate sent : decisions.peerUpdates) {
-            line.append(" T ").append(sent.recipient());
-            peerUpdate(sent.update());
+        for (Decisions.SendPeerUpdate sentUpdate : decisions.peerUpdates) {
+            line.append(" T ").append(sentUpdate.recipient());
+            appendPeerUpdate(sentUpdate.update());
         }
         line.append(" F ").append(decisions.pollDiscovery).append(' ').append(decisions.adminStatusChanged)
             .append(" W ")
             .append(decisions.wakeAtNanos);
-        end();
+        endLine();
     }
 
-    private void peerUpdate(PeerUpdate update) {
+    private void appendPeerUpdate(PeerUpdate update) {
         line.append(' ').append(update.topic().ordinal()).append(' ').append(update.subject()).append(' ')
             .append(update.value()).append(' ').append(update.serviceTimeNanos()).append(' ')
             .append(update.cachedFraction())
             .append(' ').append(update.key().value());
     }
 
-    void adminStatus(AdminStatus status) {
+    void recordAdminStatus(AdminStatus status) {
         line.append("N ").append(status.listedEndpoints());
         for (RestrictedEndpoint endpoint : status.restricted()) {
             boolean hasEnd = endpoint.awaits() == AwaitedEvent.EJECTION_END
-                || endpoint.awaits() == AwaitedEvent.RETURN_BY_STAFF;
+                || endpoint.awaits() == AwaitedEvent.RETURN_BY_OPERATOR;
             line.append(hasEnd ? " " + endpoint.untilNanos() : "");
         }
-        end();
+        endLine();
     }
 
-    private void end() {
+    private void endLine() {
         line.append('\n');
         digest.update(line.toString().getBytes(StandardCharsets.US_ASCII));
         if (folder != null) {
@@ -97,8 +98,8 @@
         line.setLength(0);
     }
 
-    long calls() {
-        return calls;
+    long callCount() {
+        return callCount;
     }
 
     /** Ends the trace; returns the digest of its text in hexadecimal digits. */
--- a/core/src/test/java/spurroad/balancer/DecisionTraceTest.java
+++ b/core/src/test/java/spurroad/balancer/DecisionTraceTest.java
@@ -26,7 +26,7 @@
     @DataProvider
     Object[][] traces() {
         return new Object[][] {
-            {TracedDeployment.alone(),
+            {TracedDeployment.standalone(),
                 "0827ff3de2800715ab9035d1d82d983f6504714ea7f0fb781da63c6706d1ae0d"},
             {TracedDeployment.withoutOrigin(),
                 "892697ee80206d50b5a6e0e55f7e0eb5d2c0ded7290f7bdc80eee819bdc65dd2"},
@@ -48,14 +48,14 @@
     }
 
     @Test(dataProvider = "traces")
-    public void decidesAsBefore(TracedDeployment traced, String digest) {
+    public void makesUnchangedDecisions(TracedDeployment traced, String digest) {
         DecisionTrace trace = new DecisionTrace(traced.name());
         new TracedFleet(traced, trace).run(CALLS);
         assertEquals(trace.digest(), digest, traced.name());
     }
 
     @Test
-    public void findsTheSameCandidatesAsBefore() {
+    public void findsUnchangedCandidates() {
         DecisionTrace trace = new DecisionTrace("candidates");
         Random random = new Random(5);
         for (int i = 0; i < 200; i++) {
@@ -75,8 +75,9 @@
         }
         CacheKey key = new CacheKey(random.nextLong());
         KeyCandidates found = KeyCandidates.of(entries, new EndpointKindId(1), key);
-        trace.call('K', key.value(), found.point(), found.ringPoints());
+        trace.recordCall('K', key.value(), found.point(), found.ringPoints());
         found.candidates().forEach(
-            each -> trace.call('k', each.endpoint().value(), each.ringDistance(), each.ringFraction()));
+            candidate -> trace.recordCall('k', candidate.endpoint().value(), candidate.ringDistance(),
+                candidate.ringFraction()));
     }
 }
--- a/core/src/test/java/spurroad/balancer/DiscoveryPollingTest.java
+++ b/core/src/test/java/spurroad/balancer/DiscoveryPollingTest.java
@@ -19,9 +19,9 @@
      * Backoffs differ between proxies.
      */
     @Test
-    public void endsABackoffAndACallBeforeAChangeCounts() {
-        long shortest = Long.MAX_VALUE;
-        long longest = 0;
+    public void endsBackoffAndCallBeforeChangeCountsAsAnnounced() {
+        long shortestMillis = Long.MAX_VALUE;
+        long longestMillis = 0;
         for (int instance = 0; instance < 200; instance++) {
             BalancerFixture fixture = new BalancerFixture(false, DeduplicationScope.ALL, instance,
                 Fleet.STANDALONE);
@@ -30,16 +30,16 @@
                 long backoffMillis = (fixture.decisions.wakeAtNanos - fixture.nowNanos) / MS;
                 assertTrue(backoffMillis + MAX_CALL_MILLIS <= ANNOUNCEMENT_MILLIS,
                     backoffMillis + " ms after " + failures + " failures");
-                shortest = failures == 12 ? Math.min(shortest, backoffMillis) : shortest;
-                longest = failures == 12 ? Math.max(longest, backoffMillis) : longest;
+                shortestMillis = failures == 12 ? Math.min(shortestMillis, backoffMillis) : shortestMillis;
+                longestMillis = failures == 12 ? Math.max(longestMillis, backoffMillis) : longestMillis;
                 fixture.advance(backoffMillis + 1);
             }
         }
-        assertTrue(longest > 2.5 * shortest, shortest + " to " + longest + " ms");
+        assertTrue(longestMillis > 2.5 * shortestMillis, shortestMillis + " to " + longestMillis + " ms");
     }
 
     @Test
-    public void pollsOnceAndAgainAfterGrowingBackoffs() {
+    public void pollsOnFirstListAndAfterGrowingBackoffs() {
         BalancerFixture fixture = new BalancerFixture(false, DeduplicationScope.ALL);
         assertTrue(fixture.updateEndpoints(true, BalancerFixture.endpoints(3, false)).pollDiscovery);
         assertFalse(fixture.updateEndpoints(false, BalancerFixture.endpoints(3, false)).pollDiscovery);
--- a/core/src/test/java/spurroad/balancer/GossipFixture.java
+++ b/core/src/test/java/spurroad/balancer/GossipFixture.java
@@ -14,13 +14,13 @@
 /** Proxies with the same endpoints that exchange updates. */
 final class GossipFixture {
     static final int PROXIES = 4;
-    static final int NODES = 8;
+    static final int ENDPOINTS = 8;
 
     private GossipFixture() {}
 
     /** Determines how often each update is delivered. */
     enum Delivery {
-        DELIVERED(1), LOST(0), DOUBLED(2);
+        DELIVERED(1), LOST(0), DUPLICATED(2);
 
         private final int copies;
 
@@ -34,7 +34,7 @@
         for (int i = 0; i < PROXIES; i++) {
             BalancerFixture fixture = new BalancerFixture(false, DeduplicationScope.ALL, 7 + i,
                 new Fleet(zone, i, PROXIES, true));
-            fixture.updateEndpoints(true, BalancerFixture.endpoints(NODES, false));
+            fixture.updateEndpoints(true, BalancerFixture.endpoints(ENDPOINTS, false));
             fixtures.add(fixture);
         }
         return fixtures;
@@ -73,7 +73,7 @@
 
     /** Returns the keys whose first candidate is the given endpoint. */
     static long[] keysOf(long endpoint) {
-        BalancerFixture fixture = BalancerFixture.of(NODES, false);
+        BalancerFixture fixture = BalancerFixture.of(ENDPOINTS, false);
         return IntStream.range(1, 400).filter(key -> targetOfSuccessfulRead(fixture, key, key) == endpoint)
             .asLongStream().toArray();
     }
--- a/core/src/test/java/spurroad/balancer/LoadBalancerTest.java
+++ b/core/src/test/java/spurroad/balancer/LoadBalancerTest.java
@@ -34,7 +34,7 @@
             fixture.updateEndpoint(n, EndpointPhase.REMOVED, 0);
         }
         fixture.updateEndpoint(inUse, EndpointPhase.REMOVED, 0);
-        int known = fixture.balancer.knownEndpoints();
+        int known = fixture.balancer.knownEndpointCount();
         assertTrue(
             known <= EndpointTable.MAX_KNOWN_ENDPOINTS && known > EndpointTable.MAX_KNOWN_ENDPOINTS / 2,
             "known: " + known);
--- a/core/src/test/java/spurroad/balancer/LoadShedderTest.java
+++ b/core/src/test/java/spurroad/balancer/LoadShedderTest.java
@@ -59,7 +59,7 @@
      * all ended late.
      */
     @Test(dataProvider = "lateReads")
-    public void shedsReadsWhileMostRequestsAreLate(int timedOut, int min, int max) {
+    public void shedsReadsWhileMostRequestsAreLate(int timedOut, int minRejected, int maxRejected) {
         BalancerFixture fixture = fleet(null).get(0);
         for (int id = 0; id < 200; id++) {
             fixture.request(id, DEDUPLICATED, id);
@@ -70,6 +70,6 @@
         for (int id = 1000; id < 1020; id++) {
             rejected += fixture.request(id, READ, id).responses.size();
         }
-        assertTrue(rejected >= min && rejected <= max, rejected + " rejected");
+        assertTrue(rejected >= minRejected && rejected <= maxRejected, rejected + " rejected");
     }
 }
--- a/core/src/test/java/spurroad/balancer/OriginBacklogTest.java
+++ b/core/src/test/java/spurroad/balancer/OriginBacklogTest.java
@@ -33,15 +33,15 @@
      * with misses. Proxies now query an endpoint's owner for whether a key is cached, and send those reads.
      */
     @Test(dataProvider = "lateWrites")
-    public void limitsMissesThenWritesButNoCachedReadsWhileTheOriginIsSlow(int timedOut, int minReads,
-                                                                           int maxReads,
-                                                                           int minWrites,
-                                                                           int maxWrites) {
+    public void limitsMissesThenWritesButNoCachedReadsWhileOriginIsSlow(int timedOut, int minReads,
+                                                                        int maxReads,
+                                                                        int minWrites,
+                                                                        int maxWrites) {
         List<BalancerFixture> fixtures = fleet(null);
         BalancerFixture busy = fixtures.get(0);
         BalancerFixture idle = fixtures.get(2);
         for (int id = 0; id < 20; id++) {
-            assertEquals(sent(fixtures, busy, id, READ, id + 1), 1);
+            assertEquals(sendSuccessfulRequest(fixtures, busy, id, READ, id + 1), 1);
         }
         for (int id = 100; id < 500; id++) {
             busy.request(id, DEDUPLICATED, id);
@@ -54,10 +54,10 @@
         int reads = 0;
         int writes = 0;
         for (int id = 1000; id < 1020; id++) {
-            assertEquals(sent(fixtures, idle, id, READ, id - 1000 + 1), 1,
+            assertEquals(sendSuccessfulRequest(fixtures, idle, id, READ, id - 1000 + 1), 1,
                 "a cached read does not use the origin");
-            reads += sent(fixtures, idle, id + 1000, READ, id);
-            writes += sent(fixtures, idle, id + 2000, DEDUPLICATED, id + 2000);
+            reads += sendSuccessfulRequest(fixtures, idle, id + 1000, READ, id);
+            writes += sendSuccessfulRequest(fixtures, idle, id + 2000, DEDUPLICATED, id + 2000);
         }
         assertTrue(reads >= minReads && reads <= maxReads && writes >= minWrites && writes <= maxWrites,
             reads + " reads, " + writes + " writes");
@@ -71,12 +71,13 @@
      * Sends a request, delivers all updates that result from it, and lets its attempt succeed; returns how
      * many attempts were started.
      */
-    private static int sent(List<BalancerFixture> fixtures, BalancerFixture from, long request,
-                            RequestClassId requestClass, long key) {
+    private static int sendSuccessfulRequest(List<BalancerFixture> fixtures, BalancerFixture from,
+                                             long request,
+                                             RequestClassId requestClass, long key) {
         from.attemptsStarted = 0;
-        int atOnce = from.request(request, requestClass, key).attemptsToStart.size();
+        int startedImmediately = from.request(request, requestClass, key).attemptsToStart.size();
         deliver(fixtures, from, Delivery.DELIVERED);
-        int sent = atOnce + from.attemptsStarted;
+        int sent = startedImmediately + from.attemptsStarted;
         from.endAttempt(request, 0, Outcome.SUCCEEDED);
         deliver(fixtures, from, Delivery.DELIVERED);
         return sent;
--- a/core/src/test/java/spurroad/balancer/OutlierDetectorTest.java
+++ b/core/src/test/java/spurroad/balancer/OutlierDetectorTest.java
@@ -185,7 +185,7 @@
         assertAwaits(fixture, AwaitedEvent.TRIAL_SUCCESS, 0);
         assertTrue(isUsedWithinSeconds(fixture, failing, 1));
         fixture.setDrained(failing, true);
-        assertAwaits(fixture, AwaitedEvent.RETURN_BY_STAFF, 1);
+        assertAwaits(fixture, AwaitedEvent.RETURN_BY_OPERATOR, 1);
     }
 
     private static void assertAwaits(BalancerFixture fixture, AwaitedEvent event, int unavailable) {
--- a/core/src/test/java/spurroad/balancer/OwnershipTest.java
+++ b/core/src/test/java/spurroad/balancer/OwnershipTest.java
@@ -24,7 +24,7 @@
 public class OwnershipTest {
     @DataProvider
     Object[][] deliveries() {
-        return new Object[][] {{Delivery.DELIVERED, 40}, {Delivery.DOUBLED, 40}, {Delivery.LOST, 0}};
+        return new Object[][] {{Delivery.DELIVERED, 40}, {Delivery.DUPLICATED, 40}, {Delivery.LOST, 0}};
     }
 
     /**
--- a/core/src/test/java/spurroad/balancer/PeerUpdatesTest.java
+++ b/core/src/test/java/spurroad/balancer/PeerUpdatesTest.java
@@ -6,7 +6,7 @@
 import static spurroad.balancer.BalancerFixture.MS;
 import static spurroad.balancer.BalancerFixture.NON_IDEMPOTENT;
 import static spurroad.balancer.BalancerFixture.READ;
-import static spurroad.balancer.GossipFixture.NODES;
+import static spurroad.balancer.GossipFixture.ENDPOINTS;
 import static spurroad.balancer.GossipFixture.fleet;
 
 import org.testng.annotations.DataProvider;
@@ -23,7 +23,7 @@
 public class PeerUpdatesTest {
     /** Updates with invalid values or unknown subjects: an update may be anything that the codec accepts. */
     @DataProvider
-    Object[][] falseUpdates() {
+    Object[][] invalidUpdates() {
         return new Object[][] {{Topic.IN_FLIGHT, 99L, 1.0}, {Topic.IN_FLIGHT, 3L, -1.0},
             {Topic.IN_FLIGHT, 3L, -1e-9},
             {Topic.LOAD, 99L, 5.0},
@@ -32,8 +32,8 @@
             {Topic.OVER_QUOTA, -1L, 1.0}, {Topic.OVER_QUOTA, 1L, 1.0}};
     }
 
-    @Test(dataProvider = "falseUpdates")
-    public void falseUpdatesBreakNoRuleAndExpire(Topic topic, long subject, double value) {
+    @Test(dataProvider = "invalidUpdates")
+    public void invalidUpdatesBreakNoRuleAndExpire(Topic topic, long subject, double value) {
         for (BalancerFixture fixture : fleet(null)) {
             for (int id = 0; id < 20; id++) {
                 fixture.receive(new PeerUpdate(topic, subject, value));
@@ -60,15 +60,15 @@
     }
 
     @Test(dataProvider = "attemptEnds")
-    public void sendsARemainingWeightBetweenZeroAndOne(int seconds, Outcome outcome) {
+    public void sendsRemainingWeightBetweenZeroAndOne(int seconds, Outcome outcome) {
         BalancerFixture fixture = fleet(null).get(0);
         for (int id = 0; id < 20; id++) { // the proxy owns some of the endpoints itself and sends no update
             fixture.request(id, DEDUPLICATED, id, 0, 400_000 * MS);
             fixture.nowNanos += seconds * 1000L * MS;
             fixture.endAttempt(id, 0, outcome);
-            fixture.decisions.peerUpdates.stream().filter(t -> t.update().topic() == Topic.IN_FLIGHT)
-                .forEach(t -> {
-                    double remainingWeight = Math.abs((float) t.update().value());
+            fixture.decisions.peerUpdates.stream().filter(sent -> sent.update().topic() == Topic.IN_FLIGHT)
+                .forEach(sent -> {
+                    double remainingWeight = Math.abs((float) sent.update().value());
                     assertTrue(remainingWeight > 0 && remainingWeight < 1,
                         "remaining weight " + remainingWeight);
                 });
@@ -82,7 +82,7 @@
         int broadcasts = 0;
         BalancerFixture fixture = new BalancerFixture(false, DeduplicationScope.ALL, 7,
             new Fleet(null, 0, proxies, true));
-        fixture.updateEndpoints(true, BalancerFixture.endpoints(NODES, false));
+        fixture.updateEndpoints(true, BalancerFixture.endpoints(ENDPOINTS, false));
         for (int id = 0; id < 1000; id++) {
             fixture.receive(new PeerUpdate(Topic.IN_FLIGHT, 3, 1));
             broadcasts += fixture.decisions.peerUpdates.size();
--- a/core/src/test/java/spurroad/balancer/SlowStartTest.java
+++ b/core/src/test/java/spurroad/balancer/SlowStartTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertTrue;
 import static spurroad.balancer.BalancerFixture.MS;
 import static spurroad.balancer.BalancerFixture.READ;
-import static spurroad.balancer.GossipFixture.NODES;
+import static spurroad.balancer.GossipFixture.ENDPOINTS;
 import static spurroad.balancer.GossipFixture.PROXIES;
 import static spurroad.balancer.GossipFixture.fleet;
 import static spurroad.balancer.GossipFixture.keysOf;
@@ -111,7 +111,7 @@
     public void migratesNoKeysToColdEndpoints() {
         List<BalancerFixture> fixtures = fleet(null);
         BalancerFixture fixture = fixtures.get((ownerOf(3) + 1) % PROXIES);
-        List<Endpoint> entries = BalancerFixture.endpoints(NODES, false);
+        List<Endpoint> entries = BalancerFixture.endpoints(ENDPOINTS, false);
         for (int cold : new int[] {1, 5}) {
             entries.set(cold,
                 BalancerFixture.endpoint(cold, EndpointPhase.READY, fixture.nowNanos - 1000 * MS));
--- a/core/src/test/java/spurroad/balancer/TenantQuotasTest.java
+++ b/core/src/test/java/spurroad/balancer/TenantQuotasTest.java
@@ -20,20 +20,20 @@
 public class TenantQuotasTest {
     /** Regression: retries by clients were counted again, so tenants within their quotas were shed. */
     @Test
-    public void countsTheRetryOfARejectedClientOnce() {
+    public void countsRejectedRequestAndItsRetryOnce() {
         List<BalancerFixture> fixtures = fleet(null);
         BalancerFixture busy = fixtures.get((ownerOf(0) + 1) % PROXIES);
         long counted = 0;
         for (int id = 0; id < 20; id++) {
-            for (int again = 0; again < 2; again++) {
-                busy.request(2 * id + again, READ, id + 1, 0, 4000 * MS);
+            for (int retry = 0; retry < 2; retry++) {
+                busy.request(2 * id + retry, READ, id + 1, 0, 4000 * MS);
                 counted += busy.decisions.peerUpdates.stream()
-                    .filter(t -> t.update().topic() == Topic.TENANT_REQUEST)
+                    .filter(sent -> sent.update().topic() == Topic.TENANT_REQUEST)
                     .count();
                 for (int i = 0; i < 4 && busy.decisions.responses.isEmpty(); i++) {
-                    busy.endAttempt(2 * id + again, i, Outcome.REJECTED);
+                    busy.endAttempt(2 * id + retry, i, Outcome.REJECTED);
                 }
-                busy.advance(again == 0 ? 300 : 5000);
+                busy.advance(retry == 0 ? 300 : 5000);
             }
         }
         assertEquals(counted, 20);
@@ -53,7 +53,7 @@
      * of the quota.
      */
     @Test(dataProvider = "rates")
-    public void comparesATenantsRateWithItsWholeQuota(int rate, boolean manyRejected) {
+    public void comparesTenantRateAcrossProxiesWithWholeQuota(int rate, boolean manyRejected) {
         List<BalancerFixture> fixtures = fleet(null);
         BalancerFixture busy = fixtures.get(1);
         int rejected = 0;
--- a/core/src/test/java/spurroad/balancer/TracedDeployment.java
+++ b/core/src/test/java/spurroad/balancer/TracedDeployment.java
@@ -14,16 +14,16 @@
  *
  * @param name of the trace
  * @param endpoints number of cache endpoints
- * @param driven number of the deployment's proxies that are simulated
+ * @param simulatedProxies number of the deployment's proxies that are simulated
  * @param requestsPerSecond rate of requests at each simulated proxy, tripled in bursts
  */
-record TracedDeployment(String name, int endpoints, int driven, double requestsPerSecond, long seed,
+record TracedDeployment(String name, int endpoints, int simulatedProxies, double requestsPerSecond, long seed,
                         Deployment deployment) {
     private static final long MS = 1_000_000L;
     private static final EndpointKindId ORIGIN = new EndpointKindId(1);
 
     /** A proxy without gossip that fetches from the origin itself, with tenants and all effects. */
-    static TracedDeployment alone() {
+    static TracedDeployment standalone() {
         return new TracedDeployment("alone", 12, 1, 150, 11,
             new Deployment(requestClasses(DeduplicationScope.ALL), List.of(20.0, 300.0), ORIGIN, true, true,
                 true,
@@ -110,7 +110,7 @@
     }
 
     /** Returns the deployment with scaled latency objectives and quotas, and another number of attempts. */
-    Deployment changed(double factor, int maxAttempts) {
+    Deployment withScaledSettings(double factor, int maxAttempts) {
         List<RequestClass> requestClasses = deployment.requestClasses().stream()
             .map(requestClass -> new RequestClass(requestClass.effect(), requestClass.deduplicationScope(),
                 requestClass.deduplicationWindowNanos(),
--- a/core/src/test/java/spurroad/balancer/TracedFleet.java
+++ b/core/src/test/java/spurroad/balancer/TracedFleet.java
@@ -33,7 +33,7 @@
     private static final EndpointKindId CACHE = new EndpointKindId(0);
     private static final int KEYS = 300;
 
-    private record Event(long at, long order, Runnable action) {}
+    private record Event(long timeNanos, long order, Runnable action) {}
 
     /** An attempt, which ends once. */
     private static final class RunningAttempt {
@@ -69,17 +69,17 @@
     private final TracedDeployment traced;
     private final Random random;
     private final PriorityQueue<Event> events = new PriorityQueue<>(
-        Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+        Comparator.comparingLong(Event::timeNanos).thenComparingLong(Event::order));
     private final List<Proxy> proxies = new ArrayList<>();
-    private final Map<Long, Endpoint> listed = new HashMap<>();
-    private final List<Long> ids = new ArrayList<>();
+    private final Map<Long, Endpoint> listedEndpoints = new HashMap<>();
+    private final List<Long> endpointIds = new ArrayList<>();
     private final SimulatedEndpoints simulatedEndpoints;
-    private final List<Long> drained = new ArrayList<>();
+    private final List<Long> drainedIds = new ArrayList<>();
     private Deployment deployment;
     private long now = 100_000 * MS;
-    private long order;
-    private long requests;
-    private long discoveryDownUntil;
+    private long nextOrder;
+    private long nextRequest;
+    private long discoveryDownUntilNanos;
 
     TracedFleet(TracedDeployment traced, DecisionTrace trace) {
         this.traced = traced;
@@ -87,17 +87,17 @@
         random = new Random(traced.seed());
         simulatedEndpoints = new SimulatedEndpoints(random);
         deployment = traced.deployment();
-        for (int i = 0; i < traced.driven(); i++) {
+        for (int i = 0; i < traced.simulatedProxies(); i++) {
             proxies.add(
                 new Proxy(i, new LoadBalancer(TracedDeployment.forProxy(deployment, i), traced.seed() + i)));
         }
         for (long id = 1; id <= traced.endpoints(); id++) {
-            ids.add(id);
-            listed.put(id, endpoint(id, EndpointPhase.READY, 0));
+            endpointIds.add(id);
+            listedEndpoints.put(id, endpoint(id, EndpointPhase.READY, 0));
         }
         if (deployment.originKind() != null) {
-            ids.add(0L);
-            listed.put(0L, new Endpoint(new EndpointId(0), deployment.originKind(), new ZoneId(0),
+            endpointIds.add(0L);
+            listedEndpoints.put(0L, new Endpoint(new EndpointId(0), deployment.originKind(), new ZoneId(0),
                 new CellId(0), 0, 1, EndpointPhase.READY));
         }
     }
@@ -110,103 +110,105 @@
     /** Runs until at least a number of calls are traced. */
     void run(long calls) {
         for (Proxy proxy : proxies) {
-            at(0, () -> updateEndpoints(proxy, true, List.copyOf(listed.values())));
-            at(MS, () -> arrival(proxy));
-            at(20 * MS, () -> changeSettings(proxy));
+            schedule(0, () -> updateEndpoints(proxy, true, List.copyOf(listedEndpoints.values())));
+            schedule(MS, () -> sendRequest(proxy));
+            schedule(20 * MS, () -> changeSettings(proxy));
         }
         if (deployment.fleet().gossipEnabled() && deployment.fleet().proxyCount() > proxies.size()) {
-            at(10 * MS, this::sendUpdateOfAnotherProxy);
+            schedule(10 * MS, this::sendUpdateOfAnotherProxy);
         }
-        at(600 * MS, this::interruptDiscovery);
-        at(50 * MS, this::changeFaults);
-        at(300 * MS, this::changeEndpoints);
-        at(400 * MS, this::changeAdminDrain);
-        while (trace.calls() < calls) {
+        schedule(600 * MS, this::interruptDiscovery);
+        schedule(50 * MS, this::changeFaults);
+        schedule(300 * MS, this::changeEndpoints);
+        schedule(400 * MS, this::changeAdminDrain);
+        while (trace.callCount() < calls) {
             Event next = events.poll();
-            now = next.at;
+            now = next.timeNanos;
             next.action.run();
         }
     }
 
-    private void at(long delayNanos, Runnable action) {
-        events.add(new Event(now + delayNanos, order++, action));
+    private void schedule(long delayNanos, Runnable action) {
+        events.add(new Event(now + delayNanos, nextOrder++, action));
     }
 
     private Proxy randomProxy() {
         return proxies.get(random.nextInt(proxies.size()));
     }
 
-    private void call(Proxy proxy, Runnable action) {
+    private void handleEvent(Proxy proxy, Runnable action) {
         proxy.decisions.clear();
         action.run();
-        trace.decided(proxy.decisions);
+        trace.recordDecisions(proxy.decisions);
         execute(proxy);
     }
 
     private void execute(Proxy proxy) {
-        Decisions decided = proxy.decisions;
-        List.copyOf(decided.attemptsToStart).forEach(start -> startAttempt(proxy, start));
-        for (Decisions.CancelAttempt cancel : List.copyOf(decided.attemptsToCancel)) {
-            RunningAttempt running = proxy.attempts.get(cancel.request().value()).get(cancel.attempt());
-            at(random.nextInt(2) * MS / 2, () -> endAttempt(running, Outcome.CANCELLED));
+        Decisions decisions = proxy.decisions;
+        List.copyOf(decisions.attemptsToStart).forEach(start -> startAttempt(proxy, start));
+        for (Decisions.CancelAttempt cancel : List.copyOf(decisions.attemptsToCancel)) {
+            RunningAttempt attempt = proxy.attempts.get(cancel.request().value()).get(cancel.attempt());
+            schedule(random.nextInt(2) * MS / 2, () -> endAttempt(attempt, Outcome.CANCELLED));
         }
-        decided.responses.forEach(answer -> forget(proxy, answer.request().value()));
-        decided.loadProbes.forEach(endpoint -> at(probeTime(), () -> endLoadProbe(proxy, endpoint)));
-        decided.peerUpdates.forEach(sent -> deliver(proxy, sent));
-        if (decided.pollDiscovery) {
-            at((1 + random.nextInt(20)) * MS, () -> pollDiscovery(proxy));
+        decisions.responses.forEach(response -> removeIfEnded(proxy, response.request().value()));
+        decisions.loadProbes
+            .forEach(endpoint -> schedule(probeDelayNanos(), () -> endLoadProbe(proxy, endpoint)));
+        decisions.peerUpdates.forEach(sent -> deliver(proxy, sent));
+        if (decisions.pollDiscovery) {
+            schedule((1 + random.nextInt(20)) * MS, () -> pollDiscovery(proxy));
         }
-        if (decided.wakeAtNanos != Long.MAX_VALUE) {
+        if (decisions.wakeAtNanos != Long.MAX_VALUE) {
             long timer = ++proxy.timerCount;
-            at(Math.max(0, decided.wakeAtNanos - now), () -> onTimer(proxy, timer));
+            schedule(Math.max(0, decisions.wakeAtNanos - now), () -> onTimer(proxy, timer));
         }
         if (random.nextInt(50) == 0) {
-            trace.adminStatus(proxy.balancer.adminStatus());
+            trace.recordAdminStatus(proxy.balancer.adminStatus());
         }
     }
 
     private void onTimer(Proxy proxy, long timer) {
         if (timer == proxy.timerCount) {
-            trace.call('R', proxy.index, now);
-            call(proxy, () -> proxy.balancer.onTimer(now, proxy.decisions));
+            trace.recordCall('R', proxy.index, now);
+            handleEvent(proxy, () -> proxy.balancer.onTimer(now, proxy.decisions));
         }
     }
 
     // ---- requests
 
-    private void arrival(Proxy proxy) {
+    private void sendRequest(Proxy proxy) {
         double burst = now / (500 * MS) % 4 == 0 ? 3 : 1;
         double gapNanos = 1e9 / (traced.requestsPerSecond() * burst);
-        at((long) (-Math.log(1 - random.nextDouble()) * gapNanos) + 1, () -> arrival(proxy));
-        long request = requests++;
+        schedule((long) (-Math.log(1 - random.nextDouble()) * gapNanos) + 1, () -> sendRequest(proxy));
+        long request = nextRequest++;
         int requestClass = random.nextInt(deployment.requestClasses().size());
         int tenant = random.nextInt(Math.max(1, deployment.tenantQuotasPerSecond().size()) + 1);
         long key = random.nextInt(20) == 0 ? 0 : 1 + (long) (KEYS * Math.pow(random.nextDouble(), 3));
         boolean write = requestClass > 0 && random.nextInt(4) > 0;
-        long work = random.nextInt(3) == 0 ? random.nextInt(5) * MS : 0;
+        long workNanos = random.nextInt(3) == 0 ? random.nextInt(5) * MS : 0;
         long timeoutNanos = random.nextInt(30) == 0 ? random.nextInt(10) * MS
             : (200 + random.nextInt(2_000)) * MS;
-        trace.call('Q', proxy.index, now, request, requestClass, tenant, key, write, work, timeoutNanos);
+        trace.recordCall('Q', proxy.index, now, request, requestClass, tenant, key, write, workNanos,
+            timeoutNanos);
         proxy.attempts.put(request, new ArrayList<>());
-        call(proxy,
+        handleEvent(proxy,
             () -> proxy.balancer.onRequest(now, new RequestId(request), new RequestClassId(requestClass),
-                new TenantId(tenant), new CacheKey(key), write, work, timeoutNanos, proxy.decisions));
+                new TenantId(tenant), new CacheKey(key), write, workNanos, timeoutNanos, proxy.decisions));
         if (random.nextInt(25) == 0) {
-            at(random.nextInt(400) * MS, () -> disconnectClient(proxy, request));
+            schedule(random.nextInt(400) * MS, () -> disconnectClient(proxy, request));
         }
     }
 
     private void disconnectClient(Proxy proxy, long request) {
         if (proxy.attempts.containsKey(request)) {
-            trace.call('L', proxy.index, now, request);
-            call(proxy,
+            trace.recordCall('L', proxy.index, now, request);
+            handleEvent(proxy,
                 () -> proxy.balancer.onClientDisconnect(now, new RequestId(request), proxy.decisions));
         }
     }
 
-    private static void forget(Proxy proxy, long request) {
+    private static void removeIfEnded(Proxy proxy, long request) {
         List<RunningAttempt> attempts = proxy.attempts.get(request);
-        if (attempts != null && attempts.stream().allMatch(running -> running.ended)) {
+        if (attempts != null && attempts.stream().allMatch(attempt -> attempt.ended)) {
             proxy.attempts.remove(request);
         }
     }
@@ -217,37 +219,37 @@
         long request = start.request().value();
         long endpoint = start.endpoint().value();
         List<RunningAttempt> attempts = proxy.attempts.computeIfAbsent(request, id -> new ArrayList<>());
-        RunningAttempt running = new RunningAttempt(proxy, request, attempts.size(), endpoint);
-        attempts.add(running);
+        RunningAttempt attempt = new RunningAttempt(proxy, request, attempts.size(), endpoint);
+        attempts.add(attempt);
         SimulatedEndpoints.Reply reply = simulatedEndpoints.startAttempt(endpoint);
         boolean isInTime = reply.delayNanos() < start.timeoutNanos();
         long delayNanos = isInTime ? reply.delayNanos() : start.timeoutNanos();
         Outcome outcome = isInTime ? reply.outcome() : Outcome.TIMED_OUT;
-        at(Math.max(1, delayNanos), () -> endAttempt(running, outcome));
+        schedule(Math.max(1, delayNanos), () -> endAttempt(attempt, outcome));
     }
 
-    private void endAttempt(RunningAttempt running, Outcome outcome) {
-        if (running.ended) {
+    private void endAttempt(RunningAttempt attempt, Outcome outcome) {
+        if (attempt.ended) {
             return;
         }
-        running.ended = true;
-        LoadReport report = simulatedEndpoints.endAttempt(running.endpoint);
+        attempt.ended = true;
+        LoadReport report = simulatedEndpoints.endAttempt(attempt.endpoint);
         boolean isFinal = outcome == Outcome.SUCCEEDED;
         long proxyDelayNanos = random.nextInt(40) == 0 ? random.nextInt(30) * MS : 0;
-        trace.call('E', running.proxy.index, now, running.request, running.number, outcome.ordinal(),
+        trace.recordCall('E', attempt.proxy.index, now, attempt.request, attempt.number, outcome.ordinal(),
             report.inFlight(), report.queued(), isFinal, proxyDelayNanos);
-        Proxy proxy = running.proxy;
-        call(running.proxy,
-            () -> proxy.balancer.onAttemptEnd(now, new RequestId(running.request), running.number,
+        Proxy proxy = attempt.proxy;
+        handleEvent(attempt.proxy,
+            () -> proxy.balancer.onAttemptEnd(now, new RequestId(attempt.request), attempt.number,
                 outcome, report, isFinal, proxyDelayNanos, proxy.decisions));
         if (isFinal) {
-            forget(proxy, running.request);
+            removeIfEnded(proxy, attempt.request);
         }
     }
 
     // ---- load probes and updates between proxies
 
-    private long probeTime() {
+    private long probeDelayNanos() {
         return (1 + random.nextInt(random.nextInt(8) == 0 ? 40 : 4)) * MS;
     }
 
@@ -256,8 +258,9 @@
         Outcome outcome = fails ? Outcome.NO_CONNECTION : Outcome.SUCCEEDED;
         LoadReport report = fails ? LoadReport.NONE
             : new LoadReport(simulatedEndpoints.inFlight(endpoint.value()), Double.NaN);
-        trace.call('P', proxy.index, now, endpoint.value(), outcome.ordinal(), report.inFlight());
-        call(proxy, () -> proxy.balancer.onLoadProbeEnd(now, endpoint, outcome, report, proxy.decisions));
+        trace.recordCall('P', proxy.index, now, endpoint.value(), outcome.ordinal(), report.inFlight());
+        handleEvent(proxy,
+            () -> proxy.balancer.onLoadProbeEnd(now, endpoint, outcome, report, proxy.decisions));
     }
 
     private void deliver(Proxy sender, Decisions.SendPeerUpdate sent) {
@@ -266,19 +269,19 @@
                 || (sent.recipient() == Decisions.ALL_PEERS && proxy != sender);
             int copies = random.nextInt(20) == 0 ? 0 : random.nextInt(40) == 0 ? 2 : 1;
             for (int copy = 0; isRecipient && copy < copies; copy++) {
-                at((1 + random.nextInt(30)) * MS / 10, () -> receive(proxy, sent.update()));
+                schedule((1 + random.nextInt(30)) * MS / 10, () -> receive(proxy, sent.update()));
             }
         }
     }
 
     private void receive(Proxy proxy, PeerUpdate update) {
-        trace.call('T', proxy.index, now, update.topic().ordinal(), update.subject(), update.value());
-        call(proxy, () -> proxy.balancer.onPeerUpdate(now, update, proxy.decisions));
+        trace.recordCall('T', proxy.index, now, update.topic().ordinal(), update.subject(), update.value());
+        handleEvent(proxy, () -> proxy.balancer.onPeerUpdate(now, update, proxy.decisions));
     }
 
     /** Sends an update of a proxy that is not simulated, about an attempt, a tenant or a write. */
     private void sendUpdateOfAnotherProxy() {
-        at((1 + random.nextInt(6)) * MS, this::sendUpdateOfAnotherProxy);
+        schedule((1 + random.nextInt(6)) * MS, this::sendUpdateOfAnotherProxy);
         Proxy proxy = randomProxy();
         boolean late = now / (1_500 * MS) % 2 == 0;
         PeerUpdate update = switch (random.nextInt(6)) {
@@ -298,7 +301,7 @@
     }
 
     /** Returns an update that no proxy would send: about an unknown subject, or with a value out of range. */
-    private PeerUpdate falseUpdate() {
+    private PeerUpdate invalidUpdate() {
         PeerUpdate.Topic topic = PeerUpdate.Topic.values()[random.nextInt(PeerUpdate.Topic.values().length)];
         long subject = random.nextInt(traced.endpoints() + 3);
         double value = topic == PeerUpdate.Topic.IN_FLIGHT ? 1 - random.nextInt(2) * 0.5 : random.nextInt(4);
@@ -309,86 +312,88 @@
     // ---- discovery, operators and settings
 
     private void updateEndpoints(Proxy proxy, boolean complete, List<Endpoint> entries) {
-        trace.call('D', proxy.index, now, complete, entries.size());
-        call(proxy, () -> proxy.balancer.onEndpointUpdate(now, entries, complete, proxy.decisions));
+        trace.recordCall('D', proxy.index, now, complete, entries.size());
+        handleEvent(proxy, () -> proxy.balancer.onEndpointUpdate(now, entries, complete, proxy.decisions));
     }
 
     private void interruptDiscovery() {
-        at((300 + random.nextInt(3_000)) * MS, this::interruptDiscovery);
-        discoveryDownUntil = now + random.nextInt(4_000) * MS;
+        schedule((300 + random.nextInt(3_000)) * MS, this::interruptDiscovery);
+        discoveryDownUntilNanos = now + random.nextInt(4_000) * MS;
         failDiscovery(randomProxy());
     }
 
     private void failDiscovery(Proxy proxy) {
-        trace.call('X', proxy.index, now);
-        call(proxy, () -> proxy.balancer.onDiscoveryFailure(now, proxy.decisions));
+        trace.recordCall('X', proxy.index, now);
+        handleEvent(proxy, () -> proxy.balancer.onDiscoveryFailure(now, proxy.decisions));
     }
 
     private void pollDiscovery(Proxy proxy) {
-        if (now < discoveryDownUntil || random.nextInt(3) == 0) {
+        if (now < discoveryDownUntilNanos || random.nextInt(3) == 0) {
             failDiscovery(proxy);
         } else {
-            updateEndpoints(proxy, true, List.copyOf(listed.values()));
+            updateEndpoints(proxy, true, List.copyOf(listedEndpoints.values()));
         }
     }
 
     private void changeEndpoints() {
-        at((100 + random.nextInt(600)) * MS, this::changeEndpoints);
-        if (now < discoveryDownUntil) {
+        schedule((100 + random.nextInt(600)) * MS, this::changeEndpoints);
+        if (now < discoveryDownUntilNanos) {
             return;
         }
         List<Endpoint> changed = new ArrayList<>();
         for (int i = 0; i <= random.nextInt(1 + traced.endpoints() / 4); i++) {
             long id = 1L + random.nextInt(traced.endpoints());
             Endpoint entry = switch (random.nextInt(5)) {
-                case 0 -> endpoint(id, EndpointPhase.DRAINING, listed.get(id).startedAtNanos());
-                case 1 -> listed.get(id).withoutListing();
+                case 0 -> endpoint(id, EndpointPhase.DRAINING, listedEndpoints.get(id).startedAtNanos());
+                case 1 -> listedEndpoints.get(id).asRemoved();
                 case 2, 3 -> endpoint(id, EndpointPhase.READY, now - random.nextInt(300) * MS);
-                default -> endpoint(id, EndpointPhase.READY, listed.get(id).startedAtNanos());
+                default -> endpoint(id, EndpointPhase.READY, listedEndpoints.get(id).startedAtNanos());
             };
-            listed.put(id, entry);
+            listedEndpoints.put(id, entry);
             changed.add(entry);
         }
         boolean complete = random.nextInt(4) == 0;
         for (Proxy proxy : proxies) {
             List<Endpoint> entries = complete
-                ? listed.values().stream().filter(entry -> entry.phase() != EndpointPhase.REMOVED).toList()
+                ? listedEndpoints.values().stream().filter(entry -> entry.phase() != EndpointPhase.REMOVED)
+                    .toList()
                 : changed;
-            at(random.nextInt(30) * MS, () -> updateEndpoints(proxy, complete, entries));
+            schedule(random.nextInt(30) * MS, () -> updateEndpoints(proxy, complete, entries));
         }
     }
 
     private void changeFaults() {
-        at((100 + random.nextInt(1000)) * MS, this::changeFaults);
-        simulatedEndpoints.changeBehaviours(ids);
+        schedule((100 + random.nextInt(1000)) * MS, this::changeFaults);
+        simulatedEndpoints.changeBehaviours(endpointIds);
         if (deployment.fleet().gossipEnabled() && random.nextInt(3) == 0) {
-            receive(randomProxy(), falseUpdate());
+            receive(randomProxy(), invalidUpdate());
         }
     }
 
     private void changeAdminDrain() {
-        at((200 + random.nextInt(1500)) * MS, this::changeAdminDrain);
-        boolean drains = drained.isEmpty() || random.nextInt(3) == 0;
-        long id = drains ? ids.get(random.nextInt(ids.size())) + random.nextInt(2)
-            : drained.remove(random.nextInt(drained.size()));
-        if (drains) {
-            drained.add(id);
+        schedule((200 + random.nextInt(1500)) * MS, this::changeAdminDrain);
+        boolean drain = drainedIds.isEmpty() || random.nextInt(3) == 0;
+        long id = drain ? endpointIds.get(random.nextInt(endpointIds.size())) + random.nextInt(2)
+            : drainedIds.remove(random.nextInt(drainedIds.size()));
+        if (drain) {
+            drainedIds.add(id);
         }
         for (Proxy proxy : proxies) {
-            trace.call('H', proxy.index, now, id, drains);
-            call(proxy, () -> proxy.balancer.onAdminDrain(now, new EndpointId(id), drains, proxy.decisions));
+            trace.recordCall('H', proxy.index, now, id, drain);
+            handleEvent(proxy,
+                () -> proxy.balancer.onAdminDrain(now, new EndpointId(id), drain, proxy.decisions));
         }
     }
 
     private void changeSettings(Proxy proxy) {
-        at((500 + random.nextInt(1500)) * MS, () -> changeSettings(proxy));
+        schedule((500 + random.nextInt(1500)) * MS, () -> changeSettings(proxy));
         boolean conserve = random.nextInt(4) == 0;
-        trace.call('G', proxy.index, now, conserve);
+        trace.recordCall('G', proxy.index, now, conserve);
         proxy.balancer.conserveResources(conserve);
         if (random.nextInt(3) == 0) {
-            deployment = traced.changed(0.5 + random.nextInt(4) / 2.0, 1 + random.nextInt(5));
-            trace.call('C', proxy.index, now);
-            call(proxy,
+            deployment = traced.withScaledSettings(0.5 + random.nextInt(4) / 2.0, 1 + random.nextInt(5));
+            trace.recordCall('C', proxy.index, now);
+            handleEvent(proxy,
                 () -> proxy.balancer.onDeploymentChange(now,
                     TracedDeployment.forProxy(deployment, proxy.index),
                     proxy.decisions));
--- a/core/src/test/java/spurroad/balancer/peer/UpdateBudgetTest.java
+++ b/core/src/test/java/spurroad/balancer/peer/UpdateBudgetTest.java
@@ -11,19 +11,19 @@
     private static final int PROXIES = 100;
 
     @Test
-    public void allowsOnlyEarnedUpdates() {
+    public void limitsUpdatesToEarnedCredit() {
         UpdateBudget budget = new UpdateBudget(0, -1);
         int sent = 0;
         int attempts = 1000;
         for (int i = 0; i < attempts; i++) {
-            budget.earn(UpdateBudget.EARNED_PER_ATTEMPT);
+            budget.earn(UpdateBudget.CREDIT_PER_ATTEMPT);
             sent += budget.trySpend(i, PROXIES) ? 1 : 0;
         }
-        assertTrue(sent > 0 && sent * PROXIES <= attempts * UpdateBudget.EARNED_PER_ATTEMPT, sent + " sent");
+        assertTrue(sent > 0 && sent * PROXIES <= attempts * UpdateBudget.CREDIT_PER_ATTEMPT, sent + " sent");
     }
 
     @Test
-    public void keepsAMinimumIntervalBetweenUpdates() {
+    public void enforcesMinimumIntervalBetweenUpdates() {
         UpdateBudget budget = new UpdateBudget(Double.MAX_VALUE, INTERVAL_NANOS);
         assertTrue(budget.trySpend(2 * INTERVAL_NANOS, PROXIES));
         budget.earn(PROXIES);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void spendsTheWholeBudgetWithOneUpdate() {
+    public void spendsAllCreditWithOneUpdate() {
         UpdateBudget budget = new UpdateBudget(5 * PROXIES, -1);
         assertTrue(budget.trySpend(1, PROXIES));
         assertEquals(budget.trySpend(2, 1), false);
--- a/proxy/src/main/java/spurroad/routing/EndpointStatusLog.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointStatusLog.java
@@ -45,7 +45,7 @@
     /** Logs a status that differs from the last one. */
     void onStatus(AdminStatus status, long now) {
         statusNanos = now;
-        anyEjected = status.awaiting(AwaitedEvent.RETURN_BY_STAFF) < status.restricted().size();
+        anyEjected = status.awaiting(AwaitedEvent.RETURN_BY_OPERATOR) < status.restricted().size();
         String fields = fields(status);
         if (!fields.equals(lastFields)) {
             lastFields = fields;
--- a/proxy/src/test/java/spurroad/protocol/EndpointListFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/EndpointListFormTest.java
@@ -59,7 +59,7 @@
             WEIGHTED);
         assertEquals(changes.revision(), 43);
         assertFalse(changes.isComplete());
-        assertEquals(changes.endpoints().get(0).endpoint(), READ_ENTRY.withoutListing());
+        assertEquals(changes.endpoints().get(0).endpoint(), READ_ENTRY.asRemoved());
         assertSame(changes.endpoints().get(1).endpoint().phase(), EndpointPhase.DRAINING);
     }
 
--- a/proxy/src/test/java/spurroad/routing/EndpointStatusLogTest.java
+++ b/proxy/src/test/java/spurroad/routing/EndpointStatusLogTest.java
@@ -31,7 +31,7 @@
         statusLog.onStatus(status(AwaitedEvent.LOAD_PROBE_REPLY, 1), 5 * SECOND);
         assertFalse(statusLog.isRenewalDue(6 * SECOND - 1));
         assertTrue(statusLog.isRenewalDue(6 * SECOND));
-        statusLog.onStatus(status(AwaitedEvent.RETURN_BY_STAFF, 1), 6 * SECOND);
+        statusLog.onStatus(status(AwaitedEvent.RETURN_BY_OPERATOR, 1), 6 * SECOND);
         assertFalse(statusLog.isRenewalDue(9 * SECOND), "staff return it, which is an event");
     }
 
--- a/testbed/src/main/java/spurroad/testbed/policy/BaselinePolicy.java
+++ b/testbed/src/main/java/spurroad/testbed/policy/BaselinePolicy.java
@@ -99,7 +99,7 @@
 
     private void addToRing(EndpointId node) {
         for (int i = 0; i < RING_POINTS; i++) {
-            ring.put(SplitMix64.finish(node.value() + i * SplitMix64.GAMMA), node);
+            ring.put(SplitMix64.mix(node.value() + i * SplitMix64.GAMMA), node);
         }
     }
 
@@ -159,7 +159,7 @@
      * Returns the first node clockwise without an attempt that would hold no more than a bound; else null.
      */
     private EndpointId firstOnRing(PendingRequest request, double maxInFlight) {
-        long point = SplitMix64.finish(request.key.value());
+        long point = SplitMix64.mix(request.key.value());
         EndpointId node = firstOf(ring.tailMap(point), request, maxInFlight);
         return node != null ? node : firstOf(ring.headMap(point), request, maxInFlight);
     }
