--- a/core/src/main/java/spurroad/admission/AdmissionPolicy.java
+++ b/core/src/main/java/spurroad/admission/AdmissionPolicy.java
@@ -18,7 +18,7 @@
 public final class AdmissionPolicy {
     /**
      * Interval between calls of {@link #onInterval}, in nanoseconds. It spans about ten of the pauses with
-     * which the host enforces a CPU quota.
+     * which the operating system enforces a CPU quota.
      */
     public static final long INTERVAL_NANOS = 100_000_000L;
 
--- a/core/src/main/java/spurroad/admission/AdmittedFraction.java
+++ b/core/src/main/java/spurroad/admission/AdmittedFraction.java
@@ -10,10 +10,10 @@
 final class AdmittedFraction {
     // the requests that are always admitted show the capacity
     private static final double MIN_FRACTION = 0.01;
-    // at full utilization the host throttles the process
+    // at full utilization the operating system throttles the process
     private static final double TARGET_UTILIZATION = 0.97;
     private static final double INCREASE_BELOW_UTILIZATION = 0.9;
-    // per interval; from half to all requests within a second
+    // of the fraction, per interval: it grows from half to all requests within a second
     private static final double MAX_INCREASE = 0.05;
     // increases are proportionally smaller below a fraction of 1/6, where the largest one may use up the
     // whole capacity
--- a/core/src/main/java/spurroad/admission/DemandEstimate.java
+++ b/core/src/main/java/spurroad/admission/DemandEstimate.java
@@ -9,7 +9,7 @@
     static final double DECAY_FACTOR = 0.8;
 
     private static final double REJECTION_COST = 0.1; // relative to an admitted request
-    // below this utilization the cost of rejected requests is not extrapolated: the background work of the
+    // below this utilization the demand of rejected requests is not extrapolated: the background work of the
     // process was attributed to the few requests that it admitted, and a service level sustained itself
     private static final double MIN_EXTRAPOLATION_UTILIZATION = 0.6;
 
--- a/core/src/main/java/spurroad/admission/ServiceLevels.java
+++ b/core/src/main/java/spurroad/admission/ServiceLevels.java
@@ -14,12 +14,12 @@
     // pressure at which each level is entered. The last two are for when rejections alone use up the
     // resources: until then the highest-priority part of all requests has more weight than a single class
     private static final double[] ENTRY_PRESSURES = {0, 1.05, 1.4, 8, 20};
-    // of the entry pressure; a measurement fluctuates by less
+    // a level is left below this fraction of its entry pressure; measurements fluctuate by less
     private static final double EXIT_PRESSURE_FACTOR = 0.8;
-    // three measurements in a row, not a single burst
+    // the pressure must last for three measurements in a row, so that a single burst has no effect
     private static final long MIN_OVERLOAD_NANOS = 300_000_000L;
-    private static final long MIN_STAY_NANOS = 1_000_000_000L; // before the next better level
-    private static final long MAX_STAY_NANOS = 16_000_000_000L; // bound of the doubled minimum stay
+    private static final long MIN_STAY_NANOS = 1_000_000_000L; // at a level before the next better one
+    private static final long MAX_STAY_NANOS = 16_000_000_000L; // the minimum stay is not doubled beyond this
     // a level that is entered again within this time was left too early
     private static final long REENTRY_NANOS = 10_000_000_000L;
     private static final int WARM_UP_STAY_FACTOR = 2; // lets endpoints warm up meanwhile
--- a/core/src/main/java/spurroad/admission/TenantRates.java
+++ b/core/src/main/java/spurroad/admission/TenantRates.java
@@ -7,10 +7,11 @@
  * variation.
  */
 final class TenantRates {
-    private static final long AVERAGING_INTERVALS = 10; // over which a rate is averaged
-    private static final double OVER_QUOTA_FACTOR = 1.2; // of the quota; less may be random variation
-    private static final double MARGIN_STANDARD_DEVIATIONS = 3; // of random variation, tolerated in addition
-    private static final double MARGIN_REQUESTS = 3; // requests, tolerated in addition to both
+    private static final long AVERAGING_INTERVALS = 10; // over which request rates are averaged
+    // multiple of the quota; a smaller excess may be random variation
+    private static final double OVER_QUOTA_FACTOR = 1.2;
+    private static final double MARGIN_STANDARD_DEVIATIONS = 3; // tolerated in addition to the factor
+    private static final double MARGIN_REQUESTS = 3; // tolerated in addition to both
 
     private double[] quotasPerSecond = {};
     private double[] counts = {}; // exponentially decayed, indexed by tenant
--- a/core/src/main/java/spurroad/balancer/overload/OriginBacklog.java
+++ b/core/src/main/java/spurroad/balancer/overload/OriginBacklog.java
@@ -19,18 +19,18 @@
  */
 public final class OriginBacklog {
     private static final double DECREASE_PER_SECOND = 1.0; // exponential rate; a backlog builds up quickly
-    // of all requests to the origin; a long queue drains slowly
+    // added to the fraction; a long queue drains slowly
     private static final double INCREASE_PER_SECOND = 0.15;
     // admitted fraction; above it only reads are limited
     private static final double WRITES_LIMITED_BELOW = 0.5;
-    private static final double LATE_FRACTION_TO_LIMIT_READS = 0.3; // of the writes
-    private static final double LATE_FRACTION_TO_LIMIT_WRITES = 0.7; // of the writes
+    private static final double LATE_FRACTION_TO_LIMIT_READS = 0.3; // fraction of late writes
+    private static final double LATE_FRACTION_TO_LIMIT_WRITES = 0.7; // fraction of late writes
     private static final double MIN_ADMITTED_FRACTION = 0.05; // so that caches continue to be filled
-    // time constant, over the writes of all proxies
+    // time constant of the average over the writes of all proxies
     private static final long LATE_WRITES_DECAY_NANOS = 1_000_000_000L;
-    // longest time that one adjustment covers, after a pause
+    // an adjustment after a longer pause covers only this time
     private static final long MAX_ADJUSTMENT_NANOS = 1_000_000_000L;
-    // of an update; the owner may have stopped
+    // older updates are ignored: the owner may have stopped
     private static final long MAX_UPDATE_AGE_NANOS = 4_000_000_000L;
 
     private final ActiveDeployment deployment;
--- a/core/src/main/java/spurroad/balancer/overload/Tenant.java
+++ b/core/src/main/java/spurroad/balancer/overload/Tenant.java
@@ -11,7 +11,7 @@
     // messages; the over-quota fraction changes slowly
     private static final double CREDIT_PER_REQUEST = 6;
     private static final long NO_MIN_INTERVAL_NANOS = -1; // only the credit limits updates
-    private static final long MAX_OVER_QUOTA_AGE_NANOS = 4_000_000_000L; // of the over-quota fraction
+    private static final long MAX_OVER_QUOTA_AGE_NANOS = 4_000_000_000L; // older fractions are ignored
 
     private final DecayingAverage requests;
     private final UpdateBudget updateBudget = new UpdateBudget(0, NO_MIN_INTERVAL_NANOS);
--- a/core/src/main/java/spurroad/balancer/peer/OwnershipState.java
+++ b/core/src/main/java/spurroad/balancer/peer/OwnershipState.java
@@ -22,7 +22,7 @@
     private static final long MIN_DURATION_NANOS = 1_000_000L;
     private static final int MAX_CACHED_KEYS = 4_000; // minutes of reads by hundreds of proxies
     private static final long CACHED_KEY_MAX_AGE_NANOS = 20_000_000_000L;
-    // for this long after a proxy became owner, any key may be cached: it has recorded few keys
+    // a new owner has recorded few keys: for this long any key may be cached
     private static final long ASSUME_CACHED_NANOS = 4_000_000_000L;
     // of the cached fraction; smaller changes are not published
     private static final double MIN_PUBLISHED_CHANGE = 0.05;
--- a/core/src/test/java/spurroad/admission/AdmissionPolicyProperties.java
+++ b/core/src/test/java/spurroad/admission/AdmissionPolicyProperties.java
@@ -101,7 +101,7 @@
                 "admitted fraction " + policy.admittedFraction());
             long retryAfterNanos = policy.retryAfterNanos();
             assertTrue(retryAfterNanos >= 0 && retryAfterNanos <= 2 * SECOND_NANOS,
-                "Retry-After " + retryAfterNanos + " ns");
+                "Retry-After in nanoseconds: " + retryAfterNanos);
         }
     }
 }
--- a/core/src/test/java/spurroad/admission/ServiceLevelsProperties.java
+++ b/core/src/test/java/spurroad/admission/ServiceLevelsProperties.java
@@ -68,8 +68,7 @@
                 levels.onPressure(now, phase.pressure, phase.warmingUp);
             }
         }
-        for (long endNanos = now + 4 * 16 * SECOND_NANOS + SECOND_NANOS; now
-            < endNanos; now += INTERVAL_NANOS) {
+        for (long end = now + 4 * 16 * SECOND_NANOS + SECOND_NANOS; now < end; now += INTERVAL_NANOS) {
             levels.onPressure(now, 0, false);
         }
         assertTrue(levels.level() == ServiceLevel.FULL, "still " + levels.level());
--- a/core/src/test/java/spurroad/balancer/BalancerFixture.java
+++ b/core/src/test/java/spurroad/balancer/BalancerFixture.java
@@ -164,8 +164,7 @@
     Decisions endAttempt(long request, int number, Outcome outcome, boolean completesRequest) {
         decisions.clear();
         balancer.onAttemptEnd(nowNanos, new RequestId(request), number, outcome, LoadReport.NONE,
-            completesRequest,
-            proxyDelayNanos, decisions);
+            completesRequest, proxyDelayNanos, decisions);
         return decisions;
     }
 
--- a/core/src/test/java/spurroad/balancer/peer/OwnershipStateTest.java
+++ b/core/src/test/java/spurroad/balancer/peer/OwnershipStateTest.java
@@ -26,8 +26,7 @@
         assertEquals(state.fleetInFlight(START_NANOS), 1.0);
         long endNanos = START_NANOS + 100 * MS;
         state.onInFlightUpdate(update(-OwnershipState.remainingWeight(100 * MS), KEY), endNanos,
-            DEFAULT_NANOS,
-            DEFAULT_NANOS);
+            DEFAULT_NANOS, DEFAULT_NANOS);
         assertEquals(state.fleetInFlight(endNanos), 0, 1e-9);
     }
 
@@ -67,8 +66,7 @@
         OwnershipState state = new OwnershipState();
         double quickFailure = OwnershipState.remainingWeight(MS);
         double serviceTimeNanos = state.onInFlightUpdate(update(quickFailure, KEY), START_NANOS,
-            DEFAULT_NANOS,
-            DEFAULT_NANOS);
+            DEFAULT_NANOS, DEFAULT_NANOS);
         assertEquals(serviceTimeNanos, DEFAULT_NANOS, "a quick failure changes nothing");
         double slowFailure = OwnershipState.remainingWeight(900 * MS);
         serviceTimeNanos = state.onInFlightUpdate(update(slowFailure, KEY), START_NANOS, DEFAULT_NANOS,
