--- a/core/src/main/java/spurroad/balancer/endpoint/EndpointOwnership.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/EndpointOwnership.java
@@ -73,7 +73,7 @@
         double maxWaitNanos = OVERLOADED_WAIT_OBJECTIVE_FRACTION * deployment.shortestObjectiveNanos();
         boolean overloaded = endpoint.load().reportedQueueLength()
             >= serviceTimes.softLimit(endpoint, maxWaitNanos, now);
-        if (endpoint.ownership().tryAnnounce(cachedFraction.fraction(), overloaded, now,
+        if (endpoint.ownership().tryPublish(cachedFraction.fraction(), overloaded, now,
             deployment.fleet().proxyCount())) {
             peers.sendToAll(endpoint.loadUpdate());
         }
--- a/core/src/main/java/spurroad/balancer/endpoint/EndpointTable.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/EndpointTable.java
@@ -93,7 +93,7 @@
      */
     public void update(List<Endpoint> listedEndpoints, boolean complete, double proxyRequests, long now) {
         if (complete) {
-            endpoints.values().forEach(state -> state.setListing(state.listing().withoutListing()));
+            endpoints.values().forEach(state -> state.setListing(state.listing().asRemoved()));
         }
         for (Endpoint endpoint : listedEndpoints) {
             EndpointState state = endpoints.get(endpoint.id());
@@ -145,7 +145,7 @@
         endpoints.put(endpoint.id(), created);
         if (previous != null) {
             // attempts in flight still refer to the previous state, which must no longer appear as listed
-            previous.setListing(previous.listing().withoutListing());
+            previous.setListing(previous.listing().asRemoved());
             outlierDetector.onReplaced(previous);
         }
         return created;
@@ -213,7 +213,7 @@
             }
             listedCount++;
             RestrictedEndpoint restriction = endpoint.admin().isDrained()
-                ? new RestrictedEndpoint(endpoint.id(), AwaitedEvent.RETURN_BY_STAFF, Long.MAX_VALUE)
+                ? new RestrictedEndpoint(endpoint.id(), AwaitedEvent.RETURN_BY_OPERATOR, Long.MAX_VALUE)
                 : outlierDetector.restriction(endpoint);
             if (restriction != null) {
                 restricted.add(restriction);
--- a/core/src/main/java/spurroad/balancer/endpoint/Ring.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/Ring.java
@@ -83,7 +83,7 @@
 
     /** Mixes the bits of an id, so that it can serve as a position on the ring. */
     public static long hash(long id) {
-        return SplitMix64.finish(id + SplitMix64.GAMMA);
+        return SplitMix64.mix(id + SplitMix64.GAMMA);
     }
 
     /**
--- a/core/src/main/java/spurroad/balancer/request/AttemptFeedback.java
+++ b/core/src/main/java/spurroad/balancer/request/AttemptFeedback.java
@@ -110,7 +110,7 @@
             attempt.isWrite() ? CacheKey.NONE : attempt.key());
         if (attempt.isWrite() && outcome != Outcome.REJECTED) {
             boolean isLate = !succeeded
-                || LoadShedder.isOverloadedTime(attempt.requestClass(), durationNanos);
+                || LoadShedder.indicatesQueueing(attempt.requestClass(), durationNanos);
             peers.sendToOwner(ORIGIN_SUBJECT, PeerUpdate.ofOriginWrite(isLate));
         }
     }
--- a/core/src/test/java/spurroad/admission/AdmissionPolicyTraceTest.java
+++ b/core/src/test/java/spurroad/admission/AdmissionPolicyTraceTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Holds admission to what it decided before, to the bit; see the decision trace of the load balancer. */
+/** Verifies that admission decisions are unchanged to the bit, like the load balancer's decision trace. */
 public class AdmissionPolicyTraceTest {
     private static final int INTERVALS = 600;
     private static final long MS = 1_000_000L;
@@ -27,7 +27,7 @@
     }
 
     @Test(dataProvider = "traces")
-    public void admitsAsBefore(String name, double[] weights, double[] quotas, String digest)
+    public void makesUnchangedDecisions(String name, double[] weights, double[] quotas, String digest)
         throws Exception {
         Random random = new Random(name.length());
         AdmissionPolicy admission = new AdmissionPolicy(weights, quotas, 50 * MS, 500 * MS, 2_000 * MS, 7);
--- a/core/src/test/java/spurroad/balancer/CandidateSelectionTest.java
+++ b/core/src/test/java/spurroad/balancer/CandidateSelectionTest.java
@@ -5,9 +5,19 @@
 import static spurroad.balancer.BalancerFixture.DEDUPLICATED;
 import static spurroad.balancer.BalancerFixture.MS;
 import static spurroad.balancer.BalancerFixture.READ;
-import static spurroad.balancer.GossipFixture.NODES;
+import static spurroad.balancer.GossipFixture.ENDPOINTS;
 import static spurroad.balancer.GossipFixture.fleet;
 import static spurroad.balancer.GossipFixture.targetOfSuccessfulRead;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import spurroad.model.CacheKey;
+import spurroad.model.Decisions;
+import spurroad.model.EndpointPhase;
+import spurroad.model.Outcome;
+import spurroad.model.ZoneId;
 
 import java.util.List;
 import java.util.Set;
@@ -156,7 +166,7 @@
         int ringOrderCount = 0;
         for (long key = 1; key <= 200; key++) {
             List<Long> ringOrder = KeyCandidates
-                .of(BalancerFixture.endpoints(NODES, false), BalancerFixture.ORIGIN, new CacheKey(key))
+                .of(BalancerFixture.endpoints(ENDPOINTS, false), BalancerFixture.ORIGIN, new CacheKey(key))
                 .candidates().stream().map(candidate -> candidate.endpoint().value()).toList();
             long target = targetOfSuccessfulRead(fixture, key, key);
             long expected = ringOrder.stream()
--- a/core/src/test/java/spurroad/balancer/LoadBalancerTest.java
+++ b/core/src/test/java/spurroad/balancer/LoadBalancerTest.java
@@ -34,7 +34,7 @@
             fixture.updateEndpoint(id, EndpointPhase.REMOVED, 0);
         }
         fixture.updateEndpoint(endpointInUse, EndpointPhase.REMOVED, 0);
-        int knownCount = fixture.balancer.knownEndpoints();
+        int knownCount = fixture.balancer.knownEndpointCount();
         assertTrue(
             knownCount <= EndpointTable.MAX_KNOWN_ENDPOINTS
                 && knownCount > EndpointTable.MAX_KNOWN_ENDPOINTS / 2,
--- a/core/src/test/java/spurroad/balancer/OwnershipTest.java
+++ b/core/src/test/java/spurroad/balancer/OwnershipTest.java
@@ -25,7 +25,7 @@
     /** Delivery of peer updates, and the minimum percentage of keys that migrate; 0 expects none. */
     @DataProvider
     Object[][] deliveries() {
-        return new Object[][] {{Delivery.DELIVERED, 40}, {Delivery.DOUBLED, 40}, {Delivery.LOST, 0}};
+        return new Object[][] {{Delivery.DELIVERED, 40}, {Delivery.DUPLICATED, 40}, {Delivery.LOST, 0}};
     }
 
     /**
--- a/core/src/test/java/spurroad/balancer/PeerUpdatesTest.java
+++ b/core/src/test/java/spurroad/balancer/PeerUpdatesTest.java
@@ -6,7 +6,7 @@
 import static spurroad.balancer.BalancerFixture.MS;
 import static spurroad.balancer.BalancerFixture.NON_IDEMPOTENT;
 import static spurroad.balancer.BalancerFixture.READ;
-import static spurroad.balancer.GossipFixture.NODES;
+import static spurroad.balancer.GossipFixture.ENDPOINTS;
 import static spurroad.balancer.GossipFixture.fleet;
 
 import org.testng.annotations.DataProvider;
@@ -19,11 +19,11 @@
 import spurroad.model.PeerUpdate.Topic;
 import spurroad.model.RequestClassId;
 
-/** Which updates proxies accept from each other, and which and how many they send. */
+/** Tests which updates proxies accept from one another, and which and how many they send. */
 public class PeerUpdatesTest {
-    /** Updates with false values or unknown subjects: an update may be anything that the codec accepts. */
+    /** Updates with invalid values or unknown subjects: an update may be anything that the codec accepts. */
     @DataProvider
-    Object[][] falseUpdates() {
+    Object[][] invalidUpdates() {
         return new Object[][] {{Topic.IN_FLIGHT, 99L, 1.0}, {Topic.IN_FLIGHT, 3L, -1.0},
             {Topic.IN_FLIGHT, 3L, -1e-9},
             {Topic.LOAD, 99L, 5.0},
@@ -32,8 +32,8 @@
             {Topic.OVER_QUOTA, -1L, 1.0}, {Topic.OVER_QUOTA, 1L, 1.0}};
     }
 
-    @Test(dataProvider = "falseUpdates")
-    public void falseUpdatesBreakNoRuleAndExpire(Topic topic, long subject, double value) {
+    @Test(dataProvider = "invalidUpdates")
+    public void invalidUpdatesBreakNoRuleAndExpire(Topic topic, long subject, double value) {
         for (BalancerFixture fixture : fleet(null)) {
             for (int id = 0; id < 20; id++) {
                 fixture.receive(new PeerUpdate(topic, subject, value));
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Duration of an attempt in seconds, and its outcome: the update about it must fit the codec in any case.
+     * Duration of an attempt in seconds, and its outcome. The codec must accept the update in every case.
      */
     @DataProvider
     Object[][] attemptEnds() {
@@ -60,29 +60,29 @@
     }
 
     @Test(dataProvider = "attemptEnds")
-    public void sendsARemainingWeightBetweenZeroAndOne(int seconds, Outcome outcome) {
+    public void sendsRemainingWeightBetweenZeroAndOne(int seconds, Outcome outcome) {
         BalancerFixture fixture = fleet(null).get(0);
         for (int id = 0; id < 20; id++) { // the proxy owns some of the endpoints itself and sends no update
             fixture.request(id, DEDUPLICATED, id, 0, 400_000 * MS);
             fixture.nowNanos += seconds * 1000L * MS;
             fixture.endAttempt(id, 0, outcome);
-            fixture.decisions.peerUpdates.stream().filter(t -> t.update().topic() == Topic.IN_FLIGHT)
-                .forEach(t -> {
-                    double remainingWeight = Math.abs((float) t.update().value());
+            fixture.decisions.peerUpdates.stream().filter(sent -> sent.update().topic() == Topic.IN_FLIGHT)
+                .forEach(sent -> {
+                    double remainingWeight = Math.abs((float) sent.update().value());
                     assertTrue(remainingWeight > 0 && remainingWeight < 1,
                         "remaining weight " + remainingWeight);
                 });
         }
     }
 
-    /** Regression: unbounded updates to a thousand proxies exceeded the network's bandwidth. */
+    /** Regression: an unbounded number of updates to a thousand proxies exceeded the network's bandwidth. */
     @Test
     public void boundsBroadcastsByReceivedUpdates() {
         int proxies = 1000;
         int broadcasts = 0;
         BalancerFixture fixture = new BalancerFixture(false, DeduplicationScope.ALL, 7,
             new Fleet(null, 0, proxies, true));
-        fixture.updateEndpoints(true, BalancerFixture.endpoints(NODES, false));
+        fixture.updateEndpoints(true, BalancerFixture.endpoints(ENDPOINTS, false));
         for (int id = 0; id < 1000; id++) {
             fixture.receive(new PeerUpdate(Topic.IN_FLIGHT, 3, 1));
             broadcasts += fixture.decisions.peerUpdates.size();
