--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -230,7 +230,7 @@
         }
         boolean delivering = responses.isDelivering(clients.now());
         // a command that arrives after this look is lost: the end of the stream follows at once
-        if (connection.hasUnread() || isClosed()) {
+        if (connection.readAvailable() || isClosed()) {
             return;
         }
         if (delivering) {
@@ -314,7 +314,7 @@
 
     /** Closes it by a reset, unless something has just come. */
     void giveWay(CloseReason reason) {
-        if (!connection.hasUnread()) {
+        if (!connection.readAvailable()) {
             connection.reset();
             close(reason);
         }
--- a/proxy/src/main/java/spurroad/routing/DisconnectDetector.java
+++ b/proxy/src/main/java/spurroad/routing/DisconnectDetector.java
@@ -108,7 +108,7 @@
     private void readAhead() {
         readingAhead = true;
         while (buffer.remainingCapacity() > 0 && !owner.isFlooding()
-            && connection.hasUnread(buffer.remainingCapacity()) && !isGone()) {
+            && connection.readAvailable(buffer.remainingCapacity()) && !isGone()) {
             continue;
         }
         readingAhead = false;
--- a/proxy/src/main/java/spurroad/routing/EndpointConnection.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointConnection.java
@@ -233,7 +233,7 @@
      */
     @Override
     public void onClosed() {
-        if (!closed && connection.endedOrderly()) {
+        if (!closed && connection.reachedEndOfStream()) {
             input.end();
             parseReplies();
         }
@@ -261,7 +261,7 @@
      * lost.
      */
     boolean isClean() {
-        if (connection.hasUnread()) {
+        if (connection.readAvailable()) {
             close();
         }
         return !closed;
--- a/proxy/src/main/java/spurroad/transport/AcceptQueueLength.java
+++ b/proxy/src/main/java/spurroad/transport/AcceptQueueLength.java
@@ -19,16 +19,16 @@
     private static final int QUEUES_FIELD = 4; // hexadecimal SEND:RECEIVE
     private static final int FIELDS_READ = 5;
 
-    private final Path ipv4Sockets;
-    private final Path ipv6Sockets;
+    private final Path ipv4SocketTable;
+    private final Path ipv6SocketTable;
 
     AcceptQueueLength() {
         this(Path.of("/proc/self/net/tcp"), Path.of("/proc/self/net/tcp6"));
     }
 
-    AcceptQueueLength(Path ipv4Sockets, Path ipv6Sockets) {
-        this.ipv4Sockets = ipv4Sockets;
-        this.ipv6Sockets = ipv6Sockets;
+    AcceptQueueLength(Path ipv4SocketTable, Path ipv6SocketTable) {
+        this.ipv4SocketTable = ipv4SocketTable;
+        this.ipv6SocketTable = ipv6SocketTable;
     }
 
     /**
@@ -36,25 +36,25 @@
      * for all of them together. Empty where the system doesn't tell.
      */
     OptionalInt read(int port) {
-        OptionalInt ipv4 = read(ipv4Sockets, port);
-        OptionalInt ipv6 = read(ipv6Sockets, port);
+        OptionalInt ipv4 = read(ipv4SocketTable, port);
+        OptionalInt ipv6 = read(ipv6SocketTable, port);
         if (ipv4.isEmpty() && ipv6.isEmpty()) {
             return OptionalInt.empty();
         }
         return OptionalInt.of(ipv4.orElse(0) + ipv6.orElse(0));
     }
 
-    private static OptionalInt read(Path sockets, int port) {
+    private static OptionalInt read(Path socketTable, int port) {
         OptionalInt length = OptionalInt.empty();
-        try (BufferedReader lines = Files.newBufferedReader(sockets, StandardCharsets.US_ASCII)) {
+        try (BufferedReader lines = Files.newBufferedReader(socketTable, StandardCharsets.US_ASCII)) {
             lines.readLine(); // the heading
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 String[] fields = line.strip().split("\\s+", FIELDS_READ + 1);
                 if (fields.length < FIELDS_READ || !fields[STATE_FIELD].equals(LISTENING_STATE)) {
                     break;
                 }
-                if (lastHexadecimal(fields[LOCAL_ADDRESS_FIELD]) == port) {
-                    length = OptionalInt.of(length.orElse(0) + lastHexadecimal(fields[QUEUES_FIELD]));
+                if (parseHexAfterColon(fields[LOCAL_ADDRESS_FIELD]) == port) {
+                    length = OptionalInt.of(length.orElse(0) + parseHexAfterColon(fields[QUEUES_FIELD]));
                 }
             }
             return length;
@@ -63,7 +63,7 @@
         }
     }
 
-    private static int lastHexadecimal(String pair) {
+    private static int parseHexAfterColon(String pair) {
         return Integer.parseInt(pair.substring(pair.indexOf(':') + 1), 16);
     }
 }
--- a/proxy/src/main/java/spurroad/transport/AcceptQueueClock.java
+++ b/proxy/src/main/java/spurroad/transport/AcceptQueueTracker.java
@@ -11,18 +11,18 @@
  * Another process that accepts from the same socket makes the bound earlier than it need be, never later.
  * Event loop thread only.
  */
-final class AcceptQueueClock {
+final class AcceptQueueTracker {
     private static final long QUEUE_EMPTY = Long.MAX_VALUE;
-    private static final int NO_MARK = -1;
+    private static final int NO_SAMPLE = -1;
 
     /** Since when, at the earliest, the next connection may be queued, in Unix nanoseconds. */
     private long queuedSinceNanos;
     /** How many of the connections that were queued at the mark are not accepted yet. */
-    private int queuedBeforeMark = NO_MARK;
-    private long markNanos;
+    private int remainingSampled = NO_SAMPLE;
+    private long sampledNanos;
 
     /** Starts with a queue whose connections may have come at any time since then. */
-    AcceptQueueClock(long queuedSinceNanos) {
+    AcceptQueueTracker(long queuedSinceNanos) {
         this.queuedSinceNanos = queuedSinceNanos;
     }
 
@@ -36,11 +36,11 @@
         if (length.isEmpty()) {
             return;
         }
-        boolean passedSooner = queuedBeforeMark == NO_MARK || length.getAsInt() <= queuedBeforeMark;
-        if (passedSooner) {
-            queuedBeforeMark = length.getAsInt();
-            markNanos = nowNanos;
-            passMark();
+        boolean replacesSample = remainingSampled == NO_SAMPLE || length.getAsInt() <= remainingSampled;
+        if (replacesSample) {
+            remainingSampled = length.getAsInt();
+            sampledNanos = nowNanos;
+            applySampleIfReached();
         }
     }
 
@@ -51,23 +51,23 @@
 
     /** Notes that a connection was accepted. */
     void onAccepted() {
-        if (queuedBeforeMark != NO_MARK) {
-            queuedBeforeMark--;
-            passMark();
+        if (remainingSampled != NO_SAMPLE) {
+            remainingSampled--;
+            applySampleIfReached();
         }
     }
 
-    private void passMark() {
-        if (queuedBeforeMark == 0) {
-            queuedBeforeMark = NO_MARK;
-            queuedSinceNanos = Math.max(queuedSinceNanos, markNanos);
+    private void applySampleIfReached() {
+        if (remainingSampled == 0) {
+            remainingSampled = NO_SAMPLE;
+            queuedSinceNanos = Math.max(queuedSinceNanos, sampledNanos);
         }
     }
 
     /** Notes that the queue was found empty. */
     void onEmpty() {
         queuedSinceNanos = QUEUE_EMPTY;
-        queuedBeforeMark = NO_MARK;
+        remainingSampled = NO_SAMPLE;
     }
 
     /** Returns whether the queue was empty when it was last looked at. */
--- a/proxy/src/main/java/spurroad/transport/Connection.java
+++ b/proxy/src/main/java/spurroad/transport/Connection.java
@@ -47,7 +47,7 @@
     private final WritableByteChannel sink;
     private final Runnable releasePermit;
     private final WriteQueue writeQueue;
-    private final ReadArrivalTracker arrivals;
+    private final ReadArrivalTracker arrivalTracker;
     private SelectionKey readKey;
     private SelectionKey writeKey;
     private Handler handler;
@@ -66,7 +66,7 @@
         this.sink = sink;
         this.releasePermit = releasePermit;
         writeQueue = new WriteQueue(sink);
-        arrivals = new ReadArrivalTracker(loop);
+        arrivalTracker = new ReadArrivalTracker(loop);
     }
 
     /**
@@ -77,14 +77,14 @@
     static Connection accepted(EventLoop loop, SocketChannel socket, long queuedSinceNanos,
                                Runnable releasePermit) {
         Connection accepted = new Connection(loop, socket, socket, releasePermit);
-        accepted.arrivals.onOpenedWithUnread(queuedSinceNanos);
+        accepted.arrivalTracker.onOpenedWithUnreadBytes(queuedSinceNanos);
         return accepted;
     }
 
     /** Starts to read from a socket that is connected. */
     public void open(Handler handler) {
         register(handler, SelectionKey.OP_READ);
-        if (!isClosed() && arrivals.mayHaveUnread()) {
+        if (!isClosed() && arrivalTracker.mayHaveUnreadBytes()) {
             read(loop.readBuffer.capacity()); // at once, as bytes that arrive later were not queued
         }
     }
@@ -157,7 +157,7 @@
             int limit = Math.min(maxBytes, buffer.capacity());
             buffer.clear().limit(limit);
             int count = readRetryingInterrupts(buffer);
-            arrivals.onRead(count == limit || count == INTERRUPTED, isReading());
+            arrivalTracker.onRead(count == limit || count == INTERRUPTED, isReading());
             if (count > 0) {
                 handler.onRead(buffer.flip());
             } else if (count == END_OF_STREAM) {
@@ -184,18 +184,18 @@
      * been unread while the loop was busy, or while reading was paused.
      */
     public long earliestArrivalNanos() {
-        return arrivals.earliestArrivalNanos();
+        return arrivalTracker.earliestArrivalNanos();
     }
 
     /**
      * Reads now, passes bytes to the handler, and returns whether there were any or the connection closed.
      */
-    public boolean hasUnread() {
-        return hasUnread(loop.readBuffer.capacity());
+    public boolean readAvailable() {
+        return readAvailable(loop.readBuffer.capacity());
     }
 
-    /** Does the same as {@link #hasUnread()} with a bound on the bytes read. */
-    public boolean hasUnread(int maxBytes) {
+    /** Does the same as {@link #readAvailable()} with a bound on the bytes read. */
+    public boolean readAvailable(int maxBytes) {
         return isClosed() || read(maxBytes) || isClosed();
     }
 
@@ -205,15 +205,15 @@
             return;
         }
         if (enabled) {
-            loop.execute(this::readUnreadFromPause);
+            loop.execute(this::readAfterPause);
         } else {
-            arrivals.onReadingPaused();
+            arrivalTracker.onReadingPaused();
         }
     }
 
     /** Reads what arrived during a pause before the loop reads what arrives later, which has not waited. */
-    private void readUnreadFromPause() {
-        if (isReading() && arrivals.mayHaveUnread()) {
+    private void readAfterPause() {
+        if (isReading() && arrivalTracker.mayHaveUnreadBytes()) {
             read(loop.readBuffer.capacity());
         }
     }
@@ -226,11 +226,11 @@
     /** Sets whether the loop waits for an operation; returns whether that has changed. */
     private static boolean setInterest(SelectionKey key, int operation, boolean enabled) {
         int current = key.interestOps();
-        int wanted = enabled ? current | operation : current & ~operation;
-        if (current == wanted) {
+        int updated = enabled ? current | operation : current & ~operation;
+        if (current == updated) {
             return false;
         }
-        key.interestOps(wanted);
+        key.interestOps(updated);
         return true;
     }
 
@@ -343,7 +343,7 @@
     }
 
     /** Returns whether the peer ended its stream; after a failure, bytes in transit may be missing. */
-    public boolean endedOrderly() {
+    public boolean reachedEndOfStream() {
         return state == State.ENDED_BY_PEER;
     }
 
--- a/proxy/src/main/java/spurroad/transport/CpuClock.java
+++ b/proxy/src/main/java/spurroad/transport/CpuClock.java
@@ -10,24 +10,24 @@
  * systems have no such files. Not safe for use by several threads.
  */
 public final class CpuClock {
-    private static final File TASKS = new File("/proc/self/task");
+    private static final File THREADS_DIRECTORY = new File("/proc/self/task");
     private static final int LINE_BYTES = 64; // three numbers, of which the first is the time
 
     private final byte[] line = new byte[LINE_BYTES];
 
     /** Returns the processor time of all living threads in nanoseconds; -1 if it is unknown. */
     public long usedNanos() {
-        String[] threadIds = TASKS.list();
-        long sum = threadIds == null ? -1 : 0;
-        for (int i = 0; sum >= 0 && i < threadIds.length; i++) {
-            String file = TASKS + "/" + threadIds[i] + "/schedstat";
+        String[] threadIds = THREADS_DIRECTORY.list();
+        long totalNanos = threadIds == null ? -1 : 0;
+        for (int i = 0; totalNanos >= 0 && i < threadIds.length; i++) {
+            String file = THREADS_DIRECTORY + "/" + threadIds[i] + "/schedstat";
             try (FileInputStream in = new FileInputStream(file)) {
-                sum += parseLeadingNumber(line, in.read(line));
+                totalNanos += parseLeadingNumber(line, in.read(line));
             } catch (IOException e) {
                 continue; // the thread has just ended
             }
         }
-        return sum == 0 ? -1 : sum;
+        return totalNanos == 0 ? -1 : totalNanos;
     }
 
     /** Returns the number at the beginning of a line; zero where there is none. */
--- a/proxy/src/main/java/spurroad/transport/DescriptorBudget.java
+++ b/proxy/src/main/java/spurroad/transport/DescriptorBudget.java
@@ -14,31 +14,31 @@
     private static final double MAX_ENDPOINT_FRACTION = 1 / 2.0; // a client seldom has two attempts under way
     private static final int DISCOVERY_RESERVE = 2; // a watch, and the next one while that closes
     private static final int OVERFLOW_RESERVE = 8; // clients that are answered and closed at once
-    private static final int MIN_DIVISIBLE = 2;
+    private static final int MIN_UNRESERVED = 2;
 
-    private final DebtSemaphore total;
-    private final DebtSemaphore clients;
-    private final DebtSemaphore endpoints;
+    private final ResizableSemaphore total;
+    private final ResizableSemaphore clients;
+    private final ResizableSemaphore endpoints;
     private final Semaphore overflow = new Semaphore(OVERFLOW_RESERVE);
 
     /** Divides so many descriptors, the reserves among them. */
     public DescriptorBudget(int descriptors) {
-        int divisible = descriptors - DISCOVERY_RESERVE - OVERFLOW_RESERVE;
-        total = new DebtSemaphore(divisible);
-        clients = new DebtSemaphore(fractionOf(divisible, MAX_CLIENT_FRACTION));
-        endpoints = new DebtSemaphore(fractionOf(divisible, MAX_ENDPOINT_FRACTION));
+        int unreserved = descriptors - DISCOVERY_RESERVE - OVERFLOW_RESERVE;
+        total = new ResizableSemaphore(unreserved);
+        clients = new ResizableSemaphore(fractionOf(unreserved, MAX_CLIENT_FRACTION));
+        endpoints = new ResizableSemaphore(fractionOf(unreserved, MAX_ENDPOINT_FRACTION));
     }
 
-    private static int fractionOf(int divisible, double fraction) {
-        return Math.max(1, (int) (divisible * fraction));
+    private static int fractionOf(int unreserved, double fraction) {
+        return Math.max(1, (int) (unreserved * fraction));
     }
 
     /** Changes the number of descriptors; if more are in use, none is given out until enough are released. */
     public void resize(int descriptors) {
-        int divisible = Math.max(MIN_DIVISIBLE, descriptors - DISCOVERY_RESERVE - OVERFLOW_RESERVE);
-        total.resize(divisible);
-        clients.resize(fractionOf(divisible, MAX_CLIENT_FRACTION));
-        endpoints.resize(fractionOf(divisible, MAX_ENDPOINT_FRACTION));
+        int unreserved = Math.max(MIN_UNRESERVED, descriptors - DISCOVERY_RESERVE - OVERFLOW_RESERVE);
+        total.resize(unreserved);
+        clients.resize(fractionOf(unreserved, MAX_CLIENT_FRACTION));
+        endpoints.resize(fractionOf(unreserved, MAX_ENDPOINT_FRACTION));
     }
 
     /** Returns how many are in use, the reserves always included. */
@@ -80,12 +80,12 @@
         return tryAcquire(endpoints);
     }
 
-    private boolean tryAcquire(DebtSemaphore side) {
-        if (!side.tryAcquire()) {
+    private boolean tryAcquire(ResizableSemaphore group) {
+        if (!group.tryAcquire()) {
             return false;
         }
         if (!total.tryAcquire()) {
-            side.release();
+            group.release();
             return false;
         }
         return true;
--- a/proxy/src/main/java/spurroad/transport/EventLoop.java
+++ b/proxy/src/main/java/spurroad/transport/EventLoop.java
@@ -56,8 +56,8 @@
     final ByteBuffer readBuffer = ByteBuffer.allocateDirect(TRANSFER_BUFFER_BYTES);
     final ByteBuffer writeBuffer = ByteBuffer.allocateDirect(TRANSFER_BUFFER_BYTES);
     private final TimerQueue timers = new TimerQueue();
-    private final ReadinessClock readiness;
-    private final long maxWaitNanos;
+    private final ReadinessTracker readiness;
+    private final long maxSelectWaitNanos;
     private final List<Runnable> iterationEndTasks = new ArrayList<>();
     private List<Runnable> afterSelectTasks = new ArrayList<>();
     private final Consumer<SelectionKey> onKeyReady = this::onKeyReady;
@@ -69,14 +69,14 @@
      * @throws UncheckedIOException if the system gives no selector, even after some retries
      */
     public EventLoop(EventLog log, Clock clock) {
-        this(log, clock, ReadinessClock.MAX_WAIT_NANOS);
+        this(log, clock, ReadinessTracker.MAX_SELECT_WAIT_NANOS);
     }
 
-    private EventLoop(EventLog log, Clock clock, long maxWaitNanos) {
+    private EventLoop(EventLog log, Clock clock, long maxSelectWaitNanos) {
         this.log = log;
         this.clock = clock;
-        this.maxWaitNanos = maxWaitNanos;
-        readiness = new ReadinessClock(clock);
+        this.maxSelectWaitNanos = maxSelectWaitNanos;
+        readiness = new ReadinessTracker(clock);
         try {
             selector = StartupRetry.openWithRetry(Selector::open);
         } catch (IOException e) {
@@ -127,8 +127,8 @@
     }
 
     /** Returns when the last select began, in Unix nanoseconds. */
-    long lastSelectNanos() {
-        return readiness.lastSelectNanos();
+    long lastSelectStartNanos() {
+        return readiness.lastSelectStartNanos();
     }
 
     /** Returns the clock's time, in Unix nanoseconds. */
@@ -180,10 +180,10 @@
         long now = clock.now();
         long delayNanos = timers.nanosUntilFirst(now);
         isSelecting.set(true);
-        boolean waits = tasks.isEmpty() && delayNanos > 0 && afterSelectTasks.isEmpty();
-        readiness.onSelectStart(now, waits);
-        if (waits) {
-            selector.select(onKeyReady, selectTimeoutMillis(Math.min(delayNanos, maxWaitNanos)));
+        boolean blocking = tasks.isEmpty() && delayNanos > 0 && afterSelectTasks.isEmpty();
+        readiness.onSelectStart(now, blocking);
+        if (blocking) {
+            selector.select(onKeyReady, selectTimeoutMillis(Math.min(delayNanos, maxSelectWaitNanos)));
             readiness.onWakeUp();
         } else {
             isSelecting.set(false);
--- a/proxy/src/main/java/spurroad/transport/Listener.java
+++ b/proxy/src/main/java/spurroad/transport/Listener.java
@@ -52,7 +52,7 @@
         ACCEPTING, DRAINING, QUIET, CLOSED
     }
 
-    private static final int ACCEPT_QUEUE_LENGTH = 1024; // connections; a burst of clients after a restart
+    private static final int ACCEPT_BACKLOG = 1024; // connections; a burst of clients after a restart
     // so that open connections do not wait for a crowd that connects
     private static final int MAX_ACCEPTS_PER_ITERATION = 16;
     // an idle connection closes in less
@@ -62,14 +62,14 @@
     private static final long MAX_BACKOFF_NANOS = 20_000_000L;
     private static final int MAX_BACKOFF_DOUBLINGS = 8;
     // a socket that nobody accepted from: longer than any client waits
-    private static final long UNKNOWN_QUEUE_TIME_NANOS = 2 * 3_600_000_000_000L;
+    private static final long ASSUMED_QUEUE_TIME_NANOS = 2 * 3_600_000_000_000L;
     private static final long QUIET_PERIOD_NANOS = 20_000_000L; // without a connection, before the close
     // between two looks at a queue that does not get empty: what has just come counts as queued for that long
-    private static final long QUEUE_CHECK_INTERVAL_NANOS = 100_000_000L;
+    private static final long QUEUE_SAMPLE_INTERVAL_NANOS = 100_000_000L;
 
     private final ServerSocketChannel socket;
     private final Acceptor acceptor;
-    private final boolean closesSocket;
+    private final boolean ownsSocket;
     private final EventLoop loop;
     private final ConnectionPermits permits;
     private final AcceptHandler handler;
@@ -82,8 +82,8 @@
     private State state = State.ACCEPTING;
     private boolean isAwaitingPermit;
     private int consecutiveFailures;
-    private AcceptQueueClock queueClock;
-    private long queueCheckedNanos;
+    private AcceptQueueTracker queueTracker;
+    private long queueSampledNanos;
 
     /**
      * Binds a socket of its own, which it closes at the end.
@@ -106,7 +106,7 @@
     public Listener(ServerSocketChannel inherited, boolean shared, EventLoop loop, ConnectionPermits permits,
                     AcceptHandler handler, EventLog log) {
         this(inherited, inherited::accept, false, loop, permits, handler, log);
-        queueClock = new AcceptQueueClock(loop.now() - (shared ? 0 : UNKNOWN_QUEUE_TIME_NANOS));
+        queueTracker = new AcceptQueueTracker(loop.now() - (shared ? 0 : ASSUMED_QUEUE_TIME_NANOS));
     }
 
     private Listener(ServerSocketChannel bound, EventLoop loop, ConnectionPermits permits,
@@ -115,16 +115,16 @@
     }
 
     /** Accepts connections by another way than the socket's own; for tests of accepts that fail. */
-    Listener(ServerSocketChannel socket, Acceptor acceptor, boolean closesSocket, EventLoop loop,
+    Listener(ServerSocketChannel socket, Acceptor acceptor, boolean ownsSocket, EventLoop loop,
              ConnectionPermits permits, AcceptHandler handler, EventLog log) {
         this.socket = socket;
         this.acceptor = acceptor;
-        this.closesSocket = closesSocket;
+        this.ownsSocket = ownsSocket;
         this.loop = loop;
         this.permits = permits;
         this.handler = handler;
         this.log = log;
-        queueClock = new AcceptQueueClock(loop.now()); // the system queues connections from now on
+        queueTracker = new AcceptQueueTracker(loop.now()); // the system queues connections from now on
     }
 
     private static ServerSocketChannel bind(InetSocketAddress address) throws IOException {
@@ -135,7 +135,7 @@
         ServerSocketChannel socket = ServerSocketChannel.open();
         try {
             socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            return socket.bind(address, ACCEPT_QUEUE_LENGTH);
+            return socket.bind(address, ACCEPT_BACKLOG);
         } catch (IOException e) {
             socket.close();
             throw e;
@@ -160,7 +160,7 @@
             loop.schedule(MAX_BACKOFF_NANOS, () -> register(onStarted));
             return;
         }
-        checkQueueLength(); // who comes from now on has not waited behind those of before
+        sampleQueueLength(); // who comes from now on has not waited behind those of before
         acceptQueued(); // before it is known to accept: connections that follow were not queued
         onStarted.run();
     }
@@ -168,12 +168,12 @@
     // ---- accepting
 
     private void acceptQueued() {
-        if (queueClock.wasEmpty()) {
-            queueCheckedNanos = loop.now(); // it is looked at only where it does not get empty again
-        } else if (loop.now() - queueCheckedNanos >= QUEUE_CHECK_INTERVAL_NANOS) {
-            checkQueueLength();
+        if (queueTracker.wasEmpty()) {
+            queueSampledNanos = loop.now(); // it is looked at only where it does not get empty again
+        } else if (loop.now() - queueSampledNanos >= QUEUE_SAMPLE_INTERVAL_NANOS) {
+            sampleQueueLength();
         }
-        queueClock.onReady(loop.earliestArrivalNanos());
+        queueTracker.onReady(loop.earliestArrivalNanos());
         for (int i = 0; i < MAX_ACCEPTS_PER_ITERATION && key.isValid(); i++) {
             Permit permit = acquirePermit();
             if (permit == Permit.NONE) {
@@ -188,9 +188,9 @@
         }
     }
 
-    private void checkQueueLength() {
-        queueCheckedNanos = loop.now();
-        queueClock.onLength(queueLength.read(port()), queueCheckedNanos);
+    private void sampleQueueLength() {
+        queueSampledNanos = loop.now();
+        queueTracker.onLength(queueLength.read(port()), queueSampledNanos);
     }
 
     /** Takes a permit; one for overflow only if the handler freed none since the last time it was asked. */
@@ -212,13 +212,13 @@
             accepted = accepted == null ? acceptor.accept() : accepted; // a signal looks like an empty queue
             if (accepted == null) {
                 permits.release(overflow);
-                queueClock.onEmpty();
+                queueTracker.onEmpty();
                 return false;
             }
             consecutiveFailures = 0;
-            Connection connection = Connection.accepted(loop, accepted, queueClock.queuedSinceNanos(),
+            Connection connection = Connection.accepted(loop, accepted, queueTracker.queuedSinceNanos(),
                 () -> permits.release(overflow));
-            queueClock.onAccepted();
+            queueTracker.onAccepted();
             handler.onAccepted(connection, overflow);
             return true;
         } catch (IOException e) {
@@ -259,7 +259,7 @@
         loop.execute(() -> {
             if (state == State.ACCEPTING) {
                 state = State.DRAINING;
-                checkQuiet();
+                closeIfQuiet();
             }
         });
         return closed.await(timeoutMillis, TimeUnit.MILLISECONDS);
@@ -276,7 +276,7 @@
             key.cancel();
         }
         try {
-            if (closesSocket) {
+            if (ownsSocket) {
                 socket.close();
             }
         } catch (IOException e) {
@@ -292,9 +292,9 @@
     }
 
     /** Closes at the second check in a row that finds nothing: then the accept queue was emptied. */
-    private void checkQuiet() {
+    private void closeIfQuiet() {
         if (key == null) { // not registered yet
-            loop.schedule(QUIET_PERIOD_NANOS, this::checkQuiet);
+            loop.schedule(QUIET_PERIOD_NANOS, this::closeIfQuiet);
             return;
         }
         if (!key.isValid()) {
@@ -306,7 +306,7 @@
         if (wasQuiet && state == State.QUIET && !isAwaitingPermit) {
             close();
         } else {
-            loop.schedule(QUIET_PERIOD_NANOS, this::checkQuiet);
+            loop.schedule(QUIET_PERIOD_NANOS, this::closeIfQuiet);
         }
     }
 }
--- a/proxy/src/main/java/spurroad/transport/LogWriter.java
+++ b/proxy/src/main/java/spurroad/transport/LogWriter.java
@@ -40,11 +40,11 @@
         if (thread != null) {
             return;
         }
-        Thread started = new Thread(null, this::run, "log", STACK_BYTES);
-        started.setDaemon(true);
+        Thread newThread = new Thread(null, this::run, "log", STACK_BYTES);
+        newThread.setDaemon(true);
         try {
-            started.start();
-            thread = started;
+            newThread.start();
+            thread = newThread;
         } catch (OutOfMemoryError e) {
             thread = null; // the system gives no thread for now: the next line tries again
         }
--- a/proxy/src/main/java/spurroad/transport/MemoryBudget.java
+++ b/proxy/src/main/java/spurroad/transport/MemoryBudget.java
@@ -7,13 +7,13 @@
 public final class MemoryBudget {
     private static final int UNIT_BYTES = 1024; // reservations are rounded up to these
 
-    private final DebtSemaphore units;
+    private final ResizableSemaphore units;
     private final int totalUnits;
 
     /** Bounds them to so many bytes. */
     public MemoryBudget(long bytes) {
         totalUnits = (int) Math.min(Integer.MAX_VALUE, bytes / UNIT_BYTES);
-        units = new DebtSemaphore(totalUnits);
+        units = new ResizableSemaphore(totalUnits);
     }
 
     /** Returns the fraction that is reserved; over 1 if it is overdrawn. */
--- a/proxy/src/main/java/spurroad/transport/PeerDatagrams.java
+++ b/proxy/src/main/java/spurroad/transport/PeerDatagrams.java
@@ -24,13 +24,13 @@
     private static final long REOPEN_DELAY_MILLIS = 500; // a hot restart takes seconds
 
     /** Opens a datagram socket that is not bound yet. */
-    interface Opener {
+    interface ChannelOpener {
         DatagramChannel open() throws IOException;
     }
 
     private final EventLog log;
-    private final Opener opener;
-    private final List<InetSocketAddress> proxies;
+    private final ChannelOpener channelOpener;
+    private final List<InetSocketAddress> proxyAddresses;
     private final Set<SocketAddress> peerAddresses;
     private final int ownIndex;
     private final Consumer<byte[]> onMessage;
@@ -39,43 +39,45 @@
     /**
      * Opens nothing yet.
      *
-     * @param proxies the address of each proxy, by its index
+     * @param proxyAddresses the address of each proxy, by its index
      * @param ownIndex the index of this proxy
      * @param onMessage gets each message, on the thread that calls {@link #run}
      */
-    public PeerDatagrams(List<InetSocketAddress> proxies, int ownIndex, EventLog log,
+    public PeerDatagrams(List<InetSocketAddress> proxyAddresses, int ownIndex, EventLog log,
                          Consumer<byte[]> onMessage) {
-        this(proxies, ownIndex, log, onMessage, () -> DatagramChannel.open(StandardProtocolFamily.INET));
+        this(proxyAddresses, ownIndex, log, onMessage,
+            () -> DatagramChannel.open(StandardProtocolFamily.INET));
     }
 
     /** Opens its sockets another way; for tests of calls that fail. */
-    PeerDatagrams(List<InetSocketAddress> proxies, int ownIndex, EventLog log, Consumer<byte[]> onMessage,
-                  Opener opener) {
+    PeerDatagrams(List<InetSocketAddress> proxyAddresses, int ownIndex, EventLog log,
+                  Consumer<byte[]> onMessage,
+                  ChannelOpener channelOpener) {
         this.log = log;
-        this.opener = opener;
-        this.proxies = proxies;
+        this.channelOpener = channelOpener;
+        this.proxyAddresses = proxyAddresses;
         this.ownIndex = ownIndex;
         this.onMessage = onMessage;
-        peerAddresses = Set.copyOf(proxies);
+        peerAddresses = Set.copyOf(proxyAddresses);
     }
 
     /** Sends a message to all other proxies. */
     public void sendAll(byte[] message) {
-        for (int i = 0; i < proxies.size(); i++) {
+        for (int i = 0; i < proxyAddresses.size(); i++) {
             send(i, message);
         }
     }
 
     /** Sends a message to a proxy, by its index; does nothing for this one, or while the socket is closed. */
     public void send(int proxyIndex, byte[] message) {
-        DatagramChannel bound = channel;
+        DatagramChannel boundChannel = channel;
         try {
-            if (proxyIndex != ownIndex && bound != null) {
-                bound.send(ByteBuffer.wrap(message), proxies.get(proxyIndex));
+            if (proxyIndex != ownIndex && boundChannel != null) {
+                boundChannel.send(ByteBuffer.wrap(message), proxyAddresses.get(proxyIndex));
             }
         } catch (IOException e) {
             log.warn("peer message not sent",
-                "peer=" + proxies.get(proxyIndex) + " error=" + e.getMessage());
+                "peer=" + proxyAddresses.get(proxyIndex) + " error=" + e.getMessage());
         }
     }
 
@@ -90,7 +92,8 @@
             try {
                 receiveUntilFailure();
             } catch (IOException e) {
-                log.warn("peer socket failed, reopening", "address=" + proxies.get(ownIndex) + " error=" + e);
+                log.warn("peer socket failed, reopening",
+                    "address=" + proxyAddresses.get(ownIndex) + " error=" + e);
             }
             try {
                 Thread.sleep(REOPEN_DELAY_MILLIS);
@@ -102,13 +105,13 @@
     }
 
     private void receiveUntilFailure() throws IOException {
-        try (DatagramChannel opened = opener.open(); Selector selector = Selector.open()) {
-            opened.bind(proxies.get(ownIndex)).configureBlocking(false);
-            opened.register(selector, SelectionKey.OP_READ);
-            channel = opened;
+        try (DatagramChannel newChannel = channelOpener.open(); Selector selector = Selector.open()) {
+            newChannel.bind(proxyAddresses.get(ownIndex)).configureBlocking(false);
+            newChannel.register(selector, SelectionKey.OP_READ);
+            channel = newChannel;
             // one byte more than the maximum shows which messages are too long
             ByteBuffer buffer = ByteBuffer.allocate(MAX_MESSAGE_BYTES + 1);
-            while (opened.isOpen()) {
+            while (newChannel.isOpen()) {
                 selector.select();
                 selector.selectedKeys().clear();
                 receiveQueued(buffer);
--- a/proxy/src/main/java/spurroad/transport/ReadArrivalTracker.java
+++ b/proxy/src/main/java/spurroad/transport/ReadArrivalTracker.java
@@ -8,11 +8,11 @@
  * or when a read left some bytes behind. Event loop thread only.
  */
 final class ReadArrivalTracker {
-    private static final long NOTHING_UNREAD = Long.MIN_VALUE;
+    private static final long NO_UNREAD_BYTES = Long.MIN_VALUE;
 
     private final EventLoop loop;
     /** Since when unread bytes may be there, while reading is paused or a read may have left some. */
-    private long unreadSinceNanos = NOTHING_UNREAD;
+    private long unreadSinceNanos = NO_UNREAD_BYTES;
     private long earliestArrivalNanos;
 
     ReadArrivalTracker(EventLoop loop) {
@@ -20,7 +20,7 @@
     }
 
     /** Notes that what is there before the first read may have arrived from a time on. */
-    void onOpenedWithUnread(long sinceNanos) {
+    void onOpenedWithUnreadBytes(long sinceNanos) {
         unreadSinceNanos = sinceNanos;
     }
 
@@ -31,25 +31,25 @@
      * @param isReading whether the connection is still read from
      */
     void onRead(boolean mayHaveLeftBytes, boolean isReading) {
-        earliestArrivalNanos = mayHaveUnread() ? unreadSinceNanos : loop.earliestArrivalNanos();
+        earliestArrivalNanos = mayHaveUnreadBytes() ? unreadSinceNanos : loop.earliestArrivalNanos();
         if (mayHaveLeftBytes) {
             unreadSinceNanos = earliestArrivalNanos;
         } else {
             // not from now: after the read the loop may have been held up before it came here
-            unreadSinceNanos = isReading ? NOTHING_UNREAD : loop.lastSelectNanos();
+            unreadSinceNanos = isReading ? NO_UNREAD_BYTES : loop.lastSelectStartNanos();
         }
     }
 
     /** Notes that the connection is not read from until further notice. */
     void onReadingPaused() {
-        if (!mayHaveUnread()) {
+        if (!mayHaveUnreadBytes()) {
             unreadSinceNanos = loop.earliestArrivalNanos();
         }
     }
 
     /** Returns whether bytes may be there that arrived before the event loop's own bound. */
-    boolean mayHaveUnread() {
-        return unreadSinceNanos != NOTHING_UNREAD;
+    boolean mayHaveUnreadBytes() {
+        return unreadSinceNanos != NO_UNREAD_BYTES;
     }
 
     /** Returns when the bytes read last can have arrived at the earliest. */
--- a/proxy/src/main/java/spurroad/transport/ReadinessClock.java
+++ b/proxy/src/main/java/spurroad/transport/ReadinessTracker.java
@@ -10,38 +10,38 @@
  * the channel ready all the time. How long the select itself took tells nothing: on a busy machine one that
  * finds a channel at once may take as long as one that waited for it. Event loop thread only.
  */
-final class ReadinessClock {
+final class ReadinessTracker {
     /** A select waits for no longer, so that an idle loop does not look like one that was held up. */
-    static final long MAX_WAIT_NANOS = 20_000_000L;
+    static final long MAX_SELECT_WAIT_NANOS = 20_000_000L;
     // a third of what an endpoint may be told too much; two waits and their wake-ups take less
     static final long MAX_ERROR_NANOS = 50_000_000L;
 
     private final Clock clock;
-    private long selectNanos;
+    private long selectStartNanos;
     private long earliestReadyNanos;
-    private boolean isWaiting;
+    private boolean isSelectBlocking;
 
-    ReadinessClock(Clock clock) {
+    ReadinessTracker(Clock clock) {
         this.clock = clock;
-        selectNanos = clock.now();
-        earliestReadyNanos = selectNanos;
+        selectStartNanos = clock.now();
+        earliestReadyNanos = selectStartNanos;
     }
 
     /**
      * Notes that a select is about to begin.
      *
-     * @param waits whether it waits for a channel to be ready
+     * @param blocking whether it waits for a channel to be ready
      */
-    void onSelectStart(long nowNanos, boolean waits) {
-        earliestReadyNanos = selectNanos;
-        selectNanos = nowNanos;
-        isWaiting = waits;
+    void onSelectStart(long nowNanos, boolean blocking) {
+        earliestReadyNanos = selectStartNanos;
+        selectStartNanos = nowNanos;
+        isSelectBlocking = blocking;
     }
 
     /** Notes that the selector reports a channel, or has reported all. */
     void onWakeUp() {
-        if (isWaiting) {
-            isWaiting = false;
+        if (isSelectBlocking) {
+            isSelectBlocking = false;
             long now = clock.now();
             if (now - earliestReadyNanos <= MAX_ERROR_NANOS) {
                 earliestReadyNanos = now;
@@ -55,7 +55,7 @@
     }
 
     /** Returns when the last select began: what is not found unread now comes later than that. */
-    long lastSelectNanos() {
-        return selectNanos;
+    long lastSelectStartNanos() {
+        return selectStartNanos;
     }
 }
--- a/proxy/src/main/java/spurroad/transport/DebtSemaphore.java
+++ b/proxy/src/main/java/spurroad/transport/ResizableSemaphore.java
@@ -6,12 +6,12 @@
  * A semaphore whose number of permits can be changed, and whose available permits can be negative: then none
  * is given out until the debt is released.
  */
-final class DebtSemaphore extends Semaphore {
+final class ResizableSemaphore extends Semaphore {
     private static final long serialVersionUID = 1L;
 
     private int total;
 
-    DebtSemaphore(int permits) {
+    ResizableSemaphore(int permits) {
         super(permits);
         total = permits;
     }
--- a/proxy/src/main/java/spurroad/transport/StallDetector.java
+++ b/proxy/src/main/java/spurroad/transport/StallDetector.java
@@ -10,17 +10,17 @@
     private static final long SLEEP_MILLIS = 5; // a hundredth of what requests take, at little cost
     private static final long TIMER_SLACK_NANOS = 2 * NANOS_PER_MILLI; // so late on an idle machine, too
 
-    private volatile long stalledNanos;
+    private volatile long totalStallNanos;
     private volatile boolean isStopped;
 
     @Override
     public void run() {
         try {
-            for (long sleptFrom = System.nanoTime(); !isStopped;) {
+            for (long sleepStartNanos = System.nanoTime(); !isStopped;) {
                 Thread.sleep(SLEEP_MILLIS);
-                long wokeAt = System.nanoTime();
-                onWakeUp(wokeAt - sleptFrom);
-                sleptFrom = wokeAt;
+                long wakeUpNanos = System.nanoTime();
+                recordSleep(wakeUpNanos - sleepStartNanos);
+                sleepStartNanos = wakeUpNanos;
             }
         } catch (InterruptedException e) {
             // ends the measurement, as stop() does
@@ -28,14 +28,14 @@
     }
 
     /** Counts a sleep that took so long. */
-    void onWakeUp(long sleptNanos) {
+    void recordSleep(long sleptNanos) {
         long delayNanos = sleptNanos - SLEEP_MILLIS * NANOS_PER_MILLI;
-        stalledNanos += delayNanos > TIMER_SLACK_NANOS ? delayNanos : 0;
+        totalStallNanos += delayNanos > TIMER_SLACK_NANOS ? delayNanos : 0;
     }
 
     /** Returns the total since the start, in nanoseconds; from any thread. */
     public long totalNanos() {
-        return stalledNanos;
+        return totalStallNanos;
     }
 
     /** Ends the measuring thread; from any thread. */
--- a/proxy/src/main/java/spurroad/transport/WriteQueue.java
+++ b/proxy/src/main/java/spurroad/transport/WriteQueue.java
@@ -25,19 +25,19 @@
 
     /** Writes from the buffer, past all that is queued, what the system takes at once. */
     void writeDirectly(ByteBuffer bytes) throws IOException {
-        bytesAccepted += bytesMoved(channel.write(bytes));
+        bytesAccepted += bytesWritten(channel.write(bytes));
     }
 
     /** Writes what is queued, as far as the system takes it, by way of a direct buffer. */
-    void flush(ByteBuffer transfer) throws IOException {
+    void flush(ByteBuffer transferBuffer) throws IOException {
         while (!messages.isEmpty()) {
             byte[] head = messages.peek();
-            int count = Math.min(head.length - headOffset, transfer.capacity());
-            transfer.clear().put(head, headOffset, count).flip();
-            int written = bytesMoved(channel.write(transfer));
+            int count = Math.min(head.length - headOffset, transferBuffer.capacity());
+            transferBuffer.clear().put(head, headOffset, count).flip();
+            int written = bytesWritten(channel.write(transferBuffer));
             headOffset += written;
             bytesAccepted += written;
-            if (transfer.hasRemaining()) {
+            if (transferBuffer.hasRemaining()) {
                 return;
             }
             if (headOffset == head.length) {
@@ -48,8 +48,8 @@
     }
 
     /** Returns how many bytes a write has moved: none where a signal interrupted it. */
-    private static int bytesMoved(int returned) {
-        return Math.max(0, returned);
+    private static int bytesWritten(int result) {
+        return Math.max(0, result);
     }
 
     boolean isEmpty() {
--- a/proxy/src/test/java/spurroad/transport/AcceptQueueClockTest.java
+++ b/proxy/src/test/java/spurroad/transport/AcceptQueueTrackerTest.java
@@ -7,12 +7,12 @@
 import org.testng.annotations.Test;
 
 /** Since when connections may be queued, by what is known of the queue. */
-public class AcceptQueueClockTest {
+public class AcceptQueueTrackerTest {
     private static final long LONG_AGO = -1_000;
 
     @Test
     public void whoComesBehindTheLengthHasComeSinceItWasRead() {
-        AcceptQueueClock queue = new AcceptQueueClock(LONG_AGO);
+        AcceptQueueTracker queue = new AcceptQueueTracker(LONG_AGO);
         queue.onLength(OptionalInt.of(2), 10);
         queue.onReady(5);
         assertEquals(queue.queuedSinceNanos(), LONG_AGO, "the first");
@@ -27,7 +27,7 @@
 
     @Test
     public void aLaterLookCountsOnlyWhereItIsPassedNoLater() {
-        AcceptQueueClock queue = new AcceptQueueClock(LONG_AGO);
+        AcceptQueueTracker queue = new AcceptQueueTracker(LONG_AGO);
         queue.onLength(OptionalInt.of(3), 10);
         queue.onLength(OptionalInt.of(4), 20);
         queue.onAccepted();
@@ -44,7 +44,7 @@
 
     @Test
     public void anEmptyQueueTellsByItself() {
-        AcceptQueueClock queue = new AcceptQueueClock(LONG_AGO);
+        AcceptQueueTracker queue = new AcceptQueueTracker(LONG_AGO);
         queue.onLength(OptionalInt.of(9), 10);
         queue.onEmpty();
         assertTrue(queue.wasEmpty());
@@ -52,7 +52,7 @@
         assertEquals(queue.queuedSinceNanos(), 50);
         queue.onAccepted();
         assertEquals(queue.queuedSinceNanos(), 50, "the mark of before is void");
-        AcceptQueueClock emptyAtTheLook = new AcceptQueueClock(LONG_AGO);
+        AcceptQueueTracker emptyAtTheLook = new AcceptQueueTracker(LONG_AGO);
         emptyAtTheLook.onLength(OptionalInt.of(0), 10);
         emptyAtTheLook.onReady(5);
         assertEquals(emptyAtTheLook.queuedSinceNanos(), 5, "who comes may have come before the look");
@@ -60,7 +60,7 @@
 
     @Test
     public void withoutALengthOnlyAnEmptyQueueTells() {
-        AcceptQueueClock clock = new AcceptQueueClock(LONG_AGO);
+        AcceptQueueTracker clock = new AcceptQueueTracker(LONG_AGO);
         clock.onLength(OptionalInt.empty(), 10);
         clock.onAccepted();
         assertEquals(clock.queuedSinceNanos(), LONG_AGO);
--- a/proxy/src/test/java/spurroad/transport/StallDetectorTest.java
+++ b/proxy/src/test/java/spurroad/transport/StallDetectorTest.java
@@ -10,7 +10,7 @@
     public void countsSleepsThatEndLate() {
         StallDetector detector = new StallDetector();
         for (long ms : new long[] {5, 6, 55, 7, 105}) {
-            detector.onWakeUp(ms * 1_000_000);
+            detector.recordSleep(ms * 1_000_000);
         }
         assertEquals(detector.totalNanos(), 150_000_000);
     }
