--- a/proxy/src/main/java/spurroad/transport/AcceptQueueLength.java
+++ b/proxy/src/main/java/spurroad/transport/AcceptQueueLength.java
@@ -8,9 +8,9 @@
 import java.util.OptionalInt;
 
 /**
- * Reads how many connections the system has queued for a listening socket, from Linux's {@code /proc/net/tcp}
- * and {@code tcp6} (proc(5)): there the receive queue of a listening socket is the length of its accept
- * queue. Both files list the listening sockets first, so little is read.
+ * Reads the length of a listening socket's accept queue from Linux's {@code /proc/net/tcp} and {@code tcp6}
+ * (proc(5)), which report it as the receive queue of the socket. Both files list the listening sockets first,
+ * so little is read.
  */
 final class AcceptQueueLength {
     private static final String LISTENING_STATE = "0A";
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Returns how many connections are queued for a local port, at least: where several sockets listen at it,
-     * for all of them together. Empty where the system doesn't tell.
+     * Returns how many connections are queued for a local port. If several sockets listen on it, this is the
+     * sum for all of them, so at least the length of each queue. Empty if the system does not report it.
      */
     OptionalInt read(int port) {
         OptionalInt ipv4 = read(ipv4SocketTable, port);
@@ -47,7 +47,7 @@
     private static OptionalInt read(Path socketTable, int port) {
         OptionalInt length = OptionalInt.empty();
         try (BufferedReader lines = Files.newBufferedReader(socketTable, StandardCharsets.US_ASCII)) {
-            lines.readLine(); // the heading
+            lines.readLine(); // the header
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 String[] fields = line.strip().split("\\s+", FIELDS_READ + 1);
                 if (fields.length < FIELDS_READ || !fields[STATE_FIELD].equals(LISTENING_STATE)) {
--- a/proxy/src/main/java/spurroad/transport/AcceptQueueTracker.java
+++ b/proxy/src/main/java/spurroad/transport/AcceptQueueTracker.java
@@ -3,33 +3,33 @@
 import java.util.OptionalInt;
 
 /**
- * Bounds since when the connection that is accepted next can have been in the accept queue.
+ * Determines a lower bound for the time at which the next connection to be accepted entered the accept queue.
  *
- * <p>The system queues connections in the order in which they came. So once as many have been accepted as
- * were queued at some moment, all that follow came after it: a queue that never gets empty need not pass for
- * one in which everybody has waited. Where the length of the queue is not known, only an empty queue tells.
- * Another process that accepts from the same socket makes the bound earlier than it need be, never later.
- * Event loop thread only.
+ * <p>The operating system queues connections in the order of their arrival. Once as many have been accepted
+ * as were queued when the length was sampled, all further connections arrived after the sample. So new
+ * connections don't count as having waited long, even if the queue never becomes empty. If the length is
+ * unknown, only an empty queue improves the bound. Another process that accepts from the same socket makes
+ * the bound earlier than necessary, never later. Event loop thread only.
  */
 final class AcceptQueueTracker {
     private static final long QUEUE_EMPTY = Long.MAX_VALUE;
     private static final int NO_SAMPLE = -1;
 
-    /** Since when, at the earliest, the next connection may be queued, in Unix nanoseconds. */
+    /** The earliest time at which the next connection can have been queued, in Unix nanoseconds. */
     private long queuedSinceNanos;
-    /** How many of the connections that were queued at the mark are not accepted yet. */
+    /** How many of the connections counted by the sample are not accepted yet. */
     private int remainingSampled = NO_SAMPLE;
     private long sampledNanos;
 
-    /** Starts with a queue whose connections may have come at any time since then. */
+    /** Starts with a queue whose connections may have arrived at any time since {@code queuedSinceNanos}. */
     AcceptQueueTracker(long queuedSinceNanos) {
         this.queuedSinceNanos = queuedSinceNanos;
     }
 
     /**
-     * Notes the length of the queue.
+     * Records a sample of the length of the queue.
      *
-     * @param length empty where it is unknown
+     * @param length the number of queued connections; empty if it is unknown
      * @param nowNanos a time before the length was read, in Unix nanoseconds
      */
     void onLength(OptionalInt length, long nowNanos) {
@@ -44,12 +44,12 @@
         }
     }
 
-    /** Notes that connections are queued, which can't have been so before a time in Unix nanoseconds. */
+    /** Records that connections are queued that can't have arrived before {@code earliestNanos}. */
     void onReady(long earliestNanos) {
         queuedSinceNanos = Math.min(queuedSinceNanos, earliestNanos);
     }
 
-    /** Notes that a connection was accepted. */
+    /** Records that a connection was accepted. */
     void onAccepted() {
         if (remainingSampled != NO_SAMPLE) {
             remainingSampled--;
@@ -64,18 +64,18 @@
         }
     }
 
-    /** Notes that the queue was found empty. */
+    /** Records that the queue was found empty. */
     void onEmpty() {
         queuedSinceNanos = QUEUE_EMPTY;
         remainingSampled = NO_SAMPLE;
     }
 
-    /** Returns whether the queue was empty when it was last looked at. */
+    /** Returns whether the queue was empty when it was last checked. */
     boolean wasEmpty() {
         return queuedSinceNanos == QUEUE_EMPTY;
     }
 
-    /** Returns since when, at the earliest, the next connection may have been queued. */
+    /** Returns the earliest time at which the next connection can have been queued, in Unix nanoseconds. */
     long queuedSinceNanos() {
         return queuedSinceNanos;
     }
--- a/proxy/src/main/java/spurroad/transport/Connection.java
+++ b/proxy/src/main/java/spurroad/transport/Connection.java
@@ -11,24 +11,25 @@
 import java.nio.channels.WritableByteChannel;
 
 /**
- * One non-blocking socket, with the descriptor permit that it holds.
+ * One non-blocking socket and the descriptor permit that it holds.
  *
- * <p>Bytes that arrive go to its {@link Handler}. What is written goes out at once as far as the system takes
- * it, the rest when the system takes more. Failures are not thrown: they close the connection, and its
- * handler is notified in a later task. The permit is released once, after the system has the descriptor back.
+ * <p>Received bytes are passed to the {@link Handler}. Written bytes are sent immediately as far as the
+ * operating system accepts them, the rest once it accepts more. I/O failures are not thrown: they close the
+ * connection, and a later task notifies the handler. The permit is released once, after the operating system
+ * has freed the descriptor.
  *
  * <p>Event loop thread only.
  */
 public final class Connection {
     /** Receives the events of a connection, on the event loop thread. */
     public interface Handler {
-        /** The connection is established; only where {@link Connection#connect} opened it. */
+        /** The connection is established. Called only if {@link Connection#connect} opened it. */
         void onConnected();
 
-        /** Bytes have arrived; the buffer is the event loop's and must be emptied before this returns. */
+        /** Bytes were read. The buffer belongs to the event loop and must be emptied before this returns. */
         void onRead(ByteBuffer bytes);
 
-        /** The system has taken all that was written, after some of it had to wait. */
+        /** The operating system has accepted all written bytes, after some of them had to wait. */
         void onDrained();
 
         /** The peer has closed the connection or it failed. Not called after {@link Connection#close}. */
@@ -37,8 +38,8 @@
 
     private enum State { OPEN, CLOSED, ENDED_BY_PEER }
 
-    private static final int END_OF_STREAM = -1; // as a channel's read returns it
-    // what reads and writes of a non-blocking socket return where a signal interrupted them (EINTR)
+    private static final int END_OF_STREAM = -1; // returned by a channel's read
+    // returned by a read or write of a non-blocking socket that a signal interrupted (EINTR)
     private static final int INTERRUPTED = -3;
     private static final int MAX_INTERRUPTED_READS = 8;
 
@@ -54,10 +55,10 @@
     private State state = State.OPEN;
 
     /**
-     * Takes a socket, or two channels that stand for one; {@link #open} or {@link #connect} comes before
-     * anything else.
+     * Wraps a socket, or two channels that stand in for one. {@link #open} or {@link #connect} must be called
+     * before any other method.
      *
-     * @param releasePermit run once, after the closed descriptor was given back to the system
+     * @param releasePermit run once, after the operating system has freed the closed descriptor
      */
     public Connection(EventLoop loop, ReadableByteChannel source, WritableByteChannel sink,
                       Runnable releasePermit) {
@@ -70,9 +71,10 @@
     }
 
     /**
-     * Takes an accepted socket; what its first read finds may have arrived while it was in the accept queue.
+     * Wraps an accepted socket. Bytes found by its first read may have arrived while it was in the accept
+     * queue.
      *
-     * @param queuedSinceNanos since when it was in the accept queue at the earliest, in Unix nanoseconds
+     * @param queuedSinceNanos the earliest time at which it can have been queued, in Unix nanoseconds
      */
     static Connection accepted(EventLoop loop, SocketChannel socket, long queuedSinceNanos,
                                Runnable releasePermit) {
@@ -81,19 +83,19 @@
         return accepted;
     }
 
-    /** Starts to read from a socket that is connected. */
+    /** Starts reading from a socket that is connected. */
     public void open(Handler handler) {
         register(handler, SelectionKey.OP_READ);
         if (!isClosed() && arrivalTracker.mayHaveUnreadBytes()) {
-            read(loop.readBuffer.capacity()); // at once, as bytes that arrive later were not queued
+            read(loop.readBuffer.capacity()); // immediately, as bytes that arrive later were not queued
         }
     }
 
-    /** Starts to connect, without a timeout: that is up to the handler. */
+    /** Starts connecting. There is no timeout; enforcing one is up to the handler. */
     public void connect(InetSocketAddress address, Handler handler) {
         if (!(source instanceof SocketChannel socket)) {
             open(handler);
-            loop.execute(handler::onConnected); // channels in memory are connected from the start
+            loop.execute(handler::onConnected); // in-memory channels are always connected
             return;
         }
         register(handler, SelectionKey.OP_CONNECT);
@@ -110,7 +112,7 @@
         handler = newHandler;
         try {
             if (source instanceof SocketChannel socket) {
-                // a response must not wait in the system for one that follows it
+                // the kernel must not hold a response back until more is written (Nagle's algorithm)
                 socket.setOption(StandardSocketOptions.TCP_NODELAY, true);
             }
             readKey = loop.register((SelectableChannel) source, operations, this::onReady);
@@ -150,7 +152,7 @@
 
     // ---- reading
 
-    /** Reads once and passes the bytes to the handler; returns whether there were any. */
+    /** Reads once and passes the bytes to the handler. Returns whether any were read. */
     private boolean read(int maxBytes) {
         try {
             ByteBuffer buffer = loop.readBuffer;
@@ -170,7 +172,10 @@
         }
     }
 
-    /** Reads again after a signal: else an end of stream would be missed right before a request is sent. */
+    /**
+     * Reads, and retries if a signal interrupts the read; otherwise an end of stream could be missed right
+     * before a request is sent.
+     */
     private int readRetryingInterrupts(ByteBuffer buffer) throws IOException {
         int count = source.read(buffer);
         for (int i = 0; count == INTERRUPTED && i < MAX_INTERRUPTED_READS; i++) {
@@ -180,26 +185,30 @@
     }
 
     /**
-     * Returns when the bytes read last can have arrived at the earliest, in Unix nanoseconds: they may have
-     * been unread while the loop was busy, or while reading was paused.
+     * Returns the earliest time at which the bytes of the last read can have arrived, in Unix nanoseconds.
+     * They may have been unread while the event loop was busy or while reading was paused.
      */
     public long earliestArrivalNanos() {
         return arrivalTracker.earliestArrivalNanos();
     }
 
     /**
-     * Reads now, passes bytes to the handler, and returns whether there were any or the connection closed.
+     * Reads once immediately and passes any bytes to the handler. Returns whether bytes were read or the
+     * connection is closed.
      */
     public boolean readAvailable() {
         return readAvailable(loop.readBuffer.capacity());
     }
 
-    /** Does the same as {@link #readAvailable()} with a bound on the bytes read. */
+    /** Does the same as {@link #readAvailable()}, but reads at most {@code maxBytes}. */
     public boolean readAvailable(int maxBytes) {
         return isClosed() || read(maxBytes) || isClosed();
     }
 
-    /** Pauses or resumes reading; what arrives during a pause fills the system's buffers, then the peer's. */
+    /**
+     * Pauses or resumes reading. Data that arrives during a pause fills the kernel's receive buffer, then the
+     * peer's send buffer.
+     */
     public void setReading(boolean enabled) {
         if (isClosed() || !readKey.isValid() || !setInterest(readKey, SelectionKey.OP_READ, enabled)) {
             return;
@@ -211,19 +220,22 @@
         }
     }
 
-    /** Reads what arrived during a pause before the loop reads what arrives later, which has not waited. */
+    /**
+     * Reads the bytes that arrived during a pause, before the event loop reads later bytes, which have not
+     * waited.
+     */
     private void readAfterPause() {
         if (isReading() && arrivalTracker.mayHaveUnreadBytes()) {
             read(loop.readBuffer.capacity());
         }
     }
 
-    /** Returns whether bytes that arrive are read. */
+    /** Returns whether the event loop reads from the connection: it is connected, open and not paused. */
     public boolean isReading() {
         return !isClosed() && readKey.isValid() && (readKey.interestOps() & SelectionKey.OP_READ) != 0;
     }
 
-    /** Sets whether the loop waits for an operation; returns whether that has changed. */
+    /** Adds an operation to a key's interest set or removes it. Returns whether the set has changed. */
     private static boolean setInterest(SelectionKey key, int operation, boolean enabled) {
         int current = key.interestOps();
         int updated = enabled ? current | operation : current & ~operation;
@@ -236,20 +248,20 @@
 
     // ---- writing
 
-    /** Sends a message after all that was written before; the array must not change any more. */
+    /** Sends a message after all earlier writes. The array must not be modified afterwards. */
     public void write(byte[] message) {
         if (!isClosed() && message.length > 0 && writeQueue.add(message)) {
             flush();
         }
     }
 
-    /** Sends a buffer's bytes after all that was written before; what can't go out at once is copied. */
+    /** Sends a buffer's bytes after all earlier writes. Bytes that can't be sent immediately are copied. */
     public void write(ByteBuffer bytes) {
         if (isClosed() || !bytes.hasRemaining()) {
             return;
         }
         try {
-            if (writeQueue.isEmpty() && bytes.isDirect()) { // others go out by way of the loop's own buffer
+            if (writeQueue.isEmpty() && bytes.isDirect()) { // others are sent through the loop's own buffer
                 writeQueue.writeDirectly(bytes);
             }
         } catch (IOException e) {
@@ -263,7 +275,7 @@
         }
     }
 
-    /** Writes what is queued as far as the system takes it; returns whether that was all. */
+    /** Writes as many queued bytes as the operating system accepts. Returns whether the queue is empty. */
     private boolean flush() {
         try {
             writeQueue.flush(loop.writeBuffer);
@@ -275,22 +287,22 @@
         }
     }
 
-    /** Returns how many bytes were written and wait for the system to take them. */
+    /** Returns how many written bytes the operating system has not accepted yet. */
     long pendingBytes() {
         return writeQueue.pendingBytes();
     }
 
-    /** Returns how many bytes the system has taken of what was written. */
+    /** Returns how many written bytes the operating system has accepted. */
     public long bytesAccepted() {
         return writeQueue.bytesAccepted();
     }
 
-    /** Returns whether the system has taken all that was written. */
+    /** Returns whether the operating system has accepted all written bytes. */
     public boolean isDrained() {
         return writeQueue.isEmpty();
     }
 
-    /** Bounds roughly how many bytes the system buffers that the peer has not taken (SO_SNDBUF). */
+    /** Limits, approximately, how many sent bytes the kernel buffers for a slow peer (SO_SNDBUF). */
     public void limitSendBuffer(int bytes) {
         try {
             if (!isClosed() && sink instanceof SocketChannel socket) {
@@ -310,11 +322,11 @@
     private void closeAndNotify(State closedState) {
         if (!isClosed()) {
             close(closedState);
-            loop.execute(handler::onClosed); // not at once, as the handler itself may be writing
+            loop.execute(handler::onClosed); // deferred, as the handler may be writing now
         }
     }
 
-    /** Ends the outgoing half; what the peer still sends can be read. */
+    /** Shuts down the sending direction. Data that the peer still sends can be read. */
     public void shutdownOutput() {
         try {
             if (!isClosed() && sink instanceof SocketChannel socket) {
@@ -325,29 +337,32 @@
         }
     }
 
-    /** Closes with a TCP reset: the peer learns that what it has sent may not have been read. */
+    /** Closes with a TCP reset, which tells the peer that data it has sent may not have been read. */
     public void reset() {
         try {
             if (!isClosed() && source instanceof SocketChannel socket) {
                 socket.setOption(StandardSocketOptions.SO_LINGER, 0);
             }
         } catch (IOException e) {
-            // the socket is closed already
+            // the socket is already closed
         }
         close();
     }
 
-    /** Returns whether either side has closed it. */
+    /** Returns whether either side has closed the connection, or it has failed. */
     public boolean isClosed() {
         return state != State.OPEN;
     }
 
-    /** Returns whether the peer ended its stream; after a failure, bytes in transit may be missing. */
+    /**
+     * Returns whether the connection closed because the peer ended its stream. False after a failure, when
+     * bytes in transit may be missing.
+     */
     public boolean reachedEndOfStream() {
         return state == State.ENDED_BY_PEER;
     }
 
-    /** Closes it without a call of the handler; has no effect the second time. */
+    /** Closes the connection without notifying the handler. Has no effect if it is already closed. */
     public void close() {
         close(State.CLOSED);
     }
@@ -362,13 +377,13 @@
             source.close();
             sink.close();
         } catch (IOException e) {
-            // the descriptor is released all the same
+            // the descriptor is released nevertheless
         }
     }
 
     @Override
     public String toString() {
-        // the socket knows its peer also once it is closed, other than the channel
+        // unlike the channel, the socket still returns its remote address after it was closed
         return source instanceof SocketChannel socket
             ? String.valueOf(socket.socket().getRemoteSocketAddress()) : "in memory";
     }
--- a/proxy/src/main/java/spurroad/transport/DescriptorBudget.java
+++ b/proxy/src/main/java/spurroad/transport/DescriptorBudget.java
@@ -3,17 +3,18 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Divides the process's socket descriptors among clients, nodes and discovery. A permit is taken before a
+ * Divides the process's socket descriptors among clients, endpoints and discovery. A permit is taken before a
  * socket is opened and released after it is closed.
  *
- * <p>Neither clients nor nodes can take all: each side has a maximum below the total, which leaves the rest
- * to the other side; what lies between goes to the first that asks. Safe for use by several threads.
+ * <p>Neither clients nor endpoints can take all descriptors: each group has a maximum below the total, which
+ * leaves the rest to the other group. Descriptors that both groups may use go to the first that asks.
+ * Thread-safe.
  */
 public final class DescriptorBudget {
-    private static final double MAX_CLIENT_FRACTION = 2 / 3.0; // many clients are idle
-    private static final double MAX_ENDPOINT_FRACTION = 1 / 2.0; // a client seldom has two attempts under way
-    private static final int DISCOVERY_RESERVE = 2; // a watch, and the next one while that closes
-    private static final int OVERFLOW_RESERVE = 8; // clients that are answered and closed at once
+    private static final double MAX_CLIENT_FRACTION = 2 / 3.0; // many client connections are idle
+    private static final double MAX_ENDPOINT_FRACTION = 1 / 2.0; // a client rarely has two attempts in flight
+    private static final int DISCOVERY_RESERVE = 2; // a watch, and its successor while it closes
+    private static final int OVERFLOW_RESERVE = 8; // clients that are answered and closed immediately
     private static final int MIN_UNRESERVED = 2;
 
     private final ResizableSemaphore total;
@@ -21,7 +22,7 @@
     private final ResizableSemaphore endpoints;
     private final Semaphore overflow = new Semaphore(OVERFLOW_RESERVE);
 
-    /** Divides so many descriptors, the reserves among them. */
+    /** Creates a budget for a number of descriptors, which includes the reserves. */
     public DescriptorBudget(int descriptors) {
         int unreserved = descriptors - DISCOVERY_RESERVE - OVERFLOW_RESERVE;
         total = new ResizableSemaphore(unreserved);
@@ -33,7 +34,7 @@
         return Math.max(1, (int) (unreserved * fraction));
     }
 
-    /** Changes the number of descriptors; if more are in use, none is given out until enough are released. */
+    /** Changes the number of descriptors. If more are in use, none is granted until enough are released. */
     public void resize(int descriptors) {
         int unreserved = Math.max(MIN_UNRESERVED, descriptors - DISCOVERY_RESERVE - OVERFLOW_RESERVE);
         total.resize(unreserved);
@@ -41,12 +42,12 @@
         endpoints.resize(fractionOf(unreserved, MAX_ENDPOINT_FRACTION));
     }
 
-    /** Returns how many are in use, the reserves always included. */
+    /** Returns how many descriptors are in use, always including the reserves. */
     public int inUse() {
         return total.inUse() + DISCOVERY_RESERVE + OVERFLOW_RESERVE;
     }
 
-    /** Returns the permits for clients, as a listener takes them. */
+    /** Returns the permits for client connections, for use by a {@link Listener}. */
     public Listener.ConnectionPermits clientPermits() {
         return new Listener.ConnectionPermits() {
             @Override
@@ -70,12 +71,12 @@
         };
     }
 
-    /** Takes a permit for a client's connection, if there is one. */
+    /** Takes a permit for a client connection. Returns false if none is available. */
     public boolean tryAcquireForClient() {
         return tryAcquire(clients);
     }
 
-    /** Takes a permit for a connection to a node, if there is one. */
+    /** Takes a permit for a connection to an endpoint. Returns false if none is available. */
     public boolean tryAcquireForEndpoint() {
         return tryAcquire(endpoints);
     }
@@ -91,24 +92,24 @@
         return true;
     }
 
-    /** Releases a client's permit. */
+    /** Releases the permit of a client connection. */
     public void releaseFromClient() {
         total.release();
         clients.release();
     }
 
-    /** Releases the permit of a connection to a node. */
+    /** Releases the permit of a connection to an endpoint. */
     public void releaseFromEndpoint() {
         total.release();
         endpoints.release();
     }
 
-    /** Returns how many more clients may connect. */
+    /** Returns how many more client connections may be opened; zero or less if none. */
     public int availableForClients() {
         return Math.min(total.availablePermits(), clients.availablePermits());
     }
 
-    /** Returns how many more connections to nodes may be opened. */
+    /** Returns how many more connections to endpoints may be opened; zero or less if none. */
     public int availableForEndpoints() {
         return Math.min(total.availablePermits(), endpoints.availablePermits());
     }
--- a/proxy/src/main/java/spurroad/transport/EventLog.java
+++ b/proxy/src/main/java/spurroad/transport/EventLog.java
@@ -5,15 +5,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Logs events: a fixed phrase, then {@code key=value} fields. At most one line a second is logged for each
- * phrase; the next line says how many were suppressed. Safe for use by several threads, none of which waits
- * for a line to be written.
+ * Logs events as a fixed phrase, followed by {@code key=value} fields. At most one line per second is logged
+ * for each phrase; the next line reports how many were suppressed. Thread-safe; callers never wait for a line
+ * to be written.
  */
 public final class EventLog {
-    // a fault repeats itself, and people read no faster
+    // faults recur, and people read no faster than this
     private static final long MIN_INTERVAL_NANOS = 1_000_000_000L;
 
-    /** Admits at most one line an interval. */
+    /** Admits at most one line per interval. */
     private static final class RateLimiter {
         private static final long SUPPRESSED = -1;
 
@@ -21,7 +21,7 @@
         private long lastLoggedNanos;
         private long suppressedCount;
 
-        /** Returns how many lines were suppressed before this one, or SUPPRESSED for this one, too. */
+        /** Returns how many lines were suppressed before this one, or SUPPRESSED if it is suppressed, too. */
         private synchronized long admit() {
             long now = System.nanoTime();
             if (hasLogged && now - lastLoggedNanos < MIN_INTERVAL_NANOS) {
@@ -41,25 +41,25 @@
     /**
      * Logs an event that operators may want to see.
      *
-     * @param event a fixed phrase, by which lines are limited
-     * @param fields what differs from one event to the next
+     * @param event a fixed phrase, for which the rate of lines is limited
+     * @param fields the values of this event, as {@code key=value} text
      */
     public void info(String event, Object fields) {
         log(Level.INFO, event, fields);
     }
 
-    /** Logs an event that should not happen; the parameters are those of {@link #info}. */
+    /** Logs an event that should not occur. The parameters are those of {@link #info}. */
     public void warn(String event, Object fields) {
         log(Level.WARNING, event, fields);
     }
 
-    /** Describes an exception in one line, with the place that threw it. */
+    /** Describes an exception in one line, with the code location that threw it. */
     public static String describe(Throwable e) {
         StackTraceElement[] trace = e.getStackTrace();
         return e + (trace.length > 0 ? " at " + trace[0] : "");
     }
 
-    /** Waits until all lines are written, or the time is over; for a process that is about to end. */
+    /** Waits until all lines are written or the timeout has passed; for a process that is about to exit. */
     public void flush(long timeoutMillis) {
         LogWriter.SHARED.flush(timeoutMillis);
     }
--- a/proxy/src/main/java/spurroad/transport/EventLoop.java
+++ b/proxy/src/main/java/spurroad/transport/EventLoop.java
@@ -14,31 +14,32 @@
 import java.util.function.Consumer;
 
 /**
- * The one thread that works all sockets of clients and nodes, and owns all state that belongs to them. Tasks
- * run there one after another, in the order in which they were added, so that state needs no locks. Nothing
- * that runs there may block.
+ * The single thread that serves all client and endpoint sockets and owns all state that belongs to them.
+ * Tasks run on it one after another, in the order in which they were added, so that this state needs no
+ * locks. Nothing that runs on it may block.
  *
- * <p>One thread, not one a connection: a platform that holds a process to part of a core by stopping and
- * continuing it wakes every thread each time. 600 idle threads took 0.64 of a core at 90 stops a second
- * (docs/design/overload.md).
+ * <p>There is one thread instead of one per connection because a CPU limit that is enforced by stopping and
+ * continuing the process wakes every thread each time. 600 idle threads used 0.64 of a core at 90 stops per
+ * second (docs/design/overload.md).
  *
- * <p>An iteration selects, works the ready channels, then runs what waits for closed descriptors, the tasks
- * that were added before, the timers that are due, and what runs at the end of each iteration.
+ * <p>An iteration selects and handles the ready channels, then runs the tasks that wait for closed
+ * descriptors, the tasks that were added before, the timers that are due, and the tasks for the end of each
+ * iteration.
  */
 public final class EventLoop implements Runnable {
-    /** Works a channel that is ready, on the event loop thread. */
+    /** Handles a channel that is ready, on the event loop thread. */
     interface ReadyHandler {
-        /** Gets the operations that are ready, as bits of {@link SelectionKey}. */
+        /** Called with the operations that are ready, as bits of {@link SelectionKey}. */
         void onReady(int operations);
     }
 
     /** A scheduled task. Event loop thread only. */
     public interface Timer {
-        /** Keeps the task from being run; has no effect a second time, or after it has run. */
+        /** Cancels the task. Has no effect if it was already cancelled or has run. */
         void cancel();
     }
 
-    // read or written in one call, so that one connection does not keep the others waiting
+    // limit of one read or write call, so that one connection does not delay the others
     private static final int TRANSFER_BUFFER_BYTES = 64 * 1024;
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long LOG_FLUSH_TIMEOUT_MILLIS = 200;
@@ -48,11 +49,12 @@
     private final Clock clock;
     private final Selector selector;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final AtomicBoolean isSelecting = new AtomicBoolean(); // or about to: new tasks must wake it up
+    // also set right before a select: a task added meanwhile must wake up the selector
+    private final AtomicBoolean isSelecting = new AtomicBoolean();
     private volatile boolean isShutdown;
     private volatile Thread thread;
 
-    // the event loop thread's own
+    // event loop thread only
     final ByteBuffer readBuffer = ByteBuffer.allocateDirect(TRANSFER_BUFFER_BYTES);
     final ByteBuffer writeBuffer = ByteBuffer.allocateDirect(TRANSFER_BUFFER_BYTES);
     private final TimerQueue timers = new TimerQueue();
@@ -64,9 +66,9 @@
     private final Consumer<Runnable> runLoggingFailure = this::runLoggingFailure;
 
     /**
-     * Opens the selector; the loop runs once a thread calls {@link #run}.
+     * Opens the selector. The loop runs once a thread calls {@link #run}.
      *
-     * @throws UncheckedIOException if the system gives no selector, even after some retries
+     * @throws UncheckedIOException if no selector can be opened, even after some retries
      */
     public EventLoop(EventLog log, Clock clock) {
         this(log, clock, ReadinessTracker.MAX_SELECT_WAIT_NANOS);
@@ -80,22 +82,22 @@
         try {
             selector = StartupRetry.openWithRetry(Selector::open);
         } catch (IOException e) {
-            throw new UncheckedIOException("no selector", e);
+            throw new UncheckedIOException("can't open a selector", e);
         }
     }
 
     /**
-     * Opens a loop that wakes up only when there is something to do; what it tells of arrivals is no bound.
+     * Creates a loop that wakes up only when there is work to do. Its arrival times are not valid bounds.
      *
-     * @throws UncheckedIOException if the system gives no selector, even after some retries
+     * @throws UncheckedIOException if no selector can be opened, even after some retries
      */
     public static EventLoop withoutArrivalTimes(EventLog log, Clock clock) {
         return new EventLoop(log, clock, Long.MAX_VALUE);
     }
 
-    // ---- from any thread
+    // ---- callable from any thread
 
-    /** Runs a task on the event loop thread, after all that were added before. */
+    /** Runs a task on the event loop thread, after all tasks that were added before. */
     public void execute(Runnable task) {
         tasks.add(task);
         if (Thread.currentThread() != thread && isSelecting.compareAndSet(true, false)) {
@@ -103,40 +105,40 @@
         }
     }
 
-    /** Ends the loop after its current iteration, and closes all channels that are registered then. */
+    /** Ends the loop after its current iteration and closes all channels that are registered then. */
     public void shutdown() {
         isShutdown = true;
         selector.wakeup();
     }
 
-    // ---- on the event loop thread only
+    // ---- event loop thread only
 
-    /** Runs a short task once a delay has passed, to the millisecond, unless it is cancelled before. */
+    /** Runs a short task after a delay, with millisecond resolution, unless it is cancelled before. */
     public Timer schedule(long delayNanos, Runnable task) {
         return timers.add(clock.now() + Math.max(0, delayNanos), task);
     }
 
-    /** Runs a task at the end of each iteration; to be called before the loop's thread starts. */
+    /** Runs a task at the end of each iteration. Must be called before the loop's thread starts. */
     public void onIterationEnd(Runnable task) {
         iterationEndTasks.add(task);
     }
 
-    /** Returns since when, at the earliest, what is being read can have been unread, in Unix nanoseconds. */
+    /** Returns the earliest time at which bytes being read can have arrived, in Unix nanoseconds. */
     public long earliestArrivalNanos() {
         return readiness.earliestReadyNanos();
     }
 
-    /** Returns when the last select began, in Unix nanoseconds. */
+    /** Returns the start time of the last select, in Unix nanoseconds. */
     long lastSelectStartNanos() {
         return readiness.lastSelectStartNanos();
     }
 
-    /** Returns the clock's time, in Unix nanoseconds. */
+    /** Returns the clock's current time, in Unix nanoseconds. */
     public long now() {
         return clock.now();
     }
 
-    /** Runs a task after the next select, by which the system gets back descriptors closed before. */
+    /** Runs a task after the next select, which frees the descriptors of channels closed before. */
     void runAfterSelect(Runnable task) {
         afterSelectTasks.add(task);
     }
@@ -191,7 +193,10 @@
         }
     }
 
-    /** Returns the delay rounded up, so that the timer is due when the select ends; zero for no timeout. */
+    /**
+     * Returns a delay in milliseconds, rounded up so that the timer is due when the select ends. Zero means
+     * that there is no timeout.
+     */
     private static long selectTimeoutMillis(long delayNanos) {
         return delayNanos == Long.MAX_VALUE ? 0 : (delayNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI;
     }
@@ -199,12 +204,12 @@
     private void runAfterSelectTasks() {
         if (!afterSelectTasks.isEmpty()) {
             List<Runnable> due = afterSelectTasks;
-            afterSelectTasks = new ArrayList<>(); // what they add waits for the next select
+            afterSelectTasks = new ArrayList<>(); // tasks that they add run after the next select
             due.forEach(runLoggingFailure);
         }
     }
 
-    /** Runs the tasks that are there now; those that they add have to wait for the next iteration. */
+    /** Runs the tasks that are queued now. Tasks that they add run in the next iteration. */
     private void runTasks() {
         for (int count = tasks.size(); count > 0; count--) {
             runLoggingFailure(tasks.remove());
--- a/proxy/src/main/java/spurroad/transport/Listener.java
+++ b/proxy/src/main/java/spurroad/transport/Listener.java
@@ -12,59 +12,59 @@
 /**
  * Owns the listening socket and accepts connections, each only with a permit for its descriptor.
  *
- * <p>Where there is no permit, the handler is asked to free one. If it can't, a few connections get overflow
- * permits, with which they are answered and closed: a client in the system's accept queue would get no
- * response.
+ * <p>If there is no permit, the handler is asked to free one. If it can't, a few connections get overflow
+ * permits, with which they are answered and closed; a client left in the accept queue would get no response.
  *
- * <p>Its methods may be called from any thread; handlers run on the event loop thread.
+ * <p>The methods may be called from any thread. The handler is called on the event loop thread.
  */
 public final class Listener {
     /** Receives accepted connections, on the event loop thread. */
     public interface AcceptHandler {
-        /** A connection was accepted; one with an overflow permit is to be closed soon. */
+        /** A connection was accepted. One with an overflow permit must be closed soon. */
         void onAccepted(Connection connection, boolean overflow);
 
-        /** A connection waits for a permit; the handler may close others to free one. */
+        /** A connection is waiting for a permit. The handler may close others to free one. */
         void onPermitsExhausted();
     }
 
-    /** The permits for descriptors of accepted connections. Event loop thread only. */
+    /** Permits for the descriptors of accepted connections. Event loop thread only. */
     public interface ConnectionPermits {
-        /** Takes a permit, if there is one. */
+        /** Takes a permit. Returns false if none is available. */
         boolean tryAcquire();
 
-        /** Takes an overflow permit, if there is one. */
+        /** Takes an overflow permit. Returns false if none is available. */
         boolean tryAcquireOverflow();
 
-        /** Releases a permit of either kind. */
+        /** Releases a regular permit or an overflow permit. */
         void release(boolean overflow);
     }
 
-    /** Accepts the next connection; returns null where none is queued. */
+    /** Accepts the next connection. Returns null if none is queued. */
     interface Acceptor {
         SocketChannel accept() throws IOException;
     }
 
     private enum Permit { REGULAR, OVERFLOW, NONE }
 
-    /** QUIET is DRAINING with no connection accepted, and no accept failed, since the last check. */
+    /** QUIET is DRAINING without an accepted connection or a failed accept since the last check. */
     private enum State {
         ACCEPTING, DRAINING, QUIET, CLOSED
     }
 
-    private static final int ACCEPT_BACKLOG = 1024; // connections; a burst of clients after a restart
-    // so that open connections do not wait for a crowd that connects
+    private static final int ACCEPT_BACKLOG = 1024; // connections; fits a connection burst after a restart
+    // keeps a connection burst from delaying the open connections
     private static final int MAX_ACCEPTS_PER_ITERATION = 16;
-    // an idle connection closes in less
+    // longer than it takes to close an idle connection
     private static final long PERMIT_RETRY_NANOS = 2_000_000L;
-    // a failed accept may fail again at once: the delay doubles up to the maximum
+    // the next accept may fail immediately, too: the delay doubles up to the maximum
     private static final long MIN_BACKOFF_NANOS = 1_000_000L;
     private static final long MAX_BACKOFF_NANOS = 20_000_000L;
     private static final int MAX_BACKOFF_DOUBLINGS = 8;
-    // a socket that nobody accepted from: longer than any client waits
+    // assumed for connections of a socket that no process accepted from: longer than any client waits
     private static final long ASSUMED_QUEUE_TIME_NANOS = 2 * 3_600_000_000_000L;
-    private static final long QUIET_PERIOD_NANOS = 20_000_000L; // without a connection, before the close
-    // between two looks at a queue that does not get empty: what has just come counts as queued for that long
+    private static final long QUIET_PERIOD_NANOS = 20_000_000L; // time without a connection before the close
+    // Between two samples of the length of a queue that does not become empty. A connection that has just
+    // arrived counts as queued for that long.
     private static final long QUEUE_SAMPLE_INTERVAL_NANOS = 100_000_000L;
 
     private final ServerSocketChannel socket;
@@ -77,7 +77,7 @@
     private final AcceptQueueLength queueLength = new AcceptQueueLength();
     private final CountDownLatch closed = new CountDownLatch(1);
 
-    // the event loop thread's own
+    // event loop thread only
     private SelectionKey key;
     private State state = State.ACCEPTING;
     private boolean isAwaitingPermit;
@@ -86,7 +86,7 @@
     private long queueSampledNanos;
 
     /**
-     * Binds a socket of its own, which it closes at the end.
+     * Binds a new socket, which the listener owns and closes.
      *
      * @throws IOException if the address can't be bound, even after some retries
      */
@@ -97,11 +97,11 @@
     }
 
     /**
-     * Takes over a listening socket that other processes may go on using: it is never closed.
+     * Takes over a listening socket that other processes may continue to use. It is never closed.
      *
-     * @param inherited the socket that the process was started with
-     * @param shared whether another process accepts from it now; else connections may have been queued for an
-     *     unknown time
+     * @param inherited the listening socket that this process inherited at its start
+     * @param shared whether another process accepts from it now; if not, connections may have been queued for
+     *     an unknown time
      */
     public Listener(ServerSocketChannel inherited, boolean shared, EventLoop loop, ConnectionPermits permits,
                     AcceptHandler handler, EventLog log) {
@@ -114,7 +114,7 @@
         this(bound, bound::accept, true, loop, permits, handler, log);
     }
 
-    /** Accepts connections by another way than the socket's own; for tests of accepts that fail. */
+    /** Accepts connections with an acceptor other than the socket's own; for tests of accept failures. */
     Listener(ServerSocketChannel socket, Acceptor acceptor, boolean ownsSocket, EventLoop loop,
              ConnectionPermits permits, AcceptHandler handler, EventLog log) {
         this.socket = socket;
@@ -124,7 +124,7 @@
         this.permits = permits;
         this.handler = handler;
         this.log = log;
-        queueTracker = new AcceptQueueTracker(loop.now()); // the system queues connections from now on
+        queueTracker = new AcceptQueueTracker(loop.now()); // a socket just bound has queued nothing earlier
     }
 
     private static ServerSocketChannel bind(InetSocketAddress address) throws IOException {
@@ -142,12 +142,12 @@
         }
     }
 
-    /** Returns the local port. */
+    /** Returns the local port that the socket is bound to. */
     public int port() {
         return socket.socket().getLocalPort();
     }
 
-    /** Starts to accept, and then runs a task on the event loop thread. */
+    /** Starts accepting, then runs a task on the event loop thread. */
     public void start(Runnable onStarted) {
         loop.execute(() -> register(onStarted));
     }
@@ -160,8 +160,8 @@
             loop.schedule(MAX_BACKOFF_NANOS, () -> register(onStarted));
             return;
         }
-        sampleQueueLength(); // who comes from now on has not waited behind those of before
-        acceptQueued(); // before it is known to accept: connections that follow were not queued
+        sampleQueueLength(); // connections that arrive from now on have not waited as long as those before
+        acceptQueued(); // before onStarted announces the listener: later connections were not queued
         onStarted.run();
     }
 
@@ -169,7 +169,7 @@
 
     private void acceptQueued() {
         if (queueTracker.wasEmpty()) {
-            queueSampledNanos = loop.now(); // it is looked at only where it does not get empty again
+            queueSampledNanos = loop.now(); // the length is sampled only if it stays non-empty
         } else if (loop.now() - queueSampledNanos >= QUEUE_SAMPLE_INTERVAL_NANOS) {
             sampleQueueLength();
         }
@@ -193,7 +193,7 @@
         queueTracker.onLength(queueLength.read(port()), queueSampledNanos);
     }
 
-    /** Takes a permit; one for overflow only if the handler freed none since the last time it was asked. */
+    /** Takes a permit; an overflow permit only if the handler has freed none since it was last asked. */
     private Permit acquirePermit() {
         if (permits.tryAcquire()) {
             return Permit.REGULAR;
@@ -202,14 +202,15 @@
         if (isAwaitingPermit && permits.tryAcquireOverflow()) {
             return Permit.OVERFLOW;
         }
-        isAwaitingPermit = true; // connections that the handler has closed give theirs back after a select
+        isAwaitingPermit = true; // connections that the handler closed release theirs after a select
         return Permit.NONE;
     }
 
     private boolean acceptOne(boolean overflow) {
         try {
             SocketChannel accepted = acceptor.accept();
-            accepted = accepted == null ? acceptor.accept() : accepted; // a signal looks like an empty queue
+            // retries once, as an accept that a signal interrupts also returns null
+            accepted = accepted == null ? acceptor.accept() : accepted;
             if (accepted == null) {
                 permits.release(overflow);
                 queueTracker.onEmpty();
@@ -223,7 +224,7 @@
             return true;
         } catch (IOException e) {
             permits.release(overflow);
-            onActivity(); // a connection may be queued all the same
+            onActivity(); // a connection may be queued nevertheless
             log.warn("accept failed", "error=" + e.getMessage());
             pauseAccepting(nextBackoffNanos());
             return false;
@@ -251,9 +252,9 @@
     // ---- closing
 
     /**
-     * Accepts what the system has queued, then closes; returns whether it has done so within the time.
+     * Accepts all queued connections, then closes. Returns whether this has completed within the timeout.
      *
-     * @throws InterruptedException if the calling thread is interrupted meanwhile
+     * @throws InterruptedException if the calling thread is interrupted while it waits
      */
     public boolean closeWhenQuiet(long timeoutMillis) throws InterruptedException {
         loop.execute(() -> {
@@ -265,7 +266,7 @@
         return closed.await(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Stops at once, and leaves queued connections to the processes that share the socket. */
+    /** Stops immediately and leaves queued connections to the processes that share the socket. */
     public void stopAccepting() {
         loop.execute(this::close);
     }
@@ -291,14 +292,14 @@
         }
     }
 
-    /** Closes at the second check in a row that finds nothing: then the accept queue was emptied. */
+    /** Closes at the second consecutive check that finds no connection: the accept queue is empty then. */
     private void closeIfQuiet() {
         if (key == null) { // not registered yet
             loop.schedule(QUIET_PERIOD_NANOS, this::closeIfQuiet);
             return;
         }
         if (!key.isValid()) {
-            return; // closed by stopAccepting meanwhile
+            return; // closed by stopAccepting in the meantime
         }
         boolean wasQuiet = state == State.QUIET;
         state = State.QUIET;
--- a/proxy/src/main/java/spurroad/transport/LogWriter.java
+++ b/proxy/src/main/java/spurroad/transport/LogWriter.java
@@ -6,15 +6,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes the log lines of this process on a daemon thread of its own, so that a reader of the log that has
- * stopped holds up no other thread. Lines that find the queue full are dropped and counted. Safe for use by
- * several threads.
+ * Writes the log lines of this process on a dedicated daemon thread, so that a stalled reader of the log
+ * blocks no other thread. Lines added while the queue is full are dropped and counted. Thread-safe.
  */
 final class LogWriter {
-    /** The only one of this process, as the process has one log. */
+    /** The only instance in this process, as the process has one log. */
     static final LogWriter SHARED = new LogWriter();
 
-    private static final int MAX_QUEUED_LINES = 256; // some seconds of faults of all kinds
+    private static final int MAX_QUEUED_LINES = 256; // several seconds of faults of all kinds
     private static final long STACK_BYTES = 144 * 1024;
 
     private record Line(Level level, String text) {}
@@ -22,10 +21,10 @@
     private final System.Logger log = System.getLogger("spurroad");
     private final Queue<Line> queue = new ArrayDeque<>();
     private long droppedCount;
-    private boolean isWriting; // a line that has left the queue
+    private boolean isWriting; // a line that was taken from the queue
     private Thread thread;
 
-    /** Queues a line. */
+    /** Queues a line, or counts it as dropped if the queue is full. */
     synchronized void add(Level level, String text) {
         if (queue.size() >= MAX_QUEUED_LINES) {
             droppedCount++;
@@ -46,11 +45,11 @@
             newThread.start();
             thread = newThread;
         } catch (OutOfMemoryError e) {
-            thread = null; // the system gives no thread for now: the next line tries again
+            thread = null; // no thread can be created at the moment: the next line tries again
         }
     }
 
-    /** Waits until all lines are written, or the time is over. */
+    /** Waits until all lines are written or the timeout has passed. */
     synchronized void flush(long timeoutMillis) {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         try {
@@ -80,7 +79,7 @@
         try {
             log.log(line.level, line.text);
         } catch (RuntimeException e) {
-            return; // a failure of the log can't be logged, and the next line may succeed
+            return; // a failure of the log can't be logged, and the next line may be written
         }
     }
 
--- a/proxy/src/main/java/spurroad/transport/Mailbox.java
+++ b/proxy/src/main/java/spurroad/transport/Mailbox.java
@@ -6,31 +6,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A bounded queue of messages from any threads to the one thread that takes them, which waits here for a
- * message or a timeout.
+ * A bounded queue of messages from any thread to a single reader thread, which waits here for a message or a
+ * timeout.
  */
 public final class Mailbox {
     private final int capacity;
     private List<Runnable> messages = new ArrayList<>();
 
-    /** The capacity must hold all messages that can be under way at once. */
+    /** Creates a mailbox. The capacity must cover all messages that can be in flight at once. */
     public Mailbox(int capacity) {
         this.capacity = capacity;
     }
 
     /**
-     * Adds a message; from any thread.
+     * Adds a message. May be called from any thread.
      *
-     * @throws IllegalStateException if there are more than the capacity, which is a fault of the program
+     * @throws IllegalStateException if the capacity is exceeded, which is a programming error
      */
     public void post(Runnable message) {
         post(List.of(message));
     }
 
-    /** Adds messages in order and wakes the reader once; otherwise as {@link #post(Runnable)}. */
+    /** Adds messages in order and wakes the reader once; otherwise like {@link #post(Runnable)}. */
     public synchronized void post(Collection<Runnable> added) {
         if (messages.size() + added.size() > capacity) {
-            throw new IllegalStateException("a mailbox is full");
+            throw new IllegalStateException("mailbox capacity exceeded");
         }
         boolean wasEmpty = messages.isEmpty();
         messages.addAll(added);
@@ -40,9 +40,10 @@
     }
 
     /**
-     * Takes all messages in order; none if there are none within the time, or after a spurious wake-up.
+     * Takes all messages in order. Returns an empty list if there are none within the timeout, or after a
+     * spurious wake-up.
      *
-     * @throws InterruptedException if the reader's thread is interrupted while it waits
+     * @throws InterruptedException if the reader thread is interrupted while it waits
      */
     public synchronized List<Runnable> takeAll(long timeoutNanos) throws InterruptedException {
         if (messages.isEmpty() && timeoutNanos > 0) {
--- a/proxy/src/main/java/spurroad/transport/MemoryBudget.java
+++ b/proxy/src/main/java/spurroad/transport/MemoryBudget.java
@@ -1,42 +1,45 @@
 package spurroad.transport;
 
 /**
- * Bounds the bytes that all requests under way may use together. What is reserved is released once. Safe for
- * use by several threads.
+ * Limits the memory that all requests in flight may use together. Each reservation is to be released once.
+ * Thread-safe.
  */
 public final class MemoryBudget {
-    private static final int UNIT_BYTES = 1024; // reservations are rounded up to these
+    private static final int UNIT_BYTES = 1024; // reservations are rounded up to multiples of it
 
     private final ResizableSemaphore units;
     private final int totalUnits;
 
-    /** Bounds them to so many bytes. */
+    /** Creates a budget of a number of bytes. */
     public MemoryBudget(long bytes) {
         totalUnits = (int) Math.min(Integer.MAX_VALUE, bytes / UNIT_BYTES);
         units = new ResizableSemaphore(totalUnits);
     }
 
-    /** Returns the fraction that is reserved; over 1 if it is overdrawn. */
+    /** Returns the fraction of the budget that is reserved; over 1 if it is overdrawn. */
     public double usedFraction() {
         return 1 - (double) units.availablePermits() / Math.max(1, totalUnits);
     }
 
-    /** Reserves bytes if there are enough. */
+    /** Reserves bytes if enough are left. Returns whether they are reserved. */
     public boolean tryReserve(long bytes) {
         return units.tryAcquire(toUnits(bytes));
     }
 
-    /** Reserves bytes even if there are too few; then nothing else is reserved until they are released. */
+    /**
+     * Reserves bytes even if too few are left; then no other reservation succeeds until enough bytes are
+     * released.
+     */
     public void forceReserve(long bytes) {
         units.forceAcquire(toUnits(bytes));
     }
 
-    /** Returns whether more is reserved than there is. */
+    /** Returns whether more bytes are reserved than the budget has. */
     public boolean isOverdrawn() {
         return units.availablePermits() < 0;
     }
 
-    /** Releases bytes that were reserved. */
+    /** Releases the bytes of a reservation. */
     public void release(long bytes) {
         units.release(toUnits(bytes));
     }
--- a/proxy/src/main/java/spurroad/transport/PeerDatagrams.java
+++ b/proxy/src/main/java/spurroad/transport/PeerDatagrams.java
@@ -13,17 +13,17 @@
 import java.util.function.Consumer;
 
 /**
- * Exchanges short messages with the other proxies of a deployment, one a UDP datagram, without any guarantee
- * of delivery. Datagrams from other addresses, and those that are too long, are dropped.
+ * Exchanges short messages with the other proxies of a deployment, one UDP datagram per message, without any
+ * delivery guarantee. Datagrams from other addresses and oversized datagrams are dropped.
  *
- * <p>Sending is safe from any thread and never waits. Messages are received on the thread that calls
+ * <p>Sending is safe from any thread and never blocks. Messages are received on the thread that calls
  * {@link #run}.
  */
 public final class PeerDatagrams implements Runnable {
     private static final int MAX_MESSAGE_BYTES = 256;
-    private static final long REOPEN_DELAY_MILLIS = 500; // a hot restart takes seconds
+    private static final long REOPEN_DELAY_MILLIS = 500; // short, as a hot restart takes seconds
 
-    /** Opens a datagram socket that is not bound yet. */
+    /** Opens an unbound datagram channel. */
     interface ChannelOpener {
         DatagramChannel open() throws IOException;
     }
@@ -37,11 +37,11 @@
     private volatile DatagramChannel channel; // null while it is not bound
 
     /**
-     * Opens nothing yet.
+     * Creates an instance without a socket, which {@link #run} opens.
      *
-     * @param proxyAddresses the address of each proxy, by its index
+     * @param proxyAddresses the address of each proxy, by proxy index
      * @param ownIndex the index of this proxy
-     * @param onMessage gets each message, on the thread that calls {@link #run}
+     * @param onMessage receives each message, on the thread that calls {@link #run}
      */
     public PeerDatagrams(List<InetSocketAddress> proxyAddresses, int ownIndex, EventLog log,
                          Consumer<byte[]> onMessage) {
@@ -49,7 +49,7 @@
             () -> DatagramChannel.open(StandardProtocolFamily.INET));
     }
 
-    /** Opens its sockets another way; for tests of calls that fail. */
+    /** Opens channels with a given opener; for tests of system calls that fail. */
     PeerDatagrams(List<InetSocketAddress> proxyAddresses, int ownIndex, EventLog log,
                   Consumer<byte[]> onMessage,
                   ChannelOpener channelOpener) {
@@ -68,7 +68,10 @@
         }
     }
 
-    /** Sends a message to a proxy, by its index; does nothing for this one, or while the socket is closed. */
+    /**
+     * Sends a message to a proxy, given by its index. Does nothing if that is this proxy, or while the socket
+     * is closed.
+     */
     public void send(int proxyIndex, byte[] message) {
         DatagramChannel boundChannel = channel;
         try {
@@ -82,9 +85,9 @@
     }
 
     /**
-     * Receives messages until its thread is interrupted. During a hot restart the former process still has
-     * the address, so this tries to bind it again and again. A call that fails costs the messages until the
-     * socket is reopened, and nothing else.
+     * Receives messages until its thread is interrupted. During a hot restart the previous process still has
+     * the address bound, so binding is retried until it succeeds. A failed system call loses the messages
+     * until the socket is reopened, and nothing else.
      */
     @Override
     public void run() {
@@ -109,7 +112,7 @@
             newChannel.bind(proxyAddresses.get(ownIndex)).configureBlocking(false);
             newChannel.register(selector, SelectionKey.OP_READ);
             channel = newChannel;
-            // one byte more than the maximum shows which messages are too long
+            // one byte more than the maximum, to detect oversized messages
             ByteBuffer buffer = ByteBuffer.allocate(MAX_MESSAGE_BYTES + 1);
             while (newChannel.isOpen()) {
                 selector.select();
--- a/proxy/src/main/java/spurroad/transport/ReadArrivalTracker.java
+++ b/proxy/src/main/java/spurroad/transport/ReadArrivalTracker.java
@@ -1,17 +1,18 @@
 package spurroad.transport;
 
 /**
- * Bounds since when the bytes that one connection has just read may have been in the system's receive buffer.
+ * Determines a lower bound for the time at which the bytes just read from one connection arrived in the
+ * kernel's receive buffer.
  *
- * <p>A request's time runs from its arrival, not from when it is read. The event loop knows since when bytes
- * can have been there unread while the connection was being read from; this adds the times when it was not,
- * or when a read left some bytes behind. Event loop thread only.
+ * <p>A request's time limit starts at its arrival, not when it is read. The event loop knows the bound for
+ * connections that are being read from. This class also covers the times when reading was paused or a read
+ * left bytes behind. Event loop thread only.
  */
 final class ReadArrivalTracker {
     private static final long NO_UNREAD_BYTES = Long.MIN_VALUE;
 
     private final EventLoop loop;
-    /** Since when unread bytes may be there, while reading is paused or a read may have left some. */
+    /** Since when bytes may be unread, if reading is paused or the last read may have left some. */
     private long unreadSinceNanos = NO_UNREAD_BYTES;
     private long earliestArrivalNanos;
 
@@ -19,40 +20,40 @@
         this.loop = loop;
     }
 
-    /** Notes that what is there before the first read may have arrived from a time on. */
+    /** Records that bytes found by the first read may have arrived at any time since {@code sinceNanos}. */
     void onOpenedWithUnreadBytes(long sinceNanos) {
         unreadSinceNanos = sinceNanos;
     }
 
     /**
-     * Notes a read.
+     * Records a read.
      *
-     * @param mayHaveLeftBytes whether the read may not have taken all there was
-     * @param isReading whether the connection is still read from
+     * @param mayHaveLeftBytes whether there may be bytes left that the read did not return
+     * @param isReading whether reading is still enabled
      */
     void onRead(boolean mayHaveLeftBytes, boolean isReading) {
         earliestArrivalNanos = mayHaveUnreadBytes() ? unreadSinceNanos : loop.earliestArrivalNanos();
         if (mayHaveLeftBytes) {
             unreadSinceNanos = earliestArrivalNanos;
         } else {
-            // not from now: after the read the loop may have been held up before it came here
+            // not the current time: the loop may have been held up between the read and this call
             unreadSinceNanos = isReading ? NO_UNREAD_BYTES : loop.lastSelectStartNanos();
         }
     }
 
-    /** Notes that the connection is not read from until further notice. */
+    /** Records that reading from the connection is paused. */
     void onReadingPaused() {
         if (!mayHaveUnreadBytes()) {
             unreadSinceNanos = loop.earliestArrivalNanos();
         }
     }
 
-    /** Returns whether bytes may be there that arrived before the event loop's own bound. */
+    /** Returns whether there may be unread bytes that arrived before the event loop's own bound. */
     boolean mayHaveUnreadBytes() {
         return unreadSinceNanos != NO_UNREAD_BYTES;
     }
 
-    /** Returns when the bytes read last can have arrived at the earliest. */
+    /** Returns the earliest time at which the bytes of the last read can have arrived. */
     long earliestArrivalNanos() {
         return earliestArrivalNanos;
     }
--- a/proxy/src/main/java/spurroad/transport/ReadinessTracker.java
+++ b/proxy/src/main/java/spurroad/transport/ReadinessTracker.java
@@ -1,19 +1,21 @@
 package spurroad.transport;
 
 /**
- * Bounds since when a channel that the selector reports as ready can have been so.
+ * Determines a lower bound for the time at which a channel reported by the selector became ready.
  *
- * <p>It can't have been before the select before began, which would have reported it. After a select that did
- * not wait this is the bound. After one that waited it would be much too early where nothing came for a
- * while. There the channel counts as ready from the wake-up on if the select before began so short a time ago
- * that this can't be wrong by more than {@link #MAX_ERROR_NANOS}; else the process was held up, perhaps with
- * the channel ready all the time. How long the select itself took tells nothing: on a busy machine one that
- * finds a channel at once may take as long as one that waited for it. Event loop thread only.
+ * <p>The channel can't have become ready before the start of the previous select, which would have reported
+ * it. After a non-blocking select, that start is the bound. After a blocking select, it would be much too
+ * early if nothing arrived for a while. The channel then counts as ready from the wake-up on, provided that
+ * the previous select started so recently that the error is at most {@link #MAX_ERROR_NANOS}. Otherwise the
+ * process was held up, perhaps with the channel ready all the time, and the start of the previous select
+ * remains the bound. The duration of the select is no criterion: on a busy machine, a select that finds a
+ * ready channel immediately may take as long as one that waited for it. Event loop thread only.
  */
 final class ReadinessTracker {
-    /** A select waits for no longer, so that an idle loop does not look like one that was held up. */
+    /** Maximum timeout of a select, so that an idle loop does not look like one that was held up. */
     static final long MAX_SELECT_WAIT_NANOS = 20_000_000L;
-    // a third of what an endpoint may be told too much; two waits and their wake-ups take less
+    // A third of the excess that is tolerated in the time limit sent to an endpoint. Two blocking selects and
+    // their wake-ups take less.
     static final long MAX_ERROR_NANOS = 50_000_000L;
 
     private final Clock clock;
@@ -28,9 +30,9 @@
     }
 
     /**
-     * Notes that a select is about to begin.
+     * Records that a select is about to start.
      *
-     * @param blocking whether it waits for a channel to be ready
+     * @param blocking whether it waits for a channel to become ready
      */
     void onSelectStart(long nowNanos, boolean blocking) {
         earliestReadyNanos = selectStartNanos;
@@ -38,7 +40,7 @@
         isSelectBlocking = blocking;
     }
 
-    /** Notes that the selector reports a channel, or has reported all. */
+    /** Records that the selector reports a channel or has reported all of them. */
     void onWakeUp() {
         if (isSelectBlocking) {
             isSelectBlocking = false;
@@ -49,12 +51,12 @@
         }
     }
 
-    /** Returns since when, at the earliest, the channels being worked can have been ready. */
+    /** Returns the earliest time at which the channels being handled can have become ready. */
     long earliestReadyNanos() {
         return earliestReadyNanos;
     }
 
-    /** Returns when the last select began: what is not found unread now comes later than that. */
+    /** Returns the start of the last select. Bytes that a read does not find now arrive after it. */
     long lastSelectStartNanos() {
         return selectStartNanos;
     }
--- a/proxy/src/main/java/spurroad/transport/ResizableSemaphore.java
+++ b/proxy/src/main/java/spurroad/transport/ResizableSemaphore.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * A semaphore whose number of permits can be changed, and whose available permits can be negative: then none
- * is given out until the debt is released.
+ * A semaphore whose total number of permits can be changed. The number of available permits can become
+ * negative; no permit is granted then until enough are released.
  */
 final class ResizableSemaphore extends Semaphore {
     private static final long serialVersionUID = 1L;
@@ -16,12 +16,12 @@
         total = permits;
     }
 
-    /** Takes permits even if there are none. */
+    /** Takes permits even if too few are available. */
     void forceAcquire(int permits) {
         reducePermits(permits);
     }
 
-    /** Changes how many permits there are in all, those in use included. */
+    /** Changes the total number of permits, which includes those in use. */
     synchronized void resize(int permits) {
         if (permits < total) {
             reducePermits(total - permits);
--- a/proxy/src/main/java/spurroad/transport/StallDetector.java
+++ b/proxy/src/main/java/spurroad/transport/StallDetector.java
@@ -1,14 +1,15 @@
 package spurroad.transport;
 
 /**
- * Measures for how long this process has been stalled in all: throttled after its share of a core was used
- * up, or with its threads waiting for one another. Its thread sleeps for short times, and counts how late it
- * wakes up. The total separates the proxy's own delays from those of its peers.
+ * Measures the total time for which this process was stalled: throttled after it used up its CPU share, or
+ * with its threads waiting for one another. The detector's thread sleeps for short periods and adds up how
+ * late it wakes up. The total distinguishes the proxy's own delays from those of its peers.
  */
 public final class StallDetector implements Runnable {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final long SLEEP_MILLIS = 5; // a hundredth of what requests take, at little cost
-    private static final long TIMER_SLACK_NANOS = 2 * NANOS_PER_MILLI; // so late on an idle machine, too
+    private static final long SLEEP_MILLIS = 5; // a hundredth of what requests take, at little CPU cost
+    // wake-ups are up to this late even on an idle machine
+    private static final long TIMER_SLACK_NANOS = 2 * NANOS_PER_MILLI;
 
     private volatile long totalStallNanos;
     private volatile boolean isStopped;
@@ -23,22 +24,22 @@
                 sleepStartNanos = wakeUpNanos;
             }
         } catch (InterruptedException e) {
-            // ends the measurement, as stop() does
+            // ends the measurement, like stop()
         }
     }
 
-    /** Counts a sleep that took so long. */
+    /** Adds the delay of a sleep that took {@code sleptNanos}, if it exceeds the timer slack. */
     void recordSleep(long sleptNanos) {
         long delayNanos = sleptNanos - SLEEP_MILLIS * NANOS_PER_MILLI;
         totalStallNanos += delayNanos > TIMER_SLACK_NANOS ? delayNanos : 0;
     }
 
-    /** Returns the total since the start, in nanoseconds; from any thread. */
+    /** Returns the total stall time since the start, in nanoseconds. May be called from any thread. */
     public long totalNanos() {
         return totalStallNanos;
     }
 
-    /** Ends the measuring thread; from any thread. */
+    /** Ends the measurement thread. May be called from any thread. */
     public void stop() {
         isStopped = true;
     }
--- a/proxy/src/main/java/spurroad/transport/StartupRetry.java
+++ b/proxy/src/main/java/spurroad/transport/StartupRetry.java
@@ -4,15 +4,16 @@
 import java.io.InterruptedIOException;
 
 /**
- * Opens what a process can't start without, with retries: the system may refuse a socket or a selector for a
- * moment (ENFILE, ENOBUFS, or an address that the former process has not given back yet).
+ * Opens resources that the process can't start without, with retries: the operating system may temporarily
+ * refuse a socket or a selector (ENFILE, ENOBUFS, or an address that the previous process has not released
+ * yet).
  */
 final class StartupRetry {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final long TIMEOUT_MILLIS = 2_000; // of the 6 s and more that a start may take
+    private static final long TIMEOUT_MILLIS = 2_000; // a part of the 6 s or more that a start may take
     private static final long RETRY_DELAY_MILLIS = 50;
 
-    /** Opens something, or throws and leaves nothing open. */
+    /** Opens a resource, or throws and leaves nothing open. */
     interface Opener<T> {
         T open() throws IOException;
     }
@@ -20,9 +21,9 @@
     private StartupRetry() {}
 
     /**
-     * Opens something, with retries until the timeout.
+     * Opens a resource, with retries until the timeout.
      *
-     * @throws IOException what the last attempt has thrown
+     * @throws IOException the exception of the last attempt
      * @throws InterruptedIOException if the thread is interrupted between two attempts
      */
     static <T> T openWithRetry(Opener<T> opener) throws IOException {
--- a/proxy/src/main/java/spurroad/transport/Threads.java
+++ b/proxy/src/main/java/spurroad/transport/Threads.java
@@ -1,17 +1,20 @@
 package spurroad.transport;
 
-/** Starts the program's threads: few, all daemons with small stacks, however many connections there are. */
+/**
+ * Starts the program's threads. All are daemons with small stacks, and they are few, however many connections
+ * there are.
+ */
 public final class Threads {
-    private static final long STACK_BYTES = 144 * 1024; // parsers and handlers go a few frames deep
+    private static final long STACK_BYTES = 144 * 1024; // parsers and handlers need only a few frames
 
     private final EventLog log;
 
-    /** Takes the log for failures that end a thread. */
+    /** Creates an instance that logs exceptions that end a thread. */
     public Threads(EventLog log) {
         this.log = log;
     }
 
-    /** Starts a thread that runs a task and ends with it. */
+    /** Starts a daemon thread that runs a task and ends with it. */
     public void start(String name, Runnable task) {
         Thread thread = new Thread(null, task, name, STACK_BYTES);
         thread.setDaemon(true);
--- a/proxy/src/main/java/spurroad/transport/TimerQueue.java
+++ b/proxy/src/main/java/spurroad/transport/TimerQueue.java
@@ -2,7 +2,7 @@
 
 import java.util.TreeSet;
 
-/** Tasks that are due at a time, in the order of their times. Event loop thread only. */
+/** Scheduled tasks, ordered by their deadlines. Event loop thread only. */
 final class TimerQueue {
     private record ScheduledTask(TreeSet<ScheduledTask> queue, long deadlineNanos, long sequenceNumber,
                                  Runnable task)
@@ -24,19 +24,19 @@
     private final TreeSet<ScheduledTask> queue = new TreeSet<>();
     private long nextSequenceNumber;
 
-    /** Adds a task; those with equal deadlines run in the order in which they were added. */
+    /** Adds a task. Tasks with equal deadlines run in the order in which they were added. */
     EventLoop.Timer add(long deadlineNanos, Runnable task) {
         ScheduledTask scheduled = new ScheduledTask(queue, deadlineNanos, nextSequenceNumber++, task);
         queue.add(scheduled);
         return scheduled;
     }
 
-    /** Returns how long it is until the first task is due; zero or less if it is, MAX_VALUE without one. */
+    /** Returns the time until the first task is due: zero or less if it is, MAX_VALUE if none exists. */
     long nanosUntilFirst(long nowNanos) {
         return queue.isEmpty() ? Long.MAX_VALUE : queue.first().deadlineNanos - nowNanos;
     }
 
-    /** Removes the first task if it is due, and returns it; null if it is not, or there is none. */
+    /** Removes and returns the first task if it is due; returns null if it is not or there is none. */
     Runnable pollDue(long nowNanos) {
         boolean isDue = !queue.isEmpty() && queue.first().deadlineNanos <= nowNanos;
         return isDue ? queue.pollFirst().task : null;
--- a/proxy/src/main/java/spurroad/transport/WriteQueue.java
+++ b/proxy/src/main/java/spurroad/transport/WriteQueue.java
@@ -6,29 +6,32 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What was written to one connection and the system has not taken yet, in order. Event loop thread only. */
+/**
+ * The messages written to one connection that the operating system has not accepted yet, in order. Event loop
+ * thread only.
+ */
 final class WriteQueue {
     private final WritableByteChannel channel;
     private final Deque<byte[]> messages = new ArrayDeque<>();
-    private int headOffset; // bytes of the first message that the system has taken
+    private int headOffset; // bytes of the first message that are already accepted
     private long bytesAccepted;
 
     WriteQueue(WritableByteChannel channel) {
         this.channel = channel;
     }
 
-    /** Appends a message without copying it; returns whether it is the only one. */
+    /** Appends a message without copying it. Returns whether it is the only one in the queue. */
     boolean add(byte[] message) {
         messages.add(message);
         return messages.size() == 1;
     }
 
-    /** Writes from the buffer, past all that is queued, what the system takes at once. */
+    /** Writes as many of a buffer's bytes as the operating system accepts now, bypassing the queue. */
     void writeDirectly(ByteBuffer bytes) throws IOException {
         bytesAccepted += bytesWritten(channel.write(bytes));
     }
 
-    /** Writes what is queued, as far as the system takes it, by way of a direct buffer. */
+    /** Writes queued bytes through a direct buffer until the operating system accepts no more. */
     void flush(ByteBuffer transferBuffer) throws IOException {
         while (!messages.isEmpty()) {
             byte[] head = messages.peek();
@@ -47,7 +50,7 @@
         }
     }
 
-    /** Returns how many bytes a write has moved: none where a signal interrupted it. */
+    /** Returns how many bytes a write has transferred: none if a signal interrupted it. */
     private static int bytesWritten(int result) {
         return Math.max(0, result);
     }
@@ -61,7 +64,7 @@
         return messages.stream().mapToLong(message -> message.length).sum() - headOffset;
     }
 
-    /** Returns how many bytes the system has taken so far. */
+    /** Returns how many bytes the operating system has accepted so far. */
     long bytesAccepted() {
         return bytesAccepted;
     }
