--- a/proxy/src/test/java/spurroad/transport/DescriptorBudgetTest.java
+++ b/proxy/src/test/java/spurroad/transport/DescriptorBudgetTest.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** How clients and nodes share descriptors. */
+/** The division of descriptors between clients and endpoints. */
 public class DescriptorBudgetTest {
     @Test
-    public void neitherSideCanTakeAllDescriptors() {
+    public void neitherClientsNorEndpointsCanTakeAllDescriptors() {
         DescriptorBudget budget = new DescriptorBudget(2 + 8 + 6);
         for (int i = 0; i < 5; i++) {
             assertEquals(budget.tryAcquireForEndpoint(), i < 3, "half of six");
         }
         for (int i = 0; i < 5; i++) {
-            assertEquals(budget.tryAcquireForClient(), i < 3, "the remaining half");
+            assertEquals(budget.tryAcquireForClient(), i < 3, "the other half");
         }
         budget.releaseFromEndpoint();
         assertEquals(
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void afterAShrinkNoneIsGivenOutUntilEnoughAreReleased() {
+    public void grantsNoPermitAfterShrinkUntilEnoughAreReleased() {
         DescriptorBudget budget = new DescriptorBudget(2 + 8 + 6);
         for (int i = 0; i < 3; i++) {
             assertEquals(budget.tryAcquireForEndpoint(), true, "half of six");
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void overflowPermitsAreTakenFromAReserve() {
+    public void takesOverflowPermitsFromSeparateReserve() {
         DescriptorBudget budget = new DescriptorBudget(2 + 8 + 6);
         Listener.ConnectionPermits permits = budget.clientPermits();
         for (int i = 0; i < 8; i++) {
--- a/proxy/src/test/java/spurroad/transport/EventLoopTest.java
+++ b/proxy/src/test/java/spurroad/transport/EventLoopTest.java
@@ -16,83 +16,84 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** The order in which tasks and timers run, and since when bytes may have been unread. */
+/** The order in which tasks and timers run, and the reported arrival times of bytes. */
 public class EventLoopTest {
     private static final long STALL_NANOS = 200_000_000L;
     private final EventLog log = new EventLog();
 
     @Test
-    public void tasksRunInOrderOneAtATimeAlsoAfterOneThatFails() throws InterruptedException {
+    public void runsTasksOneByOneInOrderEvenAfterFailure() throws InterruptedException {
         EventLoop loop = new EventLoop(log, new Clock());
         new Threads(log).start("loop", loop);
-        List<Integer> seen = new ArrayList<>();
+        List<Integer> executed = new ArrayList<>();
         CountDownLatch done = new CountDownLatch(1);
         for (int i = 0; i < 500; i++) {
-            int n = i;
-            loop.execute(() -> seen.add(n));
-            if (n == 100) {
+            int taskNumber = i;
+            loop.execute(() -> executed.add(taskNumber));
+            if (taskNumber == 100) {
                 loop.execute(() -> {
-                    throw new IllegalStateException("on purpose");
+                    throw new IllegalStateException("expected failure");
                 });
             }
         }
         loop.execute(done::countDown);
         done.await();
-        assertEquals(seen, IntStream.range(0, 500).boxed().toList());
+        assertEquals(executed, IntStream.range(0, 500).boxed().toList());
         loop.shutdown();
     }
 
     @Test
-    public void timersRunInTheOrderOfTheirDeadlinesUnlessCancelled() throws InterruptedException {
+    public void runsTimersInDeadlineOrderUnlessCancelled() throws InterruptedException {
         EventLoop loop = new EventLoop(log, new Clock());
-        List<Integer> seen = new ArrayList<>();
+        List<Integer> executed = new ArrayList<>();
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
             loop.schedule(30_000_000, done::countDown);
-            loop.schedule(20_000_000, () -> seen.add(3));
-            loop.schedule(10_000_000, () -> seen.add(2));
-            loop.schedule(-5, () -> seen.add(1));
-            EventLoop.Timer never = loop.schedule(15_000_000, () -> seen.add(9));
-            never.cancel();
-            never.cancel();
+            loop.schedule(20_000_000, () -> executed.add(3));
+            loop.schedule(10_000_000, () -> executed.add(2));
+            loop.schedule(-5, () -> executed.add(1));
+            EventLoop.Timer cancelled = loop.schedule(15_000_000, () -> executed.add(9));
+            cancelled.cancel();
+            cancelled.cancel();
         });
         new Threads(log).start("loop", loop);
         done.await();
-        assertEquals(seen, List.of(1, 2, 3));
+        assertEquals(executed, List.of(1, 2, 3));
         loop.shutdown();
     }
 
     /**
-     * Such bytes were taken for just arrived, and so was the end of a client that had disconnected.
+     * Guards against treating bytes that arrived while the event loop was held up, or the disconnect of a
+     * client, as having just arrived.
      *
-     * <p>A select that took over 1 ms counted as one that had waited, so that what it found counted as having
-     * come when it woke up. On a busy machine a select that finds a channel at once took 3 to 11 ms, as its
-     * thread had to wait for a processor: beside twelve busy loops on eight cores the bytes counted as 112 ms
-     * younger than they were, and an endpoint was told that much more time than the client had left. How long
-     * a select takes can't tell the two apart; what the select before it did not report can.
+     * <p>A select that took over 1 ms used to count as one that had waited, so its wake-up counted as the
+     * arrival. On a busy machine a select that finds a ready channel immediately took 3 to 11 ms, as its
+     * thread waited for a CPU. Next to twelve busy loops on eight cores the arrival time was 112 ms too late,
+     * and the time limit sent to an endpoint exceeded the client's remaining time by as much. The duration of
+     * a select can't distinguish the two cases; what the previous select did not report can.
      */
     @Test
-    public void whatCameWhileTheLoopWasHeldUpHasStoodUnread() throws Exception {
+    public void reportsArrivalDuringStallNoLaterThanActual() throws Exception {
         EventLoop loop = new EventLoop(log, new Clock());
         Pipe pipe = Pipe.open();
-        CompletableFuture<Long> arrivedAt = new CompletableFuture<>();
-        AtomicLong writtenAt = new AtomicLong();
+        CompletableFuture<Long> reportedArrivalNanos = new CompletableFuture<>();
+        AtomicLong writtenAtNanos = new AtomicLong();
         loop.execute(() -> {
             try {
                 loop.register(pipe.source(), SelectionKey.OP_READ, operations -> {
-                    arrivedAt.complete(loop.earliestArrivalNanos());
+                    reportedArrivalNanos.complete(loop.earliestArrivalNanos());
                     loop.shutdown();
                 });
-                loop.schedule(STALL_NANOS, () -> {}); // not before: the next turn would not wait
-                writtenAt.set(loop.now());
+                loop.schedule(STALL_NANOS, () -> {}); // not due earlier, or the next select would not block
+                writtenAtNanos.set(loop.now());
                 pipe.sink().write(ByteBuffer.wrap(new byte[1]));
                 Thread.sleep(STALL_NANOS / 2 / 1_000_000);
             } catch (IOException | InterruptedException e) {
-                arrivedAt.completeExceptionally(e);
+                reportedArrivalNanos.completeExceptionally(e);
             }
         });
         new Threads(log).start("loop", loop);
-        long late = arrivedAt.get(20, TimeUnit.SECONDS) - writtenAt.get();
-        assertTrue(late <= 0, "reported " + late + " ns later than it had arrived");
+        long latenessNanos = reportedArrivalNanos.get(20, TimeUnit.SECONDS) - writtenAtNanos.get();
+        assertTrue(latenessNanos <= 0, "reported " + latenessNanos + " ns later than the actual arrival");
     }
 }
--- a/proxy/src/test/java/spurroad/transport/ListenerTest.java
+++ b/proxy/src/test/java/spurroad/transport/ListenerTest.java
@@ -25,17 +25,17 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A listening socket whose accept fails for a while, as Linux documents it may. */
+/** Accepting while accept fails temporarily, as Linux documents, and queue times of accepted connections. */
 public class ListenerTest {
     private static final long TIMEOUT_SECONDS = 20;
     private static final long CLOSE_TIMEOUT_MILLIS = 2_000;
-    private static final int MORE_THAN_AN_ITERATION = 40; // the listener accepts 16 in one
+    private static final int MORE_THAN_ONE_ITERATION = 40; // clients; the listener accepts 16 per iteration
     private static final int QUEUED_CLIENTS = 5;
     private static final int CLIENTS_PER_SECOND = 50;
-    private static final int SECONDS_NEVER_EMPTY = 2;
-    // the clients before one wait for 5 / 50 s, and its place in the queue is known to 0.1 s; doubled
+    private static final int NON_EMPTY_SECONDS = 2;
+    // a client waits 5 / 50 s for those ahead of it, and its arrival is known to 0.1 s; doubled
     private static final long MAX_QUEUE_TIME_NANOS = 400_000_000L;
-    private static final String CAUSE = "Too many open files in system";
+    private static final String ACCEPT_ERROR = "Too many open files in system";
 
     private final EventLog log = new EventLog();
     private EventLoop loop;
@@ -84,19 +84,19 @@
     }
 
     @DataProvider
-    Object[][] failures() {
+    Object[][] failureCounts() {
         return new Object[][] {{0}, {1}, {2}, {3}, {10}};
     }
 
-    /** Connections that the system has queued are accepted before the close, however often accept fails. */
-    @Test(dataProvider = "failures")
-    public void closesOnlyAfterConnectionsThatCouldNotBeAcceptedYet(int failures) throws Exception {
-        ServerSocketChannel socket = bound();
+    /** Queued connections are accepted before the listener closes, however often accept fails. */
+    @Test(dataProvider = "failureCounts")
+    public void acceptsQueuedConnectionsBeforeCloseDespiteFailures(int failures) throws Exception {
+        ServerSocketChannel socket = bindToFreePort();
         AtomicInteger failuresLeft = new AtomicInteger(failures);
         UnlimitedPermits permits = new UnlimitedPermits();
         Listener listener = new Listener(socket, () -> {
             if (failuresLeft.getAndDecrement() > 0) {
-                throw new IOException(CAUSE);
+                throw new IOException(ACCEPT_ERROR);
             }
             return socket.accept();
         }, true, loop, permits, new AcceptCounter(), log);
@@ -104,32 +104,32 @@
             listener.start(() -> {});
             assertTrue(listener.closeWhenQuiet(CLOSE_TIMEOUT_MILLIS), "not closed");
             assertTrue(accepted.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS),
-                "closed over a connection of " + client);
+                "closed without accepting " + client);
         }
         assertEquals(permits.acquired.get(), 1, "permits acquired");
     }
 
-    /** After the last failure, connections are accepted as before. */
+    /** After the last failure, connections are accepted again. */
     @Test
     public void acceptsAgainAfterFailures() throws Exception {
-        ServerSocketChannel socket = bound();
+        ServerSocketChannel socket = bindToFreePort();
         AtomicInteger failuresLeft = new AtomicInteger(3);
         Listener listener = new Listener(socket, () -> {
             if (failuresLeft.getAndDecrement() > 0) {
-                throw new IOException(CAUSE);
+                throw new IOException(ACCEPT_ERROR);
             }
             return socket.accept();
         }, true, loop, new UnlimitedPermits(), new AcceptCounter(), log);
         listener.start(() -> {});
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listener.port())) {
-            assertTrue(accepted.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS), "never accepted " + client);
+            assertTrue(accepted.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS), "not accepted: " + client);
         }
         assertTrue(listener.closeWhenQuiet(CLOSE_TIMEOUT_MILLIS));
     }
 
-    /** Records for how long the bytes of each connection may have been queued before it was accepted. */
-    private final class QueueTimes implements Listener.AcceptHandler {
-        private final BlockingQueue<Long> queuedNanos = new LinkedBlockingQueue<>();
+    /** Records the longest time for which the first bytes of each connection can have been queued. */
+    private final class QueueTimeRecorder implements Listener.AcceptHandler {
+        private final BlockingQueue<Long> queueTimesNanos = new LinkedBlockingQueue<>();
 
         @Override
         public void onAccepted(Connection connection, boolean overflow) {
@@ -140,7 +140,7 @@
                 @Override
                 public void onRead(ByteBuffer bytes) {
                     bytes.position(bytes.limit());
-                    queuedNanos.add(loop.now() - connection.earliestArrivalNanos());
+                    queueTimesNanos.add(loop.now() - connection.earliestArrivalNanos());
                 }
 
                 @Override
@@ -154,26 +154,26 @@
         @Override
         public void onPermitsExhausted() {}
 
-        private long next() throws InterruptedException {
-            Long next = queuedNanos.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        private long takeNext() throws InterruptedException {
+            Long next = queueTimesNanos.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertNotNull(next, "no connection was accepted");
             return next;
         }
     }
 
-    /** Nothing tells for how long connections were queued on a socket from which nobody accepted. */
+    /** The queue time of connections on a socket that no process accepted from is unknown. */
     @Test
-    public void connectionsQueuedBeforeATakeoverMayHaveWaitedForLong() throws Exception {
-        ServerSocketChannel socket = bound();
-        QueueTimes queueTimes = new QueueTimes();
+    public void assumesLongQueueTimeForConnectionsQueuedBeforeTakeover() throws Exception {
+        ServerSocketChannel socket = bindToFreePort();
+        QueueTimeRecorder queueTimes = new QueueTimeRecorder();
         CountDownLatch started = new CountDownLatch(1);
-        try (Socket before = connect(socket)) {
+        try (Socket earlyClient = connect(socket)) {
             Listener listener = new Listener(socket, false, loop, new UnlimitedPermits(), queueTimes, log);
             listener.start(started::countDown);
-            assertTrue(queueTimes.next() > TimeUnit.HOURS.toNanos(1), "from " + before);
+            assertTrue(queueTimes.takeNext() > TimeUnit.HOURS.toNanos(1), "from " + earlyClient);
             assertTrue(started.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "not started");
-            try (Socket after = connect(socket)) {
-                assertTrue(queueTimes.next() < TimeUnit.SECONDS.toNanos(1), "from " + after);
+            try (Socket lateClient = connect(socket)) {
+                assertTrue(queueTimes.takeNext() < TimeUnit.SECONDS.toNanos(1), "from " + lateClient);
             }
             assertTrue(listener.closeWhenQuiet(CLOSE_TIMEOUT_MILLIS));
         }
@@ -181,34 +181,37 @@
     }
 
     /**
-     * Who comes once it accepts has not waited, however many came before it and are not accepted yet.
+     * Clients that connect after the listener started have not waited, however many earlier ones are not
+     * accepted yet.
      *
-     * <p>At a takeover nothing tells for how long connections were queued, so they count as having waited for
-     * longer than any client does, and their requests are refused. The listener counted so until it had found
-     * the queue empty once. Under load it was not empty for up to 244 ms after a hot restart, and up to 211
-     * clients that came in that time were refused; without a free descriptor it never is. The queue is first
-     * in, first out, and the system tells its length: who comes behind so many has come since.
+     * <p>At a takeover the queue time of queued connections is unknown. They count as having waited longer
+     * than any client does, and their requests are rejected. The listener used to treat all connections like
+     * this until it had found the queue empty once. Under load the queue was not empty for up to 244 ms after
+     * a hot restart, and up to 211 clients that connected in that time were rejected; without a free
+     * descriptor it never becomes empty. The queue is first in, first out, and the operating system reports
+     * its length, so connections behind that many arrived later.
      */
     @Test
-    public void whoComesOnceItAcceptsHasNotWaitedBehindMany() throws Exception {
-        ServerSocketChannel socket = bound();
-        QueueTimes queueTimes = new QueueTimes();
+    public void doesNotCountClientConnectedAfterStartAsQueuedBefore() throws Exception {
+        ServerSocketChannel socket = bindToFreePort();
+        QueueTimeRecorder queueTimes = new QueueTimeRecorder();
         List<Socket> clients = new ArrayList<>();
         CountDownLatch started = new CountDownLatch(1);
         try {
-            for (int i = 0; i < MORE_THAN_AN_ITERATION; i++) {
+            for (int i = 0; i < MORE_THAN_ONE_ITERATION; i++) {
                 clients.add(connect(socket));
             }
             Listener listener = new Listener(socket, false, loop, new UnlimitedPermits(), queueTimes, log);
             listener.start(() -> {
-                clients.add(connect(socket)); // on the loop, which accepts more in its next iteration
+                clients.add(connect(socket)); // on the event loop, which accepts more in its next iteration
                 started.countDown();
             });
             assertTrue(started.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "not started");
-            for (int i = 0; i < MORE_THAN_AN_ITERATION; i++) {
-                assertTrue(queueTimes.next() > TimeUnit.HOURS.toNanos(1), "client " + i);
+            for (int i = 0; i < MORE_THAN_ONE_ITERATION; i++) {
+                assertTrue(queueTimes.takeNext() > TimeUnit.HOURS.toNanos(1), "client " + i);
             }
-            assertTrue(queueTimes.next() < TimeUnit.SECONDS.toNanos(1), "the one that came after them");
+            assertTrue(queueTimes.takeNext() < TimeUnit.SECONDS.toNanos(1),
+                "client connected after the start");
             assertTrue(listener.closeWhenQuiet(CLOSE_TIMEOUT_MILLIS));
         } finally {
             for (Socket client : clients) {
@@ -219,32 +222,32 @@
     }
 
     /**
-     * The same where the queue is never empty, as there is no descriptor for all who come: clients that have
-     * just come don't count as queued since the queue was last empty.
+     * Guards against the same fault if the queue never becomes empty because descriptors are scarce: clients
+     * that have just connected don't count as queued since the queue was last empty.
      */
     @Test
-    public void whoComesToAQueueThatIsNeverEmptyHasNotWaitedSinceItWas() throws Exception {
-        ServerSocketChannel socket = bound();
-        QueueTimes queueTimes = new QueueTimes();
-        Semaphore released = new Semaphore(0);
+    public void boundsQueueTimeOfNewClientsWhileQueueIsNeverEmpty() throws Exception {
+        ServerSocketChannel socket = bindToFreePort();
+        QueueTimeRecorder queueTimes = new QueueTimeRecorder();
+        Semaphore available = new Semaphore(0);
         List<Socket> clients = new ArrayList<>();
         CountDownLatch started = new CountDownLatch(1);
         try {
             for (int i = 0; i < QUEUED_CLIENTS; i++) {
                 clients.add(connect(socket));
             }
-            Listener listener = new Listener(socket, false, loop, new ScarcePermits(released), queueTimes,
+            Listener listener = new Listener(socket, false, loop, new SemaphorePermits(available), queueTimes,
                 log);
             listener.start(started::countDown);
             assertTrue(started.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "not started");
-            long queuedForLong = 0;
-            for (int i = 0; i < SECONDS_NEVER_EMPTY * CLIENTS_PER_SECOND; i++) {
+            long longQueuedCount = 0;
+            for (int i = 0; i < NON_EMPTY_SECONDS * CLIENTS_PER_SECOND; i++) {
                 clients.add(connect(socket));
-                released.release();
-                queuedForLong += queueTimes.next() > MAX_QUEUE_TIME_NANOS ? 1 : 0;
+                available.release();
+                longQueuedCount += queueTimes.takeNext() > MAX_QUEUE_TIME_NANOS ? 1 : 0;
                 Thread.sleep(1_000 / CLIENTS_PER_SECOND);
             }
-            assertEquals(queuedForLong, QUEUED_CLIENTS, "those who came before it accepted");
+            assertEquals(longQueuedCount, QUEUED_CLIENTS, "clients connected before the start");
             listener.stopAccepting();
         } finally {
             for (Socket client : clients) {
@@ -254,11 +257,11 @@
         }
     }
 
-    /** A permit for each that is released, and none for overflow. */
-    private record ScarcePermits(Semaphore released) implements Listener.ConnectionPermits {
+    /** Grants the permits of a semaphore, and no overflow permits. */
+    private record SemaphorePermits(Semaphore available) implements Listener.ConnectionPermits {
         @Override
         public boolean tryAcquire() {
-            return released.tryAcquire();
+            return available.tryAcquire();
         }
 
         @Override
@@ -270,10 +273,11 @@
         public void release(boolean overflow) {}
     }
 
-    /** A client that has connected and sent a byte. */
-    private static Socket connect(ServerSocketChannel of) {
+    /** Connects a client, which sends one byte. */
+    private static Socket connect(ServerSocketChannel listeningSocket) {
         try {
-            Socket client = new Socket(InetAddress.getLoopbackAddress(), of.socket().getLocalPort());
+            Socket client = new Socket(InetAddress.getLoopbackAddress(),
+                listeningSocket.socket().getLocalPort());
             client.getOutputStream().write(1);
             return client;
         } catch (IOException e) {
@@ -281,7 +285,7 @@
         }
     }
 
-    private static ServerSocketChannel bound() throws IOException {
+    private static ServerSocketChannel bindToFreePort() throws IOException {
         ServerSocketChannel socket = ServerSocketChannel.open();
         socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         return socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
--- a/proxy/src/test/java/spurroad/transport/MailboxTest.java
+++ b/proxy/src/test/java/spurroad/transport/MailboxTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What a mailbox gives to its reader. */
+/** The order and the number of messages that a mailbox passes on. */
 public class MailboxTest {
     @Test
-    public void takesAllAtOnceInOrderAndRefusesMoreThanItsCapacity() throws InterruptedException {
+    public void takesAllInOrderAndRejectsMoreThanCapacity() throws InterruptedException {
         Mailbox mailbox = new Mailbox(3);
         List<Integer> received = new ArrayList<>();
         mailbox.post(() -> received.add(1));
--- a/proxy/src/test/java/spurroad/transport/MemoryBudgetTest.java
+++ b/proxy/src/test/java/spurroad/transport/MemoryBudgetTest.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Reservations of memory. */
+/** Reservations up to and beyond the memory budget. */
 public class MemoryBudgetTest {
     @Test
-    public void reservesUpToTheTotalAndBeyondItOnlyByForce() {
+    public void reservesBeyondTotalOnlyIfForced() {
         MemoryBudget budget = new MemoryBudget(10_000);
         assertEquals(List.of(budget.tryReserve(8_000), budget.tryReserve(8_000)), List.of(true, false));
         budget.release(8_000);
--- a/proxy/src/test/java/spurroad/transport/PeerDatagramsTest.java
+++ b/proxy/src/test/java/spurroad/transport/PeerDatagramsTest.java
@@ -17,10 +17,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
 
-/** Messages between proxies while system calls fail. */
+/** Exchange of messages between proxies while system calls fail. */
 public class PeerDatagramsTest {
     private static final long TIMEOUT_MILLIS = 20_000;
-    private static final long RETRY_MILLIS = 50;
+    private static final long RETRY_INTERVAL_MILLIS = 50;
 
     private static InetSocketAddress freeAddress() throws IOException {
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
@@ -29,37 +29,37 @@
     }
 
     @Test
-    public void aSocketThatFailsIsReopened() throws Exception {
+    public void reopensSocketAfterFailure() throws Exception {
         List<InetSocketAddress> proxies = List.of(freeAddress(), freeAddress());
         EventLog log = new EventLog();
         BlockingQueue<String> received = new LinkedBlockingQueue<>();
-        BlockingQueue<DatagramChannel> opened = new LinkedBlockingQueue<>();
-        AtomicInteger failures = new AtomicInteger(2);
+        BlockingQueue<DatagramChannel> openedChannels = new LinkedBlockingQueue<>();
+        AtomicInteger failuresLeft = new AtomicInteger(2);
         PeerDatagrams first = new PeerDatagrams(proxies, 0, log,
             bytes -> received.add(new String(bytes, StandardCharsets.ISO_8859_1)), () -> {
-                if (failures.getAndDecrement() > 0) {
+                if (failuresLeft.getAndDecrement() > 0) {
                     throw new IOException("No buffer space available");
                 }
                 DatagramChannel channel = DatagramChannel.open(StandardProtocolFamily.INET);
-                opened.add(channel);
+                openedChannels.add(channel);
                 return channel;
             });
         PeerDatagrams second = new PeerDatagrams(proxies, 1, log, bytes -> {});
         Threads threads = new Threads(log);
         threads.start("first", first);
         threads.start("second", second);
-        assertTrue(isReceived(second, "a", received), "nothing received after two failed calls");
-        opened.take().close(); // as after a receive that fails
+        assertTrue(isReceived(second, "a", received), "nothing received after two failed opens");
+        openedChannels.take().close(); // fails the pending receive
         received.clear();
         assertTrue(isReceived(second, "b", received), "nothing received after a failed receive");
-        assertEquals(opened.size(), 1);
+        assertEquals(openedChannels.size(), 1);
     }
 
-    private static boolean isReceived(PeerDatagrams from, String text, BlockingQueue<String> received)
+    private static boolean isReceived(PeerDatagrams sender, String text, BlockingQueue<String> received)
         throws InterruptedException {
-        for (long waited = 0; waited < TIMEOUT_MILLIS; waited += RETRY_MILLIS) {
-            from.send(0, text.getBytes(StandardCharsets.ISO_8859_1));
-            if (text.equals(received.poll(RETRY_MILLIS, TimeUnit.MILLISECONDS))) {
+        for (long waitedMillis = 0; waitedMillis < TIMEOUT_MILLIS; waitedMillis += RETRY_INTERVAL_MILLIS) {
+            sender.send(0, text.getBytes(StandardCharsets.ISO_8859_1));
+            if (text.equals(received.poll(RETRY_INTERVAL_MILLIS, TimeUnit.MILLISECONDS))) {
                 return true;
             }
         }
--- a/proxy/src/test/java/spurroad/transport/TimerQueueTest.java
+++ b/proxy/src/test/java/spurroad/transport/TimerQueueTest.java
@@ -6,12 +6,12 @@
 
 import org.testng.annotations.Test;
 
-/** Which timers are due, and in which order. */
+/** The timers that are due, and their order. */
 public class TimerQueueTest {
     private final TimerQueue timers = new TimerQueue();
 
     @Test
-    public void equalDeadlinesKeepTheOrderInWhichTheyWereAdded() {
+    public void keepsInsertionOrderOfEqualDeadlines() {
         Runnable last = () -> {};
         Runnable first = () -> {};
         Runnable second = () -> {};
@@ -27,7 +27,7 @@
     }
 
     @Test
-    public void aCancelledTimerIsNeverDue() {
+    public void neverReturnsCancelledTimer() {
         TimerQueue queue = new TimerQueue();
         EventLoop.Timer timer = queue.add(20, () -> {});
         timer.cancel();
--- a/proxy/src/test/java/spurroad/transport/WriteBackpressureTest.java
+++ b/proxy/src/test/java/spurroad/transport/WriteBackpressureTest.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.testng.annotations.Test;
 
-/** How much a connection buffers for a peer that reads slowly. */
+/** The amount that a connection buffers for a peer that reads slowly. */
 public class WriteBackpressureTest {
-    private static final int PIECE = 64 * 1024;
-    private static final int PIECES = 60;
+    private static final int MAX_CHUNK_BYTES = 64 * 1024;
+    private static final int CHUNK_COUNT = 60;
 
-    /** A sender that writes only to a drained connection has one piece buffered at most. */
+    /** A sender that writes only to a drained connection has at most one chunk buffered. */
     @Test
-    public void aSenderThatWaitsForTheDrainBuffersOnePieceAtMost() throws Exception {
+    public void buffersAtMostOneChunkIfSenderWaitsForDrain() throws Exception {
         for (long seed = 0; seed < 5; seed++) {
             Random random = new Random(seed);
             EventLog log = new EventLog();
@@ -26,13 +26,13 @@
             new Threads(log).start("loop", loop);
             Pipe incoming = Pipe.open();
             Pipe outgoing = Pipe.open();
-            AtomicLong mostPending = new AtomicLong();
-            AtomicLong sent = new AtomicLong();
+            AtomicLong maxPendingBytes = new AtomicLong();
+            AtomicLong sentBytes = new AtomicLong();
             CountDownLatch allWritten = new CountDownLatch(1);
             Connection connection = new Connection(loop, incoming.source(), outgoing.sink(), () -> {});
-            ByteBuffer piece = ByteBuffer.allocateDirect(PIECE);
+            ByteBuffer chunk = ByteBuffer.allocateDirect(MAX_CHUNK_BYTES);
             Connection.Handler handler = new Connection.Handler() {
-                private int pieces;
+                private int writtenChunks;
 
                 @Override
                 public void onConnected() {}
@@ -42,14 +42,14 @@
 
                 @Override
                 public void onDrained() {
-                    while (pieces < PIECES && connection.isDrained()) {
-                        pieces++;
-                        piece.clear().limit(1 + random.nextInt(PIECE));
-                        sent.addAndGet(piece.remaining());
-                        connection.write(piece);
-                        mostPending.accumulateAndGet(connection.pendingBytes(), Math::max);
+                    while (writtenChunks < CHUNK_COUNT && connection.isDrained()) {
+                        writtenChunks++;
+                        chunk.clear().limit(1 + random.nextInt(MAX_CHUNK_BYTES));
+                        sentBytes.addAndGet(chunk.remaining());
+                        connection.write(chunk);
+                        maxPendingBytes.accumulateAndGet(connection.pendingBytes(), Math::max);
                     }
-                    if (pieces == PIECES) {
+                    if (writtenChunks == CHUNK_COUNT) {
                         allWritten.countDown();
                     }
                 }
@@ -61,18 +61,19 @@
                 connection.open(handler);
                 handler.onDrained();
             });
-            long received = 0;
-            ByteBuffer into = ByteBuffer.allocate(20_000);
-            // all may have been read before the last piece is counted: a read that blocks would wait for ever
+            long receivedBytes = 0;
+            ByteBuffer readBuffer = ByteBuffer.allocate(20_000);
+            // all may be read before the last chunk is counted: a blocking read would then never return
             outgoing.source().configureBlocking(false);
-            while (allWritten.getCount() > 0 || received < sent.get()) {
-                into.clear();
-                received += Math.max(0, outgoing.source().read(into));
+            while (allWritten.getCount() > 0 || receivedBytes < sentBytes.get()) {
+                readBuffer.clear();
+                receivedBytes += Math.max(0, outgoing.source().read(readBuffer));
                 Thread.sleep(random.nextInt(2));
             }
             assertTrue(allWritten.await(1, TimeUnit.SECONDS));
-            assertEquals(received, sent.get());
-            assertTrue(mostPending.get() > 0 && mostPending.get() <= PIECE, "buffered " + mostPending);
+            assertEquals(receivedBytes, sentBytes.get());
+            assertTrue(maxPendingBytes.get() > 0 && maxPendingBytes.get() <= MAX_CHUNK_BYTES,
+                "bytes buffered at most: " + maxPendingBytes);
             loop.shutdown();
         }
     }
--- a/proxy/src/test/java/spurroad/transport/WriteQueueTest.java
+++ b/proxy/src/test/java/spurroad/transport/WriteQueueTest.java
@@ -11,28 +11,28 @@
 import java.nio.charset.StandardCharsets;
 import org.testng.annotations.Test;
 
-/** What is queued for a channel that takes only a part of what is written. */
+/** Queueing for a channel that accepts only a part of what is written. */
 public class WriteQueueTest {
     private static final int INTERRUPTED = -3;
-    private static final int TRANSFER_BYTES = 4;
+    private static final int TRANSFER_BUFFER_BYTES = 4;
 
-    /** Takes as many bytes at each write as the test has allowed. */
+    /** Accepts as many bytes as the test allows. */
     private static final class SlowChannel implements WritableByteChannel {
-        private final ByteArrayOutputStream taken = new ByteArrayOutputStream();
-        private int capacity;
-        private boolean interruptsNext;
+        private final ByteArrayOutputStream written = new ByteArrayOutputStream();
+        private int writableBytes;
+        private boolean interruptNextWrite;
 
         @Override
         public int write(ByteBuffer bytes) {
-            if (interruptsNext) {
-                interruptsNext = false;
+            if (interruptNextWrite) {
+                interruptNextWrite = false;
                 return INTERRUPTED;
             }
-            int count = Math.min(capacity, bytes.remaining());
+            int count = Math.min(writableBytes, bytes.remaining());
             for (int i = 0; i < count; i++) {
-                taken.write(bytes.get());
+                written.write(bytes.get());
             }
-            capacity -= count;
+            writableBytes -= count;
             return count;
         }
 
@@ -44,44 +44,44 @@
         @Override
         public void close() {}
 
-        private String taken() {
-            return taken.toString(StandardCharsets.ISO_8859_1);
+        private String written() {
+            return written.toString(StandardCharsets.ISO_8859_1);
         }
     }
 
-    private final ByteBuffer transfer = ByteBuffer.allocate(TRANSFER_BYTES);
+    private final ByteBuffer transferBuffer = ByteBuffer.allocate(TRANSFER_BUFFER_BYTES);
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
     @Test
-    public void messagesGoOutInOrderHoweverLittleTheChannelTakes() throws IOException {
+    public void writesMessagesInOrderDespitePartialWrites() throws IOException {
         SlowChannel channel = new SlowChannel();
         WriteQueue queue = new WriteQueue(channel);
         assertTrue(queue.add(bytes("abcdefg")));
         assertFalse(queue.add(bytes("hi")));
-        for (int sent = 1; sent <= 9; sent++) {
-            channel.capacity = 1;
-            queue.flush(transfer);
-            assertEquals(queue.bytesAccepted(), sent);
-            assertEquals(queue.pendingBytes(), 9 - sent);
-            assertEquals(queue.isEmpty(), sent == 9);
+        for (int sentBytes = 1; sentBytes <= 9; sentBytes++) {
+            channel.writableBytes = 1;
+            queue.flush(transferBuffer);
+            assertEquals(queue.bytesAccepted(), sentBytes);
+            assertEquals(queue.pendingBytes(), 9 - sentBytes);
+            assertEquals(queue.isEmpty(), sentBytes == 9);
         }
-        assertEquals(channel.taken(), "abcdefghi");
+        assertEquals(channel.written(), "abcdefghi");
     }
 
     @Test
-    public void anInterruptedWriteHasMovedNothing() throws IOException {
+    public void countsNoBytesForInterruptedWrite() throws IOException {
         SlowChannel channel = new SlowChannel();
         WriteQueue queue = new WriteQueue(channel);
         queue.add(bytes("abc"));
-        channel.interruptsNext = true;
-        queue.flush(transfer);
+        channel.interruptNextWrite = true;
+        queue.flush(transferBuffer);
         assertEquals(queue.bytesAccepted(), 0);
         assertEquals(queue.pendingBytes(), 3);
-        channel.capacity = 3;
-        queue.flush(transfer);
-        assertEquals(channel.taken(), "abc");
+        channel.writableBytes = 3;
+        queue.flush(transferBuffer);
+        assertEquals(channel.written(), "abc");
     }
 }
