--- a/proxy/src/main/java/spurroad/transport/DescriptorBudget.java
+++ b/proxy/src/main/java/spurroad/transport/DescriptorBudget.java
@@ -15,7 +15,7 @@
     private static final double MAX_ENDPOINT_FRACTION = 1 / 2.0; // a client rarely has two attempts in flight
     private static final int DISCOVERY_RESERVE = 2; // a watch, and its successor while it closes
     private static final int OVERFLOW_RESERVE = 8; // clients that are answered and closed immediately
-    private static final int MIN_UNRESERVED = 2;
+    private static final int MIN_UNRESERVED_DESCRIPTORS = 2;
 
     private final ResizableSemaphore total;
     private final ResizableSemaphore clients;
@@ -36,7 +36,8 @@
 
     /** Changes the number of descriptors. If more are in use, none is granted until enough are released. */
     public void resize(int descriptors) {
-        int unreserved = Math.max(MIN_UNRESERVED, descriptors - DISCOVERY_RESERVE - OVERFLOW_RESERVE);
+        int unreserved = Math.max(MIN_UNRESERVED_DESCRIPTORS,
+            descriptors - DISCOVERY_RESERVE - OVERFLOW_RESERVE);
         total.resize(unreserved);
         clients.resize(fractionOf(unreserved, MAX_CLIENT_FRACTION));
         endpoints.resize(fractionOf(unreserved, MAX_ENDPOINT_FRACTION));
--- a/proxy/src/main/java/spurroad/transport/PeerDatagrams.java
+++ b/proxy/src/main/java/spurroad/transport/PeerDatagrams.java
@@ -21,7 +21,7 @@
  */
 public final class PeerDatagrams implements Runnable {
     private static final int MAX_MESSAGE_BYTES = 256;
-    private static final long REOPEN_DELAY_MILLIS = 500; // short, as a hot restart takes seconds
+    private static final long REOPEN_DELAY_MILLIS = 500; // short compared to a hot restart of seconds
 
     /** Opens an unbound datagram channel. */
     interface ChannelOpener {
@@ -51,8 +51,7 @@
 
     /** Opens channels with a given opener; for tests of system calls that fail. */
     PeerDatagrams(List<InetSocketAddress> proxyAddresses, int ownIndex, EventLog log,
-                  Consumer<byte[]> onMessage,
-                  ChannelOpener channelOpener) {
+                  Consumer<byte[]> onMessage, ChannelOpener channelOpener) {
         this.log = log;
         this.channelOpener = channelOpener;
         this.proxyAddresses = proxyAddresses;
--- a/proxy/src/test/java/spurroad/transport/EventLoopTest.java
+++ b/proxy/src/test/java/spurroad/transport/EventLoopTest.java
@@ -66,11 +66,12 @@
      * Guards against treating bytes that arrived while the event loop was held up, or the disconnect of a
      * client, as having just arrived.
      *
-     * <p>A select that took over 1 ms used to count as one that had waited, so its wake-up counted as the
+     * <p>If every select that takes over 1 ms counts as one that has waited, its wake-up passes for the
      * arrival. On a busy machine a select that finds a ready channel immediately took 3 to 11 ms, as its
      * thread waited for a CPU. Next to twelve busy loops on eight cores the arrival time was 112 ms too late,
      * and the time limit sent to an endpoint exceeded the client's remaining time by as much. The duration of
-     * a select can't distinguish the two cases; what the previous select did not report can.
+     * a select can't distinguish the two cases. The previous select can: it did not report the channel, so
+     * the bytes arrived after its start.
      */
     @Test
     public void reportsArrivalDuringStallNoLaterThanActual() throws Exception {
--- a/proxy/src/test/java/spurroad/transport/ListenerTest.java
+++ b/proxy/src/test/java/spurroad/transport/ListenerTest.java
@@ -185,11 +185,11 @@
      * accepted yet.
      *
      * <p>At a takeover the queue time of queued connections is unknown. They count as having waited longer
-     * than any client does, and their requests are rejected. The listener used to treat all connections like
-     * this until it had found the queue empty once. Under load the queue was not empty for up to 244 ms after
-     * a hot restart, and up to 211 clients that connected in that time were rejected; without a free
-     * descriptor it never becomes empty. The queue is first in, first out, and the operating system reports
-     * its length, so connections behind that many arrived later.
+     * than any client does, and their requests are rejected. A listener that treats all connections like this
+     * until it has found the queue empty once rejects later clients, too: under load the queue was not empty
+     * for up to 244 ms after a hot restart, and up to 211 clients that connected in that time were rejected.
+     * Without a free descriptor the queue never becomes empty. It is first in, first out, and the operating
+     * system reports its length, so connections behind that many arrived later.
      */
     @Test
     public void doesNotCountClientConnectedAfterStartAsQueuedBefore() throws Exception {
--- a/proxy/src/test/java/spurroad/transport/PeerDatagramsTest.java
+++ b/proxy/src/test/java/spurroad/transport/PeerDatagramsTest.java
@@ -49,7 +49,7 @@
         threads.start("first", first);
         threads.start("second", second);
         assertTrue(isReceived(second, "a", received), "nothing received after two failed opens");
-        openedChannels.take().close(); // fails the pending receive
+        openedChannels.take().close(); // has the effect of a failed receive
         received.clear();
         assertTrue(isReceived(second, "b", received), "nothing received after a failed receive");
         assertEquals(openedChannels.size(), 1);
