--- a/proxy/src/main/java/spurroad/transport/PeerDatagrams.java
+++ b/proxy/src/main/java/spurroad/transport/PeerDatagrams.java
@@ -13,76 +13,80 @@
 import java.util.function.Consumer;
 
 /**
- * Exchanges short messages with the other proxies of a deployment, one a UDP datagram, without any guarantee
- * of delivery. Datagrams from other addresses, and those that are too long, are dropped.
+ * Exchanges short messages with the other proxies of a deployment, one UDP datagram per message, without any
+ * delivery guarantee. Datagrams from other addresses and oversized datagrams are dropped.
  *
- * <p>Sending is safe from any thread and never waits. Messages are received on the thread that calls
+ * <p>Sending is safe from any thread and never blocks. Messages are received on the thread that calls
  * {@link #run}.
  */
 public final class PeerDatagrams implements Runnable {
     private static final int MAX_MESSAGE_BYTES = 256;
-    private static final long REOPEN_DELAY_MILLIS = 500; // a hot restart takes seconds
+    private static final long REOPEN_DELAY_MILLIS = 500; // short compared to a hot restart of seconds
 
-    /** Opens a datagram socket that is not bound yet. */
-    interface Opener {
+    /** Opens an unbound datagram channel. */
+    interface ChannelOpener {
         DatagramChannel open() throws IOException;
     }
 
     private final EventLog log;
-    private final Opener opener;
-    private final List<InetSocketAddress> proxies;
+    private final ChannelOpener channelOpener;
+    private final List<InetSocketAddress> proxyAddresses;
     private final Set<SocketAddress> peerAddresses;
     private final int ownIndex;
     private final Consumer<byte[]> onMessage;
     private volatile DatagramChannel channel; // null while it is not bound
 
     /**
-     * Opens nothing yet.
+     * Creates an instance without a socket, which {@link #run} opens.
      *
-     * @param proxies the address of each proxy, by its index
+     * @param proxyAddresses the address of each proxy, by proxy index
      * @param ownIndex the index of this proxy
-     * @param onMessage gets each message, on the thread that calls {@link #run}
+     * @param onMessage receives each message, on the thread that calls {@link #run}
      */
-    public PeerDatagrams(List<InetSocketAddress> proxies, int ownIndex, EventLog log,
+    public PeerDatagrams(List<InetSocketAddress> proxyAddresses, int ownIndex, EventLog log,
                          Consumer<byte[]> onMessage) {
-        this(proxies, ownIndex, log, onMessage, () -> DatagramChannel.open(StandardProtocolFamily.INET));
+        this(proxyAddresses, ownIndex, log, onMessage,
+            () -> DatagramChannel.open(StandardProtocolFamily.INET));
     }
 
-    /** Opens its sockets another way; for tests of calls that fail. */
-    PeerDatagrams(List<InetSocketAddress> proxies, int ownIndex, EventLog log, Consumer<byte[]> onMessage,
-                  Opener opener) {
+    /** Opens channels with a given opener; for tests of system calls that fail. */
+    PeerDatagrams(List<InetSocketAddress> proxyAddresses, int ownIndex, EventLog log,
+                  Consumer<byte[]> onMessage, ChannelOpener channelOpener) {
         this.log = log;
-        this.opener = opener;
-        this.proxies = proxies;
+        this.channelOpener = channelOpener;
+        this.proxyAddresses = proxyAddresses;
         this.ownIndex = ownIndex;
         this.onMessage = onMessage;
-        peerAddresses = Set.copyOf(proxies);
+        peerAddresses = Set.copyOf(proxyAddresses);
     }
 
     /** Sends a message to all other proxies. */
     public void sendAll(byte[] message) {
-        for (int i = 0; i < proxies.size(); i++) {
+        for (int i = 0; i < proxyAddresses.size(); i++) {
             send(i, message);
         }
     }
 
-    /** Sends a message to a proxy, by its index; does nothing for this one, or while the socket is closed. */
+    /**
+     * Sends a message to a proxy, given by its index. Does nothing if that is this proxy, or while the socket
+     * is closed.
+     */
     public void send(int proxyIndex, byte[] message) {
-        DatagramChannel bound = channel;
+        DatagramChannel boundChannel = channel;
         try {
-            if (proxyIndex != ownIndex && bound != null) {
-                bound.send(ByteBuffer.wrap(message), proxies.get(proxyIndex));
+            if (proxyIndex != ownIndex && boundChannel != null) {
+                boundChannel.send(ByteBuffer.wrap(message), proxyAddresses.get(proxyIndex));
             }
         } catch (IOException e) {
             log.warn("peer message not sent",
-                "peer=" + proxies.get(proxyIndex) + " error=" + e.getMessage());
+                "peer=" + proxyAddresses.get(proxyIndex) + " error=" + e.getMessage());
         }
     }
 
     /**
-     * Receives messages until its thread is interrupted. During a hot restart the former process still has
-     * the address, so this tries to bind it again and again. A call that fails costs the messages until the
-     * socket is reopened, and nothing else.
+     * Receives messages until its thread is interrupted. During a hot restart the previous process still has
+     * the address bound, so binding is retried until it succeeds. A failed system call loses the messages
+     * until the socket is reopened, and nothing else.
      */
     @Override
     public void run() {
@@ -90,7 +94,8 @@
             try {
                 receiveUntilFailure();
             } catch (IOException e) {
-                log.warn("peer socket failed, reopening", "address=" + proxies.get(ownIndex) + " error=" + e);
+                log.warn("peer socket failed, reopening",
+                    "address=" + proxyAddresses.get(ownIndex) + " error=" + e);
             }
             try {
                 Thread.sleep(REOPEN_DELAY_MILLIS);
@@ -102,13 +107,13 @@
     }
 
     private void receiveUntilFailure() throws IOException {
-        try (DatagramChannel opened = opener.open(); Selector selector = Selector.open()) {
-            opened.bind(proxies.get(ownIndex)).configureBlocking(false);
-            opened.register(selector, SelectionKey.OP_READ);
-            channel = opened;
-            // one byte more than the maximum shows which messages are too long
+        try (DatagramChannel newChannel = channelOpener.open(); Selector selector = Selector.open()) {
+            newChannel.bind(proxyAddresses.get(ownIndex)).configureBlocking(false);
+            newChannel.register(selector, SelectionKey.OP_READ);
+            channel = newChannel;
+            // one byte more than the maximum, to detect oversized messages
             ByteBuffer buffer = ByteBuffer.allocate(MAX_MESSAGE_BYTES + 1);
-            while (opened.isOpen()) {
+            while (newChannel.isOpen()) {
                 selector.select();
                 selector.selectedKeys().clear();
                 receiveQueued(buffer);
