--- a/core/src/main/java/spurroad/balancer/request/RequestArrival.java
+++ b/core/src/main/java/spurroad/balancer/request/RequestArrival.java
@@ -34,7 +34,6 @@
         long ringPoint = key.value() == 0 ? random.ringPoint() : Ring.hash(key.value());
         double requestDraw = random.requestDraw();
         return new RequestArrival(id, requestClass, key, write, latencyObjectiveNanos, timeoutNanos,
-            ringPoint,
-            requestDraw, Ring.uniform(ringPoint));
+            ringPoint, requestDraw, Ring.uniform(ringPoint));
     }
 }
--- a/core/src/main/java/spurroad/balancer/request/RequestPipeline.java
+++ b/core/src/main/java/spurroad/balancer/request/RequestPipeline.java
@@ -33,7 +33,7 @@
     // fraction of the latency objective: mean Retry-After of a rejection; queues have advanced by then
     private static final double RETRY_AFTER_FRACTION = 0.5;
     private static final int MAX_REJECTED_KEYS = 4_096;
-    // by then, the clients that retry a rejected request have done so
+    // longer than clients take to retry a rejected request
     private static final long REJECTED_KEY_MAX_AGE_NANOS = 4_000_000_000L;
 
     private final ActiveDeployment deployment;
@@ -127,8 +127,7 @@
 
     /** Handles the end of an attempt; the parameters are those of {@code LoadBalancer.onAttemptEnd}. */
     public void onAttemptEnd(RequestId id, int number, Outcome outcome, LoadReport report,
-                             boolean finalAnswerSent,
-                             long proxyDelayNanos) {
+                             boolean finalAnswerSent, long proxyDelayNanos) {
         PendingRequest request = requests.get(id);
         Attempt attempt = request == null ? null : request.attemptInFlight(number);
         if (attempt == null) {
--- a/core/src/test/java/spurroad/balancer/RetryPolicyTest.java
+++ b/core/src/test/java/spurroad/balancer/RetryPolicyTest.java
@@ -42,8 +42,7 @@
 
     @Test(dataProvider = "effects")
     public void retriesOnlyIfEffectAllows(RequestClassId requestClass, Outcome outcome,
-                                          boolean isRetried,
-                                          boolean isRejected) {
+                                          boolean isRetried, boolean isRejected) {
         BalancerFixture fixture = BalancerFixture.of(6, false);
         long firstEndpoint = fixture.targetOf(1, requestClass, KEY);
         Decisions decisions = fixture.endAttempt(1, 0, outcome);
@@ -66,7 +65,7 @@
         assertEquals(
             fixture.endAttempt(1, 0, Outcome.NO_CONNECTION).attemptsToStart.get(0).sendDeadlineNanos(),
             Long.MAX_VALUE,
-            "no earlier attempt may have run");
+            "no earlier attempt has run");
         long firstRunNanos = fixture.nowNanos;
         fixture.nowNanos += 300 * MS;
         assertEquals(
