--- a/core/src/test/java/spurroad/balancer/CandidateSelectionTest.java
+++ b/core/src/test/java/spurroad/balancer/CandidateSelectionTest.java
@@ -8,16 +8,6 @@
 import static spurroad.balancer.GossipFixture.ENDPOINTS;
 import static spurroad.balancer.GossipFixture.fleet;
 import static spurroad.balancer.GossipFixture.targetOfSuccessfulRead;
-import java.util.List;
-import java.util.Set;
-import java.util.TreeSet;
-import org.testng.annotations.DataProvider;
-import org.testng.annotations.Test;
-import spurroad.model.CacheKey;
-import spurroad.model.Decisions;
-import spurroad.model.EndpointPhase;
-import spurroad.model.Outcome;
-import spurroad.model.ZoneId;
 
 import java.util.List;
 import java.util.Set;
