--- a/proxy/src/main/java/spurroad/admin/AdminConnection.java
+++ b/proxy/src/main/java/spurroad/admin/AdminConnection.java
@@ -7,21 +7,21 @@
 import spurroad.transport.Connection;
 import spurroad.transport.EventLoop;
 
-/** One connection to the second address, which carries one request; the thread of its loop owns it. */
+/** A connection to the admin server, which carries one request. Confined to the thread of its event loop. */
 final class AdminConnection implements Connection.Handler, AdminResponder {
     private enum State {
-        /** The request has not arrived whole. */
+        /** The request has not arrived completely. */
         READING,
-        /** The request was read, or can't be; its response is not there yet. */
+        /** The request was read, or is malformed; the response is not available yet. */
         PROCESSING,
-        /** The response is on its way to the caller. */
+        /** The response is being sent. */
         RESPONDED, CLOSED
     }
 
-    // ns; a request that has not arrived whole by then is not answered
+    // a connection whose request has not arrived completely by then is closed without a response
     private static final long READ_TIMEOUT_NANOS = 2_000_000_000L;
-    private static final long RESPONSE_TIMEOUT_NANOS = 800_000_000L; // ns; a response is due within 1 s
-    private static final long CLOSE_DELAY_NANOS = 500_000_000L; // ns; for the response to arrive before
+    private static final long RESPONSE_TIMEOUT_NANOS = 800_000_000L; // a response is due within 1 s
+    private static final long CLOSE_DELAY_NANOS = 500_000_000L; // lets the response arrive first
 
     private final AdminServer server;
     private final EventLoop loop;
@@ -45,7 +45,7 @@
         connection.open(this);
     }
 
-    /** Returns whether the connection has been open for longer than this without a whole request. */
+    /** Returns whether the connection has been open for longer than a time without a complete request. */
     boolean isSilentForLongerThan(long nanos) {
         return state == State.READING && loop.now() - openedAt > nanos;
     }
@@ -56,7 +56,7 @@
     @Override
     public void onRead(ByteBuffer bytes) {
         if (state != State.READING) {
-            bytes.position(bytes.limit()); // a close upon unread bytes would overtake the response
+            bytes.position(bytes.limit()); // unread bytes at the close would discard the response
             return;
         }
         in.feed(bytes);
@@ -93,7 +93,7 @@
     }
 
     private static AdminResponse malformed(IOException e) {
-        // the parser of lines has one exception for all faults; only its message tells a line over the bound
+        // all faults of reading a line have one exception type; only the message identifies a too long line
         if (e.getMessage().startsWith("a line of over")) {
             return AdminResponse.rejected(Status.HEADER_TOO_LARGE,
                 "expected lines of " + AdminRequest.MAX_LINE_BYTES + " bytes at most");
@@ -101,7 +101,9 @@
         return AdminResponse.rejected(Status.BAD_REQUEST, e.getMessage());
     }
 
-    /** Sends the first response; a later one, as of a drain confirmed after its timeout, is ignored. */
+    /**
+     * Sends the first response; later ones, such as that of a drain confirmed after the timeout, are ignored.
+     */
     private void send(AdminResponse response) {
         if (state != State.PROCESSING) {
             return;
--- a/proxy/src/main/java/spurroad/admin/AdminRequest.java
+++ b/proxy/src/main/java/spurroad/admin/AdminRequest.java
@@ -6,20 +6,20 @@
 import spurroad.protocol.ProtocolException;
 
 /**
- * One request of HTTP/1.x. Headers and body are skipped, but for the length of the body.
+ * An HTTP/1.x request. Headers and the body are skipped, except for the header with the body's length.
  *
- * @param target the path with its query, as it was sent
+ * @param target the path and the query, as sent
  */
 record AdminRequest(String method, String target) {
     static final int MAX_LINE_BYTES = 2048; // several times the longest request line in use
-    private static final int MAX_HEADERS = 64; // callers' libraries send a dozen
-    private static final int MAX_BODY_BYTES = 4096; // callers' libraries may send one; no route reads it
+    private static final int MAX_HEADERS = 64; // HTTP clients send about a dozen
+    private static final int MAX_BODY_BYTES = 4096; // HTTP clients may send a body; no route reads it
     private static final String EXPECTED_REQUEST_LINE = "expected METHOD /PATH HTTP/1.1";
 
     /**
      * Reads one request.
      *
-     * @throws ProtocolException where the request is malformed; its message says what was expected
+     * @throws ProtocolException if the request is malformed; its message says what was expected
      */
     static AdminRequest read(ByteSource in) throws IOException {
         String[] requestLine = line(in).split(" ");
@@ -31,7 +31,7 @@
         return new AdminRequest(requestLine[0], requestLine[1]);
     }
 
-    /** Reads all headers; returns the length of the body, zero where no header gives it. */
+    /** Reads all headers; returns the length of the body in bytes, zero if no header defines it. */
     private static int readContentLength(ByteSource in) throws IOException {
         int contentLength = 0;
         for (int i = 0; i <= MAX_HEADERS; i++) {
@@ -72,18 +72,18 @@
                 return length;
             }
         } catch (NumberFormatException e) {
-            // rejected below, as a number out of bounds is
+            // rejected below, like a number out of range
         }
         throw new ProtocolException("expected a Content-Length from 0 to " + MAX_BODY_BYTES);
     }
 
-    /** Returns the path without its query, its percent escapes as they were sent. */
+    /** Returns the path without the query; percent escapes are not decoded. */
     String path() {
         int query = target.indexOf('?');
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** Decodes the percent escapes in a part of a path; null where an escape is malformed. */
+    /** Decodes the percent escapes in a part of a path; returns null if an escape is malformed. */
     static String percentDecoded(String part) {
         byte[] bytes = new byte[part.length()];
         int length = 0;
--- a/proxy/src/main/java/spurroad/admin/AdminResponder.java
+++ b/proxy/src/main/java/spurroad/admin/AdminResponder.java
@@ -1,10 +1,10 @@
 package spurroad.admin;
 
-/** Takes the response to one admin request; from any thread. */
+/** Receives the response to an admin request. Thread-safe. */
 interface AdminResponder {
-    /** Sends the response, unless one was sent before. */
+    /** Sends the response, unless a response was already sent. */
     void respond(AdminResponse response);
 
-    /** Sets what is sent if no response comes in time: what has been done of the request by then. */
+    /** Sets the response that is sent on a timeout; it says how far the request has been carried out. */
     void setTimeoutResponse(AdminResponse response);
 }
--- a/proxy/src/main/java/spurroad/admin/AdminResponse.java
+++ b/proxy/src/main/java/spurroad/admin/AdminResponse.java
@@ -2,9 +2,9 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The response to one admin request: a status of HTTP and a plain text. */
+/** The response to an admin request: an HTTP status and a plain text. */
 record AdminResponse(Status status, String text) {
-    /** The statuses in use, with their codes and reasons of HTTP. */
+    /** The HTTP statuses in use, with their codes and reason phrases. */
     enum Status {
         OK(200, "OK"),
         BAD_REQUEST(400, "Bad Request"),
@@ -22,12 +22,12 @@
         }
     }
 
-    /** Responds with a text of whole lines. */
+    /** Returns a successful response with a text of complete lines. */
     static AdminResponse ok(String lines) {
         return new AdminResponse(Status.OK, lines);
     }
 
-    /** Rejects a request; the one line of text says what was expected or why it can't be served. */
+    /** Returns a rejection with one line that says what was expected, or why the request can't be served. */
     static AdminResponse rejected(Status status, String line) {
         return new AdminResponse(status, line + "\n");
     }
--- a/proxy/src/main/java/spurroad/admin/AdminRoutes.java
+++ b/proxy/src/main/java/spurroad/admin/AdminRoutes.java
@@ -5,19 +5,20 @@
 import spurroad.admin.AdminResponse.Status;
 
 /**
- * What each admin request does: the one place that knows the paths. The platform decides who may reach the
- * second address, so no route asks who calls.
+ * Maps admin requests to their handlers, by path and method. Routes do not authenticate callers: access to
+ * the admin address is restricted outside of the proxy.
  */
 public final class AdminRoutes {
-    /** Drains cache nodes for the operators. */
+    /** Drains cache nodes on the operators' request. */
     public interface DrainControl {
         /**
-         * Drains a cache node, or gives it back.
+         * Drains a cache node, or returns it to use.
          *
          * @param id the name of the cache node in the endpoint list
-         * @param onApplied called, from any thread, once this process does so, if not all do yet
-         * @param onResult called once, from any thread, with whether such an endpoint has ever been listed;
-         *     once all processes do so, if it has
+         * @param onApplied called, from any thread, when this process has applied the change but not all
+         *     processes have
+         * @param onResult called once, from any thread: with true when all processes have applied the change,
+         *     with false if no such endpoint has ever been listed
          */
         void setDrained(String id, boolean drained, Runnable onApplied, Consumer<Boolean> onResult);
     }
@@ -37,9 +38,9 @@
     private final DrainControl drainControl;
 
     /**
-     * Makes the routes of one proxy; each argument may be called from the thread of the admin server.
+     * Creates the routes of a proxy. The thread of the admin server calls the arguments.
      *
-     * @param serving whether the proxy accepts clients
+     * @param serving returns whether the proxy accepts clients
      */
     public AdminRoutes(BooleanSupplier serving, StatsdExport metrics, DrainControl drainControl) {
         this.serving = serving;
@@ -47,7 +48,7 @@
         this.drainControl = drainControl;
     }
 
-    /** Handles a request; responds later and from any thread where it drains. */
+    /** Handles a request. The response to a drain request comes later and from any thread. */
     void handle(AdminRequest request, AdminResponder responder) {
         String path = request.path();
         if (path.equals(HEALTH_PATH)) {
@@ -72,7 +73,7 @@
         return AdminResponse.rejected(Status.METHOD_NOT_ALLOWED, "expected " + method + " " + path);
     }
 
-    /** Rejects a request that comes before the proxy accepts clients. */
+    /** Returns the response to requests that arrive before the proxy accepts clients. */
     static AdminResponse notServingYet() {
         return AdminResponse.rejected(Status.UNAVAILABLE, "not serving yet");
     }
@@ -96,7 +97,7 @@
         }
     }
 
-    /** Returns the id between the prefix and the last slash; null where it is no id of a cache node. */
+    /** Returns the id between the prefix and the last slash; null if it is not a valid id of a cache node. */
     private static String cacheNodeId(String path) {
         int end = path.lastIndexOf('/');
         if (end < CACHE_NODES_PREFIX.length()) {
@@ -111,7 +112,10 @@
         return AdminResponse.ok(id + (drained ? " gets nothing new\n" : " is used again\n"));
     }
 
-    /** Says what holds where a call is not confirmed in time: the caller may count on it, or undo it. */
+    /**
+     * Returns the response to a request that is not confirmed in time. It says what this process has applied,
+     * so that the caller can rely on that or undo it.
+     */
     private static AdminResponse appliedHere(String id, boolean drained) {
         String state = drained ? " gets nothing new from this process" : " is used again by this process";
         return AdminResponse.rejected(Status.UNAVAILABLE, id + state + ", but that is not written or not "
--- a/proxy/src/main/java/spurroad/admin/AdminServer.java
+++ b/proxy/src/main/java/spurroad/admin/AdminServer.java
@@ -13,22 +13,25 @@
 import spurroad.transport.Threads;
 
 /**
- * Listens at the second address, on an event loop and a thread of its own, so that no load of clients delays
- * a response. Connections are bounded in number and time; where all are in use, those that sent no request
- * give way to the next.
+ * The HTTP server on the admin address. It has its own event loop and thread, so that client load does not
+ * delay its responses. Connections are limited in number and duration; when all are in use, those that have
+ * sent no complete request are closed in favor of new ones.
  */
 public final class AdminServer implements Listener.AcceptHandler, AutoCloseable {
-    private static final int MAX_CONNECTIONS = 16; // a descriptor each
+    private static final int MAX_CONNECTIONS = 16; // each takes a descriptor
     private static final int MAX_CLOSED_AT_ONCE = 8;
-    // ns; a connection gets so long at least to send its request before it gives way
+    // the minimum time that a connection has to send its request before it may be closed in favor of others
     private static final long MIN_SILENCE_NANOS = 50_000_000L;
 
     private final EventLoop loop;
     private final Listener listener;
-    private final Set<AdminConnection> connections = new LinkedHashSet<>(); // the loop's; the oldest first
-    private volatile AdminRoutes routes; // null until the proxy is there
+    private final Set<AdminConnection> connections = new LinkedHashSet<>(); // oldest first; loop thread only
+    private volatile AdminRoutes routes; // null until the proxy is created
 
-    /** Starts to listen; until {@link #setRoutes} each response says that the proxy does not serve yet. */
+    /**
+     * Starts to listen. Until {@link #setRoutes} is called, each response says that the proxy does not serve
+     * yet.
+     */
     public AdminServer(InetSocketAddress address, Threads threads, EventLog log, Clock clock)
         throws IOException {
         loop = EventLoop.withoutArrivalTimes(log, clock);
@@ -37,23 +40,23 @@
         listener.start(() -> {});
     }
 
-    /** Sets what requests do from now on; from any thread. */
+    /** Sets the routes of all later requests. May be called from any thread. */
     public void setRoutes(AdminRoutes routes) {
         this.routes = routes;
     }
 
-    /** Returns the port that it listens at. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return listener.port();
     }
 
-    /** Stops the loop at once, without a response to any request. */
+    /** Stops the event loop immediately, without responses to pending requests. */
     @Override
     public void close() {
         loop.shutdown();
     }
 
-    /** Handles a request; responds from any thread. */
+    /** Handles a request. The response may come from any thread. */
     void handle(AdminRequest request, AdminResponder responder) {
         AdminRoutes current = routes;
         if (current == null) {
@@ -74,7 +77,7 @@
         admin.open();
     }
 
-    /** Closes the oldest of the connections that have sent no request. */
+    /** Closes the oldest of the connections that have sent no complete request. */
     @Override
     public void onPermitsExhausted() {
         List<AdminConnection> silent = connections.stream()
@@ -83,7 +86,7 @@
         silent.forEach(AdminConnection::close);
     }
 
-    /** Bounds the connections; the loop's alone. */
+    /** Limits the number of connections. Confined to the loop thread. */
     private static final class ConnectionLimit implements Listener.ConnectionPermits {
         private int inUse;
 
--- a/proxy/src/main/java/spurroad/admin/StatsdExport.java
+++ b/proxy/src/main/java/spurroad/admin/StatsdExport.java
@@ -7,17 +7,17 @@
 import java.util.function.Supplier;
 
 /**
- * The metrics in the text form of statsd, one line each. Values are read from their sources at each export,
- * on the thread that exports; sources are added before the first one.
+ * Exports metrics in the text format of statsd, one line each. Values are read from their sources at each
+ * export, on the exporting thread. All sources must be added before the first export.
  */
 public final class StatsdExport {
     private static final String PREFIX = "proxy.";
 
-    /** How the values of a metric follow one another. */
+    /** The statsd type of a metric. */
     public enum MetricType {
-        /** A count that only grows while the process lives. */
+        /** A count that never decreases during the lifetime of the process. */
         COUNTER("|c"),
-        /** A value of this moment. */
+        /** The current value of a quantity. */
         GAUGE("|g");
 
         private final String suffix;
@@ -27,28 +27,28 @@
         }
     }
 
-    /** The value of one metric at one moment. */
+    /** The value of a metric at the time of an export. */
     public record Metric(String name, long value, MetricType type) {}
 
     private final List<Supplier<List<Metric>>> sources = new ArrayList<>();
 
-    /** Adds a count that only grows while the process lives. */
+    /** Adds a count that never decreases during the lifetime of the process. */
     public StatsdExport counter(String name, LongSupplier value) {
         return metrics(() -> List.of(new Metric(name, value.getAsLong(), MetricType.COUNTER)));
     }
 
-    /** Adds a value of this moment. */
+    /** Adds the current value of a quantity. */
     public StatsdExport gauge(String name, LongSupplier value) {
         return metrics(() -> List.of(new Metric(name, value.getAsLong(), MetricType.GAUGE)));
     }
 
-    /** Adds metrics whose number and names may change between two exports. */
+    /** Adds a source of metrics whose number and names may change between two exports. */
     public StatsdExport metrics(Supplier<List<Metric>> source) {
         sources.add(source);
         return this;
     }
 
-    /** Reads all metrics, in the order in which their sources were added. */
+    /** Reads all metrics and passes them to an action, in the order in which their sources were added. */
     public void forEach(Consumer<Metric> action) {
         sources.forEach(source -> source.get().forEach(action));
     }
--- a/proxy/src/main/java/spurroad/configuration/CapacityPlan.java
+++ b/proxy/src/main/java/spurroad/configuration/CapacityPlan.java
@@ -1,31 +1,35 @@
 package spurroad.configuration;
 
 /**
- * How many connections a process may hold within its limits on descriptors and on memory.
+ * The number of connections that a process may hold within its limits on descriptors and memory.
  *
- * @param reservedDescriptors descriptors that are kept for all but connections of clients and endpoints
- * @param connectionPermits connections of clients and endpoints
+ * @param reservedDescriptors descriptors reserved for purposes other than connections to clients and
+ *     endpoints
+ * @param connectionPermits the maximum number of connections to clients and endpoints together
  */
 record CapacityPlan(int reservedDescriptors, int connectionPermits) {
-    /** The fewest descriptors that a process may be given: fewer leave none for clients. */
+    /** The minimum number of descriptors of a process; fewer would leave none for clients. */
     static final int MIN_DESCRIPTORS = 64;
 
-    // descriptors of the virtual machine and of event loops: 14 were seen, and a few to spare
+    // the virtual machine and the event loops use 14 descriptors; the rest is a margin
     private static final int PROCESS_DESCRIPTORS = 20;
-    // descriptors of the second address: 16 callers and its listener
+    // 16 connections to the admin server, its listener and a margin
     private static final int ADMIN_DESCRIPTORS = 20;
-    // descriptors of the socket for peer updates
+    // the socket for peer updates
     private static final int GOSSIP_DESCRIPTORS = 3;
-    // MiB; the virtual machine at rest
+    // MiB; the virtual machine without load
     private static final double PROCESS_MB = 45;
-    // of the memory; requests may hold an eighth, and their garbage
+    // fraction of the memory; requests may hold an eighth of the memory, and leave garbage
     private static final double HEAP_FRACTION = 0.22;
-    // MiB; of a connection, with a margin: 77 KiB were seen
+    // MiB per connection; a connection takes up to 77 KiB
     private static final double CONNECTION_MB = 0.08;
-    // connections; a process with less memory hopes rather than serves nobody
+    // with too little memory, serves few connections at the risk of exceeding it, rather than none
     private static final int MIN_PERMITS_BY_MEMORY = 32;
 
-    /** Plans for what the configuration grants and the process was started with. */
+    /**
+     * Returns the plan for the descriptors and the memory that the configuration grants, within the limits of
+     * the process.
+     */
     static CapacityPlan of(int descriptors, int memoryMb, boolean hasAdminServer, boolean gossips,
                            ProcessLimits limits) {
         int reserved = PROCESS_DESCRIPTORS + (hasAdminServer ? ADMIN_DESCRIPTORS : 0)
--- a/proxy/src/main/java/spurroad/configuration/DeploymentSettings.java
+++ b/proxy/src/main/java/spurroad/configuration/DeploymentSettings.java
@@ -15,49 +15,54 @@
 import spurroad.protocol.EndpointList;
 
 /**
- * The settings of a deployment in the units and types that the program uses; the same for the simulator's
- * lines and for a configuration file. Immutable.
+ * The settings of a deployment, converted to the units and types that the program uses. They are read from a
+ * configuration file or from the lines of the simulator. Immutable.
  */
 public final class DeploymentSettings {
     private static final long NANOS_PER_MICRO = 1_000L;
-    private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 1_000_000L; // a lost packet is sent again
+    private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 1_000_000L; // allows for retransmission
     private static final long NO_IDLE_TIMEOUT_MICROS = Long.MAX_VALUE / NANOS_PER_MICRO / 4;
-    // ns; longer than any pause of discovery
+    // longer than any pause of discovery
     private static final long DEFAULT_POLL_WITHIN_NANOS = 20_000_000_000L;
     private static final int DEFAULT_MAX_OPEN_REQUESTS = 20_000;
     private static final int NO_ORIGIN = -1;
     private static final int NO_ZONE = -1;
-    // of a request's value; from here on a copy in each zone is cheaper than requests across zones
+    // fraction of a request's value; at this cost and above, a copy in each zone is cheaper than requests
+    // across zones
     private static final double MIN_CROSS_ZONE_COST = 0.05;
 
-    /** What the load balancer decides by. */
+    /** The input of the load balancer's decisions. */
     public final Deployment deployment;
-    /** The columns of load reports, in their order. */
+    /** The names of the columns of load reports, in their order. */
     public final List<String> reportColumns;
-    /** How the entries of an endpoint list are read. */
+    /** The names that are needed to read the entries of an endpoint list. */
     public final EndpointList.EndpointNames endpointNames;
-    /** How long a connection to an endpoint may take to come up, in nanoseconds. */
+    /** The maximum time to establish a connection to an endpoint, in nanoseconds. */
     public final long connectTimeoutNanos;
-    /** How many requests may be in progress at once. */
+    /** The maximum number of requests in progress at once. */
     public final int maxOpenRequests;
     /**
-     * How long a client waits at most for the final response, over all its attempts, in nanoseconds; 0 where
-     * the settings do not say so.
+     * The maximum time that a client waits for the final response, over all its attempts, in nanoseconds; 0
+     * if the settings do not define it.
      */
     public final long longestTimeoutNanos;
-    /** For how long an endpoint list may be used without a poll of discovery, in nanoseconds. */
+    /** The maximum time that an endpoint list is used without a poll of discovery, in nanoseconds. */
     public final long pollWithinNanos;
-    /** The names of the request classes, by their numbers. */
+    /** The names of the request classes; the index of a name is the number of its class. */
     public final List<String> requestClassNames;
-    /** The names of the tenants, by their numbers. */
+    /** The names of the tenants; the index of a name is the number of its tenant. */
     public final List<String> tenantNames;
 
-    /** Reads lines of the form {@code path=value}, which the simulator has checked. */
+    /** Reads lines of the form {@code path=value}; the simulator has validated them. */
     public static DeploymentSettings fromLines(String text) {
         return new DeploymentSettings(SettingsReader.ofLines(text));
     }
 
-    /** Reads and checks a parsed JSON object. */
+    /**
+     * Reads and validates a parsed JSON object.
+     *
+     * @throws InvalidSettingException if a setting is missing or invalid
+     */
     public static DeploymentSettings fromJson(Object json) {
         SettingsReader reader = SettingsReader.ofJson(json);
         check(reader);
@@ -71,7 +76,7 @@
         reportColumns = reader.list("report.columns");
         connectTimeoutNanos = reader.micros("allowed.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_MICROS);
         maxOpenRequests = Math.max(1, (int) reader.number("allowed.maxOpen", DEFAULT_MAX_OPEN_REQUESTS));
-        long pollWithin = reader.micros("obligations.askWithinUs", 0); // 0 where discovery pushes lists
+        long pollWithin = reader.micros("obligations.askWithinUs", 0); // 0 if discovery pushes lists
         pollWithinNanos = pollWithin > 0 ? pollWithin : DEFAULT_POLL_WITHIN_NANOS;
         requestClassNames = reader.fieldOfEach("tracks", "name");
         tenantNames = reader.fieldOfEach("projects", "name");
@@ -80,7 +85,7 @@
             .mapToLong(i -> reader.micros("tracks." + i + ".statementTimeoutUs", 0)).max().orElse(0);
     }
 
-    /** Checks what people or programs may get wrong in a file, beyond what reading it finds. */
+    /** Validates what reading the settings does not: ranges, truth values and duplicate class names. */
     private static void check(SettingsReader reader) {
         reader.checkGreaterThan("allowed.mostExecutions", 0);
         reader.checkFlags("allowed.probes", "allowed.cancel", "allowed.retryAfter", "allowed.peers");
@@ -102,7 +107,9 @@
         reader.checkGreaterThan(prefix + "statementTimeoutUs", 0);
     }
 
-    /** Returns the keys whose values differ in other settings and count only from a restart on. */
+    /**
+     * Returns the keys whose values differ in the other settings and that take effect only after a restart.
+     */
     List<String> restartOnlyChanges(DeploymentSettings other) {
         List<String> changed = new ArrayList<>();
         if (!endpointNames.equals(other.endpointNames)) {
@@ -146,7 +153,7 @@
         return List.copyOf(requestClasses);
     }
 
-    /** Returns the share of each tenant's allowance that falls to one proxy, in requests a second. */
+    /** Returns each tenant's allowance divided by the number of proxies, in requests per second. */
     private static List<Double> tenantRates(SettingsReader reader) {
         double proxyCount = Math.max(1, reader.number("balancers", 1));
         List<Double> rates = new ArrayList<>();
@@ -156,7 +163,10 @@
         return List.copyOf(rates);
     }
 
-    /** Returns null where no endpoint is the origin, or where the cache nodes ask it themselves. */
+    /**
+     * Returns the kind of the origin; null if no endpoint is the origin or the cache nodes query it
+     * themselves.
+     */
     private static EndpointKindId originKind(SettingsReader reader) {
         boolean besideTheCache = reader.text("familyInfo.mode", "through").equals("aside");
         int kind = (int) reader.number("familyInfo.originKind", NO_ORIGIN);
--- a/proxy/src/main/java/spurroad/configuration/JsonFields.java
+++ b/proxy/src/main/java/spurroad/configuration/JsonFields.java
@@ -5,7 +5,7 @@
 import spurroad.protocol.EndpointList;
 import spurroad.protocol.ProtocolException;
 
-/** Reads the values of a parsed JSON object; a value that is missing or of another type is a fault. */
+/** Reads the fields of a parsed JSON object; throws {@link InvalidSettingException} on an invalid value. */
 final class JsonFields {
     private JsonFields() {}
 
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Reads a number.
+     * Reads a number, or returns the default if the field is absent.
      *
-     * @param path of the object with its dot, for the fault
+     * @param path the path of the object with a trailing dot, for the error message
      */
     static double number(Map<?, ?> object, String path, String key, double defaultValue, double min) {
         Object value = object.get(key);
--- a/proxy/src/main/java/spurroad/configuration/ProcessLimits.java
+++ b/proxy/src/main/java/spurroad/configuration/ProcessLimits.java
@@ -6,24 +6,24 @@
 import java.nio.file.Path;
 
 /**
- * What the process was started with that reduces the descriptors which its configuration grants.
+ * The limits of the process that reduce the number of descriptors granted by the configuration.
  *
- * @param inheritedDescriptors descriptors that were open at the start, beyond those of any process
- * @param maxOpenFiles descriptors that the system lets the process hold
+ * @param inheritedDescriptors descriptors that were open at startup, apart from those that every process has
+ * @param maxOpenFiles the maximum number of descriptors that the system allows the process
  */
 record ProcessLimits(int inheritedDescriptors, int maxOpenFiles) {
-    /** No limit beyond those of the configuration. */
+    /** No limits other than those of the configuration. */
     static final ProcessLimits NONE = new ProcessLimits(0, Integer.MAX_VALUE);
 
     private static final File OPEN_DESCRIPTORS = new File("/proc/self/fd");
     private static final Path LIMITS = Path.of("/proc/self/limits");
     private static final String OPEN_FILES_ROW = "Max open files";
-    // the virtual machine raises its own limit to the hard one
+    // the virtual machine raises its soft limit to the hard limit
     private static final int HARD_LIMIT_COLUMN = 1;
-    // descriptors that the virtual machine opens itself, and the one that reads these
+    // descriptors that the virtual machine opens itself, and the one that lists the directory
     private static final int VIRTUAL_MACHINE_DESCRIPTORS = 14;
 
-    /** Returns those of this process, as Linux gives them; on other systems there are none. */
+    /** Returns the limits of this process from Linux's proc file system; on other systems there are none. */
     static ProcessLimits ofThisProcess() {
         String[] open = OPEN_DESCRIPTORS.list();
         int inherited = open == null ? 0 : Math.max(0, open.length - VIRTUAL_MACHINE_DESCRIPTORS);
--- a/proxy/src/main/java/spurroad/configuration/ProxyConfiguration.java
+++ b/proxy/src/main/java/spurroad/configuration/ProxyConfiguration.java
@@ -16,57 +16,67 @@
 import spurroad.protocol.Json;
 import spurroad.protocol.ProtocolException;
 
-/** What one proxy is started with: the platform's file and what the environment sets beside it. Immutable. */
+/** The configuration of a proxy process, read from a JSON file and environment variables. Immutable. */
 public final class ProxyConfiguration {
     private static final String FILE_VARIABLE = "BALANCER_CONFIG";
     private static final String LISTEN_DESCRIPTOR_VARIABLE = "BALANCER_LISTEN_FD";
     private static final String INHERITED_DESCRIPTOR = "0";
-    // takes precedence over the file, as each process of a proxy has its own
+    // takes precedence over the file, as each process of a proxy has its own admin address
     private static final String ADMIN_VARIABLE = "BALANCER_ADMIN_ADDR";
     private static final String ADMIN_KEY = "admin_addr";
     private static final String SETTINGS_KEY = "settings";
 
-    private static final double DEFAULT_MEMORY_MB = 192; // the least that a proxy is tested in
-    private static final double DEFAULT_DESCRIPTORS = 1024; // the usual limit of a system
+    private static final double DEFAULT_MEMORY_MB = 192; // the smallest tested size
+    private static final double DEFAULT_DESCRIPTORS = 1024; // the usual limit of a Linux process
     private static final double DEFAULT_CORES = 1;
     private static final double MIN_CORES = 0.01;
     private static final double MIN_MEMORY_MB = 64; // the virtual machine alone takes 45 MiB
 
-    /** The keys that a reload puts in force, or that each start of a process sets anew. */
+    /**
+     * The keys whose changes need no restart: a reload applies them, or each process start sets them anew.
+     */
     private static final Set<String> RELOADED_KEYS = Set.of("discovery", "seed", "known", ADMIN_KEY);
 
     /** The name of the proxy in its deployment. */
     public final String name;
-    /** Where clients connect. */
+    /** The address that clients connect to. */
     public final InetSocketAddress listenAddress;
-    /** Where the endpoint list is followed. */
+    /** The address of discovery, which serves the endpoint list. */
     public final InetSocketAddress discoveryAddress;
-    /** Where the operators' calls are taken; null where nothing listens for them. */
+    /** The address of the admin server; null if there is none. */
     public final InetSocketAddress adminAddress;
-    /** The seed of all random draws. */
+    /** The seed of all random number generators. */
     public final long seed;
     /** The memory of the process, in MiB. */
     public final int memoryMb;
-    /** The number of the inherited descriptor to listen at; empty where the process opens its own socket. */
+    /** The number of the inherited descriptor to listen on; empty if the process opens its own socket. */
     public final String listenDescriptor;
-    /** The directory that processes of one proxy share; null where the platform gives none. */
+    /** The directory that the processes of one proxy share for hot restarts; null if there is none. */
     public final Path restartDirectory;
-    /** How many cores the process gets; less than one is a part of a core. */
+    /** The number of cores of the process; may be a fraction of a core. */
     public final double cores;
-    /** How many connections of clients and endpoints fit into the limits on descriptors and on memory. */
+    /**
+     * The maximum number of connections to clients and endpoints within the limits on descriptors and memory.
+     */
     public final int connectionPermits;
-    /** How many descriptors the process holds besides. */
+    /** The number of descriptors reserved for purposes other than connections to clients and endpoints. */
     public final int reservedDescriptors;
-    /** The endpoints that are known at the start. */
+    /** The endpoints known at startup. */
     public final EndpointList initialEndpoints;
-    /** Where each proxy of the deployment gets peer updates, by its number; empty where none are sent. */
+    /**
+     * The peer update addresses of the deployment's proxies, indexed by proxy number; empty without gossip.
+     */
     public final List<InetSocketAddress> peerAddresses;
     /** The settings of the deployment. */
     public final DeploymentSettings settings;
 
     private final Map<?, ?> file; // as parsed
 
-    /** Reads the file that the environment names. */
+    /**
+     * Reads the file that the environment names.
+     *
+     * @throws InvalidSettingException if the file can't be read or a setting is missing or invalid
+     */
     public static ProxyConfiguration fromEnvironment(Map<String, String> environment) {
         String path = environment.get(FILE_VARIABLE);
         if (path == null || path.isEmpty()) {
@@ -81,17 +91,17 @@
         }
     }
 
-    /** Reads the text of a file, with an empty environment. */
+    /** Parses the text of a file, with an empty environment. */
     public ProxyConfiguration(String text) {
         this(text, Map.of());
     }
 
-    /** Reads the text of a file, and what the environment sets beside it. */
+    /** Parses the text of a file and the environment variables. */
     public ProxyConfiguration(String text, Map<String, String> environment) {
         this(text, environment, ProcessLimits.NONE);
     }
 
-    /** Reads the text of a file for a process with limits of its own. */
+    /** Parses the text of a file and the environment variables, for a process with the given limits. */
     ProxyConfiguration(String text, Map<String, String> environment, ProcessLimits processLimits) {
         file = parse(text);
         name = JsonFields.text(file, "name");
@@ -147,7 +157,7 @@
         return shared ? Path.of(temporary, "spurroad-" + name) : null;
     }
 
-    /** Reads as many addresses as the settings say that there are proxies, each of them once. */
+    /** Reads the addresses of the proxies: one per proxy of the deployment, all different. */
     private static List<InetSocketAddress> peerAddresses(Map<?, ?> file, Fleet fleet) {
         if (!(file.get("proxies") instanceof List<?> listed) || listed.size() != fleet.proxyCount()) {
             throw new InvalidSettingException("proxies does not list " + fleet.proxyCount()
@@ -174,8 +184,8 @@
     }
 
     /**
-     * Returns the keys whose values differ in another configuration and count only from a restart on: all but
-     * those that a reload puts in force.
+     * Returns the keys whose values differ in another configuration and that take effect only after a
+     * restart: all keys except those that a reload applies.
      */
     public List<String> restartOnlyChanges(ProxyConfiguration other) {
         Set<Object> keys = new TreeSet<>(Comparator.comparing(String::valueOf));
@@ -190,9 +200,9 @@
     }
 
     /**
-     * Checks that another configuration, read while this one is in force, has all keys of this one.
+     * Checks that a configuration read at a reload has all keys of this one, which is in force.
      *
-     * @throws InvalidSettingException where a key is gone or its value is of another type
+     * @throws InvalidSettingException if a key is missing or its value is of another type
      */
     public void checkReplacement(ProxyConfiguration next) {
         ReplacementCheck.check(file, next.file);
--- a/proxy/src/main/java/spurroad/configuration/ReplacementCheck.java
+++ b/proxy/src/main/java/spurroad/configuration/ReplacementCheck.java
@@ -5,16 +5,18 @@
 import java.util.Map;
 
 /**
- * Checks that a configuration read at a reload has all keys of the one in force: a key that is gone tells of
- * a file that was not written whole. Request classes and tenants may come and go, and so may the endpoints
- * that were known at the start.
+ * Checks that a configuration read at a reload has all keys of the one in force, as a missing key indicates a
+ * file that was not written completely. Request classes, tenants and the endpoints known at startup may be
+ * added and removed.
  */
 final class ReplacementCheck {
     private static final String KNOWN_ENDPOINTS = "known";
 
     private ReplacementCheck() {}
 
-    /** Compares two parsed files; throws {@link InvalidSettingException} at the first key that is gone. */
+    /**
+     * Compares two parsed files; throws {@link InvalidSettingException} at the first missing or invalid key.
+     */
     static void check(Map<?, ?> inForce, Map<?, ?> next) {
         checkValue("", inForce, next);
     }
@@ -56,7 +58,7 @@
         }
     }
 
-    /** Returns the fields that all objects of a list have; null where not all its entries are objects. */
+    /** Returns the fields that all objects of a list have; null if an entry is not an object. */
     private static Object commonFields(List<?> entries) {
         if (!entries.stream().allMatch(Map.class::isInstance)) {
             return null;
--- a/proxy/src/main/java/spurroad/configuration/SettingsReader.java
+++ b/proxy/src/main/java/spurroad/configuration/SettingsReader.java
@@ -6,8 +6,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Settings as texts by their paths, such as {@code tracks.0.sloTimeUs}, read with defaults and checks. A list
- * of objects has its length at {@code PATH.count}, a list of plain values is joined by commas.
+ * Reads settings, stored as texts by paths such as {@code tracks.0.sloTimeUs}, with defaults and checks. The
+ * length of a list of objects is stored at {@code PATH.count}; a list of plain values is joined by commas.
  */
 final class SettingsReader {
     private static final long NANOS_PER_MICRO = 1_000L;
@@ -26,7 +26,7 @@
         return reader;
     }
 
-    /** Reads a parsed JSON value with all that is nested in it. */
+    /** Reads a parsed JSON value with all nested values. */
     static SettingsReader ofJson(Object json) {
         SettingsReader reader = new SettingsReader();
         reader.flatten("", json);
@@ -49,7 +49,9 @@
         }
     }
 
-    /** A value without the separators of lines and lists. */
+    /**
+     * Returns the text of a value, with underscores in place of blanks and commas, which separate entries.
+     */
     private static String plain(Object value) {
         return String.valueOf(value).replace(' ', '_').replace(',', '_');
     }
@@ -82,51 +84,56 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // a fault below, as a number that is not finite is
+            // rejected below, like a number that is not finite
         }
         throw new InvalidSettingException("setting " + path + " is not a number");
     }
 
-    /** Reads a time that is given in microseconds; returns nanoseconds. */
+    /** Reads a time in microseconds and returns it in nanoseconds. */
     long micros(String path, long defaultMicros) {
         return (long) (number(path, defaultMicros) * NANOS_PER_MICRO);
     }
 
-    /** Reads a truth value; false where it is not given. */
+    /** Reads a truth value; false if it is absent. */
     boolean flag(String path) {
         return Boolean.parseBoolean(values.getOrDefault(path, "false"));
     }
 
-    /** Returns the values of a list of plain ones; empty where it is not given. */
+    /** Returns the entries of a list of plain values; empty if it is absent. */
     List<String> list(String path) {
         String joined = text(path, "");
         return joined.isEmpty() ? List.of() : List.of(joined.split(","));
     }
 
-    /** Returns how many objects a list has; 0 where it is not given. */
+    /** Returns the length of a list of objects; 0 if it is absent. */
     int count(String path) {
         return (int) number(path + ".count", 0);
     }
 
-    /** Returns how many objects a list has that must be given. */
+    /** Returns the length of a required list of objects. */
     int requiredCount(String path) {
         return (int) requiredNumber(path + ".count");
     }
 
-    /** Returns one field of each object in a list; an empty text where an object does not have it. */
+    /** Returns one field of each object in a list; an empty text if an object does not have it. */
     List<String> fieldOfEach(String path, String field) {
         return IntStream.range(0, count(path)).mapToObj(i -> text(path + "." + i + "." + field, ""))
             .toList();
     }
 
-    /** Checks that a number is greater than a bound, where it is given. */
+    /** Checks that a number, if present, is greater than a bound. */
     void checkGreaterThan(String path, double bound) {
         if (values.containsKey(path) && number(path, 0) <= bound) {
             throw new InvalidSettingException("setting " + path + " is not over " + (long) bound);
         }
     }
 
-    /** Checks that a number is an index into something of this length, where it is given. */
+    /**
+     * Checks that a number, if present, is an index into a list.
+     *
+     * @param length the length of the list
+     * @param indexed the name of the list, for the error message
+     */
     void checkIndex(String path, int length, String indexed) {
         double number = number(path, 0);
         if (values.containsKey(path) && (number < 0 || number >= length || number != Math.rint(number))) {
@@ -135,7 +142,7 @@
         }
     }
 
-    /** Checks that values are truth values, where they are given. */
+    /** Checks that values, if present, are {@code true} or {@code false}. */
     void checkFlags(String... paths) {
         for (String path : paths) {
             String value = values.getOrDefault(path, "true");
--- a/proxy/src/main/java/spurroad/configuration/package-info.java
+++ b/proxy/src/main/java/spurroad/configuration/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The configuration of a proxy: read from the platform's file and the environment, checked, and given
- * defaults here and nowhere else.
+ * The configuration of a proxy. It is read from a file and the environment and validated here; all defaults
+ * are defined here.
  *
- * <p>{@link spurroad.configuration.ProxyConfiguration} is the whole of it and
- * {@link spurroad.configuration.DeploymentSettings} its settings, which the simulator gives too. Both are
- * immutable. A fault is an {@link spurroad.configuration.InvalidSettingException} of one line that names the
- * key.
+ * <p>{@link spurroad.configuration.ProxyConfiguration} is the whole configuration; {@link
+ * spurroad.configuration.DeploymentSettings} is the part that the simulator provides too. Both are immutable.
+ * An invalid setting causes an {@link spurroad.configuration.InvalidSettingException} with a message of one
+ * line that names the key.
  */
 package spurroad.configuration;
--- a/proxy/src/main/java/spurroad/protocol/Attributes.java
+++ b/proxy/src/main/java/spurroad/protocol/Attributes.java
@@ -3,15 +3,18 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The attributes of a request, {@code name=value} with commas between them, as a part of its line. */
+/**
+ * The attributes of a request: {@code name=value} pairs separated by commas, at the offsets {@code from}
+ * (inclusive) to {@code to} (exclusive) of the request line.
+ */
 record Attributes(String line, int from, int to) {
-    /** Stands for the attributes of a line without a list of them. */
+    /** The attributes of a line without an attribute list. */
     static final Attributes NONE = new Attributes("", 0, 0);
 
     private static final int NOT_FOUND = -1;
-    private static final int MAX_COMPARED_NAMES = 16; // so many names are compared without a set
+    private static final int MAX_COMPARED_NAMES = 16; // up to this many are compared without a set
 
-    /** Returns whether each is a name and a value, and no name occurs twice. */
+    /** Returns whether each attribute has a name and a value, and no name occurs twice. */
     boolean isWellFormed() {
         int count = 0;
         Set<String> names = null;
@@ -42,7 +45,7 @@
         return names;
     }
 
-    /** Returns where the first attribute begins whose name equals a part of the line. */
+    /** Returns the offset of the first attribute whose name equals the given range of the line. */
     private int firstWithNameAt(int nameFrom, int nameTo) {
         int start = from;
         int lengthWithSign = nameTo + 1 - nameFrom;
@@ -52,7 +55,7 @@
         return start;
     }
 
-    /** Returns the end of the attribute that a position of the line belongs to. */
+    /** Returns the end (exclusive) of the attribute that contains an offset of the line. */
     private int endOf(int position) {
         int comma = line.indexOf(',', position);
         return comma < 0 || comma > to ? to : comma;
@@ -72,24 +75,27 @@
         return valueFrom(name) != NOT_FOUND;
     }
 
-    /** Returns a value; empty if there is no such attribute. */
+    /** Returns the value of an attribute; empty if there is no such attribute. */
     String value(String name) {
         int valueFrom = valueFrom(name);
         return valueFrom == NOT_FOUND ? "" : line.substring(valueFrom, endOf(valueFrom));
     }
 
-    /** Returns a value that is a whole number; -1 if there is no such attribute or it is none. */
+    /** Returns the value of a numeric attribute; -1 if it is absent or not a whole number. */
     long wholeNumber(String name) {
         int valueFrom = valueFrom(name);
         return valueFrom == NOT_FOUND ? -1 : NumberParser.parseWhole(line, valueFrom, endOf(valueFrom));
     }
 
-    /** Returns the attributes with another value of one that they have. */
+    /** Returns the attribute list with the value of one existing attribute replaced. */
     String with(String name, long value) {
         return replaceWithin(from, to, name, value);
     }
 
-    /** Returns a part of the line, in which all attributes are, with another value of one. */
+    /**
+     * Returns a range of the line with the value of one existing attribute replaced; the range contains the
+     * whole attribute list.
+     */
     String replaceWithin(int partFrom, int partTo, String name, long value) {
         int valueFrom = valueFrom(name);
         return line.substring(partFrom, valueFrom) + value + line.substring(endOf(valueFrom), partTo);
--- a/proxy/src/main/java/spurroad/protocol/ByteSource.java
+++ b/proxy/src/main/java/spurroad/protocol/ByteSource.java
@@ -8,12 +8,12 @@
 import java.util.Arrays;
 
 /**
- * A buffered stream that is read by lines and by lengths, both bounded. Text is ISO 8859-1, one character a
- * byte, so nothing is lost.
+ * A buffered input that is read by lines and by byte counts, both bounded. Text is decoded as ISO 8859-1, one
+ * character per byte, so that no byte is lost.
  *
- * <p>It has one of two modes. A blocking one reads from a stream and waits for it. A fed one is given bytes
- * as they arrive; there, {@link #message} returns null for a message that is not complete, which is parsed
- * anew from its first byte once enough more has arrived.
+ * <p>A source has one of two modes. A blocking source reads from a stream and waits for it. A fed source gets
+ * bytes as they arrive; {@link #message} returns null if a message is not complete yet, and parses it again
+ * from its first byte when enough further bytes have arrived.
  */
 public final class ByteSource {
     /** Parses one message. */
@@ -21,7 +21,8 @@
         /**
          * Returns the message, never null.
          *
-         * @throws IOException if the bytes are no message; an {@link IncompleteMessage} is for the source
+         * @throws IOException if the bytes are malformed; {@link IncompleteMessage} is left to the source to
+         *     handle
          */
         T read(ByteSource in) throws IOException;
     }
@@ -30,28 +31,33 @@
     private static final byte[] NO_BUFFER = {};
     private static final byte[] LINE_END = {'\r', '\n'};
 
-    private final InputStream in; // null for one that is fed
+    private final InputStream in; // null in a fed source
     private byte[] buffer;
     private int position;
     private int limit;
-    // for one that is fed
+    // fed sources only
     private int messageStart;
-    private int messageMinBytes; // what the message being parsed has at least, as far as is known
+    private int messageMinBytes; // known lower bound of the current message's length
     private boolean isEnded;
 
-    /** Creates a blocking one. */
+    /** Creates a blocking source that reads from a stream. */
     public ByteSource(InputStream in) {
         this.in = in;
         buffer = new byte[BLOCKING_BUFFER_BYTES];
     }
 
-    /** Creates one to be fed; it has a buffer only while it has bytes. */
+    /** Creates a fed source, which holds a buffer only while it has unread bytes. */
     public ByteSource() {
         in = null;
         buffer = NO_BUFFER;
     }
 
-    /** Returns whether there is a byte to read, for which a blocking one waits; false at the stream's end. */
+    /**
+     * Returns whether there is a byte to read; false at the end of the input. A blocking source waits for the
+     * byte.
+     *
+     * @throws IOException if reading from the stream fails, or if a fed source has to wait for more bytes
+     */
     public boolean await() throws IOException {
         if (position == limit && in == null && !isEnded) {
             messageMinBytes = limit - messageStart + 1;
@@ -64,14 +70,14 @@
         return position < limit;
     }
 
-    // ---- being fed
+    // ---- feeding
 
-    /** Appends bytes that have arrived; not while a message is being parsed. */
+    /** Appends received bytes. Must not be called while a message is being parsed. */
     public void feed(ByteBuffer arrived) {
         int unread = limit - position;
         int size = unread + arrived.remaining();
         if (size > buffer.length) {
-            // as much as the message needs, which is bounded: so it is copied only once
+            // allocates the known length of the message, which is bounded, so that it is copied only once
             byte[] larger = new byte[Math.max(size, messageMinBytes)];
             System.arraycopy(buffer, position, larger, 0, unread);
             buffer = larger;
@@ -84,7 +90,10 @@
         limit = size;
     }
 
-    /** Takes up to so many bytes that have arrived, as an array of their own; only between two messages. */
+    /**
+     * Removes up to {@code maxBytes} buffered bytes and returns them in a new array. Must be called between
+     * two messages only.
+     */
     public byte[] take(long maxBytes) {
         int end = position + (int) Math.min(maxBytes, limit - position);
         byte[] taken = Arrays.copyOfRange(buffer, position, end);
@@ -94,25 +103,25 @@
         return taken;
     }
 
-    /** Notes that no more bytes will arrive. */
+    /** Marks the end of the input: no more bytes will be fed. */
     public void end() {
         isEnded = true;
     }
 
-    /** Returns how many bytes have arrived and were not read. */
+    /** Returns the number of buffered bytes that have not been read. */
     public int available() {
         return limit - position;
     }
 
-    /** Returns whether there may be a complete message now. */
+    /** Returns whether the buffered bytes may hold a complete message, so that parsing is worth a try. */
     public boolean worthReading() {
         return available() > 0 && (isEnded || available() >= messageMinBytes);
     }
 
     /**
-     * Parses the next message; returns null if it is not complete.
+     * Parses the next message; returns null if it is not complete yet.
      *
-     * @throws IOException what the parser throws
+     * @throws IOException if the parser fails
      */
     public <T> T message(Parser<T> parser) throws IOException {
         try {
@@ -143,17 +152,18 @@
     // ---- reading
 
     /**
-     * Reads a line without its end, LF or CRLF; returns null at the end of the stream.
+     * Reads a line that ends in LF or CRLF and returns it without the line end; returns null at the end of
+     * the stream.
      *
-     * @throws ProtocolException if it is longer than the maximum
-     * @throws EOFException if the stream ends inside it
+     * @throws ProtocolException if the line is longer than {@code maxBytes}
+     * @throws EOFException if the stream ends inside the line
      */
     public String line(int maxBytes) throws IOException {
         if (!await()) {
             return null;
         }
         int end = indexOfLineFeed();
-        if (end < limit && end - position <= maxBytes) { // nearly always, as lines are short
+        if (end < limit && end - position <= maxBytes) { // the usual case: the whole line is buffered
             return takeBufferedLine(end);
         }
         StringBuilder line = new StringBuilder();
@@ -168,13 +178,13 @@
             }
             position = limit;
             if (!await()) {
-                throw new EOFException("the stream ended inside a line");
+                throw new EOFException("end of stream inside a line, expected a line feed");
             }
             end = indexOfLineFeed();
         }
     }
 
-    /** Returns where the next line feed is in the buffer; its limit if there is none. */
+    /** Returns the index of the next line feed in the buffer; the limit if there is none. */
     private int indexOfLineFeed() {
         int end = position;
         while (end < limit && buffer[end] != '\n') {
@@ -202,16 +212,20 @@
         return line.toString();
     }
 
-    /** Reads a line as {@link #line} does, where there has to be one. */
+    /**
+     * Reads a line as {@link #line} does, but fails at the end of the stream.
+     *
+     * @throws ProtocolException if there is no line, or if it is longer than {@code maxBytes}
+     */
     String requiredLine(int maxBytes) throws IOException {
         String line = line(maxBytes);
         if (line == null) {
-            throw new ProtocolException("the stream ended");
+            throw new ProtocolException("end of stream, expected a line");
         }
         return line;
     }
 
-    /** Reads at least one byte and at most so many into an array; returns how many, -1 at the end. */
+    /** Reads from 1 to {@code maxBytes} bytes into an array; returns their number, or -1 at the end. */
     int read(byte[] into, int from, int maxBytes) throws IOException {
         if (!await()) {
             return -1;
@@ -222,12 +236,17 @@
         return count;
     }
 
-    /** Returns whether a byte can be read without waiting. */
+    /** Returns whether a byte can be read without blocking. */
     public boolean more() throws IOException {
         return position < limit || in != null && in.available() > 0;
     }
 
-    /** Goes on only if so many bytes have arrived, so that no memory is allocated for those that have not. */
+    /**
+     * Requires a fed source to have {@code count} buffered bytes, so that callers allocate no memory for
+     * bytes that have not arrived.
+     *
+     * @throws IncompleteMessage if bytes are missing and the input has not ended
+     */
     void awaitBytes(int count) throws IncompleteMessage {
         if (in == null && !isEnded && limit - position < count) {
             messageMinBytes = position - messageStart + count;
@@ -235,7 +254,7 @@
         }
     }
 
-    /** Reads exactly so many bytes. */
+    /** Reads exactly {@code count} bytes into a new array. */
     byte[] bytes(int count) throws IOException {
         awaitBytes(count);
         byte[] bytes = new byte[count];
@@ -244,9 +263,9 @@
     }
 
     /**
-     * Reads exactly so many bytes into an array.
+     * Reads exactly {@code count} bytes into an array.
      *
-     * @throws EOFException if the stream ends before
+     * @throws EOFException if the stream ends before that
      */
     public void bytes(byte[] into, int from, int count) throws IOException {
         awaitBytes(count);
@@ -254,7 +273,7 @@
         for (int next = from; next < end;) {
             int read = read(into, next, end - next);
             if (read < 0) {
-                throw new EOFException("the stream ended inside a value");
+                throw new EOFException("end of stream inside a value");
             }
             next += read;
         }
@@ -263,13 +282,13 @@
     /**
      * Reads the CRLF that follows a value.
      *
-     * @throws ProtocolException if there is something else
+     * @throws ProtocolException if other bytes follow
      */
     public void lineEnd() throws IOException {
         byte[] end = new byte[LINE_END.length];
         bytes(end, 0, end.length);
         if (!Arrays.equals(end, LINE_END)) {
-            throw new ProtocolException("no line end after a value");
+            throw new ProtocolException("expected CRLF after a value");
         }
     }
 }
--- a/proxy/src/main/java/spurroad/protocol/CommandLine.java
+++ b/proxy/src/main/java/spurroad/protocol/CommandLine.java
@@ -1,21 +1,21 @@
 package spurroad.protocol;
 
 /**
- * The line of a request: command, key, {@code v} or the value's length, and, in either order, the id after
- * the letter {@code O} and the attributes after the letter {@code P}.
+ * A request line. Its tokens are the command, the key, {@code v} or the length of the value, and, in either
+ * order, the request id with the prefix {@code O} and the attributes with the prefix {@code P}.
  *
- * <p>The line is scanned once for the positions of its tokens, and text is copied out of it only when it is
- * asked for: most requests of an overload are rejected, and reading them is most of their cost.
+ * <p>The line is scanned once for the positions of its tokens, and text is copied only on demand: under
+ * overload most requests are rejected, and parsing is most of the cost of a rejected request.
  */
 final class CommandLine {
-    /** Stands for the line of a command that is no request. */
+    /** The line of a command that is not a request. */
     static final CommandLine NONE = new CommandLine("");
 
     private static final int TOKENS = 5;
     private static final int KEY_INDEX = 1;
     private static final int THIRD_INDEX = 2;
-    private static final int MAX_KEY_BYTES = 250; // memcache's
-    private static final int MAX_ID_BYTES = 32; // memcache's
+    private static final int MAX_KEY_BYTES = 250; // the limit of the memcache protocol
+    private static final int MAX_ID_BYTES = 32; // the limit of the memcache protocol
     private static final char ID_FLAG = 'O';
     private static final char ATTRIBUTES_FLAG = 'P';
 
@@ -29,13 +29,13 @@
     private int idFrom;
     private int idTo;
     private Attributes attributes = Attributes.NONE;
-    private boolean isPrintable = true; // and has no two blanks in a row
+    private boolean isPrintable = true; // false also for two blanks in a row
 
     private CommandLine(String line) {
         this.line = line;
     }
 
-    /** Scans a line that has no blanks at its end. */
+    /** Scans a line without trailing blanks. */
     static CommandLine scan(String line) {
         CommandLine scanned = new CommandLine(line);
         int from = 0;
@@ -75,22 +75,25 @@
         return c > ' ' && c < 0x7f;
     }
 
-    /** Returns whether a text can be a token: not empty, and only visible ASCII characters. */
+    /** Returns whether a text can be a token: it is not empty and has only visible ASCII characters. */
     static boolean isToken(String text) {
         return !text.isEmpty() && text.chars().allMatch(c -> isVisible((char) c));
     }
 
-    /** Returns whether the key has an allowed length. */
+    /** Returns whether there is a key of an allowed length. */
     boolean hasKey() {
         return keyFrom < keyTo && keyTo - keyFrom <= MAX_KEY_BYTES;
     }
 
-    /** Returns whether there is an id, of an allowed length. */
+    /** Returns whether there is a request id of an allowed length. */
     boolean hasId() {
         return idFrom < idTo && idTo - idFrom <= MAX_ID_BYTES;
     }
 
-    /** Returns whether a node can parse it; a node closes the connection on a line that it can't parse. */
+    /**
+     * Returns whether a cache node can parse the line. A cache node closes the connection if it can't parse a
+     * line.
+     */
     boolean isWellFormed(boolean isWrite) {
         return tokenCount == TOKENS && isPrintable && (isWrite || isReadFlag()) && idIndex > THIRD_INDEX
             && hasAttributes() && attributes.isWellFormed();
@@ -112,12 +115,12 @@
         return line.substring(idFrom, idTo);
     }
 
-    /** Returns the attributes; none where the line has no list of them. */
+    /** Returns the attributes; {@link Attributes#NONE} if the line has no attribute list. */
     Attributes attributes() {
         return attributes;
     }
 
-    /** Returns the whole line with another value of one attribute, which it has. */
+    /** Returns the whole line with the value of one existing attribute replaced. */
     String withAttribute(String name, long value) {
         return attributes.replaceWithin(0, line.length(), name, value);
     }
--- a/proxy/src/main/java/spurroad/protocol/EndpointList.java
+++ b/proxy/src/main/java/spurroad/protocol/EndpointList.java
@@ -14,19 +14,25 @@
 import spurroad.model.ZoneId;
 
 /**
- * What discovery sends: its whole list of endpoints, or changes to it.
+ * A message of discovery: the complete endpoint list, or changes to it.
  *
- * @param isComplete whether it is the whole list
+ * @param isComplete whether the message is the complete list; otherwise it holds the changed endpoints only
  */
 public record EndpointList(long revision, boolean isComplete, List<ListedEndpoint> endpoints) {
-    /** An endpoint with the address at which this proxy connects to it. */
+    /** An endpoint and the address at which this proxy connects to it. */
     public record ListedEndpoint(Endpoint endpoint, InetSocketAddress address) {}
 
-    /** The names that the settings number, by their numbers, and whether capacities count as weights. */
+    /**
+     * The endpoint kinds and zones that the settings name.
+     *
+     * @param kinds the names of endpoint kinds; the index of a name is its number
+     * @param zones the names of zones; the index of a name is its number
+     * @param weighted whether listed capacities are used as weights
+     */
     public record EndpointNames(List<String> kinds, List<String> zones, boolean weighted) {
         private static final double DEFAULT_WEIGHT = 1;
 
-        /** Returns the weight of an endpoint of a listed capacity: finite and above zero. */
+        /** Returns the weight of an endpoint with a listed capacity; always finite and greater than zero. */
         public double weight(double capacity) {
             return weighted && capacity > 0 && capacity < Float.MAX_VALUE ? capacity : DEFAULT_WEIGHT;
         }
@@ -34,18 +40,18 @@
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int MAX_PORT = 65535;
-    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L; // FNV-1a of 64 bits
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L; // 64-bit FNV-1a
     private static final long FNV_PRIME = 0x100000001b3L;
     private static final String IPV4_BYTE = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])";
     private static final String IPV4 = "(" + IPV4_BYTE + "\\.){3}" + IPV4_BYTE;
-    // text of other characters would be looked up as a host name
+    // a text with other characters would be resolved as a host name
     private static final String IPV6 = "\\[[0-9a-fA-F:.]+\\]";
-    // names that the settings do not number get numbers from here on
+    // kinds and zones that the settings do not name get numbers from here on
     private static final int FIRST_HASHED_NUMBER = 1 << 16;
     private static final long HASHED_NUMBER_MASK = 0xffff;
 
     /**
-     * Converts a list from the JSON that discovery sends.
+     * Converts the parsed JSON of discovery to an endpoint list.
      *
      * @throws ProtocolException if a field is missing or of another type
      */
@@ -82,9 +88,9 @@
     }
 
     /**
-     * Parses an IP address and a port, without looking up names.
+     * Parses an IP address and a port, without resolving host names.
      *
-     * @throws ProtocolException if the text is anything else
+     * @throws ProtocolException if the text is not an IP address, a colon and a port
      */
     public static InetSocketAddress parseAddress(String text) throws ProtocolException {
         int separator = text.lastIndexOf(':');
@@ -100,13 +106,13 @@
         return address;
     }
 
-    /** Returns the number of a name; one of its hash where the settings do not have it. */
+    /** Returns the number of a name; a number derived from its hash if the settings do not name it. */
     private static int numberOf(String name, List<String> numbered) {
         int index = numbered.indexOf(name);
         return index >= 0 ? index : FIRST_HASHED_NUMBER + (int) (hash(name) & HASHED_NUMBER_MASK);
     }
 
-    /** Returns the FNV-1a hash of a text, which is the same in every proxy. */
+    /** Returns the 64-bit FNV-1a hash of the UTF-8 bytes of a text; the same in every proxy. */
     public static long hash(String text) {
         long hash = FNV_OFFSET_BASIS;
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
@@ -115,7 +121,9 @@
         return hash;
     }
 
-    /** Returns the cache key of a client's key, the same in every proxy; never {@link CacheKey#NONE}. */
+    /**
+     * Returns the cache key of a key sent by a client: the same in every proxy, never {@link CacheKey#NONE}.
+     */
     public static CacheKey cacheKey(String key) {
         long hash = hash(key);
         return new CacheKey(hash == 0 ? 1 : hash);
--- a/proxy/src/main/java/spurroad/protocol/Http.java
+++ b/proxy/src/main/java/spurroad/protocol/Http.java
@@ -11,15 +11,15 @@
 import spurroad.model.LoadReport;
 import spurroad.model.Outcome;
 
-/** Writes requests to the origin and discovery in HTTP/1.1, and reads their responses. */
+/** Encodes HTTP/1.1 requests to the origin and to discovery, and reads their responses. */
 public final class Http {
-    static final int MAX_LIST_BYTES = 4 * 1024 * 1024; // 1,024 nodes of long names, indented
-    static final int MAX_HEAD_LINE_BYTES = 8192; // the usual bound of servers
-    static final int MAX_HEADERS = 100; // the usual bound of servers
+    static final int MAX_LIST_BYTES = 4 * 1024 * 1024; // 1,024 endpoints with long names, indented
+    static final int MAX_HEAD_LINE_BYTES = 8192; // the usual limit of HTTP servers
+    static final int MAX_HEADERS = 100; // the usual limit of HTTP servers
 
     private static final String VERSION_PREFIX = "HTTP/1.";
     private static final int OK = 200;
-    private static final int FIRST_FINAL_STATUS = 200; // below it a response only announces another
+    private static final int FIRST_FINAL_STATUS = 200; // lower ones are informational
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
     private static final int SERVICE_UNAVAILABLE = 503;
@@ -27,15 +27,21 @@
     private static final String CONTENT_LENGTH = "content-length";
     private static final String TRANSFER_ENCODING = "transfer-encoding";
     private static final Set<String> LENGTH_HEADERS = Set.of(CONTENT_LENGTH, TRANSFER_ENCODING);
-    private static final String UNRESERVED = "-._~"; // in a path, besides letters and digits
+    private static final String UNRESERVED = "-._~"; // not escaped in paths, like letters and digits
 
-    /** The status and the headers of a response, by their names in lower case. */
+    /**
+     * The head of a response.
+     *
+     * @param headers the header values by lower-case header name
+     */
     public record Head(int status, Map<String, String> headers) {
         boolean isChunked() {
             return header(TRANSFER_ENCODING).toLowerCase(Locale.ROOT).contains("chunked");
         }
 
-        /** Returns whether the head states where the body ends; else it ends with the connection. */
+        /**
+         * Returns whether the head defines the end of the body; otherwise the body ends with the connection.
+         */
         boolean statesLength() {
             return isChunked() || headers.containsKey(CONTENT_LENGTH) || status == NO_CONTENT
                 || status == NOT_MODIFIED;
@@ -45,7 +51,10 @@
             return statesLength() && !header("connection").equalsIgnoreCase("close");
         }
 
-        /** Returns the stated length in bytes, or that of a default; -1 if it is no number. */
+        /**
+         * Returns the Content-Length in bytes, parsed from the header or else from a default text; -1 if that
+         * is not a number.
+         */
         long contentLength(String defaultText) {
             return NumberParser.parseWhole(headers.getOrDefault(CONTENT_LENGTH, defaultText));
         }
@@ -63,14 +72,14 @@
 
     // ---- requests
 
-    /** Returns a GET request. */
+    /** Returns a GET request without headers other than Host. */
     public static byte[] get(String target, String host) {
         return request("GET", target, host, Map.of(), 0, null);
     }
 
     /**
-     * Returns a command as a request to the origin, without a long value. The id and the attributes go on as
-     * they came, but for the time that the proxy will wait.
+     * Returns the request to the origin for a command, without a long value. The request id and the
+     * attributes are passed on unchanged, except for the timeout, which is the time that the proxy will wait.
      */
     public static byte[] forOrigin(MetaCommand command, long timeoutMillis, String host) {
         Map<String, String> headers = Map.of("X-Request-Id", command.id(), "X-Extras",
@@ -81,7 +90,13 @@
             : request("GET", target, host, headers, 0, null);
     }
 
-    /** Writes a request; a body of null is none, and one that is shorter than its length follows later. */
+    /**
+     * Encodes a request.
+     *
+     * @param contentLength the length of the body in bytes, which may follow later
+     * @param body the body; null if the request has none, shorter than {@code contentLength} if it follows
+     *     later
+     */
     private static byte[] request(String method, String target, String host, Map<String, String> headers,
                                   int contentLength, byte[] body) {
         StringBuilder head = new StringBuilder(method + " " + target + " HTTP/1.1\r\nHost: " + host + "\r\n");
@@ -107,12 +122,12 @@
         return path.toString();
     }
 
-    // ---- heads of responses
+    // ---- response heads
 
     /**
-     * Reads the head of a response, past those of informational ones.
+     * Reads the head of the final response and skips informational responses before it.
      *
-     * @throws ProtocolException if it is malformed, or its length is stated in two ways
+     * @throws ProtocolException if a head is malformed, or defines the body's length in two ways
      */
     public static Head head(ByteSource in) throws IOException {
         Head head = readHead(in);
@@ -165,7 +180,7 @@
     /**
      * Reads the origin's response to a command.
      *
-     * @throws ProtocolException if it is malformed
+     * @throws ProtocolException if the response is malformed
      */
     public static UpstreamReply read(ByteSource in, MetaCommand command) throws IOException {
         Head head = head(in);
@@ -185,7 +200,7 @@
             head.keepsAlive(), new UpstreamReply.StreamedBody(length, false));
     }
 
-    /** Reads the origin's response to a load probe, whose report is in a header. */
+    /** Reads the origin's response to a load probe; the load report is in a header. */
     public static UpstreamReply readProbe(ByteSource in) throws IOException {
         return read(in, null);
     }
@@ -209,15 +224,15 @@
             : MetaResponse.receipt(command.id(), new String(body, StandardCharsets.ISO_8859_1).strip());
     }
 
-    // ---- streams of discovery
+    // ---- discovery streams
 
-    /** Returns the body of a response that goes on, in which lines may go on over the chunks' bounds. */
+    /** Returns the body of a streaming response, without chunk boundaries, which may be inside lines. */
     public static ByteSource stream(ByteSource in, Head head) {
         return new ByteSource(new HttpBody.Stream(in, head.isChunked()));
     }
 
     /**
-     * Reads the next list, which is one JSON object and may have several lines, or an empty line; returns
+     * Reads the next endpoint list, which is one JSON object of one or more lines, or an empty line; returns
      * null at the end of the stream.
      */
     public static String listText(ByteSource stream) throws IOException {
--- a/proxy/src/main/java/spurroad/protocol/HttpBody.java
+++ b/proxy/src/main/java/spurroad/protocol/HttpBody.java
@@ -5,16 +5,16 @@
 import java.io.InputStream;
 import java.util.Arrays;
 
-/** Reads the bodies of HTTP responses: of a stated length, in chunks, or up to the connection's end. */
+/** Reads HTTP response bodies: of a declared length, chunked, or up to the end of the connection. */
 final class HttpBody {
-    private static final int MAX_UNSTATED_BYTES = MetaCommand.LONG_VALUE; // where no length is stated
+    private static final int MAX_UNSTATED_BYTES = MetaCommand.LONG_VALUE; // without a Content-Length
 
     private HttpBody() {}
 
     /**
-     * Reads a body that ends.
+     * Reads a whole body.
      *
-     * @throws ProtocolException if it is too long or its chunks are malformed
+     * @throws ProtocolException if the body is too long or its chunks are malformed
      */
     static byte[] readWhole(ByteSource in, Http.Head head) throws IOException {
         if (!head.statesLength()) {
@@ -66,20 +66,20 @@
     }
 
     private static ProtocolException impossibleLength() {
-        return new ProtocolException("a body of impossible length");
+        return new ProtocolException("HTTP body length malformed or over the maximum");
     }
 
-    /** Reads the line before a chunk; returns the chunk's length, zero for the last. */
+    /** Reads the line before a chunk; returns the chunk size in bytes, which is zero for the last chunk. */
     private static long readChunkSize(ByteSource in) throws IOException {
         String digits = in.requiredLine(Http.MAX_HEAD_LINE_BYTES).split(";", 2)[0].strip();
         long size = parseHexadecimal(digits);
         if (size < 0 || size > Http.MAX_LIST_BYTES) {
-            throw new ProtocolException("a chunk of impossible length");
+            throw new ProtocolException("HTTP chunk size malformed or over the maximum");
         }
         return size;
     }
 
-    /** Returns a number of hexadecimal digits; -1 for any other text. */
+    /** Parses a number that consists of hexadecimal digits only; returns -1 for any other text. */
     private static long parseHexadecimal(String digits) {
         try {
             long number = Long.parseLong(digits, 16);
@@ -90,7 +90,7 @@
         }
     }
 
-    /** A body that goes on until the connection or its last chunk ends, without its chunks' bounds. */
+    /** A streaming body, decoded from its chunks, that ends with the last chunk or with the connection. */
     static final class Stream extends InputStream {
         private final ByteSource in;
         private final boolean isChunked;
--- a/proxy/src/main/java/spurroad/protocol/IncompleteMessage.java
+++ b/proxy/src/main/java/spurroad/protocol/IncompleteMessage.java
@@ -2,16 +2,16 @@
 
 import java.io.IOException;
 
-/** Ends the parsing of a message that has not arrived completely; {@link ByteSource#message} handles it. */
+/** Thrown if a message has not arrived completely; {@link ByteSource#message} catches it. */
 final class IncompleteMessage extends IOException {
     static final IncompleteMessage INSTANCE = new IncompleteMessage();
     private static final long serialVersionUID = 1L;
 
     private IncompleteMessage() {
-        super("more is still to come");
+        super("message not yet complete");
     }
 
-    /** Leaves the stack trace out, as this is thrown often and is no error. */
+    /** Records no stack trace, as this exception is thrown often and does not signal an error. */
     @Override
     public synchronized Throwable fillInStackTrace() {
         return this;
--- a/proxy/src/main/java/spurroad/protocol/Json.java
+++ b/proxy/src/main/java/spurroad/protocol/Json.java
@@ -7,9 +7,9 @@
 
 /** Parses JSON into maps, lists, strings, doubles, booleans and null. */
 public final class Json {
-    private static final int MAX_DEPTH = 32; // what is read has a depth of five
+    private static final int MAX_DEPTH = 32; // the files and messages in use have five levels
     private static final int UNICODE_ESCAPE_DIGITS = 4;
-    private static final char END = 0; // stands for the character after the last
+    private static final char END = 0; // returned after the last character
 
     private final String text;
     private int position;
@@ -19,16 +19,16 @@
     }
 
     /**
-     * Returns the value that the whole text is.
+     * Parses a text that is one JSON value.
      *
-     * @throws ProtocolException with the position of the first character that is not JSON
+     * @throws ProtocolException if the text is not JSON; the message has the position of the first fault
      */
     public static Object read(String text) throws ProtocolException {
         Json parser = new Json(text);
         Object value = parser.parseValue(0);
         parser.skipWhitespace();
         if (parser.position < text.length()) {
-            throw parser.expected("an end");
+            throw parser.expected("the end of the text");
         }
         return value;
     }
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Skips a character if it is the next one that is no white space; returns whether it is. */
+    /** Skips whitespace, and then the given character if it is next; returns whether it is. */
     private boolean skipIf(char wanted) {
         skipWhitespace();
         boolean isNext = position < text.length() && text.charAt(position) == wanted;
@@ -63,7 +63,7 @@
 
     private Object parseValue(int depth) throws ProtocolException {
         if (depth > MAX_DEPTH) {
-            throw expected("less depth");
+            throw expected("fewer levels of nesting");
         }
         skipWhitespace();
         return switch (current()) {
@@ -145,7 +145,7 @@
                 return (char) Integer.parseInt(digits, 16);
             }
         }
-        throw expected("an escape");
+        throw expected("an escape sequence");
     }
 
     private Double parseNumber() throws ProtocolException {
--- a/proxy/src/main/java/spurroad/protocol/JsonObjectStream.java
+++ b/proxy/src/main/java/spurroad/protocol/JsonObjectStream.java
@@ -2,14 +2,16 @@
 
 import java.io.IOException;
 
-/** Splits a stream into the texts of its JSON objects, each of which begins on a line of its own. */
+/** Splits a stream into the texts of its JSON objects, each of which starts on a new line. */
 final class JsonObjectStream {
     private JsonObjectStream() {}
 
     /**
-     * Returns the text of the next object, or a line that opens none, such as an empty one; null at the end.
+     * Returns the text of the next object, or a line that opens no object, such as an empty line; null at the
+     * end of the stream.
      *
-     * @throws ProtocolException if the text is over the maximum, or the stream ends inside an object
+     * @throws ProtocolException if the text is longer than {@code maxBytes}, or the stream ends inside an
+     *     object
      */
     static String next(ByteSource stream, int maxBytes) throws IOException {
         String line = stream.line(maxBytes);
@@ -22,13 +24,15 @@
             line = stream.requiredLine(maxBytes);
             depth += depthChange(line);
             if (object.append('\n').append(line).length() > maxBytes) {
-                throw new ProtocolException("a list of impossible length");
+                throw new ProtocolException("JSON object longer than the maximum");
             }
         }
         return object.toString();
     }
 
-    /** Returns how many more objects a line opens than it closes; strings do not go on over a line's end. */
+    /**
+     * Returns the number of objects that a line opens, minus those that it closes; strings never span lines.
+     */
     private static int depthChange(String line) {
         int change = 0;
         boolean isInString = false;
--- a/proxy/src/main/java/spurroad/protocol/KeyValueList.java
+++ b/proxy/src/main/java/spurroad/protocol/KeyValueList.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 import spurroad.model.LoadReport;
 
-/** Parses lists of names and values, such as {@code inflight=7,queue=2}. */
+/** Parses comma-separated {@code name=value} pairs, such as {@code inflight=7,queue=2}. */
 public final class KeyValueList {
-    private static final double MAX_REPORTED_REQUESTS = 1e6; // no node has as many: such a report is wrong
+    private static final double MAX_REPORTED_REQUESTS = 1e6; // higher counts are read as unknown
 
     private KeyValueList() {}
 
-    /** Returns the pairs in their order, without blanks around them; what is no pair is left out. */
+    /** Returns the pairs in their order, without surrounding blanks; other entries are skipped. */
     public static Map<String, String> read(String text) {
         Map<String, String> pairs = new LinkedHashMap<>();
         for (String pair : text.split(",")) {
@@ -22,7 +22,7 @@
         return pairs;
     }
 
-    /** Returns a load report from its pairs, whose names are the protocol's or those of the settings. */
+    /** Returns the load report of name-value pairs; names are those of the protocol or of the settings. */
     public static LoadReport load(Map<String, String> report) {
         return new LoadReport(requestCount(report, "inflight", "rif"), requestCount(report, "queue", "q"));
     }
--- a/proxy/src/main/java/spurroad/protocol/MetaCommand.java
+++ b/proxy/src/main/java/spurroad/protocol/MetaCommand.java
@@ -4,36 +4,36 @@
 import java.util.List;
 
 /**
- * One command of a client: a read or a write of a key, a readiness check ({@code mn}), or an invalid command
- * with the line that it is answered with.
+ * A command of a client: a read or a write of a key, a readiness check ({@code mn}), or an invalid command
+ * with its error response.
  *
- * <p>Used by one thread at a time.
+ * <p>Not thread-safe.
  */
 public final class MetaCommand {
-    /** What a command asks for, or that it is invalid. */
+    /** The type of a command. */
     public enum Kind { READ, WRITE, READY, FAULT }
 
-    /** The length in bytes of the longest value that clients and nodes have. */
+    /** The maximum length in bytes of a value of clients and cache nodes. */
     public static final int MOST_VALUE = 4 * 1024 * 1024;
-    /** The length in bytes of the longest value that is read with its command; others come in pieces. */
+    /** The maximum length in bytes of a value that is read with its command; longer ones follow in chunks. */
     public static final int LONG_VALUE = 64 * 1024;
-    static final int MAX_LINE_BYTES = 2048; // several times a command with all its attributes
+    static final int MAX_LINE_BYTES = 2048; // several times the length of a command with all attributes
 
     private static final long MAX_TIMEOUT_MILLIS = 3_600_000;
-    private static final String TIMEOUT = "d"; // attributes, by their names on the wire
+    private static final String TIMEOUT = "d"; // attribute names on the wire
     private static final String COST_HINT = "h";
     private static final byte[] NO_VALUE = {};
     private static final MetaCommand READINESS_CHECK = new MetaCommand(Kind.READY, null, false,
         CommandLine.NONE, NO_VALUE, 0);
 
     public final Kind kind;
-    /** The answer to an invalid command, else null. */
+    /** The error response to an invalid command, without its line end; null for any other command. */
     public final String fault;
-    /** Whether the command after an invalid one can't be found in the stream. */
+    /** Whether the command is invalid and the start of the next command can't be found in the stream. */
     public final boolean lost;
-    /** The value of a write; empty where it is a long one. Not to be changed. */
+    /** The value of a write; empty for a long value. Must not be modified. */
     public final byte[] value;
-    private final int longValueBytes; // zero where the value is not a long one
+    private final int longValueBytes; // zero if there is no long value
     private final CommandLine line;
     private List<byte[]> pieces = List.of();
     private String id;
@@ -48,19 +48,23 @@
         this.longValueBytes = longValueBytes;
     }
 
-    /** An invalid command after which the next one can be read. */
+    /** Returns an invalid command after which the next command can be read. */
     private static MetaCommand invalid(String answer) {
         return new MetaCommand(Kind.FAULT, answer, false, CommandLine.NONE, NO_VALUE, 0);
     }
 
-    /** An invalid command that makes the rest of the connection unreadable. */
+    /** Returns an invalid command after which nothing more can be read from the connection. */
     private static MetaCommand unreadable(String answer) {
         return new MetaCommand(Kind.FAULT, answer, true, CommandLine.NONE, NO_VALUE, 0);
     }
 
     // ---- reading
 
-    /** Reads the next command; returns null at the end of the stream. A long value is not read with it. */
+    /**
+     * Reads the next command, without the value if that is a long one; returns null at the end of the stream.
+     *
+     * @throws IOException if reading fails, or the stream ends inside the command
+     */
     public static MetaCommand read(ByteSource in) throws IOException {
         String line;
         try {
@@ -107,7 +111,7 @@
         return request(Kind.WRITE, line, value, 0);
     }
 
-    /** Returns the third token as a number; -1 if it is none. */
+    /** Returns the value length in bytes, which is the third token; -1 if that is not a number. */
     private static long valueLength(String line) {
         int keyFrom = line.indexOf(' ') + 1;
         int lengthFrom = keyFrom == 0 ? 0 : line.indexOf(' ', keyFrom) + 1;
@@ -140,34 +144,34 @@
 
     // ---- the value
 
-    /** Returns the length of its value in bytes. */
+    /** Returns the length of the value in bytes; zero for a command without one. */
     public int length() {
         return Math.max(longValueBytes, value.length);
     }
 
-    /** Returns whether its value is a long one, which follows the command in pieces. */
+    /** Returns whether the value is a long one, which follows the command in chunks. */
     public boolean isLong() {
         return longValueBytes > 0;
     }
 
-    /** Sets its long value, once that has arrived completely. */
+    /** Sets the chunks of the long value when it has arrived completely. */
     public void pieces(List<byte[]> whole) {
         pieces = whole;
     }
 
-    /** Returns its long value; not to be changed. */
+    /** Returns the chunks of the long value; empty until it has arrived. They must not be modified. */
     public List<byte[]> pieces() {
         return pieces;
     }
 
     // ---- the line
 
-    /** Returns the key as the client wrote it. */
+    /** Returns the key as the client sent it; empty for a command that is not a request. */
     public String key() {
         return line.key();
     }
 
-    /** Returns the request's id; empty for a command that is no request. */
+    /** Returns the request id; empty for a command that is not a request. */
     public String id() {
         if (id == null) {
             id = line.id();
@@ -175,34 +179,34 @@
         return id;
     }
 
-    /** Returns whether it has an attribute. */
+    /** Returns whether the request has an attribute. */
     public boolean has(String name) {
         return line.attributes().has(name);
     }
 
-    /** Returns the value of an attribute; empty if it has none of that name. */
+    /** Returns the value of an attribute; empty if the request does not have it. */
     public String figure(String name) {
         return line.attributes().value(name);
     }
 
-    /** Returns the attributes as they came, but for the time that the proxy will wait. */
+    /** Returns the attribute list as received, with the timeout replaced by the time the proxy will wait. */
     public String extras(long timeoutMillis) {
         return line.attributes().with(TIMEOUT, timeoutMillis);
     }
 
-    /** Returns how long the client waits, in milliseconds; -1 for a command that is no request. */
+    /** Returns how long the client waits, in milliseconds; -1 for a command that is not a request. */
     public long timeoutMillis() {
         return line.attributes().wholeNumber(TIMEOUT);
     }
 
-    /** Returns the client's hint of what the request costs, in microseconds; zero without one. */
+    /** Returns the client's estimate of the request's cost in microseconds; zero if it sent none. */
     public long costHintMicros() {
         return Math.max(0, line.attributes().wholeNumber(COST_HINT));
     }
 
     /**
-     * Returns the message to a cache node: the command as it came, but for the time that the proxy will wait,
-     * with its value unless that is a long one.
+     * Returns the message to a cache node: the command as received, with the timeout replaced by the time the
+     * proxy will wait, and with its value unless that is a long one.
      */
     public byte[] forEndpoint(long timeoutMillis) {
         String forwarded = line.withAttribute(TIMEOUT, timeoutMillis);
--- a/proxy/src/main/java/spurroad/protocol/MetaResponse.java
+++ b/proxy/src/main/java/spurroad/protocol/MetaResponse.java
@@ -9,7 +9,7 @@
 import spurroad.model.LoadReport;
 import spurroad.model.Outcome;
 
-/** Reads the responses of cache nodes to meta commands, and writes those to clients. */
+/** Reads the responses of cache nodes to meta commands, and encodes the responses to clients. */
 public final class MetaResponse {
     private static final int MAX_STAT_LINES = 64; // a load report has four at most
     private static final String LINE_END = "\r\n";
@@ -22,12 +22,12 @@
 
     private MetaResponse() {}
 
-    // ---- of cache nodes
+    // ---- responses of cache nodes
 
     /**
-     * Reads a node's response to the request of an id.
+     * Reads a cache node's response to the request with an id.
      *
-     * @throws ProtocolException if it is malformed, or the response to another request
+     * @throws ProtocolException if the response is malformed, or carries the id of another request
      */
     public static UpstreamReply read(ByteSource in, String id) throws IOException {
         String line = in.requiredLine(MetaCommand.MAX_LINE_BYTES);
@@ -76,9 +76,9 @@
     }
 
     /**
-     * Reads a node's response to a load probe.
+     * Reads a cache node's response to a load probe.
      *
-     * @throws ProtocolException if the report does not end
+     * @throws ProtocolException if the report has more than the maximum number of lines
      */
     public static UpstreamReply readProbe(ByteSource in) throws IOException {
         Map<String, String> report = new LinkedHashMap<>();
@@ -96,7 +96,7 @@
         throw new ProtocolException("an endless report");
     }
 
-    /** Returns the tokens of a line; an empty one if there is none. */
+    /** Returns the tokens of a line; one empty token if the line is blank. */
     private static String[] tokens(String line) {
         String[] tokens = line.split(" ");
         return tokens.length == 0 ? new String[] {""} : tokens;
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Returns what follows the letter of a flag; empty if there is no such flag. */
+    /** Returns the text after the letter of a flag; empty if there is no such flag. */
     private static String flag(String[] tokens, char letter) {
         for (int i = 1; i < tokens.length; i++) {
             if (!tokens[i].isEmpty() && tokens[i].charAt(0) == letter) {
@@ -133,31 +133,31 @@
         };
     }
 
-    /** Returns the command that asks a node for its load. Not to be changed. */
+    /** Returns the command that requests the load report of a cache node. The array must not be modified. */
     public static byte[] probe() {
         return LOAD_PROBE;
     }
 
-    // ---- to clients
+    // ---- responses to clients
 
     /** Returns the response to a read. */
     public static byte[] value(byte[] value, String id) {
         return withValue(valueLine(value.length, id), value);
     }
 
-    /** Returns the line before a value, without its end. */
+    /** Returns the line before a value, without its line end. */
     static String valueLine(long length, String id) {
         return "VA " + length + " " + ID_FLAG + id;
     }
 
-    /** Returns a line, a value, and the line end after it. */
+    /** Returns a message of a line, a value, and the line end after the value. */
     static byte[] withValue(String line, byte[] value) {
         byte[] message = withUnsetValue(line, value.length);
         System.arraycopy(value, 0, message, valueFrom(message, value.length), value.length);
         return message;
     }
 
-    /** Returns the same message with a value that is still to be set. */
+    /** Returns the message of a line and a value, with zero bytes in place of the value. */
     private static byte[] withUnsetValue(String line, int valueBytes) {
         byte[] head = text(line);
         byte[] message = Arrays.copyOf(head, head.length + valueBytes + LINE_END.length());
@@ -173,7 +173,7 @@
     /**
      * Returns the response to a write.
      *
-     * @throws ProtocolException if the receipt can't be a token of a line
+     * @throws ProtocolException if the receipt is empty or has a character other than visible ASCII
      */
     public static byte[] receipt(String id, String receipt) throws ProtocolException {
         if (!CommandLine.isToken(receipt)) {
@@ -182,12 +182,16 @@
         return text("HD " + ID_FLAG + id + " " + RECEIPT_FLAG + receipt);
     }
 
-    /** Returns the response to a request that is rejected; a time of zero or less is left out. */
+    /**
+     * Returns the response to a rejected request.
+     *
+     * @param retryAfterMillis the delay after which the client may retry; not sent if zero or less
+     */
     public static byte[] rejected(long retryAfterMillis) {
         return text(retryAfterMillis > 0 ? "SERVER_ERROR busy " + retryAfterMillis : "SERVER_ERROR busy");
     }
 
-    /** Returns the response to a request that failed. */
+    /** Returns the response to a failed request. */
     public static byte[] failed() {
         return text("SERVER_ERROR failed");
     }
@@ -202,7 +206,7 @@
         return text("");
     }
 
-    /** Returns the bytes of a line with its end. */
+    /** Returns the ISO 8859-1 bytes of a line, with CRLF appended. */
     public static byte[] text(String line) {
         return (line + LINE_END).getBytes(StandardCharsets.ISO_8859_1);
     }
--- a/proxy/src/main/java/spurroad/protocol/NumberParser.java
+++ b/proxy/src/main/java/spurroad/protocol/NumberParser.java
@@ -1,17 +1,17 @@
 package spurroad.protocol;
 
-/** Parses numbers without exceptions. */
+/** Parses numbers and signals malformed ones by a return value, not by an exception. */
 final class NumberParser {
-    private static final int MAX_DIGITS = 15; // a double holds these exactly, and no format needs more
+    private static final int MAX_DIGITS = 15; // exact in a double; no message needs more
 
     private NumberParser() {}
 
-    /** Returns a number of decimal digits only; -1 for any other text, null, or over 15 digits. */
+    /** Parses a number of 1 to 15 decimal digits; returns -1 for any other text and for null. */
     static long parseWhole(String text) {
         return text == null ? -1 : parseWhole(text, 0, text.length());
     }
 
-    /** Parses a part of a text as {@link #parseWhole(String)} does. */
+    /** Parses a range of a text as {@link #parseWhole(String)} does. */
     static long parseWhole(String text, int from, int to) {
         if (from >= to || to - from > MAX_DIGITS) {
             return -1;
@@ -27,7 +27,7 @@
         return value;
     }
 
-    /** Returns a decimal number; NaN for any other text. */
+    /** Parses a decimal number; returns NaN for any other text. */
     static double parseDecimal(String text) {
         try {
             return Double.parseDouble(text);
--- a/proxy/src/main/java/spurroad/protocol/PeerUpdateCodec.java
+++ b/proxy/src/main/java/spurroad/protocol/PeerUpdateCodec.java
@@ -6,16 +6,16 @@
 import spurroad.model.PeerUpdate.Topic;
 
 /**
- * Encodes what proxies send one another. A message is big-endian: a topic (u8), a subject (8 bytes), a value
- * (f32); then, for topics with a queue, the service time in microseconds (u32) and the cached fraction of
- * keys (f32); then, for topics with a key, that key (8 bytes).
+ * Encodes and decodes the updates that proxies send to each other. A message is big-endian: a topic (u8), a
+ * subject (8 bytes) and a value (f32); then, for topics with a queue, the service time in microseconds (u32)
+ * and the cached fraction of keys (f32); then, for topics with a key, that key (8 bytes).
  */
 public final class PeerUpdateCodec {
     private static final int COMMON_BYTES = 1 + 8 + 4;
     private static final int QUEUE_BYTES = 4 + 4;
     private static final int KEY_BYTES = 8;
-    private static final double MAX_VALUE = 1e6; // of any count
-    private static final double WHOLE_CACHE = 1; // where no fraction is sent
+    private static final double MAX_VALUE = 1e6; // of counts and proxy numbers
+    private static final double WHOLE_CACHE = 1; // for topics without a cached fraction
     private static final long NANOS_PER_MICRO = 1_000L;
     private static final long MAX_U32 = 0xffffffffL;
     private static final Topic[] TOPICS = Topic.values();
@@ -34,7 +34,7 @@
         return COMMON_BYTES + (hasQueue(topic) ? QUEUE_BYTES : 0) + (hasKey(topic) ? KEY_BYTES : 0);
     }
 
-    /** Returns the bytes of an update. */
+    /** Encodes an update; a service time beyond the range of its field is sent as the largest possible. */
     public static byte[] write(PeerUpdate update) {
         Topic topic = update.topic();
         ByteBuffer message = ByteBuffer.allocate(length(topic));
@@ -50,27 +50,27 @@
     }
 
     /**
-     * Returns the update of a message.
+     * Decodes a message.
      *
-     * @throws ProtocolException if its topic is unknown, its length another than the topic's, or a value is
-     *     out of its range
+     * @throws ProtocolException if the topic is unknown, the length is not that of the topic, or a value is
+     *     out of range
      */
     public static PeerUpdate read(byte[] message) throws ProtocolException {
         ByteBuffer fields = ByteBuffer.wrap(message);
         int ordinal = message.length == 0 ? -1 : fields.get();
         if (ordinal < 0 || ordinal >= TOPICS.length) {
-            throw new ProtocolException("a message of an unknown topic");
+            throw new ProtocolException("peer update with an unknown topic");
         }
         Topic topic = TOPICS[ordinal];
         if (message.length != length(topic)) {
-            throw new ProtocolException("a message of a wrong length");
+            throw new ProtocolException("peer update with a length other than that of its topic");
         }
         long subject = fields.getLong();
         double value = fields.getFloat();
         long serviceTimeNanos = hasQueue(topic) ? (fields.getInt() & MAX_U32) * NANOS_PER_MICRO : 0;
         double cachedFraction = hasQueue(topic) ? fields.getFloat() : WHOLE_CACHE;
         if (!isPossibleValue(topic, value) || !isPossibleCachedFraction(topic, cachedFraction)) {
-            throw new ProtocolException("a message with an impossible value");
+            throw new ProtocolException("peer update with a value out of range");
         }
         CacheKey key = new CacheKey(hasKey(topic) ? fields.getLong() : 0);
         return new PeerUpdate(topic, subject, value, serviceTimeNanos, cachedFraction, key);
--- a/proxy/src/main/java/spurroad/protocol/UpstreamReply.java
+++ b/proxy/src/main/java/spurroad/protocol/UpstreamReply.java
@@ -5,18 +5,23 @@
 import spurroad.model.Outcome;
 
 /**
- * What a cache node or the origin replied to one attempt or load probe.
+ * The reply of a cache node or the origin to an attempt or a load probe.
  *
- * @param note whether the node had the value, where it says so
- * @param response the message for the client if the attempt succeeded, else null; if there is a streamed body
- *     the message is only what precedes that
+ * @param note whether the cache node had the value, if it says so
+ * @param response the message to the client if the attempt succeeded, else null; with a streamed body, only
+ *     the part of the message before that body
  * @param reusable whether the connection can carry another request
- * @param streamedBody the long value that follows the reply, else null
+ * @param streamedBody the long value that follows the reply; null if there is none
  */
 public record UpstreamReply(Outcome outcome, CacheStatus note, LoadReport load, byte[] response,
                             boolean reusable,
                             StreamedBody streamedBody) {
-    /** A value of so many bytes, and whether CRLF follows it on the wire. */
+    /**
+     * A long value that follows the reply and is not part of its response message.
+     *
+     * @param bytes the length of the value in bytes
+     * @param lineEnd whether CRLF follows the value on the wire
+     */
     public record StreamedBody(long bytes, boolean lineEnd) {}
 
     /** Creates a reply without a streamed body. */
@@ -25,7 +30,9 @@
         this(outcome, note, load, response, reusable, null);
     }
 
-    /** Returns the same reply with a connection that is not reusable, as more arrived than belongs to it. */
+    /**
+     * Returns this reply marked as not reusable, for a connection that sent more bytes than the reply has.
+     */
     public UpstreamReply last() {
         return new UpstreamReply(outcome, note, load, response, false, streamedBody);
     }
--- a/proxy/src/main/java/spurroad/protocol/package-info.java
+++ b/proxy/src/main/java/spurroad/protocol/package-info.java
@@ -1,14 +1,14 @@
 /**
- * The formats of all that the proxy reads and writes: memcache's meta commands with clients and cache nodes
- * ({@link spurroad.protocol.MetaCommand}, {@link spurroad.protocol.MetaResponse}), HTTP with the origin and
- * discovery ({@link spurroad.protocol.Http}, {@link spurroad.protocol.EndpointList}), and the datagrams
- * between proxies ({@link spurroad.protocol.PeerUpdateCodec}).
+ * The wire formats of the proxy: memcache meta commands with clients and cache nodes ({@link
+ * spurroad.protocol.MetaCommand}, {@link spurroad.protocol.MetaResponse}), HTTP with the origin and discovery
+ * ({@link spurroad.protocol.Http}, {@link spurroad.protocol.EndpointList}), and the datagrams between proxies
+ * ({@link spurroad.protocol.PeerUpdateCodec}).
  *
- * <p>Readers take their bytes from a {@link spurroad.protocol.ByteSource}, which may have only a part of a
- * message yet. All they read is bounded before memory is allocated for it. Bytes that break a format end in a
- * {@link spurroad.protocol.ProtocolException}; only what a client sends wrong becomes a command of its own
- * kind, as it is answered.
+ * <p>Readers take their bytes from a {@link spurroad.protocol.ByteSource}, which may have received only a
+ * part of a message. The length of each input is checked before memory is allocated for it. Malformed input
+ * causes a {@link spurroad.protocol.ProtocolException}; only a malformed command of a client is returned as a
+ * command of kind {@code FAULT}, as it gets a response.
  *
- * <p>Nothing here opens a socket or starts a thread. Objects are for one thread at a time.
+ * <p>Nothing here opens a socket or starts a thread. Objects are not thread-safe.
  */
 package spurroad.protocol;
--- a/proxy/src/test/java/spurroad/admin/AdminCallsGoldenTest.java
+++ b/proxy/src/test/java/spurroad/admin/AdminCallsGoldenTest.java
@@ -18,11 +18,11 @@
 import spurroad.admin.StatsdExport.MetricType;
 
 /**
- * The responses of the admin server, byte for byte: to every request that it knows, before and while the
- * proxy serves, for known and unknown cache nodes, and to malformed requests.
+ * Compares the responses of the admin server with a golden file: to every supported request, before and while
+ * the proxy serves, for known and unknown cache nodes, and to malformed requests.
  *
- * <p>{@code golden/admin/calls.txt} holds one answer after another, each below a line {@code ### CASE}; a
- * carriage return is written as {@code \r}. Where an answer differs, the answers of this run lie in
+ * <p>{@code golden/admin/calls.txt} contains the responses, each after a line {@code ### CASE}; a carriage
+ * return is written as {@code \r}. The responses of the current run are written to
  * {@code target/admin-calls.txt}.
  */
 public class AdminCallsGoldenTest {
@@ -30,9 +30,9 @@
     private static final Path ANSWERS = Path.of("target/admin-calls.txt");
     private static final String HEADING = "### ";
 
-    /** What the proxy behind the admin server says. */
+    /** The state of the proxy behind the admin server. */
     private enum Proxy {
-        /** Nothing yet: the process has only begun. */
+        /** The process has just started and set no routes. */
         NOT_THERE {
             @Override
             void answers(AdminServer server) {}
@@ -55,7 +55,7 @@
                 server.setRoutes(routes(true, onResult -> onResult.accept(false)));
             }
         },
-        /** Another process does not confirm in time. */
+        /** Another process does not confirm a drain in time. */
         SILENT {
             @Override
             void answers(AdminServer server) {
@@ -73,11 +73,11 @@
             (id, drained, onApplied, onResult) -> drain.accept(onResult));
     }
 
-    /** A request to the admin server of a proxy in a known state. */
+    /** A request to the admin server of a proxy in a given state. */
     private record Exchange(String name, Proxy proxy, String request) {
         @Override
         public String toString() {
-            return name; // in reports
+            return name; // shown in test reports
         }
 
         private String answer() throws IOException {
@@ -175,7 +175,7 @@
         assertEquals(exchange.answer(), answer);
     }
 
-    /** Also writes the responses of this run. */
+    /** Also writes the responses of this run to a file. */
     @Test
     public void theGoldenFileHoldsTheseCasesAndNoOthers() throws Exception {
         StringBuilder all = new StringBuilder();
--- a/proxy/src/test/java/spurroad/admin/AdminServerTest.java
+++ b/proxy/src/test/java/spurroad/admin/AdminServerTest.java
@@ -17,7 +17,7 @@
 import spurroad.transport.EventLog;
 import spurroad.transport.Threads;
 
-/** The admin server, also with callers that send nothing, half a request or nonsense. */
+/** The admin server, including callers that send nothing, an incomplete request or malformed bytes. */
 public class AdminServerTest {
     private static final int READ_TIMEOUT_MILLIS = 5_000;
 
@@ -34,7 +34,7 @@
         return s;
     }
 
-    /** Sends some bytes and returns all that is sent back. */
+    /** Sends a text and returns the whole response. */
     public static String call(int port, String text) throws IOException {
         try (Socket s = connect(port)) {
             s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -98,7 +98,7 @@
         }
     }
 
-    /** A "no" says what holds, where this process has applied a call that others have not confirmed. */
+    /** If this process has applied a drain that others have not confirmed, the rejection says so. */
     @Test
     public void saysWhatHoldsWhereADrainIsAppliedAndNotConfirmed() throws Exception {
         try (AdminServer server = server()) {
@@ -137,9 +137,9 @@
             }
             long since = System.nanoTime();
             assertEquals(status(call(server.port(), "GET", "/stats")), 200);
-            assertTrue(System.nanoTime() - since < 1_000_000_000L, "answered late");
+            assertTrue(System.nanoTime() - since < 1_000_000_000L, "response took too long");
             for (Socket s : silent) {
-                assertEquals(s.getInputStream().read(), -1, "closed in the end");
+                assertEquals(s.getInputStream().read(), -1, "connection is closed");
                 s.close();
             }
         }
--- a/proxy/src/test/java/spurroad/configuration/DeployFileFormTest.java
+++ b/proxy/src/test/java/spurroad/configuration/DeployFileFormTest.java
@@ -17,7 +17,7 @@
 import java.util.regex.Pattern;
 import org.testng.annotations.Test;
 
-/** The platform's deploy file: its keys, the form of their values, and that what it names is there. */
+/** The deploy file has the expected keys, well-formed values, and names only existing files. */
 public class DeployFileFormTest {
     private static final Path ROOT = root();
     private static final Path FILE = ROOT.resolve("deploy/balancer.toml");
@@ -25,7 +25,7 @@
     private static final Pattern LIST_LINE = Pattern.compile(" {4}\"[^\"]+\",");
     private static final Pattern QUOTED = Pattern.compile("\"([^\"]*)\"");
 
-    /** The folder that holds the deploy file, at or above the one that tests are run in. */
+    /** Returns the directory that holds the deploy file: the working directory or the nearest parent. */
     private static Path root() {
         Path folder = Path.of("").toAbsolutePath();
         while (!Files.exists(folder.resolve("deploy/balancer.toml"))) {
@@ -43,7 +43,7 @@
                 continue;
             }
             Matcher entry = ENTRY.matcher(line);
-            assertTrue(entry.matches(), "no entry: " + line);
+            assertTrue(entry.matches(), "not an entry: " + line);
             String value = entry.group(2).equals("[") ? "[" + restOfList(lines) : entry.group(2);
             entries.put(entry.group(1), value);
         }
@@ -51,8 +51,7 @@
     }
 
     /**
-     * Reads a list of several lines up to its closing bracket: one quoted text and a comma in each line,
-     * nothing else.
+     * Reads a multi-line list up to its closing bracket; each line must have one quoted text and a comma.
      */
     private static String restOfList(Iterator<String> lines) {
         StringBuilder list = new StringBuilder();
@@ -61,7 +60,7 @@
             if (line.equals("]")) {
                 return list + "]";
             }
-            assertTrue(LIST_LINE.matcher(line).matches(), "no line of a list: " + line);
+            assertTrue(LIST_LINE.matcher(line).matches(), "not a line of a list: " + line);
             list.append(line.strip());
         }
         throw new AssertionError("a list has no end: " + list);
@@ -69,7 +68,7 @@
 
     private static List<String> listed(String key) throws IOException {
         String value = entries().get(key);
-        assertTrue(value.matches("\\[.*\\]"), key + " is no list: " + value);
+        assertTrue(value.matches("\\[.*\\]"), key + " is not a list: " + value);
         List<String> listed = new ArrayList<>();
         Matcher quoted = QUOTED.matcher(value);
         while (quoted.find()) {
@@ -98,7 +97,7 @@
         folders.forEach(folder -> assertTrue(Files.exists(ROOT.resolve(folder)), folder));
     }
 
-    /** Each command is one text, so that the platform's shell gets all of it. */
+    /** Each command must be one text, so that the shell gets the whole command. */
     @Test
     public void commandsAreTexts() throws IOException {
         for (String key : List.of("build", "run", "sim")) {
--- a/proxy/src/test/java/spurroad/configuration/EditableJson.java
+++ b/proxy/src/test/java/spurroad/configuration/EditableJson.java
@@ -9,12 +9,12 @@
 import spurroad.protocol.ProtocolException;
 
 /**
- * A JSON text whose values can be set and taken out by their paths, such as {@code settings.tracks.0.name}.
+ * A JSON document whose values can be set and removed by paths such as {@code settings.tracks.0.name}.
  */
 final class EditableJson {
     private final Object whole;
 
-    /** Of a text in which strings may stand in single quotes. */
+    /** Parses a text in which single quotes may be used for double quotes. */
     EditableJson(String text) {
         whole = editable(parsed(text));
     }
@@ -38,7 +38,7 @@
             : value;
     }
 
-    /** Puts a value, written as JSON, at a path; objects on the way are made where they are missing. */
+    /** Sets the value at a path to a JSON text; missing objects along the path are created. */
     EditableJson with(String path, String json) {
         String[] names = path.split("\\.");
         Object parent = parentOf(names);
@@ -58,7 +58,7 @@
         return this;
     }
 
-    /** Takes out what stands at a path. */
+    /** Removes the value at a path. */
     EditableJson without(String path) {
         String[] names = path.split("\\.");
         Object parent = parentOf(names);
@@ -90,7 +90,7 @@
         return (List<Object>) value;
     }
 
-    /** The JSON text. */
+    /** Returns the JSON text. */
     String text() {
         return text(whole);
     }
@@ -110,8 +110,8 @@
     }
 
     /**
-     * The object at a path as the simulator sends settings: a line for each plain value and each list of
-     * them, and the count of each list of objects.
+     * Returns the object at a path in the simulator's format for settings: one line for each plain value and
+     * each list of plain values, and one for the length of each list of objects.
      */
     String lines(String path) {
         StringBuilder lines = new StringBuilder();
--- a/proxy/src/test/java/spurroad/configuration/ProxyConfigurationTest.java
+++ b/proxy/src/test/java/spurroad/configuration/ProxyConfigurationTest.java
@@ -15,7 +15,7 @@
 import spurroad.model.Fleet;
 import spurroad.model.ZoneId;
 
-/** What a configuration sets, and that its faults name their keys. */
+/** Values of a configuration, and error messages that name the faulty key. */
 public class ProxyConfigurationTest {
     private static final String GOOD = ScriptedPeers.start(8500, 1024,
         ScriptedPeers.list(41, true, ScriptedPeers.target("s", "m1", 1, "active", 0)));
@@ -53,12 +53,12 @@
         assertTrue(all < 1024, "the virtual machine has descriptors of its own");
         assertTrue(new ProxyConfiguration(GOOD.replace(":1024", ":512")).connectionPermits < all - 500);
         assertTrue(new ProxyConfiguration(GOOD.replace(":192", ":96")).connectionPermits < all / 2,
-            "threads count as memory");
+            "the virtual machine takes a fixed part of the memory");
         assertEquals(
             new ProxyConfiguration(GOOD.replaceFirst("\"limits\":\\{[^}]*\\},", "")).connectionPermits, all);
     }
 
-    /** Descriptors that were open before it, and a limit of the system below the configured one. */
+    /** Inherited descriptors and a system limit below the configured one reduce the permits. */
     @Test
     public void connectionPermitsFitIntoTheLimitsOfTheProcess() {
         int all = new ProxyConfiguration(GOOD).connectionPermits;
@@ -128,7 +128,7 @@
             .replace("\"allowed\":{", "\"allowed\":{\"peers\":true,");
     }
 
-    /** The file of a proxy that may gossip: its fault, the key and what the line says. */
+    /** The file of a proxy with gossip allowed, the faulty key, and a part of the error message. */
     @DataProvider
     Object[][] gossipFaults() {
         String two = "\"proxies\":[\"127.0.0.1:7001\",\"127.0.0.1:7002\"],";
@@ -153,7 +153,7 @@
         assertTrue(line.contains(key) && line.contains(what), line);
     }
 
-    /** By default no socket is opened; requests across zones that cost much make the own zone count. */
+    /** By default gossip is disabled; the own zone is used only if requests across zones are costly. */
     @Test
     public void theFleetIsReadWhereItIsGivenAndStandaloneOtherwise() {
         assertEquals(new ProxyConfiguration(GOOD).settings.deployment.fleet(), Fleet.STANDALONE);
@@ -163,7 +163,7 @@
         assertEquals(configuration.settings.deployment.fleet(), new Fleet(new ZoneId(0), 1, 2, true));
         assertEquals(configuration.peerAddresses.get(1).getPort(), 7002);
         assertTrue(configuration.connectionPermits < new ProxyConfiguration(GOOD).connectionPermits,
-            "its socket holds descriptors");
+            "the gossip socket takes descriptors");
     }
 
     @Test
@@ -176,7 +176,7 @@
             8);
         assertTrue(
             new ProxyConfiguration(file).connectionPermits < new ProxyConfiguration(GOOD).connectionPermits,
-            "its callers hold descriptors");
+            "admin connections take descriptors");
         assertTrue(expectThrows(InvalidSettingException.class,
             () -> new ProxyConfiguration(GOOD, Map.of("BALANCER_LISTEN_FD", "3")))
             .getMessage().contains("BALANCER_LISTEN_FD"));
--- a/proxy/src/test/java/spurroad/configuration/SettingFaultsFormTest.java
+++ b/proxy/src/test/java/spurroad/configuration/SettingFaultsFormTest.java
@@ -12,12 +12,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The line that operators see for each kind of fault of each key, to the letter. */
+/** The exact error message for each kind of fault of each key. */
 public class SettingFaultsFormTest {
     private static final String GONE = "gone";
     private static final int COLUMNS = 3;
 
-    /** A configuration with every key, to which the tables' changes are made. */
+    /** A configuration with every key, to which the changes of the tables are applied. */
     private static final String FULL = "{'name':'n1','listen':'127.0.0.1:11211',"
         + "'discovery':'127.0.0.1:8500','admin_addr':'127.0.0.1:11280','seed':'7f',"
         + "'limits':{'cores':1,'memory_mb':192,'sockets':1024},"
@@ -36,7 +36,7 @@
         + "{'name':'put','effect':'dedup','dedupScope':'all','dedupWindowUs':2500000,'sloTimeUs':1200000,"
         + "'statementTimeoutUs':2000000,'importance':2,'tardyImportance':0.25,'aimStretch':1}]}}";
 
-    /** The rows of a resource: key, JSON value or that it is gone, and the line. */
+    /** Reads the rows of a resource: key, JSON value or {@code gone} for a removed key, and error message. */
     private static Object[][] table(String name) {
         try (InputStream in = SettingFaultsFormTest.class.getResourceAsStream("/golden/forms/" + name)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines()
@@ -57,7 +57,7 @@
             .getMessage();
     }
 
-    // ---- at a start
+    // ---- at startup
 
     @DataProvider
     Object[][] startFaults() {
@@ -132,7 +132,7 @@
         return table("setting-reload-accepted.txt");
     }
 
-    /** What may change at a reload, and which of it is named as needing a restart. */
+    /** Changes that a reload accepts, and the keys among them that are reported as needing a restart. */
     @Test(dataProvider = "acceptedAtAReload")
     public void aChangeThatNeedsARestartIsNamed(String key, String json, String named) {
         ProxyConfiguration inForce = new ProxyConfiguration(new EditableJson(FULL).text());
--- a/proxy/src/test/java/spurroad/configuration/SettingsFormTest.java
+++ b/proxy/src/test/java/spurroad/configuration/SettingsFormTest.java
@@ -18,18 +18,18 @@
 import spurroad.model.RequestClass;
 import spurroad.model.ZoneId;
 
-/** Every key of the configuration: what it sets, in which unit, and what holds where it is not there. */
+/** Every key of the configuration: the field that it sets, its unit and its default. */
 public class SettingsFormTest {
     private static final String MISSING = null;
 
-    /** What has to be there, and nothing else. */
+    /** A configuration with the required keys only. */
     static final String LEAST = "{'name':'n1','listen':'127.0.0.1:11211','discovery':'127.0.0.1:8500',"
         + "'seed':'7f','known':{'targets':[]},"
         + "'settings':{'tracks':[{'name':'read','effect':'retryable','sloTimeUs':8000000}]}}";
 
-    // ---- the keys beside the settings
+    // ---- keys outside the settings
 
-    /** A key, its value, the field, and what the field holds then. */
+    /** A key, its value, the field and the expected value of the field. */
     @DataProvider
     Object[][] keys() {
         return new Object[][] {row("name", "'n2'", s -> s.name, "n2"),
@@ -94,7 +94,7 @@
         assertEquals(all.restartDirectory, Path.of("/there/spurroad-n1"));
     }
 
-    /** A proxy that opens its own socket shares nothing with another process. */
+    /** A proxy that opens its own socket shares no directory with other processes. */
     @Test
     public void processesShareADirectoryOnlyOnAnInheritedSocket() {
         assertNull(new ProxyConfiguration(new EditableJson(LEAST).text(),
@@ -103,9 +103,9 @@
             Map.of("BALANCER_LISTEN_FD", "0")).restartDirectory);
     }
 
-    // ---- the settings, in a file and on the simulator's wire
+    // ---- settings, from a file and from the simulator
 
-    /** A key of the settings, its value, the field, and what the field holds then. */
+    /** A key of the settings, its value, the field and the expected value of the field. */
     @DataProvider
     Object[][] generalSettings() {
         String two = "['m1','m2']";
@@ -137,7 +137,7 @@
             setting("projects", project, s -> s.tenantNames, List.of("acme", "b"))};
     }
 
-    /** The same of what decisions go by. */
+    /** The same for the fields of {@link Deployment}. */
     @DataProvider
     Object[][] deploymentSettings() {
         String project = "[{'name':'acme','allowancePerS':300},{'name':'b','allowancePerS':1.5}]";
@@ -176,7 +176,7 @@
             deployment("allowed.idleCloseUs", "2500", Deployment::idleTimeoutNanos, 2_500_000L)};
     }
 
-    /** The same of a class, called a track in the settings. */
+    /** The same for the fields of a request class, called a track in the settings. */
     @DataProvider
     Object[][] classSettings() {
         return new Object[][] {track("effect", "'retryable'", RequestClass::effect, Effect.IDEMPOTENT),
@@ -241,10 +241,10 @@
         }
         assertEquals(field.apply(new ProxyConfiguration(file.text()).settings), value, key + " in a file");
         assertEquals(field.apply(DeploymentSettings.fromLines(file.lines("settings"))), value,
-            key + " on the wire");
+            key + " from the simulator");
     }
 
-    /** The place of a proxy among the others; zones count only where crossing them costs 0.05 or more. */
+    /** Settings and the resulting fleet; the zone is used only if requests across zones cost 0.05 or more. */
     @DataProvider
     Object[][] places() {
         String both = "'failureDomains':['a','b'],";
@@ -273,7 +273,7 @@
         assertEquals(DeploymentSettings.fromLines(lines).deployment.fleet(), new Fleet(null, 0, 1, true));
     }
 
-    /** Each proxy may let through its part of what a tenant is allowed. */
+    /** Each proxy admits an equal share of a tenant's allowance. */
     @Test
     public void theAllowanceOfATenantIsSharedByTheProxies() {
         String text = new EditableJson(LEAST).with("settings.balancers", "4")
@@ -281,7 +281,7 @@
         assertEquals(new ProxyConfiguration(text).settings.deployment.tenantQuotasPerSecond(), List.of(75.0));
     }
 
-    /** The longest of all classes counts. */
+    /** The longest statement timeout of all request classes is used. */
     @Test
     public void theLongestStatementTimeoutCounts() {
         String text = new EditableJson(LEAST)
--- a/proxy/src/test/java/spurroad/protocol/ArbitraryBytesTest.java
+++ b/proxy/src/test/java/spurroad/protocol/ArbitraryBytesTest.java
@@ -13,15 +13,15 @@
 import org.testng.annotations.Test;
 
 /**
- * Parsers between peers and the proxy, given anything: what a peer sends is a message, not whole yet, or an
- * {@link IOException}. Any other exception would leave a request without its end.
+ * Feeds randomly mutated bytes to the parsers of all peers. Parsing must return a message, wait for more
+ * bytes, or throw an {@link IOException}. With any other exception a request would never be completed.
  */
 public class ArbitraryBytesTest {
     private static final int PLAYS = 20_000;
     private static final int MOST_CHANGES = 4;
     private static final long SEED = 41;
 
-    /** Something that is read from a peer. */
+    /** Parses a message of a peer. */
     private interface Parser {
         Object read(ByteSource in) throws IOException;
     }
@@ -47,19 +47,19 @@
             + "\"pod_group\":3,\"state\":\"active\",\"capacity_hint\":1.0,\"boot_ms\":0}";
         EndpointList.EndpointNames names = new EndpointList.EndpointNames(List.of("m1"), List.of("a"), true);
         return new Object[][] {
-            {"a client's command", (Parser) MetaCommand::read,
+            {"client command", (Parser) MetaCommand::read,
                 new String[] {"mg k v Oab Pc=read,t=acme,d=900,h=7\r\n", "mn\r\n",
                     "ms k 3 Oab Pc=put,t=acme,d=900,k=7\r\nabc\r\n"}},
-            {"a node's answer", (Parser) in -> MetaResponse.read(in, "ab"),
+            {"cache node response", (Parser) in -> MetaResponse.read(in, "ab"),
                 new String[] {"VA 3 Oab h1 Linflight=7,queue=2,util=0.61\r\nabc\r\n", "HD Oab c77\r\n",
                     "EN Oab h0 Z\r\n", "SERVER_ERROR busy\r\n", " \r\n", "   \r\n", "VA\r\n", "HD\r\n"}},
-            {"a node's report", (Parser) MetaResponse::readProbe,
+            {"cache node load report", (Parser) MetaResponse::readProbe,
                 new String[] {"STAT inflight 7\r\nSTAT queue 2\r\nEND\r\n", " \r\n", "\r\n", "STAT\r\n"}},
-            {"the origin's answer to a read", (Parser) in -> Http.read(in, READ), new String[] {ok, chunks}},
-            {"the origin's answer to a write", (Parser) in -> Http.read(in, WRITE),
+            {"origin response to a read", (Parser) in -> Http.read(in, READ), new String[] {ok, chunks}},
+            {"origin response to a write", (Parser) in -> Http.read(in, WRITE),
                 new String[] {ok, chunks}},
-            {"the origin's report", (Parser) Http::readProbe, new String[] {ok, chunks}},
-            {"discovery's list", (Parser) in -> {
+            {"origin load report", (Parser) Http::readProbe, new String[] {ok, chunks}},
+            {"endpoint list of discovery", (Parser) in -> {
                 String text = Http.listText(in);
                 return text == null || text.isBlank() ? "" : EndpointList.read(Json.read(text), names);
             }, new String[] {"{\"rev\":43,\"all\":false,\"targets\":[" + entry + "]}\n",
@@ -76,7 +76,7 @@
             try {
                 readInPieces(parser, changed, random);
             } catch (IOException e) {
-                continue; // its sender's fault, told to whoever asked
+                continue; // reported as a malformed message
             } catch (RuntimeException e) {
                 failures.add(e + " for " + new String(changed, StandardCharsets.ISO_8859_1));
             }
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Some bytes of it turned, taken out, doubled or cut off. */
+    /** Returns a copy with bytes randomly replaced, removed or cut off. */
     private static byte[] changed(byte[] bytes, Random random) {
         byte[] changed = bytes.clone();
         for (int n = 1 + random.nextInt(MOST_CHANGES); n > 0 && changed.length > 1; n--) {
--- a/proxy/src/test/java/spurroad/protocol/EndpointListFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/EndpointListFormTest.java
@@ -17,7 +17,7 @@
 import spurroad.model.EndpointPhase;
 import spurroad.model.ZoneId;
 
-/** Discovery's list, complete and as changes, and the text of what is wrong with one, as operators see it. */
+/** Reading of complete endpoint lists and changes, and the error messages for malformed ones. */
 public class EndpointListFormTest {
     private static final EndpointList.EndpointNames WEIGHTED = new EndpointList.EndpointNames(
         List.of("m1", "origin"),
@@ -63,7 +63,7 @@
         assertSame(changes.endpoints().get(1).endpoint().phase(), EndpointPhase.DRAINING);
     }
 
-    /** A list without revision or kind is of changes and counts as revision 0. */
+    /** A list without a revision has revision 0; one without {@code all} holds changes. */
     @Test
     public void fieldsOfTheListMayBeMissing() throws ProtocolException {
         EndpointList list = read("{'targets':[]}", WEIGHTED);
@@ -95,7 +95,7 @@
         assertSame(only(ENTRY.replace("active", state), WEIGHTED).endpoint().phase(), phase);
     }
 
-    /** The listed size, as it counts where sizes do. */
+    /** The listed capacity and the weight if capacities are used as weights. */
     @DataProvider
     Object[][] weights() {
         return new Object[][] {{"2.5", 2.5}, {"0", 1.0}, {"-1", 1.0}, {"1e39", 1.0}, {"null", 1.0}};
@@ -113,7 +113,7 @@
         assertEquals(only(ENTRY.replace("1700000000123", "-5"), WEIGHTED).endpoint().startedAtNanos(), 0);
     }
 
-    /** Names that the settings don't hold get numbers from 65,536 on, the same at every proxy. */
+    /** Names that are not in the settings get numbers from 65,536 on, the same in every proxy. */
     @Test
     public void otherNamesHaveNumbersOfTheirOwn() throws ProtocolException {
         Endpoint entry = only(ENTRY.replace("'origin'", "'m9'").replace("'b'", "'z'"), WEIGHTED).endpoint();
--- a/proxy/src/test/java/spurroad/protocol/EndpointListTest.java
+++ b/proxy/src/test/java/spurroad/protocol/EndpointListTest.java
@@ -11,7 +11,7 @@
 import spurroad.fixture.ScriptedPeers;
 import spurroad.model.EndpointPhase;
 
-/** Lists of discovery and what is none. */
+/** Reading and rejection of endpoint lists in the format of the scripted discovery server. */
 public class EndpointListTest {
     @Test
     public void anEndpointHasTheSameIdAtAnyAddress() throws IOException {
@@ -38,7 +38,7 @@
             two.endpoints().get(0).endpoint().phase()),
             List.of(EndpointPhase.READY, EndpointPhase.DRAINING, EndpointPhase.REMOVED));
         assertTrue(one.endpoints().get(1).endpoint().kind().value() > 1,
-            "a kind that the settings do not number");
+            "a kind that is not in the settings");
     }
 
     @DataProvider
--- a/proxy/src/test/java/spurroad/protocol/HttpFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/HttpFormTest.java
@@ -18,7 +18,7 @@
 import spurroad.model.LoadReport;
 import spurroad.model.Outcome;
 
-/** HTTP to the origin and to discovery: requests as they are written, answers as they are read. */
+/** Encoding of HTTP requests to the origin and discovery, and reading of their responses. */
 public class HttpFormTest {
     private static final String HOST = "127.0.0.1:8080";
     private static final String READ = "mg k%y/\u007e-._v\u0021 v O9b1f Pc=read,d=480,t=acme\r\n";
@@ -42,7 +42,9 @@
             "GET /catalog/members?follow=1&since=41 HTTP/1.1\r\nHost: 127.0.0.1:8080\r\n\r\n");
     }
 
-    /** A command, the request's first line, its list, the length if any, and the body. */
+    /**
+     * A command, then the request line, the attribute list, the length if any, and the body for the origin.
+     */
     @DataProvider
     Object[][] originRequests() {
         return new Object[][] {
@@ -53,7 +55,7 @@
             {LONG_WRITE, "PUT /7f3a HTTP/1.1", "c=put,d=123,k=5c0f", "65537", ""}};
     }
 
-    /** The two headers of the request's own may come in either order; all else has its place. */
+    /** The two request-specific headers may have either order; all other parts have a fixed position. */
     @Test(dataProvider = "originRequests")
     public void aRequestToTheOriginHasItsForm(String command, String firstLine, String list, String length,
                                               String body)
@@ -70,13 +72,16 @@
         assertEquals(parts[1], body);
     }
 
-    // ---- answers of the origin
+    // ---- responses of the origin
 
     private static String ok(String headers, String body) {
         return "HTTP/1.1 200 OK\r\n" + headers + "\r\n" + body;
     }
 
-    /** An answer to a read: outcome, load, what the client gets, and whether the connection can go on. */
+    /**
+     * A response to a read: outcome, load report, message to the client, and whether the connection is
+     * reusable.
+     */
     @DataProvider
     Object[][] answersToReads() {
         return new Object[][] {
@@ -136,7 +141,7 @@
             () -> Http.read(WireText.stream(ok("Content-Length: 0\r\n", "")), command(WRITE)));
     }
 
-    /** A body of over 64 KiB with its length told ahead stays behind its head. */
+    /** A body of a declared length over 64 KiB is not read with the head of its response. */
     @Test
     public void aLongBodyStaysBehindItsHead() throws IOException {
         ByteSource in = WireText.stream(ok("Content-Length: 65537\r\nConnection: close\r\n", "abc"));
@@ -148,7 +153,7 @@
         assertEquals(in.available(), "abc".length());
     }
 
-    /** Without a length told ahead no more than 64 KiB are taken. */
+    /** A body without a declared length is accepted up to 64 KiB. */
     @Test
     public void aBodyOfUnknownLengthHasAtMost64KiB() throws IOException {
         String longest = "x".repeat(LONGEST_SHORT_BODY);
@@ -205,7 +210,7 @@
         assertThrows(EOFException.class, () -> Http.read(WireText.stream(answer), command(READ)));
     }
 
-    // ---- answers of discovery
+    // ---- responses of discovery
 
     @Test
     public void aHeadHasItsStatusAndItsHeadersInSmallLetters() throws IOException {
@@ -215,7 +220,7 @@
         assertEquals(head.headers(), Map.of("retry-after", "2", "a", "b:c"));
     }
 
-    /** Lists of a watch: one a line or indented, over chunks, empty lines between, then the end. */
+    /** The lists of a watch may be indented, span chunks and have empty lines between them. */
     @Test
     public void aChunkedWatchIsReadByLists() throws IOException {
         ByteSource in = WireText.stream(ok("Transfer-Encoding: chunked\r\n",
--- a/proxy/src/test/java/spurroad/protocol/HttpTest.java
+++ b/proxy/src/test/java/spurroad/protocol/HttpTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 import spurroad.model.Outcome;
 
-/** Responses of the origin, split at any byte, and streams of discovery. */
+/** Responses of the origin, split at any byte, and discovery streams. */
 public class HttpTest {
     private static final String READ = "mg 7f3a v O9b1f Pc=read,t=acme,d=480\r\n";
     private static final String WRITE = "ms 7f3a 5 O9b1f Pc=put,t=acme,d=480,k=5c0f\r\nhello\r\n";
--- a/proxy/src/test/java/spurroad/protocol/JsonFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/JsonFormTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** JSON as it is read, and the text of what is wrong with one, as operators see it. */
+/** Parsing of JSON, and the error messages for malformed texts. */
 public class JsonFormTest {
     private static final int DEEPEST = 32;
 
@@ -43,13 +43,15 @@
             {"nul", "a value at character 1"}, {"x", "a value at character 1"},
             {"[1,]", "a value at character 4"}, {"1e999", "a value at character 1"},
             {"--1", "a value at character 1"}, {"NaN", "a value at character 1"},
-            {"1 2", "an end at character 3"}, {"{}}", "an end at character 3"},
+            {"1 2", "the end of the text at character 3"}, {"{}}", "the end of the text at character 3"},
             {"{", "'\"' at character 2"}, {"{a:1}", "'\"' at character 2"},
             {"{\"a\"}", "':' at character 5"}, {"{\"a\":1", "'}' at character 7"},
             {"{\"a\":1 \"b\":2}", "'}' at character 8"}, {"[1 2]", "']' at character 4"},
             {"\"a", "the end of a string at character 3"},
-            {"\"a\nb\"", "the end of a string at character 4"}, {"\"\\x\"", "an escape at character 4"},
-            {"\"\\u00g0\"", "an escape at character 4"}, {"\"\\u00", "an escape at character 4"}};
+            {"\"a\nb\"", "the end of a string at character 4"}, 
+            {"\"\\x\"", "an escape sequence at character 4"},
+            {"\"\\u00g0\"", "an escape sequence at character 4"},
+            {"\"\\u00", "an escape sequence at character 4"}};
     }
 
     @Test(dataProvider = "faults")
@@ -62,6 +64,6 @@
     public void aValueMayBe32LevelsDeep() throws ProtocolException {
         Json.read("[".repeat(DEEPEST + 1) + "]".repeat(DEEPEST + 1));
         assertEquals(expectThrows(ProtocolException.class, () -> Json.read("[".repeat(DEEPEST + 2)))
-            .getMessage(), "not JSON: expected less depth at character 34");
+            .getMessage(), "not JSON: expected fewer levels of nesting at character 34");
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/JsonTest.java
+++ b/proxy/src/test/java/spurroad/protocol/JsonTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** JSON and what is none. */
+/** Parsing of JSON and rejection of malformed texts. */
 public class JsonTest {
     @DataProvider
     Object[][] values() {
--- a/proxy/src/test/java/spurroad/protocol/LargeListsTest.java
+++ b/proxy/src/test/java/spurroad/protocol/LargeListsTest.java
@@ -21,7 +21,7 @@
 import spurroad.model.RequestId;
 import spurroad.model.TenantId;
 
-/** Deployments of more nodes and proxies than any that has been seen. */
+/** Deployments with more cache nodes and proxies than any known one. */
 public class LargeListsTest {
     private static final int MANY = 1100;
     private static final EndpointList.EndpointNames NAMES = new EndpointList.EndpointNames(
@@ -58,7 +58,9 @@
         return text.append("0\r\n\r\n").toString();
     }
 
-    /** How long the names are, whether the list comes indented, and the longest chunk. */
+    /**
+     * The number of characters appended to names, whether the list is indented, and the maximum chunk size.
+     */
     @DataProvider
     Object[][] forms() {
         return new Object[][] {{20, false, 1000}, {20, true, 1000}, {20, true, Integer.MAX_VALUE},
@@ -77,7 +79,7 @@
         assertEquals(read.endpoints().get(MANY - 1).address().getPort(), MANY);
     }
 
-    /** Each of so many nodes has keys of its own, and is known again when the list changes. */
+    /** Nearly every one of many cache nodes is a candidate for some keys. */
     @Test
     public void manyNodesAreUsed() throws Exception {
         String list = ScriptedPeers.list(7, true, targets(20));
--- a/proxy/src/test/java/spurroad/protocol/MetaCommandFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/MetaCommandFormTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 import spurroad.protocol.MetaCommand.Kind;
 
-/** The commands as clients send them, as they go on to a cache node, and the answer to each fault. */
+/** Parsing of client commands, their form for cache nodes, and the response to each fault. */
 public class MetaCommandFormTest {
     private static final String BAD_FORMAT = "CLIENT_ERROR bad command line format";
     private static final String BAD_KEY = "CLIENT_ERROR bad key";
@@ -29,7 +29,7 @@
     private static final int LONGEST_VALUE = 4_194_304;
     private static final long PROXY_WAIT_MS = 123;
 
-    /** A command that can be used: what the client sends, what it means, and what a cache node gets of it. */
+    /** A valid command: the text that the client sends, its meaning, and the message to a cache node. */
     private record Usable(String sent, Kind kind, String key, String id, long waitMs, long hintUs,
                           String value, String listForOrigin, String sentToNode) {
         @Override
@@ -130,7 +130,7 @@
             {"ms 7f3a 4194304 Pd=480 O9b1f\r\n", LONGEST_VALUE, "ms 7f3a 4194304 Pd=123 O9b1f\r\n"}};
     }
 
-    /** A value of over 64 KiB is not read with its command, and is written to the node in pieces after it. */
+    /** A value of over 64 KiB is not read with its command, and not part of the message to the cache node. */
     @Test(dataProvider = "longWrites")
     public void aLongValueStaysBehindItsCommand(String sent, int length, String sentToNode)
         throws IOException {
@@ -144,7 +144,7 @@
         assertEquals(WireText.text(command.forEndpoint(PROXY_WAIT_MS)), sentToNode);
     }
 
-    /** Faults after which the next command can still be found: sent, and the line of the answer. */
+    /** Faults after which the next command can still be found: sent text and error response. */
     @DataProvider
     Object[][] faults() {
         String tooLongKey = "k".repeat(LONGEST_KEY + 1);
@@ -178,7 +178,7 @@
         checkFault(WireText.readByteByByte(sent, MetaCommand::read), answer, false);
     }
 
-    /** Faults after which nothing that follows can be told apart: sent, and the line of the answer. */
+    /** Faults after which the start of the next command is unknown: sent text and error response. */
     @DataProvider
     Object[][] faultsThatEndTheConnection() {
         return new Object[][] {{"x".repeat(LONGEST_LINE + 2) + "\r\n", TOO_LONG},
@@ -203,7 +203,7 @@
         assertEquals(command.lost, endsConnection);
     }
 
-    /** The longest line, without its end, is read; a command that long has an unknown name here. */
+    /** The maximum length does not include the line end; the long command has an unknown name. */
     @Test
     public void aLineMayHave2048Bytes() throws IOException {
         checkFault(MetaCommand.read(WireText.stream("x".repeat(LONGEST_LINE) + "\n")), UNKNOWN, false);
--- a/proxy/src/test/java/spurroad/protocol/MetaCommandTest.java
+++ b/proxy/src/test/java/spurroad/protocol/MetaCommandTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Commands of clients, split at any byte, and what invalid ones are answered with. */
+/** Client commands, split at any byte, and the responses to invalid ones. */
 public class MetaCommandTest {
     private static final String READ = "mg 7f3a v O9b1f Pc=read,t=acme,d=480\r\n";
     private static final String WRITE = "ms 7f3a 5 O9b1f Pc=put,t=acme,d=480,k=5c0f\r\nhello\r\n";
@@ -38,7 +38,10 @@
         }
     }
 
-    /** A late retry: `d=0` was answered CLIENT_ERROR, which fails it, where a rejection is due. */
+    /**
+     * A retry sent when no time is left has {@code d=0}. It must be valid, so that it is rejected like any
+     * request that is too late: a CLIENT_ERROR would count as a failure.
+     */
     @Test
     public void aTimeoutMayBeZero() throws IOException {
         assertEquals(MetaCommand.read(WireText.stream("mg k v O1 Pc=read,d=0\r\n")).kind,
--- a/proxy/src/test/java/spurroad/protocol/MetaResponseFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/MetaResponseFormTest.java
@@ -14,14 +14,14 @@
 import spurroad.model.LoadReport;
 import spurroad.model.Outcome;
 
-/** What cache nodes answer, as it is read, and what clients are answered, as it is written. */
+/** Reading of cache node responses and encoding of responses to clients. */
 public class MetaResponseFormTest {
     private static final String ID = "9b1f";
     private static final double UNKNOWN = Double.NaN;
     private static final int LONGEST_SHORT_VALUE = 65_536;
     private static final LoadReport BOTH = new LoadReport(7, 2);
 
-    /** What a cache node answers to request 9b1f: its outcome and what the client gets. */
+    /** A response to request 9b1f: outcome, cache status, load report and the message to the client. */
     @DataProvider
     Object[][] answers() {
         String longValue = "x".repeat(LONGEST_SHORT_VALUE);
@@ -86,7 +86,7 @@
         assertEquals(in.available(), "abc".length());
     }
 
-    /** Answers after which the connection can't be used. */
+    /** Responses after which the connection can't be used. */
     @DataProvider
     Object[] unusableAnswers() {
         return new Object[] {"\r\n", "OK\r\n", "MN\r\n", "ERROR\r\n", "CLIENT_ERROR bad key\r\n",
@@ -112,7 +112,7 @@
         assertNull(WireText.readByteByByte(answer, in -> MetaResponse.read(in, ID)));
     }
 
-    /** What a cache node answers to a health check, the outcome, requests in flight and in its queue. */
+    /** A response to a load probe: outcome, requests in flight and queued requests. */
     @DataProvider
     Object[][] loadAnswers() {
         return new Object[][] {
--- a/proxy/src/test/java/spurroad/protocol/MetaResponseTest.java
+++ b/proxy/src/test/java/spurroad/protocol/MetaResponseTest.java
@@ -10,14 +10,14 @@
 import spurroad.model.CacheStatus;
 import spurroad.model.Outcome;
 
-/** Responses of cache nodes, split at any byte, and those that can't be used. */
+/** Cache node responses, split at any byte, and rejection of malformed ones. */
 public class MetaResponseTest {
     private static final String LONG = "x".repeat(70_000);
 
     @DataProvider
     Object[][] responses() {
         String big = "VA 65536 O1\r\n" + LONG.substring(0, 65536) + "\r\n";
-        String large = "VA 70000 O1\r\n" + LONG + "\r\n"; // its value follows in pieces
+        String large = "VA 70000 O1\r\n" + LONG + "\r\n"; // its value is not read with the line
         return new Object[][] {{"VA 0 O1\r\n\r\n", Outcome.SUCCEEDED, CacheStatus.NONE, "VA 0 O1\r\n\r\n"},
             {"VA 2 O1 h1 Linflight=7,queue=2\r\nab\r\n", Outcome.SUCCEEDED, CacheStatus.HIT,
                 "VA 2 O1\r\nab\r\n"},
--- a/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecFormTest.java
@@ -10,13 +10,13 @@
 import spurroad.model.PeerUpdate;
 import spurroad.model.PeerUpdate.Topic;
 
-/** The proxies' messages to one another, byte for byte, and the bytes that are no message. */
+/** The encoded bytes of peer updates, and rejection of malformed messages. */
 public class PeerUpdateCodecFormTest {
     private static final long SUBJECT = 0x0a124a071f93L;
     private static final CacheKey KEY = new CacheKey(0x91f03b7c55d20a64L);
     private static final HexFormat HEX = HexFormat.of();
 
-    /** Topic, subject, value as a 32-bit float; then time per request in us, share of keys; then the key. */
+    /** Topic, subject, value as f32; then service time in microseconds, cached fraction; then the key. */
     @DataProvider
     Object[][] messages() {
         return new Object[][] {
@@ -48,7 +48,7 @@
         assertEquals(PeerUpdateCodec.read(bytes), message);
     }
 
-    /** A time per request of more than fits is written as the longest that does. */
+    /** A service time beyond the range of its field is encoded as the largest possible value. */
     @Test
     public void aTimeBeyondTheFieldIsWrittenAsTheLongest() {
         PeerUpdate message = new PeerUpdate(Topic.LOAD, 1, 1, Long.MAX_VALUE, 1);
@@ -59,28 +59,28 @@
     @DataProvider
     Object[][] noMessages() {
         return new Object[][] {{"nothing", ""}, {"unknown topic", "08 0000000000000003 3f800000"},
-            {"topic over 127", "ff 0000000000000003 3f800000"},
-            {"a byte too few", "02 0000000000000003 3f8000"},
-            {"a byte too many", "02 0000000000000003 3f800000 00"},
-            {"a change of zero", "00 0000000000000003 00000000 0000000000000000"},
-            {"a change over one", "00 0000000000000003 3f800001 0000000000000000"},
-            {"a change under minus one", "00 0000000000000003 bf800001 0000000000000000"},
-            {"a queue below zero", "01 0000000000000003 bf800000 00000000 3f800000"},
-            {"a queue over a million", "01 0000000000000003 49742401 00000000 3f800000"},
-            {"a queue that is no number", "01 0000000000000003 7fc00000 00000000 3f800000"},
-            {"a share of no keys", "01 0000000000000003 3f800000 00000000 00000000"},
-            {"a share over one", "01 0000000000000003 3f800000 00000000 3f800001"},
-            {"two requests of a tenant", "02 0000000000000003 40000000"},
-            {"over quota by more than all", "03 0000000000000003 3f800001"},
-            {"over quota by less than nothing", "03 0000000000000003 bf000000"},
-            {"a write half late", "04 0000000000000000 3f000000"},
-            {"more than all to the origin", "05 0000000000000000 3f800001"},
-            {"less than nothing to the origin", "05 0000000000000000 bf000000"},
-            {"asked by half a proxy", "06 0000000000000003 3f000000 91f03b7c55d20a64"},
-            {"asked by a proxy below zero", "06 0000000000000003 bf800000 91f03b7c55d20a64"},
-            {"half of a key", "07 0000000000000003 3f800000 00000000 3f000000 91f03b7c55d20a64"},
-            {"a key that is no number", "07 0000000000000003 3f800000 00000000 7fc00000 91f03b7c55d20a64"},
-            {"a queue below zero beside a key",
+            {"topic 255", "ff 0000000000000003 3f800000"},
+            {"one byte missing", "02 0000000000000003 3f8000"},
+            {"one extra byte", "02 0000000000000003 3f800000 00"},
+            {"in-flight change of zero", "00 0000000000000003 00000000 0000000000000000"},
+            {"in-flight change over one", "00 0000000000000003 3f800001 0000000000000000"},
+            {"in-flight change below minus one", "00 0000000000000003 bf800001 0000000000000000"},
+            {"negative queue", "01 0000000000000003 bf800000 00000000 3f800000"},
+            {"queue over a million", "01 0000000000000003 49742401 00000000 3f800000"},
+            {"queue not a number", "01 0000000000000003 7fc00000 00000000 3f800000"},
+            {"cached fraction of zero", "01 0000000000000003 3f800000 00000000 00000000"},
+            {"cached fraction over one", "01 0000000000000003 3f800000 00000000 3f800001"},
+            {"two tenant requests", "02 0000000000000003 40000000"},
+            {"over-quota fraction over one", "03 0000000000000003 3f800001"},
+            {"negative over-quota fraction", "03 0000000000000003 bf000000"},
+            {"origin write neither zero nor one", "04 0000000000000000 3f000000"},
+            {"origin admission over one", "05 0000000000000000 3f800001"},
+            {"negative origin admission", "05 0000000000000000 bf000000"},
+            {"cache query with a fractional proxy number", "06 0000000000000003 3f000000 91f03b7c55d20a64"},
+            {"cache query with a negative proxy number", "06 0000000000000003 bf800000 91f03b7c55d20a64"},
+            {"cache status fraction 0.5", "07 0000000000000003 3f800000 00000000 3f000000 91f03b7c55d20a64"},
+            {"cache status fraction NaN", "07 0000000000000003 3f800000 00000000 7fc00000 91f03b7c55d20a64"},
+            {"cache status with a negative queue",
                 "07 0000000000000003 bf800000 00000000 3f800000 91f03b7c55d20a64"}};
     }
 
--- a/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecTest.java
+++ b/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecTest.java
@@ -11,7 +11,7 @@
 import spurroad.model.PeerUpdate;
 import spurroad.model.PeerUpdate.Topic;
 
-/** The bytes of updates between proxies. */
+/** Lengths of encoded peer updates, and rejection of invalid values. */
 public class PeerUpdateCodecTest {
     @DataProvider
     Object[][] updates() {
--- a/proxy/src/test/java/spurroad/protocol/WireText.java
+++ b/proxy/src/test/java/spurroad/protocol/WireText.java
@@ -6,16 +6,18 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Texts of a protocol, one character a byte, as bytes and streams. */
+/** Converts protocol texts, with one character per byte, to bytes and streams. */
 final class WireText {
     private WireText() {}
 
-    /** A stream that holds the text and then ends. */
+    /** Returns a blocking source that provides the text and then ends. */
     static ByteSource stream(String text) {
         return new ByteSource(new ByteArrayInputStream(bytes(text)));
     }
 
-    /** A stream that gives some bytes at the first read, and the others at the next ones. */
+    /**
+     * Returns a blocking source that provides the first bytes at the first reads, and the rest at later ones.
+     */
     static ByteSource streamInTwoParts(String text, int firstBytes) {
         byte[] all = bytes(text);
         return new ByteSource(new InputStream() {
@@ -40,7 +42,7 @@
         });
     }
 
-    /** Reads a message from a source that is fed one byte at a time. */
+    /** Reads a message from a source that is fed byte by byte; returns null if the text is incomplete. */
     static <T> T readByteByByte(String text, ByteSource.Parser<T> form) throws IOException {
         ByteSource source = new ByteSource();
         T message = null;
@@ -53,12 +55,12 @@
         return message;
     }
 
-    /** The bytes of a text. */
+    /** Returns the ISO 8859-1 bytes of a text. */
     static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** The text of bytes; null stays null. */
+    /** Returns the ISO 8859-1 text of bytes; null for null. */
     static String text(byte[] bytes) {
         return bytes == null ? null : new String(bytes, StandardCharsets.ISO_8859_1);
     }
