--- a/proxy/src/main/java/spurroad/admin/AdminConnection.java
+++ b/proxy/src/main/java/spurroad/admin/AdminConnection.java
@@ -27,7 +27,7 @@
     private final EventLoop loop;
     private final Connection connection;
     private final ByteSource in = new ByteSource();
-    private final long openedAt;
+    private final long openedAtNanos;
     private AdminResponse timeoutResponse = AdminResponse.rejected(Status.UNAVAILABLE,
         "not confirmed in time, call again");
     private State state = State.READING;
@@ -37,7 +37,7 @@
         this.server = server;
         this.loop = loop;
         this.connection = connection;
-        openedAt = loop.now();
+        openedAtNanos = loop.now();
     }
 
     void open() {
@@ -46,8 +46,8 @@
     }
 
     /** Returns whether the connection has been open for longer than a time without a complete request. */
-    boolean isSilentForLongerThan(long nanos) {
-        return state == State.READING && loop.now() - openedAt > nanos;
+    boolean isAwaitingRequestLongerThan(long nanos) {
+        return state == State.READING && loop.now() - openedAtNanos > nanos;
     }
 
     @Override
@@ -61,7 +61,7 @@
         }
         in.feed(bytes);
         try {
-            AdminRequest request = in.message(AdminRequest::read);
+            AdminRequest request = in.readMessage(AdminRequest::read);
             if (request != null) {
                 process(request);
             }
@@ -110,7 +110,7 @@
         }
         state = State.RESPONDED;
         timeout.cancel();
-        connection.write(response.bytes());
+        connection.write(response.encode());
         if (connection.isDrained()) {
             connection.shutdownOutput();
         }
--- a/proxy/src/main/java/spurroad/admin/AdminRequest.java
+++ b/proxy/src/main/java/spurroad/admin/AdminRequest.java
@@ -22,7 +22,7 @@
      * @throws ProtocolException if the request is malformed; its message says what was expected
      */
     static AdminRequest read(ByteSource in) throws IOException {
-        String[] requestLine = line(in).split(" ");
+        String[] requestLine = readLine(in).split(" ");
         if (requestLine.length != 3 || !requestLine[1].startsWith("/")
             || !requestLine[2].startsWith("HTTP/1.")) {
             throw new ProtocolException(EXPECTED_REQUEST_LINE);
@@ -35,7 +35,7 @@
     private static int readContentLength(ByteSource in) throws IOException {
         int contentLength = 0;
         for (int i = 0; i <= MAX_HEADERS; i++) {
-            String header = line(in);
+            String header = readLine(in);
             if (header.isEmpty()) {
                 return contentLength;
             }
@@ -54,11 +54,11 @@
     }
 
     private static void skipBody(ByteSource in, int length) throws IOException {
-        in.bytes(new byte[length], 0, length);
+        in.readFully(new byte[length], 0, length);
     }
 
-    private static String line(ByteSource in) throws IOException {
-        String line = in.line(MAX_LINE_BYTES);
+    private static String readLine(ByteSource in) throws IOException {
+        String line = in.readLine(MAX_LINE_BYTES);
         if (line == null) {
             throw new ProtocolException(EXPECTED_REQUEST_LINE);
         }
--- a/proxy/src/main/java/spurroad/admin/AdminResponse.java
+++ b/proxy/src/main/java/spurroad/admin/AdminResponse.java
@@ -32,7 +32,7 @@
         return new AdminResponse(status, line + "\n");
     }
 
-    byte[] bytes() {
+    byte[] encode() {
         int length = text.getBytes(StandardCharsets.UTF_8).length;
         String head = "HTTP/1.1 " + status.code + " " + status.reason + "\r\n"
             + "Content-Type: text/plain; charset=utf-8\r\n"
--- a/proxy/src/main/java/spurroad/admin/AdminRoutes.java
+++ b/proxy/src/main/java/spurroad/admin/AdminRoutes.java
@@ -92,8 +92,8 @@
             responder.respond(notServingYet());
         } else {
             drainControl.setDrained(id, drained,
-                () -> responder.setTimeoutResponse(appliedHere(id, drained)),
-                known -> responder.respond(known ? done(id, drained) : unknownCacheNode(id)));
+                () -> responder.setTimeoutResponse(appliedLocally(id, drained)),
+                listed -> responder.respond(listed ? confirmed(id, drained) : unknownCacheNode(id)));
         }
     }
 
@@ -108,7 +108,7 @@
         return valid ? id : null;
     }
 
-    private static AdminResponse done(String id, boolean drained) {
+    private static AdminResponse confirmed(String id, boolean drained) {
         return AdminResponse.ok(id + (drained ? " gets nothing new\n" : " is used again\n"));
     }
 
@@ -116,7 +116,7 @@
      * Returns the response to a request that is not confirmed in time. It says what this process has applied,
      * so that the caller can rely on that or undo it.
      */
-    private static AdminResponse appliedHere(String id, boolean drained) {
+    private static AdminResponse appliedLocally(String id, boolean drained) {
         String state = drained ? " gets nothing new from this process" : " is used again by this process";
         return AdminResponse.rejected(Status.UNAVAILABLE, id + state + ", but that is not written or not "
             + "confirmed by all processes yet; it is tried until it is, call again");
--- a/proxy/src/main/java/spurroad/admin/AdminServer.java
+++ b/proxy/src/main/java/spurroad/admin/AdminServer.java
@@ -21,7 +21,7 @@
     private static final int MAX_CONNECTIONS = 16; // each takes a descriptor
     private static final int MAX_CLOSED_AT_ONCE = 8;
     // the minimum time that a connection has to send its request before it may be closed in favor of others
-    private static final long MIN_SILENCE_NANOS = 50_000_000L;
+    private static final long MIN_REQUEST_WAIT_NANOS = 50_000_000L;
 
     private final EventLoop loop;
     private final Listener listener;
@@ -80,10 +80,10 @@
     /** Closes the oldest of the connections that have sent no complete request. */
     @Override
     public void onPermitsExhausted() {
-        List<AdminConnection> silent = connections.stream()
-            .filter(connection -> connection.isSilentForLongerThan(MIN_SILENCE_NANOS))
+        List<AdminConnection> awaitingRequest = connections.stream()
+            .filter(connection -> connection.isAwaitingRequestLongerThan(MIN_REQUEST_WAIT_NANOS))
             .limit(MAX_CLOSED_AT_ONCE).toList();
-        silent.forEach(AdminConnection::close);
+        awaitingRequest.forEach(AdminConnection::close);
     }
 
     /** Limits the number of connections. Confined to the loop thread. */
--- a/proxy/src/main/java/spurroad/configuration/CapacityPlan.java
+++ b/proxy/src/main/java/spurroad/configuration/CapacityPlan.java
@@ -18,7 +18,7 @@
     // the socket for peer updates
     private static final int GOSSIP_DESCRIPTORS = 3;
     // MiB; the virtual machine without load
-    private static final double PROCESS_MB = 45;
+    private static final double BASE_PROCESS_MB = 45;
     // fraction of the memory; requests may hold an eighth of the memory, and leave garbage
     private static final double HEAP_FRACTION = 0.22;
     // MiB per connection; a connection takes up to 77 KiB
@@ -30,14 +30,15 @@
      * Returns the plan for the descriptors and the memory that the configuration grants, within the limits of
      * the process.
      */
-    static CapacityPlan of(int descriptors, int memoryMb, boolean hasAdminServer, boolean gossips,
+    static CapacityPlan of(int descriptors, int memoryMb, boolean hasAdminServer, boolean gossipEnabled,
                            ProcessLimits limits) {
         int reserved = PROCESS_DESCRIPTORS + (hasAdminServer ? ADMIN_DESCRIPTORS : 0)
-            + (gossips ? GOSSIP_DESCRIPTORS : 0);
-        int free = Math.min(descriptors, limits.maxOpenFiles()) - limits.inheritedDescriptors() - reserved;
-        int byDescriptors = Math.max(MIN_DESCRIPTORS - reserved, free);
-        double fitting = (memoryMb * (1 - HEAP_FRACTION) - PROCESS_MB) / CONNECTION_MB;
-        double byMemory = Math.max(MIN_PERMITS_BY_MEMORY, fitting);
-        return new CapacityPlan(reserved, (int) Math.min(byDescriptors, byMemory));
+            + (gossipEnabled ? GOSSIP_DESCRIPTORS : 0);
+        int freeDescriptors = Math.min(descriptors, limits.maxOpenFiles()) - limits.inheritedDescriptors()
+            - reserved;
+        int permitsByDescriptors = Math.max(MIN_DESCRIPTORS - reserved, freeDescriptors);
+        double permitsInMemory = (memoryMb * (1 - HEAP_FRACTION) - BASE_PROCESS_MB) / CONNECTION_MB;
+        double permitsByMemory = Math.max(MIN_PERMITS_BY_MEMORY, permitsInMemory);
+        return new CapacityPlan(reserved, (int) Math.min(permitsByDescriptors, permitsByMemory));
     }
 }
--- a/proxy/src/main/java/spurroad/configuration/DeploymentSettings.java
+++ b/proxy/src/main/java/spurroad/configuration/DeploymentSettings.java
@@ -23,7 +23,7 @@
     private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 1_000_000L; // allows for retransmission
     private static final long NO_IDLE_TIMEOUT_MICROS = Long.MAX_VALUE / NANOS_PER_MICRO / 4;
     // longer than any pause of discovery
-    private static final long DEFAULT_POLL_WITHIN_NANOS = 20_000_000_000L;
+    private static final long DEFAULT_MAX_POLL_INTERVAL_NANOS = 20_000_000_000L;
     private static final int DEFAULT_MAX_OPEN_REQUESTS = 20_000;
     private static final int NO_ORIGIN = -1;
     private static final int NO_ZONE = -1;
@@ -45,9 +45,9 @@
      * The maximum time that a client waits for the final response, over all its attempts, in nanoseconds; 0
      * if the settings do not define it.
      */
-    public final long longestTimeoutNanos;
+    public final long maxRequestTimeoutNanos;
     /** The maximum time that an endpoint list is used without a poll of discovery, in nanoseconds. */
-    public final long pollWithinNanos;
+    public final long maxPollIntervalNanos;
     /** The names of the request classes; the index of a name is the number of its class. */
     public final List<String> requestClassNames;
     /** The names of the tenants; the index of a name is the number of its tenant. */
@@ -74,15 +74,16 @@
         endpointNames = new EndpointList.EndpointNames(reader.list("kinds"), reader.list("failureDomains"),
             weights.equals("nominal") || weights.equals("rough"));
         reportColumns = reader.list("report.columns");
-        connectTimeoutNanos = reader.micros("allowed.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_MICROS);
+        connectTimeoutNanos = reader.nanosFromMicros("allowed.connectTimeoutUs",
+            DEFAULT_CONNECT_TIMEOUT_MICROS);
         maxOpenRequests = Math.max(1, (int) reader.number("allowed.maxOpen", DEFAULT_MAX_OPEN_REQUESTS));
-        long pollWithin = reader.micros("obligations.askWithinUs", 0); // 0 if discovery pushes lists
-        pollWithinNanos = pollWithin > 0 ? pollWithin : DEFAULT_POLL_WITHIN_NANOS;
+        long configuredInterval = reader.nanosFromMicros("obligations.askWithinUs", 0); // 0 if discovery pushes lists
+        maxPollIntervalNanos = configuredInterval > 0 ? configuredInterval : DEFAULT_MAX_POLL_INTERVAL_NANOS;
         requestClassNames = reader.fieldOfEach("tracks", "name");
         tenantNames = reader.fieldOfEach("projects", "name");
         deployment = deployment(reader);
-        longestTimeoutNanos = IntStream.range(0, requestClassNames.size())
-            .mapToLong(i -> reader.micros("tracks." + i + ".statementTimeoutUs", 0)).max().orElse(0);
+        maxRequestTimeoutNanos = IntStream.range(0, requestClassNames.size())
+            .mapToLong(i -> reader.nanosFromMicros("tracks." + i + ".statementTimeoutUs", 0)).max().orElse(0);
     }
 
     /** Validates what reading the settings does not: ranges, truth values and duplicate class names. */
@@ -136,12 +137,12 @@
             reader.text("discovery", "pushed").equals("on_request"),
             reader.flag("allowed.probes"),
             reader.flag("allowed.cancel"),
-            reader.flag("allowed.retryAfter") ? reader.micros("allowed.maxRetryAfterUs", 0) : 0,
+            reader.flag("allowed.retryAfter") ? reader.nanosFromMicros("allowed.maxRetryAfterUs", 0) : 0,
             Math.max(1, (int) reader.number("allowed.mostExecutions", 1)),
             reader.number("obligations.startCapacity", 1),
-            reader.micros("obligations.coldUs", 0),
-            reader.micros("tickUs", 0),
-            reader.micros("allowed.idleCloseUs", NO_IDLE_TIMEOUT_MICROS),
+            reader.nanosFromMicros("obligations.coldUs", 0),
+            reader.nanosFromMicros("tickUs", 0),
+            reader.nanosFromMicros("allowed.idleCloseUs", NO_IDLE_TIMEOUT_MICROS),
             fleet(reader, proxyCount));
     }
 
@@ -168,22 +169,22 @@
      * themselves.
      */
     private static EndpointKindId originKind(SettingsReader reader) {
-        boolean besideTheCache = reader.text("familyInfo.mode", "through").equals("aside");
+        boolean isCacheAside = reader.text("familyInfo.mode", "through").equals("aside");
         int kind = (int) reader.number("familyInfo.originKind", NO_ORIGIN);
-        return besideTheCache && kind >= 0 ? new EndpointKindId(kind) : null;
+        return isCacheAside && kind >= 0 ? new EndpointKindId(kind) : null;
     }
 
     private static Fleet fleet(SettingsReader reader, int proxyCount) {
         int zone = (int) reader.number("myZone", NO_ZONE);
-        boolean crossZoneCounts = reader.number("deductions.crossZone", 0) >= MIN_CROSS_ZONE_COST;
-        return new Fleet(zone < 0 || !crossZoneCounts ? null : new ZoneId(zone),
+        boolean isCrossZoneCostly = reader.number("deductions.crossZone", 0) >= MIN_CROSS_ZONE_COST;
+        return new Fleet(zone < 0 || !isCrossZoneCostly ? null : new ZoneId(zone),
             (int) reader.number("index", 0), proxyCount, reader.flag("allowed.peers"));
     }
 
     private static RequestClass requestClass(SettingsReader reader, String prefix) {
         return new RequestClass(effect(reader, prefix + "effect"),
             deduplicationScope(reader, prefix + "dedupScope"),
-            reader.micros(prefix + "dedupWindowUs", 0),
+            reader.nanosFromMicros(prefix + "dedupWindowUs", 0),
             (long) reader.requiredNumber(prefix + "sloTimeUs") * NANOS_PER_MICRO,
             reader.number(prefix + "aimStretch", 0),
             reader.number(prefix + "importance", 1),
--- a/proxy/src/main/java/spurroad/configuration/ProxyConfiguration.java
+++ b/proxy/src/main/java/spurroad/configuration/ProxyConfiguration.java
@@ -35,7 +35,7 @@
     /**
      * The keys whose changes need no restart: a reload applies them, or each process start sets them anew.
      */
-    private static final Set<String> RELOADED_KEYS = Set.of("discovery", "seed", "known", ADMIN_KEY);
+    private static final Set<String> KEYS_WITHOUT_RESTART = Set.of("discovery", "seed", "known", ADMIN_KEY);
 
     /** The name of the proxy in its deployment. */
     public final String name;
@@ -70,7 +70,7 @@
     /** The settings of the deployment. */
     public final DeploymentSettings settings;
 
-    private final Map<?, ?> file; // as parsed
+    private final Map<?, ?> parsedFile; // as parsed
 
     /**
      * Reads the file that the environment names.
@@ -103,28 +103,28 @@
 
     /** Parses the text of a file and the environment variables, for a process with the given limits. */
     ProxyConfiguration(String text, Map<String, String> environment, ProcessLimits processLimits) {
-        file = parse(text);
-        name = JsonFields.text(file, "name");
-        listenAddress = JsonFields.address(file, "listen");
-        discoveryAddress = JsonFields.address(file, "discovery");
-        adminAddress = adminAddress(file, environment);
-        seed = JsonFields.hexadecimal(file, "seed");
+        parsedFile = parse(text);
+        name = JsonFields.text(parsedFile, "name");
+        listenAddress = JsonFields.address(parsedFile, "listen");
+        discoveryAddress = JsonFields.address(parsedFile, "discovery");
+        adminAddress = adminAddress(parsedFile, environment);
+        seed = JsonFields.hexadecimal(parsedFile, "seed");
         listenDescriptor = listenDescriptor(environment);
         restartDirectory = restartDirectory(environment);
-        Map<?, ?> limits = file.get("limits") == null ? Map.of()
-            : JsonFields.object(file.get("limits"), "limits");
+        Map<?, ?> limits = parsedFile.get("limits") == null ? Map.of()
+            : JsonFields.object(parsedFile.get("limits"), "limits");
         memoryMb = (int) JsonFields.number(limits, "limits.", "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB);
         cores = JsonFields.number(limits, "limits.", "cores", DEFAULT_CORES, MIN_CORES);
         int descriptors = (int) JsonFields.number(limits, "limits.", "sockets", DEFAULT_DESCRIPTORS,
             CapacityPlan.MIN_DESCRIPTORS);
-        settings = DeploymentSettings.fromJson(JsonFields.object(file.get(SETTINGS_KEY), SETTINGS_KEY));
+        settings = DeploymentSettings.fromJson(JsonFields.object(parsedFile.get(SETTINGS_KEY), SETTINGS_KEY));
         Fleet fleet = settings.deployment.fleet();
-        peerAddresses = fleet.gossipEnabled() ? peerAddresses(file, fleet) : List.of();
+        peerAddresses = fleet.gossipEnabled() ? peerAddresses(parsedFile, fleet) : List.of();
         CapacityPlan capacity = CapacityPlan.of(descriptors, memoryMb, adminAddress != null,
             fleet.gossipEnabled(), processLimits);
         reservedDescriptors = capacity.reservedDescriptors();
         connectionPermits = capacity.connectionPermits();
-        initialEndpoints = initialEndpoints(file, settings);
+        initialEndpoints = initialEndpoints(parsedFile, settings);
     }
 
     private static Map<?, ?> parse(String text) {
@@ -152,9 +152,9 @@
     }
 
     private Path restartDirectory(Map<String, String> environment) {
-        String temporary = environment.getOrDefault("TMPDIR", "");
-        boolean shared = !temporary.isEmpty() && !listenDescriptor.isEmpty();
-        return shared ? Path.of(temporary, "spurroad-" + name) : null;
+        String temporaryDirectory = environment.getOrDefault("TMPDIR", "");
+        boolean isShared = !temporaryDirectory.isEmpty() && !listenDescriptor.isEmpty();
+        return isShared ? Path.of(temporaryDirectory, "spurroad-" + name) : null;
     }
 
     /** Reads the addresses of the proxies: one per proxy of the deployment, all different. */
@@ -189,11 +189,11 @@
      */
     public List<String> restartOnlyChanges(ProxyConfiguration other) {
         Set<Object> keys = new TreeSet<>(Comparator.comparing(String::valueOf));
-        keys.addAll(file.keySet());
-        keys.addAll(other.file.keySet());
-        keys.removeAll(RELOADED_KEYS);
+        keys.addAll(parsedFile.keySet());
+        keys.addAll(other.parsedFile.keySet());
+        keys.removeAll(KEYS_WITHOUT_RESTART);
         keys.remove(SETTINGS_KEY); // compared one by one below
-        keys.removeIf(key -> Objects.equals(file.get(key), other.file.get(key)));
+        keys.removeIf(key -> Objects.equals(parsedFile.get(key), other.parsedFile.get(key)));
         List<String> changed = new ArrayList<>(keys.stream().map(String::valueOf).toList());
         changed.addAll(settings.restartOnlyChanges(other.settings));
         return changed;
@@ -205,6 +205,6 @@
      * @throws InvalidSettingException if a key is missing or its value is of another type
      */
     public void checkReplacement(ProxyConfiguration next) {
-        ReplacementCheck.check(file, next.file);
+        ReplacementCheck.check(parsedFile, next.parsedFile);
     }
 }
--- a/proxy/src/main/java/spurroad/configuration/SettingsReader.java
+++ b/proxy/src/main/java/spurroad/configuration/SettingsReader.java
@@ -43,16 +43,17 @@
                 flatten(path + "." + i, list.get(i));
             }
         } else if (json instanceof List<?> list) {
-            values.put(path, String.join(",", list.stream().map(SettingsReader::plain).toList()));
+            values.put(path,
+                String.join(",", list.stream().map(SettingsReader::textWithoutSeparators).toList()));
         } else if (json != null) {
-            values.put(path, plain(json));
+            values.put(path, textWithoutSeparators(json));
         }
     }
 
     /**
      * Returns the text of a value, with underscores in place of blanks and commas, which separate entries.
      */
-    private static String plain(Object value) {
+    private static String textWithoutSeparators(Object value) {
         return String.valueOf(value).replace(' ', '_').replace(',', '_');
     }
 
@@ -90,7 +91,7 @@
     }
 
     /** Reads a time in microseconds and returns it in nanoseconds. */
-    long micros(String path, long defaultMicros) {
+    long nanosFromMicros(String path, long defaultMicros) {
         return (long) (number(path, defaultMicros) * NANOS_PER_MICRO);
     }
 
@@ -132,13 +133,13 @@
      * Checks that a number, if present, is an index into a list.
      *
      * @param length the length of the list
-     * @param indexed the name of the list, for the error message
+     * @param listName the name of the list, for the error message
      */
-    void checkIndex(String path, int length, String indexed) {
+    void checkIndex(String path, int length, String listName) {
         double number = number(path, 0);
         if (values.containsKey(path) && (number < 0 || number >= length || number != Math.rint(number))) {
             throw new InvalidSettingException(
-                "setting " + path + " is none of the " + length + " of " + indexed);
+                "setting " + path + " is none of the " + length + " of " + listName);
         }
     }
 
--- a/proxy/src/main/java/spurroad/protocol/Attributes.java
+++ b/proxy/src/main/java/spurroad/protocol/Attributes.java
@@ -12,7 +12,7 @@
     static final Attributes NONE = new Attributes("", 0, 0);
 
     private static final int NOT_FOUND = -1;
-    private static final int MAX_COMPARED_NAMES = 16; // up to this many are compared without a set
+    private static final int MAX_LINEAR_SEARCH_NAMES = 16; // up to this many are compared without a set
 
     /** Returns whether each attribute has a name and a value, and no name occurs twice. */
     boolean isWellFormed() {
@@ -24,7 +24,7 @@
             if (equals <= start || equals >= end - 1) {
                 return false;
             }
-            if (count == MAX_COMPARED_NAMES) {
+            if (count == MAX_LINEAR_SEARCH_NAMES) {
                 names = namesBefore(start);
             }
             boolean isRepeated = names == null ? firstWithNameAt(start, equals) < start
@@ -46,10 +46,10 @@
     }
 
     /** Returns the offset of the first attribute whose name equals the given range of the line. */
-    private int firstWithNameAt(int nameFrom, int nameTo) {
+    private int firstWithNameAt(int nameStart, int nameEnd) {
         int start = from;
-        int lengthWithSign = nameTo + 1 - nameFrom;
-        while (!line.regionMatches(start, line, nameFrom, lengthWithSign)) {
+        int lengthWithEquals = nameEnd + 1 - nameStart;
+        while (!line.regionMatches(start, line, nameStart, lengthWithEquals)) {
             start = endOf(start) + 1;
         }
         return start;
@@ -61,7 +61,7 @@
         return comma < 0 || comma > to ? to : comma;
     }
 
-    private int valueFrom(String name) {
+    private int valueStart(String name) {
         for (int start = from; start > 0 && start < to; start = endOf(start) + 1) {
             int equals = start + name.length();
             if (equals < to && line.charAt(equals) == '=' && line.startsWith(name, start)) {
@@ -72,32 +72,32 @@
     }
 
     boolean has(String name) {
-        return valueFrom(name) != NOT_FOUND;
+        return valueStart(name) != NOT_FOUND;
     }
 
     /** Returns the value of an attribute; empty if there is no such attribute. */
     String value(String name) {
-        int valueFrom = valueFrom(name);
-        return valueFrom == NOT_FOUND ? "" : line.substring(valueFrom, endOf(valueFrom));
+        int valueStart = valueStart(name);
+        return valueStart == NOT_FOUND ? "" : line.substring(valueStart, endOf(valueStart));
     }
 
     /** Returns the value of a numeric attribute; -1 if it is absent or not a whole number. */
     long wholeNumber(String name) {
-        int valueFrom = valueFrom(name);
-        return valueFrom == NOT_FOUND ? -1 : NumberParser.parseWhole(line, valueFrom, endOf(valueFrom));
+        int valueStart = valueStart(name);
+        return valueStart == NOT_FOUND ? -1 : NumberParser.parseWhole(line, valueStart, endOf(valueStart));
     }
 
     /** Returns the attribute list with the value of one existing attribute replaced. */
-    String with(String name, long value) {
-        return replaceWithin(from, to, name, value);
+    String withValue(String name, long value) {
+        return replaceValueWithin(from, to, name, value);
     }
 
     /**
      * Returns a range of the line with the value of one existing attribute replaced; the range contains the
      * whole attribute list.
      */
-    String replaceWithin(int partFrom, int partTo, String name, long value) {
-        int valueFrom = valueFrom(name);
-        return line.substring(partFrom, valueFrom) + value + line.substring(endOf(valueFrom), partTo);
+    String replaceValueWithin(int rangeStart, int rangeEnd, String name, long value) {
+        int valueStart = valueStart(name);
+        return line.substring(rangeStart, valueStart) + value + line.substring(endOf(valueStart), rangeEnd);
     }
 }
--- a/proxy/src/main/java/spurroad/protocol/ByteSource.java
+++ b/proxy/src/main/java/spurroad/protocol/ByteSource.java
@@ -12,8 +12,8 @@
  * character per byte, so that no byte is lost.
  *
  * <p>A source has one of two modes. A blocking source reads from a stream and waits for it. A fed source gets
- * bytes as they arrive; {@link #message} returns null if a message is not complete yet, and parses it again
- * from its first byte when enough further bytes have arrived.
+ * bytes as they arrive; {@link #readMessage} returns null if a message is not complete yet, and parses it
+ * again from its first byte when enough further bytes have arrived.
  */
 public final class ByteSource {
     /** Parses one message. */
@@ -21,8 +21,8 @@
         /**
          * Returns the message, never null.
          *
-         * @throws IOException if the bytes are malformed; {@link IncompleteMessage} is left to the source to
-         *     handle
+         * @throws IOException if the bytes are malformed; {@link IncompleteMessageException} is left to the
+         *     source to handle
          */
         T read(ByteSource in) throws IOException;
     }
@@ -38,7 +38,7 @@
     // fed sources only
     private int messageStart;
     private int messageMinBytes; // known lower bound of the current message's length
-    private boolean isEnded;
+    private boolean isInputEnded;
 
     /** Creates a blocking source that reads from a stream. */
     public ByteSource(InputStream in) {
@@ -58,10 +58,10 @@
      *
      * @throws IOException if reading from the stream fails, or if a fed source has to wait for more bytes
      */
-    public boolean await() throws IOException {
-        if (position == limit && in == null && !isEnded) {
+    public boolean awaitByte() throws IOException {
+        if (position == limit && in == null && !isInputEnded) {
             messageMinBytes = limit - messageStart + 1;
-            throw IncompleteMessage.INSTANCE;
+            throw IncompleteMessageException.INSTANCE;
         }
         if (position == limit && in != null) {
             position = 0;
@@ -73,9 +73,9 @@
     // ---- feeding
 
     /** Appends received bytes. Must not be called while a message is being parsed. */
-    public void feed(ByteBuffer arrived) {
+    public void feed(ByteBuffer received) {
         int unread = limit - position;
-        int size = unread + arrived.remaining();
+        int size = unread + received.remaining();
         if (size > buffer.length) {
             // allocates the known length of the message, which is bounded, so that it is copied only once
             byte[] larger = new byte[Math.max(size, messageMinBytes)];
@@ -86,7 +86,7 @@
         }
         position = 0;
         messageStart = 0;
-        arrived.get(buffer, unread, arrived.remaining());
+        received.get(buffer, unread, received.remaining());
         limit = size;
     }
 
@@ -94,7 +94,7 @@
      * Removes up to {@code maxBytes} buffered bytes and returns them in a new array. Must be called between
      * two messages only.
      */
-    public byte[] take(long maxBytes) {
+    public byte[] takeBuffered(long maxBytes) {
         int end = position + (int) Math.min(maxBytes, limit - position);
         byte[] taken = Arrays.copyOfRange(buffer, position, end);
         position = end;
@@ -104,8 +104,8 @@
     }
 
     /** Marks the end of the input: no more bytes will be fed. */
-    public void end() {
-        isEnded = true;
+    public void endInput() {
+        isInputEnded = true;
     }
 
     /** Returns the number of buffered bytes that have not been read. */
@@ -114,8 +114,8 @@
     }
 
     /** Returns whether the buffered bytes may hold a complete message, so that parsing is worth a try. */
-    public boolean worthReading() {
-        return available() > 0 && (isEnded || available() >= messageMinBytes);
+    public boolean mayHaveMessage() {
+        return available() > 0 && (isInputEnded || available() >= messageMinBytes);
     }
 
     /**
@@ -123,14 +123,14 @@
      *
      * @throws IOException if the parser fails
      */
-    public <T> T message(Parser<T> parser) throws IOException {
+    public <T> T readMessage(Parser<T> parser) throws IOException {
         try {
             startMessage();
             T message = parser.read(this);
             releaseEmptyBuffer();
             startMessage();
             return message;
-        } catch (IncompleteMessage e) {
+        } catch (IncompleteMessageException e) {
             position = messageStart;
             return null;
         }
@@ -158,8 +158,8 @@
      * @throws ProtocolException if the line is longer than {@code maxBytes}
      * @throws EOFException if the stream ends inside the line
      */
-    public String line(int maxBytes) throws IOException {
-        if (!await()) {
+    public String readLine(int maxBytes) throws IOException {
+        if (!awaitByte()) {
             return null;
         }
         int end = indexOfLineFeed();
@@ -168,7 +168,7 @@
         }
         StringBuilder line = new StringBuilder();
         while (true) {
-            line.append(text(position, end));
+            line.append(decode(position, end));
             if (line.length() > maxBytes + 1) {
                 throw new ProtocolException("a line of over " + maxBytes + " bytes");
             }
@@ -177,7 +177,7 @@
                 return withoutCarriageReturn(line);
             }
             position = limit;
-            if (!await()) {
+            if (!awaitByte()) {
                 throw new EOFException("end of stream inside a line, expected a line feed");
             }
             end = indexOfLineFeed();
@@ -195,12 +195,12 @@
 
     private String takeBufferedLine(int end) {
         int textEnd = end > position && buffer[end - 1] == '\r' ? end - 1 : end;
-        String line = text(position, textEnd);
+        String line = decode(position, textEnd);
         position = end + 1;
         return line;
     }
 
-    private String text(int from, int to) {
+    private String decode(int from, int to) {
         return new String(buffer, from, to - from, StandardCharsets.ISO_8859_1);
     }
 
@@ -213,12 +213,12 @@
     }
 
     /**
-     * Reads a line as {@link #line} does, but fails at the end of the stream.
+     * Reads a line as {@link #readLine} does, but fails at the end of the stream.
      *
      * @throws ProtocolException if there is no line, or if it is longer than {@code maxBytes}
      */
-    String requiredLine(int maxBytes) throws IOException {
-        String line = line(maxBytes);
+    String readRequiredLine(int maxBytes) throws IOException {
+        String line = readLine(maxBytes);
         if (line == null) {
             throw new ProtocolException("end of stream, expected a line");
         }
@@ -227,7 +227,7 @@
 
     /** Reads from 1 to {@code maxBytes} bytes into an array; returns their number, or -1 at the end. */
     int read(byte[] into, int from, int maxBytes) throws IOException {
-        if (!await()) {
+        if (!awaitByte()) {
             return -1;
         }
         int count = Math.min(limit - position, maxBytes);
@@ -237,7 +237,7 @@
     }
 
     /** Returns whether a byte can be read without blocking. */
-    public boolean more() throws IOException {
+    public boolean isReady() throws IOException {
         return position < limit || in != null && in.available() > 0;
     }
 
@@ -245,20 +245,20 @@
      * Requires a fed source to have {@code count} buffered bytes, so that callers allocate no memory for
      * bytes that have not arrived.
      *
-     * @throws IncompleteMessage if bytes are missing and the input has not ended
+     * @throws IncompleteMessageException if bytes are missing and the input has not ended
      */
-    void awaitBytes(int count) throws IncompleteMessage {
-        if (in == null && !isEnded && limit - position < count) {
+    void awaitBytes(int count) throws IncompleteMessageException {
+        if (in == null && !isInputEnded && limit - position < count) {
             messageMinBytes = position - messageStart + count;
-            throw IncompleteMessage.INSTANCE;
+            throw IncompleteMessageException.INSTANCE;
         }
     }
 
     /** Reads exactly {@code count} bytes into a new array. */
-    byte[] bytes(int count) throws IOException {
+    byte[] readFully(int count) throws IOException {
         awaitBytes(count);
         byte[] bytes = new byte[count];
-        bytes(bytes, 0, count);
+        readFully(bytes, 0, count);
         return bytes;
     }
 
@@ -267,7 +267,7 @@
      *
      * @throws EOFException if the stream ends before that
      */
-    public void bytes(byte[] into, int from, int count) throws IOException {
+    public void readFully(byte[] into, int from, int count) throws IOException {
         awaitBytes(count);
         int end = from + count;
         for (int next = from; next < end;) {
@@ -284,9 +284,9 @@
      *
      * @throws ProtocolException if other bytes follow
      */
-    public void lineEnd() throws IOException {
+    public void readLineEnd() throws IOException {
         byte[] end = new byte[LINE_END.length];
-        bytes(end, 0, end.length);
+        readFully(end, 0, end.length);
         if (!Arrays.equals(end, LINE_END)) {
             throw new ProtocolException("expected CRLF after a value");
         }
--- a/proxy/src/main/java/spurroad/protocol/CommandLine.java
+++ b/proxy/src/main/java/spurroad/protocol/CommandLine.java
@@ -11,7 +11,7 @@
     /** The line of a command that is not a request. */
     static final CommandLine NONE = new CommandLine("");
 
-    private static final int TOKENS = 5;
+    private static final int REQUEST_TOKENS = 5;
     private static final int KEY_INDEX = 1;
     private static final int THIRD_INDEX = 2;
     private static final int MAX_KEY_BYTES = 250; // the limit of the memcache protocol
@@ -29,7 +29,7 @@
     private int idFrom;
     private int idTo;
     private Attributes attributes = Attributes.NONE;
-    private boolean isPrintable = true; // false also for two blanks in a row
+    private boolean hasOnlyVisibleTokens = true; // false also for two blanks in a row
 
     private CommandLine(String line) {
         this.line = line;
@@ -45,7 +45,7 @@
                 scanned.addToken(from, i);
                 from = i + 1;
             } else {
-                scanned.isPrintable &= isVisible(c);
+                scanned.hasOnlyVisibleTokens &= isVisible(c);
             }
         }
         return scanned;
@@ -54,7 +54,7 @@
     private void addToken(int from, int to) {
         int index = tokenCount++;
         if (from == to) {
-            isPrintable = false;
+            hasOnlyVisibleTokens = false;
         } else if (index == KEY_INDEX) {
             keyFrom = from;
             keyTo = to;
@@ -81,12 +81,12 @@
     }
 
     /** Returns whether there is a key of an allowed length. */
-    boolean hasKey() {
+    boolean hasValidKey() {
         return keyFrom < keyTo && keyTo - keyFrom <= MAX_KEY_BYTES;
     }
 
     /** Returns whether there is a request id of an allowed length. */
-    boolean hasId() {
+    boolean hasValidId() {
         return idFrom < idTo && idTo - idFrom <= MAX_ID_BYTES;
     }
 
@@ -95,7 +95,8 @@
      * line.
      */
     boolean isWellFormed(boolean isWrite) {
-        return tokenCount == TOKENS && isPrintable && (isWrite || isReadFlag()) && idIndex > THIRD_INDEX
+        return tokenCount == REQUEST_TOKENS && hasOnlyVisibleTokens && (isWrite || hasReadFlag())
+            && idIndex > THIRD_INDEX
             && hasAttributes() && attributes.isWellFormed();
     }
 
@@ -103,7 +104,7 @@
         return attributes != Attributes.NONE;
     }
 
-    private boolean isReadFlag() {
+    private boolean hasReadFlag() {
         return thirdTo - thirdFrom == 1 && line.charAt(thirdFrom) == 'v';
     }
 
@@ -122,6 +123,6 @@
 
     /** Returns the whole line with the value of one existing attribute replaced. */
     String withAttribute(String name, long value) {
-        return attributes.replaceWithin(0, line.length(), name, value);
+        return attributes.replaceValueWithin(0, line.length(), name, value);
     }
 }
--- a/proxy/src/main/java/spurroad/protocol/EndpointList.java
+++ b/proxy/src/main/java/spurroad/protocol/EndpointList.java
@@ -79,8 +79,8 @@
         };
         long startedAtNanos = (long) Math.max(0, number(entry, "boot_ms", 0)) * NANOS_PER_MILLI;
         EndpointId id = new EndpointId(hash(text(entry, "uid")));
-        EndpointKindId kind = new EndpointKindId(numberOf(text(entry, "model"), names.kinds));
-        ZoneId zone = new ZoneId(numberOf(text(entry, "az"), names.zones));
+        EndpointKindId kind = new EndpointKindId(numberOfName(text(entry, "model"), names.kinds));
+        ZoneId zone = new ZoneId(numberOfName(text(entry, "az"), names.zones));
         CellId cell = new CellId((int) number(entry, "pod_group", 0));
         double weight = names.weight(number(entry, "capacity_hint", 1));
         Endpoint endpoint = new Endpoint(id, kind, zone, cell, startedAtNanos, weight, phase);
@@ -107,8 +107,8 @@
     }
 
     /** Returns the number of a name; a number derived from its hash if the settings do not name it. */
-    private static int numberOf(String name, List<String> numbered) {
-        int index = numbered.indexOf(name);
+    private static int numberOfName(String name, List<String> names) {
+        int index = names.indexOf(name);
         return index >= 0 ? index : FIRST_HASHED_NUMBER + (int) (hash(name) & HASHED_NUMBER_MASK);
     }
 
--- a/proxy/src/main/java/spurroad/protocol/Http.java
+++ b/proxy/src/main/java/spurroad/protocol/Http.java
@@ -27,7 +27,7 @@
     private static final String CONTENT_LENGTH = "content-length";
     private static final String TRANSFER_ENCODING = "transfer-encoding";
     private static final Set<String> LENGTH_HEADERS = Set.of(CONTENT_LENGTH, TRANSFER_ENCODING);
-    private static final String UNRESERVED = "-._~"; // not escaped in paths, like letters and digits
+    private static final String UNRESERVED_PUNCTUATION = "-._~"; // not escaped in paths, like letters and digits
 
     /**
      * The head of a response.
@@ -42,13 +42,13 @@
         /**
          * Returns whether the head defines the end of the body; otherwise the body ends with the connection.
          */
-        boolean statesLength() {
+        boolean definesBodyLength() {
             return isChunked() || headers.containsKey(CONTENT_LENGTH) || status == NO_CONTENT
                 || status == NOT_MODIFIED;
         }
 
-        boolean keepsAlive() {
-            return statesLength() && !header("connection").equalsIgnoreCase("close");
+        boolean isKeepAlive() {
+            return definesBodyLength() && !header("connection").equalsIgnoreCase("close");
         }
 
         /**
@@ -60,7 +60,7 @@
         }
 
         LoadReport loadReport() {
-            return KeyValueList.load(KeyValueList.read(header("x-load")));
+            return KeyValueList.toLoadReport(KeyValueList.parse(header("x-load")));
         }
 
         private String header(String name) {
@@ -83,10 +83,10 @@
      */
     public static byte[] forOrigin(MetaCommand command, long timeoutMillis, String host) {
         Map<String, String> headers = Map.of("X-Request-Id", command.id(), "X-Extras",
-            command.extras(timeoutMillis));
+            command.attributesWithTimeout(timeoutMillis));
         String target = "/" + percentEncode(command.key());
         return command.kind == MetaCommand.Kind.WRITE
-            ? request("PUT", target, host, headers, command.length(), command.value)
+            ? request("PUT", target, host, headers, command.valueLength(), command.value)
             : request("GET", target, host, headers, 0, null);
     }
 
@@ -116,7 +116,8 @@
     private static String percentEncode(String key) {
         StringBuilder path = new StringBuilder();
         for (char c : key.toCharArray()) {
-            boolean isUnreserved = c < 128 && Character.isLetterOrDigit(c) || UNRESERVED.indexOf(c) >= 0;
+            boolean isUnreserved = c < 128 && Character.isLetterOrDigit(c)
+                || UNRESERVED_PUNCTUATION.indexOf(c) >= 0;
             path.append(isUnreserved ? String.valueOf(c) : String.format("%%%02X", (int) c));
         }
         return path.toString();
@@ -129,19 +130,19 @@
      *
      * @throws ProtocolException if a head is malformed, or defines the body's length in two ways
      */
-    public static Head head(ByteSource in) throws IOException {
-        Head head = readHead(in);
+    public static Head readFinalHead(ByteSource in) throws IOException {
+        Head head = readSingleHead(in);
         for (int i = 0; head.status < FIRST_FINAL_STATUS && i < MAX_HEADERS; i++) {
-            head = readHead(in);
+            head = readSingleHead(in);
         }
         return head;
     }
 
-    private static Head readHead(ByteSource in) throws IOException {
-        int status = parseStatus(in.requiredLine(MAX_HEAD_LINE_BYTES));
+    private static Head readSingleHead(ByteSource in) throws IOException {
+        int status = parseStatus(in.readRequiredLine(MAX_HEAD_LINE_BYTES));
         Map<String, String> headers = new HashMap<>();
         for (int i = 0; i < MAX_HEADERS; i++) {
-            String line = in.requiredLine(MAX_HEAD_LINE_BYTES);
+            String line = in.readRequiredLine(MAX_HEAD_LINE_BYTES);
             if (line.isEmpty()) {
                 if (headers.keySet().containsAll(LENGTH_HEADERS)) {
                     throw new ProtocolException("a length beside chunks");
@@ -169,8 +170,8 @@
             throw new ProtocolException("a header without a name");
         }
         String name = line.substring(0, separator).toLowerCase(Locale.ROOT);
-        String former = headers.put(name, line.substring(separator + 1).strip());
-        if (former != null && LENGTH_HEADERS.contains(name)) {
+        String previous = headers.put(name, line.substring(separator + 1).strip());
+        if (previous != null && LENGTH_HEADERS.contains(name)) {
             throw new ProtocolException("two headers " + name);
         }
     }
@@ -183,31 +184,32 @@
      * @throws ProtocolException if the response is malformed
      */
     public static UpstreamReply read(ByteSource in, MetaCommand command) throws IOException {
-        Head head = head(in);
+        Head head = readFinalHead(in);
         if (hasStreamedBody(head, command)) {
             return streamedReply(head, command);
         }
         byte[] body = HttpBody.readWhole(in, head);
         Outcome outcome = outcome(head);
         byte[] response = outcome == Outcome.SUCCEEDED && command != null ? response(command, body) : null;
-        return new UpstreamReply(outcome, CacheStatus.NONE, head.loadReport(), response, head.keepsAlive());
+        return new UpstreamReply(outcome, CacheStatus.NONE, head.loadReport(), response, head.isKeepAlive());
     }
 
     private static UpstreamReply streamedReply(Head head, MetaCommand command) {
         long length = head.contentLength("");
-        byte[] line = MetaResponse.text(MetaResponse.valueLine(length, command.id()));
+        byte[] line = MetaResponse.encodeLine(MetaResponse.valueLine(length, command.id()));
         return new UpstreamReply(Outcome.SUCCEEDED, CacheStatus.NONE, head.loadReport(), line,
-            head.keepsAlive(), new UpstreamReply.StreamedBody(length, false));
+            head.isKeepAlive(), new UpstreamReply.StreamedBody(length, false));
     }
 
     /** Reads the origin's response to a load probe; the load report is in a header. */
-    public static UpstreamReply readProbe(ByteSource in) throws IOException {
+    public static UpstreamReply readProbeResponse(ByteSource in) throws IOException {
         return read(in, null);
     }
 
     private static boolean hasStreamedBody(Head head, MetaCommand command) {
         long length = head.isChunked() ? -1 : head.contentLength("");
-        return head.status == OK && length > MetaCommand.LONG_VALUE && length <= MetaCommand.MOST_VALUE
+        return head.status == OK && length > MetaCommand.MAX_BUFFERED_VALUE_BYTES
+            && length <= MetaCommand.MAX_VALUE_BYTES
             && command != null && command.kind == MetaCommand.Kind.READ;
     }
 
@@ -227,15 +229,15 @@
     // ---- discovery streams
 
     /** Returns the body of a streaming response, without chunk boundaries, which may be inside lines. */
-    public static ByteSource stream(ByteSource in, Head head) {
-        return new ByteSource(new HttpBody.Stream(in, head.isChunked()));
+    public static ByteSource bodyStream(ByteSource in, Head head) {
+        return new ByteSource(new HttpBody.BodyInputStream(in, head.isChunked()));
     }
 
     /**
      * Reads the next endpoint list, which is one JSON object of one or more lines, or an empty line; returns
      * null at the end of the stream.
      */
-    public static String listText(ByteSource stream) throws IOException {
+    public static String readListText(ByteSource stream) throws IOException {
         return JsonObjectStream.next(stream, MAX_LIST_BYTES);
     }
 }
--- a/proxy/src/main/java/spurroad/protocol/HttpBody.java
+++ b/proxy/src/main/java/spurroad/protocol/HttpBody.java
@@ -7,7 +7,7 @@
 
 /** Reads HTTP response bodies: of a declared length, chunked, or up to the end of the connection. */
 final class HttpBody {
-    private static final int MAX_UNSTATED_BYTES = MetaCommand.LONG_VALUE; // without a Content-Length
+    private static final int MAX_UNDECLARED_BYTES = MetaCommand.MAX_BUFFERED_VALUE_BYTES; // without a Content-Length
 
     private HttpBody() {}
 
@@ -17,21 +17,21 @@
      * @throws ProtocolException if the body is too long or its chunks are malformed
      */
     static byte[] readWhole(ByteSource in, Http.Head head) throws IOException {
-        if (!head.statesLength()) {
+        if (!head.definesBodyLength()) {
             return readToEnd(in);
         }
         return head.isChunked() ? readChunks(in) : readExactly(in, head.contentLength("0"));
     }
 
     private static byte[] readToEnd(ByteSource in) throws IOException {
-        byte[] body = new byte[MAX_UNSTATED_BYTES + 1];
+        byte[] body = new byte[MAX_UNDECLARED_BYTES + 1];
         int length = 0;
         for (int read = 0; read >= 0 && length < body.length;) {
             length += read;
             read = in.read(body, length, body.length - length);
         }
         if (length == body.length) {
-            throw impossibleLength();
+            throw invalidLength();
         }
         return Arrays.copyOf(body, length);
     }
@@ -40,9 +40,9 @@
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         for (long size = readChunkSize(in); size > 0; size = readChunkSize(in)) {
             byte[] chunk = readExactly(in, size);
-            in.lineEnd();
-            if (body.size() + chunk.length > MAX_UNSTATED_BYTES) {
-                throw impossibleLength();
+            in.readLineEnd();
+            if (body.size() + chunk.length > MAX_UNDECLARED_BYTES) {
+                throw invalidLength();
             }
             body.writeBytes(chunk);
         }
@@ -51,7 +51,7 @@
     }
 
     private static void skipTrailers(ByteSource in) throws IOException {
-        for (int i = 0; !in.requiredLine(Http.MAX_HEAD_LINE_BYTES).isEmpty(); i++) {
+        for (int i = 0; !in.readRequiredLine(Http.MAX_HEAD_LINE_BYTES).isEmpty(); i++) {
             if (i > Http.MAX_HEADERS) {
                 throw new ProtocolException("too many headers");
             }
@@ -59,19 +59,19 @@
     }
 
     private static byte[] readExactly(ByteSource in, long length) throws IOException {
-        if (length < 0 || length > MetaCommand.MOST_VALUE) {
-            throw impossibleLength();
+        if (length < 0 || length > MetaCommand.MAX_VALUE_BYTES) {
+            throw invalidLength();
         }
-        return in.bytes((int) length);
+        return in.readFully((int) length);
     }
 
-    private static ProtocolException impossibleLength() {
+    private static ProtocolException invalidLength() {
         return new ProtocolException("HTTP body length malformed or over the maximum");
     }
 
     /** Reads the line before a chunk; returns the chunk size in bytes, which is zero for the last chunk. */
     private static long readChunkSize(ByteSource in) throws IOException {
-        String digits = in.requiredLine(Http.MAX_HEAD_LINE_BYTES).split(";", 2)[0].strip();
+        String digits = in.readRequiredLine(Http.MAX_HEAD_LINE_BYTES).split(";", 2)[0].strip();
         long size = parseHexadecimal(digits);
         if (size < 0 || size > Http.MAX_LIST_BYTES) {
             throw new ProtocolException("HTTP chunk size malformed or over the maximum");
@@ -91,13 +91,13 @@
     }
 
     /** A streaming body, decoded from its chunks, that ends with the last chunk or with the connection. */
-    static final class Stream extends InputStream {
+    static final class BodyInputStream extends InputStream {
         private final ByteSource in;
         private final boolean isChunked;
         private long chunkRemaining;
         private boolean isEnded;
 
-        Stream(ByteSource in, boolean isChunked) {
+        BodyInputStream(ByteSource in, boolean isChunked) {
             this.in = in;
             this.isChunked = isChunked;
         }
@@ -121,10 +121,10 @@
                 return -1;
             }
             int count = (int) Math.min(chunkRemaining, maxBytes);
-            in.bytes(into, from, count);
+            in.readFully(into, from, count);
             chunkRemaining -= count;
             if (chunkRemaining == 0) {
-                in.lineEnd();
+                in.readLineEnd();
             }
             return count;
         }
--- a/proxy/src/main/java/spurroad/protocol/IncompleteMessage.java
+++ b/proxy/src/main/java/spurroad/protocol/IncompleteMessageException.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** Thrown if a message has not arrived completely; {@link ByteSource#message} catches it. */
-final class IncompleteMessage extends IOException {
-    static final IncompleteMessage INSTANCE = new IncompleteMessage();
+/** Thrown if a message has not arrived completely; {@link ByteSource#readMessage} catches it. */
+final class IncompleteMessageException extends IOException {
+    static final IncompleteMessageException INSTANCE = new IncompleteMessageException();
     private static final long serialVersionUID = 1L;
 
-    private IncompleteMessage() {
+    private IncompleteMessageException() {
         super("message not yet complete");
     }
 
--- a/proxy/src/main/java/spurroad/protocol/Json.java
+++ b/proxy/src/main/java/spurroad/protocol/Json.java
@@ -9,7 +9,7 @@
 public final class Json {
     private static final int MAX_DEPTH = 32; // the files and messages in use have five levels
     private static final int UNICODE_ESCAPE_DIGITS = 4;
-    private static final char END = 0; // returned after the last character
+    private static final char END_OF_TEXT = 0; // returned after the last character
 
     private final String text;
     private int position;
@@ -38,7 +38,7 @@
     }
 
     private char current() {
-        return position < text.length() ? text.charAt(position) : END;
+        return position < text.length() ? text.charAt(position) : END_OF_TEXT;
     }
 
     private void skipWhitespace() {
@@ -48,7 +48,7 @@
     }
 
     /** Skips whitespace, and then the given character if it is next; returns whether it is. */
-    private boolean skipIf(char wanted) {
+    private boolean skipIfNext(char wanted) {
         skipWhitespace();
         boolean isNext = position < text.length() && text.charAt(position) == wanted;
         position += isNext ? 1 : 0;
@@ -56,7 +56,7 @@
     }
 
     private void skip(char wanted) throws ProtocolException {
-        if (!skipIf(wanted)) {
+        if (!skipIfNext(wanted)) {
             throw expected("'" + wanted + "'");
         }
     }
@@ -88,7 +88,7 @@
     private Map<String, Object> parseObject(int depth) throws ProtocolException {
         Map<String, Object> object = new LinkedHashMap<>();
         skip('{');
-        if (skipIf('}')) {
+        if (skipIfNext('}')) {
             return object;
         }
         do {
@@ -96,7 +96,7 @@
             String name = parseString();
             skip(':');
             object.put(name, parseValue(depth + 1));
-        } while (skipIf(','));
+        } while (skipIfNext(','));
         skip('}');
         return object;
     }
@@ -104,12 +104,12 @@
     private List<Object> parseArray(int depth) throws ProtocolException {
         List<Object> array = new ArrayList<>();
         skip('[');
-        if (skipIf(']')) {
+        if (skipIfNext(']')) {
             return array;
         }
         do {
             array.add(parseValue(depth + 1));
-        } while (skipIf(','));
+        } while (skipIfNext(','));
         skip(']');
         return array;
     }
--- a/proxy/src/main/java/spurroad/protocol/JsonObjectStream.java
+++ b/proxy/src/main/java/spurroad/protocol/JsonObjectStream.java
@@ -14,14 +14,14 @@
      *     object
      */
     static String next(ByteSource stream, int maxBytes) throws IOException {
-        String line = stream.line(maxBytes);
+        String line = stream.readLine(maxBytes);
         int depth = line == null ? 0 : depthChange(line);
         if (depth <= 0) {
             return line;
         }
         StringBuilder object = new StringBuilder(line);
         while (depth > 0) {
-            line = stream.requiredLine(maxBytes);
+            line = stream.readRequiredLine(maxBytes);
             depth += depthChange(line);
             if (object.append('\n').append(line).length() > maxBytes) {
                 throw new ProtocolException("JSON object longer than the maximum");
--- a/proxy/src/main/java/spurroad/protocol/KeyValueList.java
+++ b/proxy/src/main/java/spurroad/protocol/KeyValueList.java
@@ -11,7 +11,7 @@
     private KeyValueList() {}
 
     /** Returns the pairs in their order, without surrounding blanks; other entries are skipped. */
-    public static Map<String, String> read(String text) {
+    public static Map<String, String> parse(String text) {
         Map<String, String> pairs = new LinkedHashMap<>();
         for (String pair : text.split(",")) {
             int separator = pair.indexOf('=');
@@ -23,7 +23,7 @@
     }
 
     /** Returns the load report of name-value pairs; names are those of the protocol or of the settings. */
-    public static LoadReport load(Map<String, String> report) {
+    public static LoadReport toLoadReport(Map<String, String> report) {
         return new LoadReport(requestCount(report, "inflight", "rif"), requestCount(report, "queue", "q"));
     }
 
--- a/proxy/src/main/java/spurroad/protocol/MetaCommand.java
+++ b/proxy/src/main/java/spurroad/protocol/MetaCommand.java
@@ -11,51 +11,52 @@
  */
 public final class MetaCommand {
     /** The type of a command. */
-    public enum Kind { READ, WRITE, READY, FAULT }
+    public enum Kind { READ, WRITE, READY, INVALID }
 
     /** The maximum length in bytes of a value of clients and cache nodes. */
-    public static final int MOST_VALUE = 4 * 1024 * 1024;
+    public static final int MAX_VALUE_BYTES = 4 * 1024 * 1024;
     /** The maximum length in bytes of a value that is read with its command; longer ones follow in chunks. */
-    public static final int LONG_VALUE = 64 * 1024;
+    public static final int MAX_BUFFERED_VALUE_BYTES = 64 * 1024;
     static final int MAX_LINE_BYTES = 2048; // several times the length of a command with all attributes
 
     private static final long MAX_TIMEOUT_MILLIS = 3_600_000;
-    private static final String TIMEOUT = "d"; // attribute names on the wire
-    private static final String COST_HINT = "h";
+    private static final String TIMEOUT_ATTRIBUTE = "d"; // attribute names on the wire
+    private static final String COST_HINT_ATTRIBUTE = "h";
     private static final byte[] NO_VALUE = {};
     private static final MetaCommand READINESS_CHECK = new MetaCommand(Kind.READY, null, false,
         CommandLine.NONE, NO_VALUE, 0);
 
     public final Kind kind;
     /** The error response to an invalid command, without its line end; null for any other command. */
-    public final String fault;
+    public final String errorResponse;
     /** Whether the command is invalid and the start of the next command can't be found in the stream. */
-    public final boolean lost;
+    public final boolean unrecoverable;
     /** The value of a write; empty for a long value. Must not be modified. */
     public final byte[] value;
     private final int longValueBytes; // zero if there is no long value
     private final CommandLine line;
-    private List<byte[]> pieces = List.of();
+    private List<byte[]> valueChunks = List.of();
     private String id;
 
-    private MetaCommand(Kind kind, String fault, boolean lost, CommandLine line, byte[] value,
+    private MetaCommand(Kind kind, String errorResponse, boolean unrecoverable, CommandLine line,
+                        byte[] value,
                         int longValueBytes) {
         this.kind = kind;
-        this.fault = fault;
-        this.lost = lost;
+        this.errorResponse = errorResponse;
+        this.unrecoverable = unrecoverable;
         this.line = line;
         this.value = value;
         this.longValueBytes = longValueBytes;
     }
 
     /** Returns an invalid command after which the next command can be read. */
-    private static MetaCommand invalid(String answer) {
-        return new MetaCommand(Kind.FAULT, answer, false, CommandLine.NONE, NO_VALUE, 0);
+    private static MetaCommand invalid(String response) {
+        return new MetaCommand(Kind.INVALID, response, false, CommandLine.NONE, NO_VALUE, 0);
     }
 
     /** Returns an invalid command after which nothing more can be read from the connection. */
-    private static MetaCommand unreadable(String answer) {
-        return new MetaCommand(Kind.FAULT, answer, true, CommandLine.NONE, NO_VALUE, 0);
+    private static MetaCommand unrecoverable(String response) {
+        return new MetaCommand(Kind.INVALID, response, true, CommandLine.NONE, NO_VALUE, 0);
     }
 
     // ---- reading
@@ -68,9 +69,9 @@
     public static MetaCommand read(ByteSource in) throws IOException {
         String line;
         try {
-            line = in.line(MAX_LINE_BYTES);
+            line = in.readLine(MAX_LINE_BYTES);
         } catch (ProtocolException e) {
-            return unreadable("CLIENT_ERROR line too long");
+            return unrecoverable("CLIENT_ERROR line too long");
         }
         if (line == null) {
             return null;
@@ -79,8 +80,8 @@
         int commandEnd = line.indexOf(' ');
         return switch (commandEnd < 0 ? line : line.substring(0, commandEnd)) {
             case "mn" -> READINESS_CHECK;
-            case "mg" -> request(Kind.READ, line, NO_VALUE, 0);
-            case "ms" -> readWrite(line, in);
+            case "mg" -> parseRequest(Kind.READ, line, NO_VALUE, 0);
+            case "ms" -> readWriteCommand(line, in);
             default -> invalid("ERROR");
         };
     }
@@ -93,26 +94,26 @@
         return line.substring(0, end);
     }
 
-    private static MetaCommand readWrite(String line, ByteSource in) throws IOException {
-        long length = valueLength(line);
-        if (length < 0 || length > MOST_VALUE) {
-            return unreadable("CLIENT_ERROR bad length");
+    private static MetaCommand readWriteCommand(String line, ByteSource in) throws IOException {
+        long length = parseValueLength(line);
+        if (length < 0 || length > MAX_VALUE_BYTES) {
+            return unrecoverable("CLIENT_ERROR bad length");
         }
-        if (length > LONG_VALUE) {
-            MetaCommand write = request(Kind.WRITE, line, NO_VALUE, (int) length);
-            return write.kind == Kind.FAULT ? unreadable(write.fault) : write;
+        if (length > MAX_BUFFERED_VALUE_BYTES) {
+            MetaCommand write = parseRequest(Kind.WRITE, line, NO_VALUE, (int) length);
+            return write.kind == Kind.INVALID ? unrecoverable(write.errorResponse) : write;
         }
-        byte[] value = in.bytes((int) length);
+        byte[] value = in.readFully((int) length);
         try {
-            in.lineEnd();
+            in.readLineEnd();
         } catch (ProtocolException e) {
-            return unreadable("CLIENT_ERROR bad data chunk");
+            return unrecoverable("CLIENT_ERROR bad data chunk");
         }
-        return request(Kind.WRITE, line, value, 0);
+        return parseRequest(Kind.WRITE, line, value, 0);
     }
 
     /** Returns the value length in bytes, which is the third token; -1 if that is not a number. */
-    private static long valueLength(String line) {
+    private static long parseValueLength(String line) {
         int keyFrom = line.indexOf(' ') + 1;
         int lengthFrom = keyFrom == 0 ? 0 : line.indexOf(' ', keyFrom) + 1;
         if (lengthFrom == 0) {
@@ -122,20 +123,21 @@
         return NumberParser.parseWhole(line, lengthFrom, lengthTo < 0 ? line.length() : lengthTo);
     }
 
-    private static MetaCommand request(Kind kind, String text, byte[] value, int longValueBytes) {
+    private static MetaCommand parseRequest(Kind kind, String text, byte[] value, int longValueBytes) {
         CommandLine line = CommandLine.scan(text);
-        if (!line.hasKey()) {
+        if (!line.hasValidKey()) {
             return invalid("CLIENT_ERROR bad key");
         }
-        if (!line.hasId()) {
+        if (!line.hasValidId()) {
             return invalid("CLIENT_ERROR no request id");
         }
         Attributes attributes = line.attributes();
-        long timeoutMillis = attributes.wholeNumber(TIMEOUT);
+        long timeoutMillis = attributes.wholeNumber(TIMEOUT_ATTRIBUTE);
         if (timeoutMillis < 0 || timeoutMillis > MAX_TIMEOUT_MILLIS) {
             return invalid("CLIENT_ERROR no time to wait");
         }
-        boolean isCostHintValid = !attributes.has(COST_HINT) || attributes.wholeNumber(COST_HINT) >= 0;
+        boolean isCostHintValid = !attributes.has(COST_HINT_ATTRIBUTE)
+            || attributes.wholeNumber(COST_HINT_ATTRIBUTE) >= 0;
         if (!line.isWellFormed(kind == Kind.WRITE) || !isCostHintValid) {
             return invalid("CLIENT_ERROR bad command line format");
         }
@@ -145,23 +147,23 @@
     // ---- the value
 
     /** Returns the length of the value in bytes; zero for a command without one. */
-    public int length() {
+    public int valueLength() {
         return Math.max(longValueBytes, value.length);
     }
 
     /** Returns whether the value is a long one, which follows the command in chunks. */
-    public boolean isLong() {
+    public boolean hasLongValue() {
         return longValueBytes > 0;
     }
 
     /** Sets the chunks of the long value when it has arrived completely. */
-    public void pieces(List<byte[]> whole) {
-        pieces = whole;
+    public void valueChunks(List<byte[]> chunks) {
+        valueChunks = chunks;
     }
 
     /** Returns the chunks of the long value; empty until it has arrived. They must not be modified. */
-    public List<byte[]> pieces() {
-        return pieces;
+    public List<byte[]> valueChunks() {
+        return valueChunks;
     }
 
     // ---- the line
@@ -180,28 +182,28 @@
     }
 
     /** Returns whether the request has an attribute. */
-    public boolean has(String name) {
+    public boolean hasAttribute(String name) {
         return line.attributes().has(name);
     }
 
     /** Returns the value of an attribute; empty if the request does not have it. */
-    public String figure(String name) {
+    public String attribute(String name) {
         return line.attributes().value(name);
     }
 
     /** Returns the attribute list as received, with the timeout replaced by the time the proxy will wait. */
-    public String extras(long timeoutMillis) {
-        return line.attributes().with(TIMEOUT, timeoutMillis);
+    public String attributesWithTimeout(long timeoutMillis) {
+        return line.attributes().withValue(TIMEOUT_ATTRIBUTE, timeoutMillis);
     }
 
     /** Returns how long the client waits, in milliseconds; -1 for a command that is not a request. */
     public long timeoutMillis() {
-        return line.attributes().wholeNumber(TIMEOUT);
+        return line.attributes().wholeNumber(TIMEOUT_ATTRIBUTE);
     }
 
     /** Returns the client's estimate of the request's cost in microseconds; zero if it sent none. */
     public long costHintMicros() {
-        return Math.max(0, line.attributes().wholeNumber(COST_HINT));
+        return Math.max(0, line.attributes().wholeNumber(COST_HINT_ATTRIBUTE));
     }
 
     /**
@@ -209,8 +211,8 @@
      * proxy will wait, and with its value unless that is a long one.
      */
     public byte[] forEndpoint(long timeoutMillis) {
-        String forwarded = line.withAttribute(TIMEOUT, timeoutMillis);
-        return kind == Kind.READ || isLong() ? MetaResponse.text(forwarded)
+        String forwarded = line.withAttribute(TIMEOUT_ATTRIBUTE, timeoutMillis);
+        return kind == Kind.READ || hasLongValue() ? MetaResponse.encodeLine(forwarded)
             : MetaResponse.withValue(forwarded, value);
     }
 }
--- a/proxy/src/main/java/spurroad/protocol/MetaResponse.java
+++ b/proxy/src/main/java/spurroad/protocol/MetaResponse.java
@@ -18,7 +18,7 @@
     private static final char HIT_FLAG = 'h';
     private static final String FETCH_PENDING_FLAG = "Z";
     private static final String LOAD_FLAG = "L";
-    private static final byte[] LOAD_PROBE = text("stats load");
+    private static final byte[] LOAD_PROBE = encodeLine("stats load");
 
     private MetaResponse() {}
 
@@ -30,7 +30,7 @@
      * @throws ProtocolException if the response is malformed, or carries the id of another request
      */
     public static UpstreamReply read(ByteSource in, String id) throws IOException {
-        String line = in.requiredLine(MetaCommand.MAX_LINE_BYTES);
+        String line = in.readRequiredLine(MetaCommand.MAX_LINE_BYTES);
         String[] tokens = tokens(line);
         LoadReport load = loadReport(tokens);
         CacheStatus status = cacheStatus(tokens);
@@ -58,19 +58,19 @@
                                            CacheStatus status, LoadReport load)
         throws IOException {
         long length = tokens.length < 2 ? -1 : NumberParser.parseWhole(tokens[1]);
-        if (length < 0 || length > MetaCommand.MOST_VALUE) {
+        if (length < 0 || length > MetaCommand.MAX_VALUE_BYTES) {
             throw new ProtocolException("a value of impossible length, " + line);
         }
-        if (length > MetaCommand.LONG_VALUE) {
+        if (length > MetaCommand.MAX_BUFFERED_VALUE_BYTES) {
             requireId(tokens, id);
-            return new UpstreamReply(Outcome.SUCCEEDED, status, load, text(valueLine(length, id)), true,
+            return new UpstreamReply(Outcome.SUCCEEDED, status, load, encodeLine(valueLine(length, id)), true,
                 new UpstreamReply.StreamedBody(length, true));
         }
         int valueBytes = (int) length;
         in.awaitBytes(valueBytes);
-        byte[] response = withUnsetValue(valueLine(length, id), valueBytes);
-        in.bytes(response, valueFrom(response, valueBytes), valueBytes);
-        in.lineEnd();
+        byte[] response = allocateMessage(valueLine(length, id), valueBytes);
+        in.readFully(response, valueOffset(response, valueBytes), valueBytes);
+        in.readLineEnd();
         requireId(tokens, id);
         return new UpstreamReply(Outcome.SUCCEEDED, status, load, response, true);
     }
@@ -80,14 +80,15 @@
      *
      * @throws ProtocolException if the report has more than the maximum number of lines
      */
-    public static UpstreamReply readProbe(ByteSource in) throws IOException {
+    public static UpstreamReply readProbeResponse(ByteSource in) throws IOException {
         Map<String, String> report = new LinkedHashMap<>();
         for (int i = 0; i < MAX_STAT_LINES; i++) {
-            String[] tokens = tokens(in.requiredLine(MetaCommand.MAX_LINE_BYTES));
+            String[] tokens = tokens(in.readRequiredLine(MetaCommand.MAX_LINE_BYTES));
             if (tokens[0].equals("STAT") && tokens.length > 2) {
                 report.put(tokens[1], tokens[2]);
             } else if (tokens[0].equals("END")) {
-                return new UpstreamReply(Outcome.SUCCEEDED, CacheStatus.NONE, KeyValueList.load(report), null,
+                return new UpstreamReply(Outcome.SUCCEEDED, CacheStatus.NONE,
+                    KeyValueList.toLoadReport(report), null,
                     true);
             } else {
                 return new UpstreamReply(Outcome.FAILED, CacheStatus.NONE, LoadReport.NONE, null, true);
@@ -120,7 +121,7 @@
 
     private static LoadReport loadReport(String[] tokens) {
         String last = tokens[tokens.length - 1];
-        return last.startsWith(LOAD_FLAG) ? KeyValueList.load(KeyValueList.read(last.substring(1)))
+        return last.startsWith(LOAD_FLAG) ? KeyValueList.toLoadReport(KeyValueList.parse(last.substring(1)))
             : LoadReport.NONE;
     }
 
@@ -134,7 +135,7 @@
     }
 
     /** Returns the command that requests the load report of a cache node. The array must not be modified. */
-    public static byte[] probe() {
+    public static byte[] loadProbe() {
         return LOAD_PROBE;
     }
 
@@ -152,21 +153,21 @@
 
     /** Returns a message of a line, a value, and the line end after the value. */
     static byte[] withValue(String line, byte[] value) {
-        byte[] message = withUnsetValue(line, value.length);
-        System.arraycopy(value, 0, message, valueFrom(message, value.length), value.length);
+        byte[] message = allocateMessage(line, value.length);
+        System.arraycopy(value, 0, message, valueOffset(message, value.length), value.length);
         return message;
     }
 
     /** Returns the message of a line and a value, with zero bytes in place of the value. */
-    private static byte[] withUnsetValue(String line, int valueBytes) {
-        byte[] head = text(line);
+    private static byte[] allocateMessage(String line, int valueBytes) {
+        byte[] head = encodeLine(line);
         byte[] message = Arrays.copyOf(head, head.length + valueBytes + LINE_END.length());
         message[message.length - 2] = '\r';
         message[message.length - 1] = '\n';
         return message;
     }
 
-    private static int valueFrom(byte[] message, int valueBytes) {
+    private static int valueOffset(byte[] message, int valueBytes) {
         return message.length - LINE_END.length() - valueBytes;
     }
 
@@ -179,7 +180,7 @@
         if (!CommandLine.isToken(receipt)) {
             throw new ProtocolException("no receipt");
         }
-        return text("HD " + ID_FLAG + id + " " + RECEIPT_FLAG + receipt);
+        return encodeLine("HD " + ID_FLAG + id + " " + RECEIPT_FLAG + receipt);
     }
 
     /**
@@ -188,26 +189,27 @@
      * @param retryAfterMillis the delay after which the client may retry; not sent if zero or less
      */
     public static byte[] rejected(long retryAfterMillis) {
-        return text(retryAfterMillis > 0 ? "SERVER_ERROR busy " + retryAfterMillis : "SERVER_ERROR busy");
+        return encodeLine(
+            retryAfterMillis > 0 ? "SERVER_ERROR busy " + retryAfterMillis : "SERVER_ERROR busy");
     }
 
     /** Returns the response to a failed request. */
     public static byte[] failed() {
-        return text("SERVER_ERROR failed");
+        return encodeLine("SERVER_ERROR failed");
     }
 
     /** Returns the response to a readiness check. */
     public static byte[] ready() {
-        return text("MN");
+        return encodeLine("MN");
     }
 
     /** Returns the line end after a value. */
     public static byte[] lineEnd() {
-        return text("");
+        return encodeLine("");
     }
 
     /** Returns the ISO 8859-1 bytes of a line, with CRLF appended. */
-    public static byte[] text(String line) {
+    public static byte[] encodeLine(String line) {
         return (line + LINE_END).getBytes(StandardCharsets.ISO_8859_1);
     }
 }
--- a/proxy/src/main/java/spurroad/protocol/PeerUpdateCodec.java
+++ b/proxy/src/main/java/spurroad/protocol/PeerUpdateCodec.java
@@ -30,14 +30,14 @@
         return topic == Topic.LOAD || topic == Topic.CACHE_STATUS;
     }
 
-    private static int length(Topic topic) {
+    private static int messageLength(Topic topic) {
         return COMMON_BYTES + (hasQueue(topic) ? QUEUE_BYTES : 0) + (hasKey(topic) ? KEY_BYTES : 0);
     }
 
     /** Encodes an update; a service time beyond the range of its field is sent as the largest possible. */
-    public static byte[] write(PeerUpdate update) {
+    public static byte[] encode(PeerUpdate update) {
         Topic topic = update.topic();
-        ByteBuffer message = ByteBuffer.allocate(length(topic));
+        ByteBuffer message = ByteBuffer.allocate(messageLength(topic));
         message.put((byte) topic.ordinal()).putLong(update.subject()).putFloat((float) update.value());
         if (hasQueue(topic)) {
             message.putInt((int) Math.min(MAX_U32, update.serviceTimeNanos() / NANOS_PER_MICRO))
@@ -55,28 +55,28 @@
      * @throws ProtocolException if the topic is unknown, the length is not that of the topic, or a value is
      *     out of range
      */
-    public static PeerUpdate read(byte[] message) throws ProtocolException {
+    public static PeerUpdate decode(byte[] message) throws ProtocolException {
         ByteBuffer fields = ByteBuffer.wrap(message);
         int ordinal = message.length == 0 ? -1 : fields.get();
         if (ordinal < 0 || ordinal >= TOPICS.length) {
             throw new ProtocolException("peer update with an unknown topic");
         }
         Topic topic = TOPICS[ordinal];
-        if (message.length != length(topic)) {
+        if (message.length != messageLength(topic)) {
             throw new ProtocolException("peer update with a length other than that of its topic");
         }
         long subject = fields.getLong();
         double value = fields.getFloat();
         long serviceTimeNanos = hasQueue(topic) ? (fields.getInt() & MAX_U32) * NANOS_PER_MICRO : 0;
         double cachedFraction = hasQueue(topic) ? fields.getFloat() : WHOLE_CACHE;
-        if (!isPossibleValue(topic, value) || !isPossibleCachedFraction(topic, cachedFraction)) {
+        if (!isValidValue(topic, value) || !isValidCachedFraction(topic, cachedFraction)) {
             throw new ProtocolException("peer update with a value out of range");
         }
         CacheKey key = new CacheKey(hasKey(topic) ? fields.getLong() : 0);
         return new PeerUpdate(topic, subject, value, serviceTimeNanos, cachedFraction, key);
     }
 
-    private static boolean isPossibleValue(Topic topic, double value) {
+    private static boolean isValidValue(Topic topic, double value) {
         return switch (topic) {
             case IN_FLIGHT -> value != 0 && value >= -1 && value <= 1;
             case LOAD, CACHE_STATUS -> value >= 0 && value <= MAX_VALUE;
@@ -87,7 +87,7 @@
         };
     }
 
-    private static boolean isPossibleCachedFraction(Topic topic, double fraction) {
+    private static boolean isValidCachedFraction(Topic topic, double fraction) {
         return topic == Topic.CACHE_STATUS ? fraction == 0 || fraction == 1 : fraction > 0 && fraction <= 1;
     }
 }
--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -123,7 +123,8 @@
         ResponseSlot slot = responses.append();
         slot.holdsUpload(uploadBytes);
         slot.response = switch (command.kind) {
-            case FAULT -> command.lost ? rejectInput(slot, command.fault) : pause(command.fault);
+            case INVALID -> command.unrecoverable ? rejectInput(slot, command.errorResponse)
+                : pause(command.errorResponse);
             case READY -> MetaResponse.ready();
             default -> onRequest(slot, command, arrivedAtNanos);
         };
@@ -167,7 +168,7 @@
     /** The response to a command that can't be used. */
     byte[] unusable(String fault) {
         clients.log.warn("command rejected", this + " reason=" + fault);
-        return MetaResponse.text(fault);
+        return MetaResponse.encodeLine(fault);
     }
 
     private byte[] onRequest(ResponseSlot slot, MetaCommand command, long arrivedAtNanos) {
--- a/proxy/src/main/java/spurroad/routing/ClientConnections.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnections.java
@@ -86,7 +86,7 @@
             Runtime.getRuntime().maxMemory() / HEAP_SHARE);
         requestMemory = new MemoryBudget(
             Math.min(memory, (long) start.settings.maxOpenRequests * REQUEST_BYTES));
-        uploadMemory = new MemoryBudget(Math.max(MetaCommand.MOST_VALUE, memory / 2));
+        uploadMemory = new MemoryBudget(Math.max(MetaCommand.MAX_VALUE_BYTES, memory / 2));
         readAheadMemory = new MemoryBudget(memory / READ_AHEAD_SHARE);
         admission = new AdmissionController(start, loop, log, requestMemory, loadBalancer);
         loadBalancer.setAdmissionController(admission);
@@ -100,7 +100,7 @@
         requestClassNumbers = numbered(next.requestClassNames);
         tenantNumbers = numbered(next.tenantNames);
         statisticsByClass = next.requestClassNames.stream().map(statistics::of).toList();
-        configuredTimeoutNanos = next.longestTimeoutNanos;
+        configuredTimeoutNanos = next.maxRequestTimeoutNanos;
     }
 
     private static Map<String, Integer> numbered(List<String> names) {
@@ -131,12 +131,12 @@
 
     /** The number of the request class that a command names; -1 where there is none such. */
     int requestClass(MetaCommand command) {
-        return requestClassNumbers.getOrDefault(command.figure("c"), -1);
+        return requestClassNumbers.getOrDefault(command.attribute("c"), -1);
     }
 
     /** The number of the tenant that a command names; -1 where there is none such. */
     int tenant(MetaCommand command) {
-        return tenantNumbers.getOrDefault(command.figure("t"), -1);
+        return tenantNumbers.getOrDefault(command.attribute("t"), -1);
     }
 
     /** The counts of a request class, by its number. */
@@ -149,11 +149,12 @@
         if (requestClass < 0) {
             return "CLIENT_ERROR unknown class";
         }
-        if (tenant < 0 && !tenantNumbers.isEmpty() && command.has("t")) {
+        if (tenant < 0 && !tenantNumbers.isEmpty() && command.hasAttribute("t")) {
             return "CLIENT_ERROR unknown tenant";
         }
         Effect effect = settings.deployment.requestClasses().get(requestClass).effect();
-        return effect == Effect.DEDUPLICATED && !command.has("k") ? "CLIENT_ERROR no idempotency key" : null;
+        return effect == Effect.DEDUPLICATED && !command.hasAttribute("k") ? "CLIENT_ERROR no idempotency key"
+            : null;
     }
 
     /**
--- a/proxy/src/main/java/spurroad/routing/CommandReader.java
+++ b/proxy/src/main/java/spurroad/routing/CommandReader.java
@@ -152,7 +152,7 @@
             if (command == null) {
                 break;
             }
-            if (command.isLong()) {
+            if (command.hasLongValue()) {
                 beginUpload(new UploadBuffer(command));
             } else {
                 owner.onCommand(command, 0, buffer.commandArrivedAtNanos());
--- a/proxy/src/main/java/spurroad/routing/EndpointConnection.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointConnection.java
@@ -83,8 +83,8 @@
         long timeLeftMillis = next.timeLeftMillis(pool.now());
         connection.write(protocol.message(next.command(), timeLeftMillis));
         pool.onFirstByteSent(next, timeLeftMillis);
-        if (!next.isLoadProbe() && next.command().isLong()) {
-            next.command().pieces().forEach(connection::write);
+        if (!next.isLoadProbe() && next.command().hasLongValue()) {
+            next.command().valueChunks().forEach(connection::write);
             connection.write(protocol.afterValue());
         }
         if (connection.isDrained() && !connection.isClosed()) {
@@ -128,7 +128,7 @@
     void stream() {
         while (!closed && streamed != null && streamed.remaining() > 0 && input.available() > 0
             && streamed.isWanted()) {
-            streamed.onPart(ByteBuffer.wrap(input.take(streamed.remaining())));
+            streamed.onPart(ByteBuffer.wrap(input.takeBuffered(streamed.remaining())));
         }
         if (closed || streamed == null) {
             return;
@@ -150,7 +150,7 @@
                 watchStream(true);
                 return;
             }
-            if (!Arrays.equals(input.take(LINE_END.length), LINE_END)) {
+            if (!Arrays.equals(input.takeBuffered(LINE_END.length), LINE_END)) {
                 pool.onMalformedReply("no line end after a value");
                 breakOff();
                 return;
@@ -181,9 +181,9 @@
             stream();
             return;
         }
-        while (!closed && input.worthReading()) {
+        while (!closed && input.mayHaveMessage()) {
             try {
-                UpstreamReply reply = input.message(parser);
+                UpstreamReply reply = input.readMessage(parser);
                 if (reply == null) {
                     watchRest();
                     return;
@@ -193,7 +193,7 @@
                     beginStream(reply);
                     return;
                 }
-                pool.onReply(this, attempt, input.available() == 0 ? reply : reply.last());
+                pool.onReply(this, attempt, input.available() == 0 ? reply : reply.withoutReuse());
             } catch (IOException failure) {
                 if (failure instanceof ProtocolException) {
                     pool.onMalformedReply(failure.getMessage());
@@ -234,7 +234,7 @@
     @Override
     public void onClosed() {
         if (!closed && connection.endedOrderly()) {
-            input.end();
+            input.endInput();
             parseReplies();
         }
         timeout.cancel();
--- a/proxy/src/main/java/spurroad/routing/EndpointWatch.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointWatch.java
@@ -54,7 +54,7 @@
         names = start.settings.endpointNames;
         revision = start.initialEndpoints.revision();
         pushed = !start.settings.deployment.pollsDiscovery();
-        timing = new DiscoveryTiming(pushed, start.settings.pollWithinNanos, new Random(start.seed));
+        timing = new DiscoveryTiming(pushed, start.settings.maxPollIntervalNanos, new Random(start.seed));
     }
 
     /** Whether lists are pushed: what there is to know counts from the first moment of a process on. */
@@ -260,17 +260,17 @@
             String path = "/catalog/members?follow=1&since=" + sinceRevision;
             socket.getOutputStream().write(Http.get(path, host));
             ByteSource response = new ByteSource(socket.getInputStream());
-            Http.Head head = Http.head(response);
+            Http.Head head = Http.readFinalHead(response);
             if (head.status() != OK) {
                 throw new ProtocolException("answered " + head.status());
             }
             // the first line comes after a heartbeat where nothing has changed
             loop.execute(() -> expectLine(timing.silenceNanos()));
-            return Http.stream(response, head);
+            return Http.bodyStream(response, head);
         }
 
         private void readLines(ByteSource body) throws IOException {
-            for (String text = Http.listText(body); text != null; text = Http.listText(body)) {
+            for (String text = Http.readListText(body); text != null; text = Http.readListText(body)) {
                 EndpointList list = text.isBlank() ? null : EndpointList.read(Json.read(text), names);
                 loop.execute(() -> onLine(this, list));
             }
--- a/proxy/src/main/java/spurroad/routing/PeerGossip.java
+++ b/proxy/src/main/java/spurroad/routing/PeerGossip.java
@@ -18,7 +18,7 @@
                       LoadBalancerThread loadBalancer) {
         datagrams = new PeerDatagrams(proxies, own, log, bytes -> {
             try {
-                loadBalancer.onPeerUpdate(PeerUpdateCodec.read(bytes));
+                loadBalancer.onPeerUpdate(PeerUpdateCodec.decode(bytes));
             } catch (ProtocolException e) {
                 log.warn("ignored malformed peer update", "error=" + e.getMessage());
             }
@@ -28,7 +28,7 @@
 
     /** Sends an update to its recipient, or to all proxies. On the event loop. */
     void send(Decisions.SendPeerUpdate message) {
-        byte[] bytes = PeerUpdateCodec.write(message.update());
+        byte[] bytes = PeerUpdateCodec.encode(message.update());
         if (message.recipient() == Decisions.ALL_PEERS) {
             datagrams.sendAll(bytes);
         } else {
--- a/proxy/src/main/java/spurroad/routing/ReadAheadBuffer.java
+++ b/proxy/src/main/java/spurroad/routing/ReadAheadBuffer.java
@@ -39,7 +39,7 @@
 
     /** Whether enough has been appended since the last attempt to parse a command for another one. */
     boolean isWorthParsing() {
-        return unparsed.worthReading();
+        return unparsed.mayHaveMessage();
     }
 
     /**
@@ -49,7 +49,7 @@
      */
     MetaCommand nextCommand() throws IOException {
         int before = unparsed.available();
-        MetaCommand command = unparsed.message(MetaCommand::read);
+        MetaCommand command = unparsed.readMessage(MetaCommand::read);
         if (command != null) {
             commandArrivedAtNanos = arrivals.take(before - unparsed.available());
         }
@@ -69,7 +69,7 @@
     /** Removes all unparsed bytes; only where there are some. */
     byte[] takeAll() {
         arrivals.take(unparsed.available());
-        return unparsed.take(unparsed.available());
+        return unparsed.takeBuffered(unparsed.available());
     }
 
     /** How many bytes may be appended now; reserves another chunk where there is no capacity left. */
--- a/proxy/src/main/java/spurroad/routing/RequestEvents.java
+++ b/proxy/src/main/java/spurroad/routing/RequestEvents.java
@@ -114,7 +114,7 @@
     void onAttemptEnd(UpstreamRequest attempt, UpstreamReply reply) {
         ProxiedRequest request = attempt.request;
         if (request == null) {
-            onLoadProbeEnd(attempt.pool.id(), reply.outcome(), reply.load());
+            onLoadProbeEnd(attempt.pool.id(), reply.outcome(), reply.loadReport());
             return;
         }
         request.attemptsInFlight--;
@@ -127,7 +127,7 @@
         } else if (attempt.streamedResponse != null) {
             outbox.add(attempt.streamedResponse::abandon);
         }
-        balancer.onAttemptEnd(clock.now(), request.id, attempt.number, reply.outcome(), reply.load(),
+        balancer.onAttemptEnd(clock.now(), request.id, attempt.number, reply.outcome(), reply.loadReport(),
             request.finished, stalls.totalNanos() - attempt.stalledNanos, executor.cleared());
         executor.execute();
         requests.removeIfDone(request);
--- a/proxy/src/main/java/spurroad/routing/StreamedResponse.java
+++ b/proxy/src/main/java/spurroad/routing/StreamedResponse.java
@@ -18,8 +18,8 @@
 
     StreamedResponse(EndpointConnection from, UpstreamReply.StreamedBody rest) {
         this.from = from;
-        remaining = rest.bytes();
-        lineEnd = rest.lineEnd();
+        remaining = rest.length();
+        lineEnd = rest.followedByLineEnd();
     }
 
     /** How many bytes of the value are still to come from the endpoint. */
--- a/proxy/src/main/java/spurroad/routing/UploadBuffer.java
+++ b/proxy/src/main/java/spurroad/routing/UploadBuffer.java
@@ -24,7 +24,7 @@
 
     UploadBuffer(MetaCommand command) {
         this.command = command;
-        remaining = command.length();
+        remaining = command.valueLength();
     }
 
     /** Takes the bytes that belong to it; returns true once it is complete. */
@@ -46,7 +46,7 @@
             }
         }
         if (lineEndBytes == LINE_END.length()) {
-            command.pieces(pieces);
+            command.valueChunks(pieces);
         }
         return lineEndBytes == LINE_END.length();
     }
--- a/proxy/src/main/java/spurroad/routing/UploadReceiver.java
+++ b/proxy/src/main/java/spurroad/routing/UploadReceiver.java
@@ -26,9 +26,9 @@
     /** Begins to receive; false where there is no memory for it, so that this is to be called again. */
     boolean tryBegin(UploadBuffer next) {
         buffer = next;
-        boolean reserved = budget.tryReserve(next.command.length());
+        boolean reserved = budget.tryReserve(next.command.valueLength());
         state = reserved ? State.RECEIVING : State.WAITING_FOR_MEMORY;
-        reservedBytes = reserved ? next.command.length() : 0;
+        reservedBytes = reserved ? next.command.valueLength() : 0;
         return reserved;
     }
 
--- a/proxy/src/main/java/spurroad/routing/UpstreamProtocol.java
+++ b/proxy/src/main/java/spurroad/routing/UpstreamProtocol.java
@@ -27,7 +27,7 @@
     UpstreamProtocol CACHE = new UpstreamProtocol() {
         @Override
         public byte[] message(MetaCommand command, long timeLeftMillis) {
-            return command == null ? MetaResponse.probe() : command.forEndpoint(timeLeftMillis);
+            return command == null ? MetaResponse.loadProbe() : command.forEndpoint(timeLeftMillis);
         }
 
         @Override
@@ -37,7 +37,7 @@
 
         @Override
         public UpstreamReply reply(ByteSource in, MetaCommand command) throws IOException {
-            return command == null ? MetaResponse.readProbe(in) : MetaResponse.read(in, command.id());
+            return command == null ? MetaResponse.readProbeResponse(in) : MetaResponse.read(in, command.id());
         }
     };
 
@@ -57,7 +57,7 @@
 
             @Override
             public UpstreamReply reply(ByteSource in, MetaCommand command) throws IOException {
-                return command == null ? Http.readProbe(in) : Http.read(in, command);
+                return command == null ? Http.readProbeResponse(in) : Http.read(in, command);
             }
         };
     }
--- a/proxy/src/main/java/spurroad/simulator/EventDecoder.java
+++ b/proxy/src/main/java/spurroad/simulator/EventDecoder.java
@@ -123,7 +123,7 @@
         fields.u16(); // not used
         byte[] message = fields.message();
         try {
-            return new SimulatorEvent.PeerMessage(PeerUpdateCodec.read(message));
+            return new SimulatorEvent.PeerMessage(PeerUpdateCodec.decode(message));
         } catch (ProtocolException e) {
             return new SimulatorEvent.MalformedPeerMessage();
         }
--- a/proxy/src/main/java/spurroad/simulator/ReplyEncoder.java
+++ b/proxy/src/main/java/spurroad/simulator/ReplyEncoder.java
@@ -83,7 +83,7 @@
     }
 
     private void addPeerMessage(int instance, Decisions.SendPeerUpdate send) {
-        byte[] message = PeerUpdateCodec.write(send.update());
+        byte[] message = PeerUpdateCodec.encode(send.update());
         begin(DecisionCode.SEND_PEER_MESSAGE, 4 + 2 + message.length, instance)
             .putInt(send.recipient())
             .putShort((short) message.length)
--- a/proxy/src/test/java/spurroad/bench/CommandBench.java
+++ b/proxy/src/test/java/spurroad/bench/CommandBench.java
@@ -77,7 +77,7 @@
     private MetaCommand read() throws IOException {
         received.clear();
         in.feed(received);
-        return in.message(MetaCommand::read);
+        return in.readMessage(MetaCommand::read);
     }
 
     @Benchmark
@@ -88,8 +88,8 @@
     @Benchmark
     public byte[] turnedAway() throws IOException {
         MetaCommand next = read();
-        int requestClass = REQUEST_CLASSES.getOrDefault(next.figure("c"), -1);
-        int tenant = TENANTS.getOrDefault(next.figure("t"), -1);
+        int requestClass = REQUEST_CLASSES.getOrDefault(next.attribute("c"), -1);
+        int tenant = TENANTS.getOrDefault(next.attribute("t"), -1);
         if (admission.admits(requestClass, tenant)) {
             return command;
         }
--- a/proxy/src/test/java/spurroad/configuration/SettingsFormTest.java
+++ b/proxy/src/test/java/spurroad/configuration/SettingsFormTest.java
@@ -127,12 +127,12 @@
             setting("allowed.maxOpen", MISSING, s -> s.maxOpenRequests, 20_000),
             setting("allowed.maxOpen", "7", s -> s.maxOpenRequests, 7),
             setting("allowed.maxOpen", "0", s -> s.maxOpenRequests, 1),
-            setting("obligations.askWithinUs", MISSING, s -> s.pollWithinNanos, 20_000_000_000L),
-            setting("obligations.askWithinUs", "0", s -> s.pollWithinNanos, 20_000_000_000L),
-            setting("obligations.askWithinUs", "2500", s -> s.pollWithinNanos, 2_500_000L),
+            setting("obligations.askWithinUs", MISSING, s -> s.maxPollIntervalNanos, 20_000_000_000L),
+            setting("obligations.askWithinUs", "0", s -> s.maxPollIntervalNanos, 20_000_000_000L),
+            setting("obligations.askWithinUs", "2500", s -> s.maxPollIntervalNanos, 2_500_000L),
             setting("tracks.0.name", "'get'", s -> s.requestClassNames, List.of("get")),
-            setting("tracks.0.statementTimeoutUs", MISSING, s -> s.longestTimeoutNanos, 0L),
-            setting("tracks.0.statementTimeoutUs", "2500", s -> s.longestTimeoutNanos, 2_500_000L),
+            setting("tracks.0.statementTimeoutUs", MISSING, s -> s.maxRequestTimeoutNanos, 0L),
+            setting("tracks.0.statementTimeoutUs", "2500", s -> s.maxRequestTimeoutNanos, 2_500_000L),
             setting("projects", MISSING, s -> s.tenantNames, List.of()),
             setting("projects", project, s -> s.tenantNames, List.of("acme", "b"))};
     }
@@ -288,6 +288,6 @@
             .with("settings.tracks.0.statementTimeoutUs", "2500").with("settings.tracks.1",
                 "{'name':'put','effect':'dedup','sloTimeUs':1,'statementTimeoutUs':900}")
             .text();
-        assertEquals(new ProxyConfiguration(text).settings.longestTimeoutNanos, 2_500_000L);
+        assertEquals(new ProxyConfiguration(text).settings.maxRequestTimeoutNanos, 2_500_000L);
     }
 }
--- a/proxy/src/test/java/spurroad/overload/FakeEndpointConnection.java
+++ b/proxy/src/test/java/spurroad/overload/FakeEndpointConnection.java
@@ -43,7 +43,7 @@
         in.feed(bytes);
         try {
             boolean complete = true;
-            while (complete && in.worthReading()) {
+            while (complete && in.mayHaveMessage()) {
                 complete = role == FakeEndpoint.Role.ORIGIN ? readHttpRequest() : readCommand();
             }
         } catch (IOException e) {
@@ -57,12 +57,12 @@
      * @return whether a complete command was there
      */
     private boolean readCommand() throws IOException {
-        MetaCommand command = in.message(MetaCommand::read);
+        MetaCommand command = in.readMessage(MetaCommand::read);
         if (command == null) {
             return false;
         }
-        if (command.kind == MetaCommand.Kind.FAULT) {
-            connection.write(MetaResponse.text("STAT inflight " + endpoint.inFlight() + "\r\nEND"));
+        if (command.kind == MetaCommand.Kind.INVALID) {
+            connection.write(MetaResponse.encodeLine("STAT inflight " + endpoint.inFlight() + "\r\nEND"));
         } else if (!endpoint.tryServe(() -> connection.write(cacheResponse(command)))) {
             connection.write(MetaResponse.rejected(0));
         }
@@ -72,10 +72,10 @@
     private byte[] cacheResponse(MetaCommand command) {
         String loadReport = " Linflight=" + endpoint.inFlight();
         if (endpoint.drawMiss()) {
-            return MetaResponse.text("EN O" + command.id() + loadReport);
+            return MetaResponse.encodeLine("EN O" + command.id() + loadReport);
         }
         byte[] value = drawValue();
-        byte[] head = MetaResponse.text("VA " + value.length + " O" + command.id() + loadReport);
+        byte[] head = MetaResponse.encodeLine("VA " + value.length + " O" + command.id() + loadReport);
         return concat(head, value, CRLF);
     }
 
@@ -85,7 +85,7 @@
      * @return whether a complete request was there
      */
     private boolean readHttpRequest() throws IOException {
-        if (in.message(FakeEndpointConnection::skipHttpRequest) == null) {
+        if (in.readMessage(FakeEndpointConnection::skipHttpRequest) == null) {
             return false;
         }
         if (!endpoint.tryServe(() -> connection.write(originResponse()))) {
@@ -102,15 +102,15 @@
     /** Reads a request and returns its body. */
     private static byte[] skipHttpRequest(ByteSource in) throws IOException {
         int length = 0;
-        String line = in.line(MAX_HEADER_LINE_BYTES);
+        String line = in.readLine(MAX_HEADER_LINE_BYTES);
         while (!line.isEmpty()) {
             if (line.startsWith(CONTENT_LENGTH)) {
                 length = Integer.parseInt(line.substring(CONTENT_LENGTH.length()));
             }
-            line = in.line(MAX_HEADER_LINE_BYTES);
+            line = in.readLine(MAX_HEADER_LINE_BYTES);
         }
         byte[] body = new byte[length];
-        in.bytes(body, 0, length);
+        in.readFully(body, 0, length);
         return body;
     }
 
--- a/proxy/src/test/java/spurroad/overload/LargeValueNode.java
+++ b/proxy/src/test/java/spurroad/overload/LargeValueNode.java
@@ -38,7 +38,7 @@
         socket.setSendBufferSize(SEND_BUFFER_BYTES);
         byte[] value = new byte[VALUE_BYTES];
         ByteSource in = new ByteSource(socket.getInputStream());
-        for (String line = in.line(MAX_LINE_BYTES); line != null; line = in.line(MAX_LINE_BYTES)) {
+        for (String line = in.readLine(MAX_LINE_BYTES); line != null; line = in.readLine(MAX_LINE_BYTES)) {
             if (line.startsWith("mg")) {
                 write(socket, "VA " + VALUE_BYTES + " " + line.split(" ")[REQUEST_ID_FIELD] + "\r\n");
                 socket.getOutputStream().write(value);
--- a/proxy/src/test/java/spurroad/overload/LoadConnection.java
+++ b/proxy/src/test/java/spurroad/overload/LoadConnection.java
@@ -78,16 +78,16 @@
     }
 
     private String nextResponse() throws IOException {
-        return in.worthReading() ? in.message(LoadConnection::readResponse) : null;
+        return in.mayHaveMessage() ? in.readMessage(LoadConnection::readResponse) : null;
     }
 
     /** Reads a response, drops its value and returns its first line. */
     private static String readResponse(ByteSource in) throws IOException {
-        String line = in.line(MAX_LINE_BYTES);
+        String line = in.readLine(MAX_LINE_BYTES);
         if (line.startsWith(VALUE)) {
             byte[] value = new byte[Integer.parseInt(line.split(" ")[1])];
-            in.bytes(value, 0, value.length);
-            in.lineEnd();
+            in.readFully(value, 0, value.length);
+            in.readLineEnd();
         }
         return line;
     }
--- a/proxy/src/test/java/spurroad/overload/SlowReaders.java
+++ b/proxy/src/test/java/spurroad/overload/SlowReaders.java
@@ -68,7 +68,7 @@
             Thread.sleep(attempt == 0 ? 0 : RETRY_PAUSE_MS);
             String command = "mg k" + key + " v O" + key + "t" + attempt + " Pc=read,t=acme,d=9000\r\n";
             socket.getOutputStream().write(command.getBytes(StandardCharsets.ISO_8859_1));
-            line = in.line(MAX_LINE_BYTES);
+            line = in.readLine(MAX_LINE_BYTES);
         }
         return line;
     }
@@ -76,9 +76,9 @@
     private static boolean readValue(ByteSource in) throws IOException, InterruptedException {
         byte[] chunk = new byte[CHUNK_BYTES];
         for (int left = LargeValueNode.VALUE_BYTES; left > 0; left -= chunk.length) {
-            in.bytes(chunk, 0, chunk.length);
+            in.readFully(chunk, 0, chunk.length);
             Thread.sleep(CHUNK_PAUSE_MS);
         }
-        return in.line(MAX_LINE_END_BYTES).isEmpty();
+        return in.readLine(MAX_LINE_END_BYTES).isEmpty();
     }
 }
--- a/proxy/src/test/java/spurroad/program/BlockedEndpoint.java
+++ b/proxy/src/test/java/spurroad/program/BlockedEndpoint.java
@@ -71,11 +71,11 @@
 
     private void respond(Socket socket) throws IOException {
         ByteSource in = new ByteSource(socket.getInputStream());
-        for (String line = in.line(MAX_LINE_BYTES); line != null; line = in.line(MAX_LINE_BYTES)) {
+        for (String line = in.readLine(MAX_LINE_BYTES); line != null; line = in.readLine(MAX_LINE_BYTES)) {
             if (line.startsWith("ms ")) {
                 int length = Integer.parseInt(line.split(" ")[2]);
-                in.bytes(new byte[length], 0, length);
-                in.lineEnd();
+                in.readFully(new byte[length], 0, length);
+                in.readLineEnd();
             }
             String response = "VA 1 O" + onCommand.apply(line) + "\r\nv\r\n";
             socket.getOutputStream().write(response.getBytes());
--- a/proxy/src/test/java/spurroad/program/ClientLimitsTest.java
+++ b/proxy/src/test/java/spurroad/program/ClientLimitsTest.java
@@ -47,7 +47,7 @@
                 stay.add(new Client(s.port()));
                 assertEquals(stay.get(i).say(READ).line() + stay.get(i).line(), "VA 1 O1v");
             }
-            assertThrows(SocketException.class, () -> stay.get(0).in.line(9));
+            assertThrows(SocketException.class, () -> stay.get(0).in.readLine(9));
             for (Client c : stay) {
                 c.close();
             }
--- a/proxy/src/test/java/spurroad/program/LongValueTest.java
+++ b/proxy/src/test/java/spurroad/program/LongValueTest.java
@@ -46,7 +46,7 @@
 
         private void serve(Socket s, Script script) throws Exception {
             ByteSource in = new ByteSource(s.getInputStream());
-            for (String line = in.line(9000); line != null; line = in.line(9000)) {
+            for (String line = in.readLine(9000); line != null; line = in.readLine(9000)) {
                 if (line.startsWith("mg")) {
                     try {
                         script.answer(s, line.replaceFirst(".* O(\\S+).*", "$1"));
@@ -108,7 +108,7 @@
             for (int i = 0; i < 2; i++) {
                 assertEquals(c.say(RunningProxy.READ).line(), "VA " + length + " O1");
                 byte[] got = new byte[length];
-                c.in.bytes(got, 0, length);
+                c.in.readFully(got, 0, length);
                 assertEquals(got, value);
                 assertEquals(c.line(), "");
             }
@@ -145,9 +145,9 @@
         }); Client c = new Client(proxy(node.server.getLocalPort(), 1).port())) {
             assertEquals(c.say(RunningProxy.READ).line(), "VA " + LONG + " O1");
             byte[] got = new byte[LONG];
-            c.in.bytes(got, 0, 100);
+            c.in.readFully(got, 0, 100);
             seen.countDown();
-            c.in.bytes(got, 100, LONG - 100);
+            c.in.readFully(got, 100, LONG - 100);
             assertEquals(got, value);
         }
     }
@@ -176,7 +176,7 @@
                 long got = 0;
                 try {
                     for (byte[] one = new byte[1]; got < LONG + 2; got++) {
-                        c.in.bytes(one, 0, 1);
+                        c.in.readFully(one, 0, 1);
                     }
                 } catch (IOException e) {
                     // it ended or was reset
@@ -242,8 +242,8 @@
                     Thread.sleep(1);
                 }
                 ByteSource in = new ByteSource(c.getInputStream());
-                assertEquals(in.line(100), "HD O1 cr1");
-                assertEquals(in.line(100), "MN");
+                assertEquals(in.readLine(100), "HD O1 cr1");
+                assertEquals(in.readLine(100), "MN");
                 String heard = origin.await("PUT /k HTTP/1.1");
                 assertTrue(heard.endsWith("\n" + new String(value, StandardCharsets.ISO_8859_1)),
                     "as it was");
--- a/proxy/src/test/java/spurroad/program/OverloadTest.java
+++ b/proxy/src/test/java/spurroad/program/OverloadTest.java
@@ -51,8 +51,8 @@
                 assertEquals(slow.say(READ).line(), "VA " + LONG_BYTES + " O1");
                 Thread.sleep(1_000); // three times as long as an idle one is left in a crowd
                 byte[] value = new byte[LONG_BYTES];
-                slow.in.bytes(value, 0, value.length);
-                slow.in.lineEnd();
+                slow.in.readFully(value, 0, value.length);
+                slow.in.readLineEnd();
                 assertEquals(slow.say("mn\r\n").line(), "MN");
             }
             for (Client c : crowd) {
@@ -71,8 +71,8 @@
                 Thread end = ending(s);
                 Thread.sleep(900);
                 byte[] value = new byte[LONG_BYTES];
-                slow.in.bytes(value, 0, value.length);
-                slow.in.lineEnd();
+                slow.in.readFully(value, 0, value.length);
+                slow.in.readLineEnd();
                 end.join();
             }
         }
@@ -215,8 +215,8 @@
     }
 
     private static void take(ByteSource in, List<String> read) throws IOException {
-        while (in.worthReading()) {
-            MetaCommand command = in.message(MetaCommand::read);
+        while (in.mayHaveMessage()) {
+            MetaCommand command = in.readMessage(MetaCommand::read);
             if (command == null) {
                 return;
             }
--- a/proxy/src/test/java/spurroad/program/ProxyServiceTest.java
+++ b/proxy/src/test/java/spurroad/program/ProxyServiceTest.java
@@ -56,7 +56,7 @@
         try (Peer n = new Peer(node); Peer o = new Peer(origin); Client c = new Client(proxy(n, o).port())) {
             c.say(query + "mn\r\n");
             byte[] got = new byte[answer.length()];
-            c.in.bytes(got, 0, got.length);
+            c.in.readFully(got, 0, got.length);
             assertEquals(new String(got), answer);
             String next = c.line();
             assertEquals(answer.endsWith("\n") ? next : c.line(), "MN", "one answer and no more");
--- a/proxy/src/test/java/spurroad/protocol/ArbitraryBytesTest.java
+++ b/proxy/src/test/java/spurroad/protocol/ArbitraryBytesTest.java
@@ -33,7 +33,7 @@
         try {
             ByteSource in = new ByteSource();
             in.feed(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
-            return in.message(MetaCommand::read);
+            return in.readMessage(MetaCommand::read);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -53,14 +53,14 @@
             {"cache node response", (Parser) in -> MetaResponse.read(in, "ab"),
                 new String[] {"VA 3 Oab h1 Linflight=7,queue=2,util=0.61\r\nabc\r\n", "HD Oab c77\r\n",
                     "EN Oab h0 Z\r\n", "SERVER_ERROR busy\r\n", " \r\n", "   \r\n", "VA\r\n", "HD\r\n"}},
-            {"cache node load report", (Parser) MetaResponse::readProbe,
+            {"cache node load report", (Parser) MetaResponse::readProbeResponse,
                 new String[] {"STAT inflight 7\r\nSTAT queue 2\r\nEND\r\n", " \r\n", "\r\n", "STAT\r\n"}},
             {"origin response to a read", (Parser) in -> Http.read(in, READ), new String[] {ok, chunks}},
             {"origin response to a write", (Parser) in -> Http.read(in, WRITE),
                 new String[] {ok, chunks}},
-            {"origin load report", (Parser) Http::readProbe, new String[] {ok, chunks}},
+            {"origin load report", (Parser) Http::readProbeResponse, new String[] {ok, chunks}},
             {"endpoint list of discovery", (Parser) in -> {
-                String text = Http.listText(in);
+                String text = Http.readListText(in);
                 return text == null || text.isBlank() ? "" : EndpointList.read(Json.read(text), names);
             }, new String[] {"{\"rev\":43,\"all\":false,\"targets\":[" + entry + "]}\n",
                 "{\"rev\":1e300,\"all\":true,\"targets\":[" + entry.replace("3", "-1e99") + "]}\n"}}};
@@ -89,13 +89,13 @@
         for (int from = 0; from < bytes.length;) {
             int to = Math.min(bytes.length, from + 1 + random.nextInt(bytes.length));
             in.feed(ByteBuffer.wrap(bytes, from, to - from));
-            while (in.worthReading() && in.message(parser::read) != null) {
+            while (in.mayHaveMessage() && in.readMessage(parser::read) != null) {
                 continue;
             }
             from = to;
         }
-        in.end();
-        while (in.worthReading() && in.message(parser::read) != null) {
+        in.endInput();
+        while (in.mayHaveMessage() && in.readMessage(parser::read) != null) {
             continue;
         }
     }
--- a/proxy/src/test/java/spurroad/protocol/HttpFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/HttpFormTest.java
@@ -123,8 +123,8 @@
         throws IOException {
         UpstreamReply reply = Http.read(WireText.stream(answer), command(READ));
         assertSame(reply.outcome(), outcome);
-        assertSame(reply.note(), CacheStatus.NONE);
-        assertEquals(reply.load(), load);
+        assertSame(reply.cacheStatus(), CacheStatus.NONE);
+        assertEquals(reply.loadReport(), load);
         assertEquals(WireText.text(reply.response()), forClient);
         assertEquals(reply.reusable(), reusable);
         assertNull(reply.streamedBody());
@@ -171,12 +171,13 @@
 
     @Test
     public void theAnswerToAHealthCheckBringsTheLoad() throws IOException {
-        UpstreamReply reply = Http.readProbe(
+        UpstreamReply reply = Http.readProbeResponse(
             WireText.stream(ok("X-Load: inflight=7,queue=2,util=0.6\r\nContent-Length: 2\r\n", "ok")));
         assertSame(reply.outcome(), Outcome.SUCCEEDED);
-        assertEquals(reply.load(), new LoadReport(7, 2));
+        assertEquals(reply.loadReport(), new LoadReport(7, 2));
         assertNull(reply.response());
-        assertSame(Http.readProbe(WireText.stream("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")).outcome(),
+        assertSame(
+            Http.readProbeResponse(WireText.stream("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")).outcome(),
             Outcome.FAILED);
     }
 
@@ -215,7 +216,7 @@
     @Test
     public void aHeadHasItsStatusAndItsHeadersInSmallLetters() throws IOException {
         Http.Head head = Http
-            .head(WireText.stream("HTTP/1.1 503 Busy\r\nRetry-After:  2 \r\nA: b:c\r\n\r\n"));
+            .readFinalHead(WireText.stream("HTTP/1.1 503 Busy\r\nRetry-After:  2 \r\nA: b:c\r\n\r\n"));
         assertEquals(head.status(), 503);
         assertEquals(head.headers(), Map.of("retry-after", "2", "a", "b:c"));
     }
@@ -226,21 +227,21 @@
         ByteSource in = WireText.stream(ok("Transfer-Encoding: chunked\r\n",
             "9\r\n{\"rev\":1}\r\n" + "2\r\n\n\n\r\n" + "3\r\n{\r\n\r\n" + "F\r\n \"a\": \"}\\\"{\"\n}\n\r\n"
                 + "0\r\n\r\n"));
-        ByteSource watch = Http.stream(in, Http.head(in));
-        assertEquals(Http.listText(watch), "{\"rev\":1}");
-        assertEquals(Http.listText(watch), "");
-        assertEquals(Http.listText(watch), "{\n \"a\": \"}\\\"{\"\n}");
-        assertNull(Http.listText(watch));
+        ByteSource watch = Http.bodyStream(in, Http.readFinalHead(in));
+        assertEquals(Http.readListText(watch), "{\"rev\":1}");
+        assertEquals(Http.readListText(watch), "");
+        assertEquals(Http.readListText(watch), "{\n \"a\": \"}\\\"{\"\n}");
+        assertNull(Http.readListText(watch));
     }
 
     @Test
     public void aWatchWithoutChunksIsReadUpToItsEnd() throws IOException {
         ByteSource in = WireText.stream(ok("", "{\"rev\":1}\r\n\r\n{\"rev\":2}\n"));
-        ByteSource watch = Http.stream(in, Http.head(in));
-        assertEquals(Http.listText(watch), "{\"rev\":1}");
-        assertEquals(Http.listText(watch), "");
-        assertEquals(Http.listText(watch), "{\"rev\":2}");
-        assertNull(Http.listText(watch));
+        ByteSource watch = Http.bodyStream(in, Http.readFinalHead(in));
+        assertEquals(Http.readListText(watch), "{\"rev\":1}");
+        assertEquals(Http.readListText(watch), "");
+        assertEquals(Http.readListText(watch), "{\"rev\":2}");
+        assertNull(Http.readListText(watch));
         assertTrue(in.available() == 0);
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/HttpTest.java
+++ b/proxy/src/test/java/spurroad/protocol/HttpTest.java
@@ -50,7 +50,7 @@
             assertEquals(r.outcome(), outcome);
             assertEquals(r.response() == null ? null : WireText.text(r.response()), answer);
             assertEquals(r.reusable(), more);
-            assertEquals(r.load().queued(), reply.contains("X-Load") ? 4 : Double.NaN);
+            assertEquals(r.loadReport().queued(), reply.contains("X-Load") ? 4 : Double.NaN);
         }
     }
 
@@ -79,24 +79,24 @@
         String watch = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{\"\r\n4\r\na\"}\n\r\n"
             + "1\r\n\n\r\n";
         ByteSource in = WireText.stream(watch + "0\r\n\r\n");
-        ByteSource lines = Http.stream(in, Http.head(in));
-        assertEquals(Http.listText(lines), "{\"a\"}");
-        assertEquals(Http.listText(lines), "");
-        assertNull(Http.listText(lines));
+        ByteSource lines = Http.bodyStream(in, Http.readFinalHead(in));
+        assertEquals(Http.readListText(lines), "{\"a\"}");
+        assertEquals(Http.readListText(lines), "");
+        assertNull(Http.readListText(lines));
         ByteSource cut = WireText.stream(watch + "3\r\n{\"");
-        ByteSource cutLines = Http.stream(cut, Http.head(cut));
-        Http.listText(cutLines);
-        Http.listText(cutLines);
-        assertThrows(IOException.class, () -> Http.listText(cutLines));
+        ByteSource cutLines = Http.bodyStream(cut, Http.readFinalHead(cut));
+        Http.readListText(cutLines);
+        Http.readListText(cutLines);
+        assertThrows(IOException.class, () -> Http.readListText(cutLines));
     }
 
     @Test
     public void aListMayHaveSeveralLines() throws IOException {
         ByteSource lines = WireText.stream("\n{\n  \"a}\": {\"b\": \"\\\"{\"\n  }\n}\n\n{}\n{\n");
-        assertEquals(Http.listText(lines), "");
-        assertEquals(Json.read(Http.listText(lines)), Map.of("a}", Map.of("b", "\"{")));
-        assertEquals(Http.listText(lines), "");
-        assertEquals(Http.listText(lines), "{}");
-        assertThrows(IOException.class, () -> Http.listText(lines));
+        assertEquals(Http.readListText(lines), "");
+        assertEquals(Json.read(Http.readListText(lines)), Map.of("a}", Map.of("b", "\"{")));
+        assertEquals(Http.readListText(lines), "");
+        assertEquals(Http.readListText(lines), "{}");
+        assertThrows(IOException.class, () -> Http.readListText(lines));
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/JsonFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/JsonFormTest.java
@@ -48,7 +48,7 @@
             {"{\"a\"}", "':' at character 5"}, {"{\"a\":1", "'}' at character 7"},
             {"{\"a\":1 \"b\":2}", "'}' at character 8"}, {"[1 2]", "']' at character 4"},
             {"\"a", "the end of a string at character 3"},
-            {"\"a\nb\"", "the end of a string at character 4"}, 
+            {"\"a\nb\"", "the end of a string at character 4"},
             {"\"\\x\"", "an escape sequence at character 4"},
             {"\"\\u00g0\"", "an escape sequence at character 4"},
             {"\"\\u00", "an escape sequence at character 4"}};
--- a/proxy/src/test/java/spurroad/protocol/LargeListsTest.java
+++ b/proxy/src/test/java/spurroad/protocol/LargeListsTest.java
@@ -73,7 +73,8 @@
         String body = (indented ? indented(list) : list) + "\n";
         byte[] bytes = chunked(body, chunk).getBytes(StandardCharsets.ISO_8859_1);
         ByteSource in = new ByteSource(new ByteArrayInputStream(bytes));
-        EndpointList read = EndpointList.read(Json.read(Http.listText(Http.stream(in, Http.head(in)))),
+        EndpointList read = EndpointList.read(
+            Json.read(Http.readListText(Http.bodyStream(in, Http.readFinalHead(in)))),
             NAMES);
         assertEquals(read.endpoints().size(), MANY);
         assertEquals(read.endpoints().get(MANY - 1).address().getPort(), MANY);
--- a/proxy/src/test/java/spurroad/protocol/MetaCommandFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/MetaCommandFormTest.java
@@ -89,16 +89,16 @@
     }
 
     private static void checkUsable(MetaCommand command, Usable form) {
-        assertNull(command.fault);
+        assertNull(command.errorResponse);
         assertSame(command.kind, form.kind);
         assertEquals(command.key(), form.key);
         assertEquals(command.id(), form.id);
         assertEquals(command.timeoutMillis(), form.waitMs);
         assertEquals(command.costHintMicros(), form.hintUs);
-        assertFalse(command.isLong());
-        assertEquals(command.length(), form.value.length());
+        assertFalse(command.hasLongValue());
+        assertEquals(command.valueLength(), form.value.length());
         assertEquals(WireText.text(command.value), form.value);
-        assertEquals(command.extras(PROXY_WAIT_MS), form.listForOrigin);
+        assertEquals(command.attributesWithTimeout(PROXY_WAIT_MS), form.listForOrigin);
         assertEquals(WireText.text(command.forEndpoint(PROXY_WAIT_MS)), form.sentToNode);
     }
 
@@ -106,11 +106,11 @@
     public void eachNameOfTheListHasItsValue() throws IOException {
         MetaCommand command = MetaCommand.read(WireText.stream("mg a v O1 Pc=read,t=acme,r=1,d=480\r\n"));
         Map.of("c", "read", "t", "acme", "r", "1", "d", "480").forEach((name, value) -> {
-            assertTrue(command.has(name), name);
-            assertEquals(command.figure(name), value);
+            assertTrue(command.hasAttribute(name), name);
+            assertEquals(command.attribute(name), value);
         });
-        assertFalse(command.has("k"));
-        assertEquals(command.figure("k"), "");
+        assertFalse(command.hasAttribute("k"));
+        assertEquals(command.attribute("k"), "");
     }
 
     @DataProvider
@@ -137,8 +137,8 @@
         ByteSource in = WireText.stream(sent + "abc");
         MetaCommand command = MetaCommand.read(in);
         assertSame(command.kind, Kind.WRITE);
-        assertTrue(command.isLong());
-        assertEquals(command.length(), length);
+        assertTrue(command.hasLongValue());
+        assertEquals(command.valueLength(), length);
         assertEquals(command.value.length, 0);
         assertEquals(in.available(), "abc".length());
         assertEquals(WireText.text(command.forEndpoint(PROXY_WAIT_MS)), sentToNode);
@@ -198,9 +198,9 @@
     }
 
     private static void checkFault(MetaCommand command, String answer, boolean endsConnection) {
-        assertSame(command.kind, Kind.FAULT);
-        assertEquals(command.fault, answer);
-        assertEquals(command.lost, endsConnection);
+        assertSame(command.kind, Kind.INVALID);
+        assertEquals(command.errorResponse, answer);
+        assertEquals(command.unrecoverable, endsConnection);
     }
 
     /** The maximum length does not include the line end; the long command has an unknown name. */
@@ -217,7 +217,7 @@
         assertSame(MetaCommand.read(in).kind, Kind.READY);
         assertEquals(MetaCommand.read(in).id(), "1");
         assertEquals(MetaCommand.read(in).id(), "2");
-        assertEquals(MetaCommand.read(in).fault, UNKNOWN);
+        assertEquals(MetaCommand.read(in).errorResponse, UNKNOWN);
         assertNull(MetaCommand.read(in));
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/MetaCommandTest.java
+++ b/proxy/src/test/java/spurroad/protocol/MetaCommandTest.java
@@ -29,7 +29,7 @@
                 read.add(switch (c.kind) {
                     case READ, WRITE -> WireText.text(c.forEndpoint(77));
                     case READY -> "ready";
-                    case FAULT -> c.fault;
+                    case INVALID -> c.errorResponse;
                 });
             }
             assertEquals(read,
@@ -52,7 +52,7 @@
     public void aRequestHasItsAttributes() throws IOException {
         MetaCommand c = MetaCommand
             .read(WireText.stream("mg k v O1 Pc=read,t=acme,d=480,r=1,h=900,size=20\r\n"));
-        assertEquals(List.of(c.key(), c.id(), c.timeoutMillis(), c.costHintMicros(), c.figure("c")),
+        assertEquals(List.of(c.key(), c.id(), c.timeoutMillis(), c.costHintMicros(), c.attribute("c")),
             List.of("k", "1", 480L, 900L, "read"));
         assertEquals(WireText.text(c.forEndpoint(5)), "mg k v O1 Pc=read,t=acme,d=5,r=1,h=900,size=20\r\n");
         String toOrigin = WireText.text(Http.forOrigin(c, 5, "h:1"));
@@ -91,7 +91,8 @@
     public void anInvalidCommandHasAnAnswer(String command, String answer, boolean lost) throws IOException {
         ByteSource in = WireText.stream(command + READ);
         MetaCommand c = MetaCommand.read(in);
-        assertEquals(List.of(c.kind, c.fault, c.lost), List.of(MetaCommand.Kind.FAULT, answer, lost));
+        assertEquals(List.of(c.kind, c.errorResponse, c.unrecoverable),
+            List.of(MetaCommand.Kind.INVALID, answer, lost));
         assertEquals(lost ? MetaCommand.Kind.READ : MetaCommand.read(in).kind, MetaCommand.Kind.READ);
     }
 
--- a/proxy/src/test/java/spurroad/protocol/MetaResponseFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/MetaResponseFormTest.java
@@ -60,8 +60,8 @@
         for (UpstreamReply reply : new UpstreamReply[] {MetaResponse.read(WireText.stream(answer), ID),
             WireText.readByteByByte(answer, in -> MetaResponse.read(in, ID))}) {
             assertSame(reply.outcome(), outcome);
-            assertSame(reply.note(), note);
-            assertEquals(reply.load(), load);
+            assertSame(reply.cacheStatus(), note);
+            assertEquals(reply.loadReport(), load);
             assertEquals(WireText.text(reply.response()), forClient);
             assertTrue(reply.reusable());
             assertNull(reply.streamedBody());
@@ -79,8 +79,8 @@
         ByteSource in = WireText.stream(line + "abc");
         UpstreamReply reply = MetaResponse.read(in, ID);
         assertSame(reply.outcome(), Outcome.SUCCEEDED);
-        assertSame(reply.note(), CacheStatus.HIT);
-        assertEquals(reply.load(), BOTH);
+        assertSame(reply.cacheStatus(), CacheStatus.HIT);
+        assertEquals(reply.loadReport(), BOTH);
         assertEquals(WireText.text(reply.response()), forClient);
         assertEquals(reply.streamedBody(), new UpstreamReply.StreamedBody(length, true));
         assertEquals(in.available(), "abc".length());
@@ -130,9 +130,9 @@
     @Test(dataProvider = "loadAnswers")
     public void theAnswerToAHealthCheckIsRead(String answer, Outcome outcome, double inFlight, double queue)
         throws IOException {
-        UpstreamReply reply = MetaResponse.readProbe(WireText.stream(answer));
+        UpstreamReply reply = MetaResponse.readProbeResponse(WireText.stream(answer));
         assertSame(reply.outcome(), outcome);
-        assertEquals(reply.load(), new LoadReport(inFlight, queue));
+        assertEquals(reply.loadReport(), new LoadReport(inFlight, queue));
         assertNull(reply.response());
         assertTrue(reply.reusable());
     }
@@ -140,15 +140,15 @@
     @Test
     public void aLoadReportHasAtMost64Lines() throws IOException {
         String line = "STAT inflight 7\r\n";
-        assertSame(MetaResponse.readProbe(WireText.stream(line.repeat(63) + "END\r\n")).outcome(),
+        assertSame(MetaResponse.readProbeResponse(WireText.stream(line.repeat(63) + "END\r\n")).outcome(),
             Outcome.SUCCEEDED);
         assertThrows(ProtocolException.class,
-            () -> MetaResponse.readProbe(WireText.stream(line.repeat(64) + "END\r\n")));
+            () -> MetaResponse.readProbeResponse(WireText.stream(line.repeat(64) + "END\r\n")));
     }
 
     @Test
     public void eachMessageIsWrittenInItsForm() throws IOException {
-        assertEquals(WireText.text(MetaResponse.probe()), "stats load\r\n");
+        assertEquals(WireText.text(MetaResponse.loadProbe()), "stats load\r\n");
         assertEquals(WireText.text(MetaResponse.ready()), "MN\r\n");
         assertEquals(WireText.text(MetaResponse.lineEnd()), "\r\n");
         assertEquals(WireText.text(MetaResponse.rejected(0)), "SERVER_ERROR busy\r\n");
@@ -159,7 +159,8 @@
             "VA 4 O9b1f\r\na\r\n\u00ff\r\n");
         assertEquals(WireText.text(MetaResponse.value(new byte[0], ID)), "VA 0 O9b1f\r\n\r\n");
         assertEquals(WireText.text(MetaResponse.receipt(ID, "77aa")), "HD O9b1f c77aa\r\n");
-        assertEquals(WireText.text(MetaResponse.text("CLIENT_ERROR bad key")), "CLIENT_ERROR bad key\r\n");
+        assertEquals(WireText.text(MetaResponse.encodeLine("CLIENT_ERROR bad key")),
+            "CLIENT_ERROR bad key\r\n");
     }
 
     @DataProvider
--- a/proxy/src/test/java/spurroad/protocol/MetaResponseTest.java
+++ b/proxy/src/test/java/spurroad/protocol/MetaResponseTest.java
@@ -37,9 +37,9 @@
         for (int split = 1; split < Math.min(100, reply.length()); split++) {
             UpstreamReply r = MetaResponse.read(WireText.streamInTwoParts(reply, split), "1");
             assertEquals(r.outcome(), outcome);
-            assertEquals(r.note(), note);
+            assertEquals(r.cacheStatus(), note);
             assertEquals(r.response() == null ? null : WireText.text(r.response()), answer);
-            assertEquals(r.load().inFlight(), reply.contains("L") ? 7 : Double.NaN);
+            assertEquals(r.loadReport().inFlight(), reply.contains("L") ? 7 : Double.NaN);
         }
     }
 
@@ -60,12 +60,13 @@
     @Test
     public void unknownFieldsOfALoadReportAreIgnored() throws IOException {
         UpstreamReply r = MetaResponse
-            .readProbe(WireText.stream("STAT util 0.5\r\nSTAT inflight 3\r\nSTAT queue 1\r\nEND\r\n"));
-        assertEquals(List.of(r.outcome(), r.load().inFlight(), r.load().queued()),
+            .readProbeResponse(
+                WireText.stream("STAT util 0.5\r\nSTAT inflight 3\r\nSTAT queue 1\r\nEND\r\n"));
+        assertEquals(List.of(r.outcome(), r.loadReport().inFlight(), r.loadReport().queued()),
             List.of(Outcome.SUCCEEDED, 3.0, 1.0));
-        assertEquals(MetaResponse.readProbe(WireText.stream("SERVER_ERROR busy\r\n")).outcome(),
+        assertEquals(MetaResponse.readProbeResponse(WireText.stream("SERVER_ERROR busy\r\n")).outcome(),
             Outcome.FAILED);
         assertThrows(IOException.class,
-            () -> MetaResponse.readProbe(WireText.stream("STAT a 1\r\n".repeat(100))));
+            () -> MetaResponse.readProbeResponse(WireText.stream("STAT a 1\r\n".repeat(100))));
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecFormTest.java
@@ -44,15 +44,15 @@
     @Test(dataProvider = "messages")
     public void aMessageHasItsBytes(PeerUpdate message, String hex) throws ProtocolException {
         byte[] bytes = bytes(hex);
-        assertEquals(HEX.formatHex(PeerUpdateCodec.write(message)), HEX.formatHex(bytes));
-        assertEquals(PeerUpdateCodec.read(bytes), message);
+        assertEquals(HEX.formatHex(PeerUpdateCodec.encode(message)), HEX.formatHex(bytes));
+        assertEquals(PeerUpdateCodec.decode(bytes), message);
     }
 
     /** A service time beyond the range of its field is encoded as the largest possible value. */
     @Test
     public void aTimeBeyondTheFieldIsWrittenAsTheLongest() {
         PeerUpdate message = new PeerUpdate(Topic.LOAD, 1, 1, Long.MAX_VALUE, 1);
-        assertEquals(HEX.formatHex(PeerUpdateCodec.write(message)), "01" + "0000000000000001" + "3f800000"
+        assertEquals(HEX.formatHex(PeerUpdateCodec.encode(message)), "01" + "0000000000000001" + "3f800000"
             + "ffffffff" + "3f800000");
     }
 
@@ -86,7 +86,7 @@
 
     @Test(dataProvider = "noMessages")
     public void otherBytesAreNoMessage(String what, String hex) {
-        assertThrows(ProtocolException.class, () -> PeerUpdateCodec.read(bytes(hex)));
+        assertThrows(ProtocolException.class, () -> PeerUpdateCodec.decode(bytes(hex)));
     }
 
     private static byte[] bytes(String hex) {
--- a/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecTest.java
+++ b/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecTest.java
@@ -30,15 +30,15 @@
 
     @Test(dataProvider = "updates")
     public void updatesAreReadAsTheyWereWritten(PeerUpdate update, int bytes) throws ProtocolException {
-        byte[] message = PeerUpdateCodec.write(update);
+        byte[] message = PeerUpdateCodec.encode(update);
         assertEquals(message.length, bytes);
-        assertEquals(PeerUpdateCodec.read(message), update);
+        assertEquals(PeerUpdateCodec.decode(message), update);
         for (int cut = 0; cut < message.length; cut++) {
             byte[] part = Arrays.copyOf(message, cut);
-            assertThrows(ProtocolException.class, () -> PeerUpdateCodec.read(part));
+            assertThrows(ProtocolException.class, () -> PeerUpdateCodec.decode(part));
         }
         assertThrows(ProtocolException.class,
-            () -> PeerUpdateCodec.read(Arrays.copyOf(message, message.length + 1)));
+            () -> PeerUpdateCodec.decode(Arrays.copyOf(message, message.length + 1)));
     }
 
     @DataProvider
@@ -59,6 +59,6 @@
         ByteBuffer bytes = ByteBuffer.allocate(13 + (hasQueue ? 8 : 0) + (hasKey ? 8 : 0)).put((byte) topic)
             .putLong(1).putFloat(value);
         byte[] message = (hasQueue ? bytes.putInt(1000).putFloat(cachedFraction) : bytes).array();
-        assertThrows(ProtocolException.class, () -> PeerUpdateCodec.read(message));
+        assertThrows(ProtocolException.class, () -> PeerUpdateCodec.decode(message));
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/WireText.java
+++ b/proxy/src/test/java/spurroad/protocol/WireText.java
@@ -48,8 +48,8 @@
         T message = null;
         for (byte next : bytes(text)) {
             source.feed(ByteBuffer.wrap(new byte[] {next}));
-            if (message == null && source.worthReading()) {
-                message = source.message(form);
+            if (message == null && source.mayHaveMessage()) {
+                message = source.readMessage(form);
             }
         }
         return message;
--- a/proxy/src/test/java/spurroad/routing/ScriptedDiscovery.java
+++ b/proxy/src/test/java/spurroad/routing/ScriptedDiscovery.java
@@ -121,12 +121,12 @@
 
     private void serve(Socket s) throws Exception {
         ByteSource in = new ByteSource(s.getInputStream());
-        String line = in.line(9000);
+        String line = in.readLine(9000);
         if (line == null) {
             return; // one of those that filled the backlog
         }
         while (!line.isEmpty()) {
-            line = in.line(9000);
+            line = in.readLine(9000);
         }
         int call = calls.incrementAndGet();
         if (returned) {
--- a/proxy/src/test/java/spurroad/routing/UploadReceiverTest.java
+++ b/proxy/src/test/java/spurroad/routing/UploadReceiverTest.java
@@ -25,8 +25,8 @@
     public void begin() throws IOException {
         ByteSource source = new ByteSource();
         source.feed(ByteBuffer.wrap(("ms k " + LENGTH + " O1 Pc=write,d=480\r\n").getBytes()));
-        MetaCommand command = source.message(MetaCommand::read);
-        assertTrue(command.isLong());
+        MetaCommand command = source.readMessage(MetaCommand::read);
+        assertTrue(command.hasLongValue());
         value = new UploadBuffer(command);
         upload = new UploadReceiver(budget);
     }
--- a/testbed/src/main/java/spurroad/testbed/capacity/ListReading.java
+++ b/testbed/src/main/java/spurroad/testbed/capacity/ListReading.java
@@ -69,7 +69,7 @@
     /** Whether the proxy takes a line of that length. */
     private static boolean isTaken(byte[] line) {
         try {
-            return Http.listText(source(line)) != null;
+            return Http.readListText(source(line)) != null;
         } catch (ProtocolException e) {
             return false;
         } catch (IOException e) {
@@ -83,7 +83,8 @@
      */
     private static void parse(byte[] line, boolean taken, EndpointList.EndpointNames names) {
         try {
-            String text = taken ? Http.listText(source(line)) : new String(line, StandardCharsets.ISO_8859_1);
+            String text = taken ? Http.readListText(source(line))
+                : new String(line, StandardCharsets.ISO_8859_1);
             EndpointList.read(Json.read(text), names);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/testbed/src/main/java/spurroad/testbed/capacity/PeerMessages.java
+++ b/testbed/src/main/java/spurroad/testbed/capacity/PeerMessages.java
@@ -64,7 +64,7 @@
 
         private void deliver() {
             for (Message message = messages.poll(); message != null; message = messages.poll()) {
-                int length = PeerUpdateCodec.write(message.update.update()).length + HEADER_BYTES;
+                int length = PeerUpdateCodec.encode(message.update.update()).length + HEADER_BYTES;
                 if (message.update.recipient() == Decisions.ALL_PEERS) {
                     sendToAll(message);
                     toAll = toAll.plus(proxies.size() - 1, length);
