--- a/proxy/src/main/java/spurroad/configuration/DeploymentSettings.java
+++ b/proxy/src/main/java/spurroad/configuration/DeploymentSettings.java
@@ -77,8 +77,8 @@
         connectTimeoutNanos = reader.nanosFromMicros("allowed.connectTimeoutUs",
             DEFAULT_CONNECT_TIMEOUT_MICROS);
         maxOpenRequests = Math.max(1, (int) reader.number("allowed.maxOpen", DEFAULT_MAX_OPEN_REQUESTS));
-        long configuredInterval = reader.nanosFromMicros("obligations.askWithinUs", 0); // 0 if discovery pushes lists
-        maxPollIntervalNanos = configuredInterval > 0 ? configuredInterval : DEFAULT_MAX_POLL_INTERVAL_NANOS;
+        long pollInterval = reader.nanosFromMicros("obligations.askWithinUs", 0); // 0 if lists are pushed
+        maxPollIntervalNanos = pollInterval > 0 ? pollInterval : DEFAULT_MAX_POLL_INTERVAL_NANOS;
         requestClassNames = reader.fieldOfEach("tracks", "name");
         tenantNames = reader.fieldOfEach("projects", "name");
         deployment = deployment(reader);
--- a/proxy/src/main/java/spurroad/protocol/Http.java
+++ b/proxy/src/main/java/spurroad/protocol/Http.java
@@ -27,7 +27,7 @@
     private static final String CONTENT_LENGTH = "content-length";
     private static final String TRANSFER_ENCODING = "transfer-encoding";
     private static final Set<String> LENGTH_HEADERS = Set.of(CONTENT_LENGTH, TRANSFER_ENCODING);
-    private static final String UNRESERVED_PUNCTUATION = "-._~"; // not escaped in paths, like letters and digits
+    private static final String UNRESERVED_PUNCTUATION = "-._~"; // not escaped in paths
 
     /**
      * The head of a response.
--- a/proxy/src/test/java/spurroad/admin/AdminServerTest.java
+++ b/proxy/src/test/java/spurroad/admin/AdminServerTest.java
@@ -29,16 +29,16 @@
     }
 
     static Socket connect(int port) throws IOException {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), port);
-        s.setSoTimeout(READ_TIMEOUT_MILLIS);
-        return s;
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
+        return socket;
     }
 
     /** Sends a text and returns the whole response. */
     public static String call(int port, String text) throws IOException {
-        try (Socket s = connect(port)) {
-            s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        try (Socket socket = connect(port)) {
+            socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
@@ -46,8 +46,8 @@
         return call(port, method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
     }
 
-    static int status(String answer) {
-        return Integer.parseInt(answer.split(" ")[1]);
+    static int status(String response) {
+        return Integer.parseInt(response.split(" ")[1]);
     }
 
     private static AdminRoutes routes(Consumer<Consumer<Boolean>> drain) {
@@ -57,7 +57,7 @@
     }
 
     @DataProvider
-    Object[][] texts() {
+    Object[][] requests() {
         String end = " HTTP/1.1\r\n\r\n";
         return new Object[][] {{"GET /healthcheck" + end, 200, "serving"},
             {"GET /stats" + end, 200, "proxy.outstanding:3|g\nproxy.forwards:8|c\n"},
@@ -78,14 +78,14 @@
             {"GET /stats" + end + "GET /stats" + end, 400, "one call"}};
     }
 
-    @Test(dataProvider = "texts")
-    public void eachRequestGetsItsResponseOrLearnsWhatWasExpected(String text, int status, String word)
+    @Test(dataProvider = "requests")
+    public void respondsOrReportsWhatWasExpected(String text, int status, String expectedPart)
         throws Exception {
         try (AdminServer server = server()) {
             server.setRoutes(routes(onResult -> onResult.accept(true)));
-            String answer = call(server.port(), text);
-            assertEquals(status(answer), status, answer);
-            assertTrue(answer.contains(word), answer);
+            String response = call(server.port(), text);
+            assertEquals(status(response), status, response);
+            assertTrue(response.contains(expectedPart), response);
         }
     }
 
@@ -100,7 +100,7 @@
 
     /** If this process has applied a drain that others have not confirmed, the rejection says so. */
     @Test
-    public void saysWhatHoldsWhereADrainIsAppliedAndNotConfirmed() throws Exception {
+    public void reportsLocalStateIfDrainIsNotConfirmed() throws Exception {
         try (AdminServer server = server()) {
             server.setRoutes(new AdminRoutes(() -> true, new StatsdExport(),
                 (id, drained, onApplied, onResult) -> onApplied.run()));
@@ -115,32 +115,32 @@
     }
 
     @Test
-    public void respondsWithinASecondWhereADrainIsNotConfirmed() throws Exception {
+    public void respondsWithinOneSecondIfDrainIsNotConfirmed() throws Exception {
         try (AdminServer server = server()) {
             server.setRoutes(routes(onResult -> {}));
-            long since = System.nanoTime();
+            long startNanos = System.nanoTime();
             assertEquals(status(call(server.port(), "POST", "/cache-nodes/x/maint")), 503);
-            assertTrue(System.nanoTime() - since < 1_000_000_000L);
+            assertTrue(System.nanoTime() - startNanos < 1_000_000_000L);
         }
     }
 
     @Test
-    public void connectionsWithoutAWholeRequestDelayNoOther() throws Exception {
+    public void respondsDespiteConnectionsWithIncompleteRequests() throws Exception {
         try (AdminServer server = server()) {
             server.setRoutes(routes(onResult -> onResult.accept(true)));
-            List<Socket> silent = new ArrayList<>();
+            List<Socket> idleSockets = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
-                silent.add(connect(server.port()));
+                idleSockets.add(connect(server.port()));
                 if (i % 2 == 0) {
-                    silent.get(i).getOutputStream().write("GET /sta".getBytes());
+                    idleSockets.get(i).getOutputStream().write("GET /sta".getBytes());
                 }
             }
-            long since = System.nanoTime();
+            long startNanos = System.nanoTime();
             assertEquals(status(call(server.port(), "GET", "/stats")), 200);
-            assertTrue(System.nanoTime() - since < 1_000_000_000L, "response took too long");
-            for (Socket s : silent) {
-                assertEquals(s.getInputStream().read(), -1, "connection is closed");
-                s.close();
+            assertTrue(System.nanoTime() - startNanos < 1_000_000_000L, "response took too long");
+            for (Socket socket : idleSockets) {
+                assertEquals(socket.getInputStream().read(), -1, "connection is closed");
+                socket.close();
             }
         }
     }
--- a/proxy/src/test/java/spurroad/configuration/DeployFileFormTest.java
+++ b/proxy/src/test/java/spurroad/configuration/DeployFileFormTest.java
@@ -27,11 +27,11 @@
 
     /** Returns the directory that holds the deploy file: the working directory or the nearest parent. */
     private static Path root() {
-        Path folder = Path.of("").toAbsolutePath();
-        while (!Files.exists(folder.resolve("deploy/balancer.toml"))) {
-            folder = folder.getParent();
+        Path directory = Path.of("").toAbsolutePath();
+        while (!Files.exists(directory.resolve("deploy/balancer.toml"))) {
+            directory = directory.getParent();
         }
-        return folder;
+        return directory;
     }
 
     private static Map<String, String> entries() throws IOException {
@@ -78,35 +78,35 @@
     }
 
     @Test
-    public void theFileHasItsKeys() throws IOException {
+    public void hasExactlyExpectedKeys() throws IOException {
         assertEquals(entries().keySet(), Set.of("build", "run", "node", "sim", "policy", "packages"));
         assertEquals(listed("packages"), List.of());
     }
 
     @Test
-    public void whatItNamesAsPolicyIsThere() throws IOException {
+    public void namesReadablePolicyFiles() throws IOException {
         List<String> files = listed("policy");
         assertFalse(files.isEmpty());
         files.forEach(file -> assertTrue(Files.isReadable(ROOT.resolve(file)), file));
     }
 
     @Test
-    public void whatItNamesAsNodeIsThere() throws IOException {
-        List<String> folders = listed("node");
-        assertFalse(folders.isEmpty());
-        folders.forEach(folder -> assertTrue(Files.exists(ROOT.resolve(folder)), folder));
+    public void namesExistingNodePaths() throws IOException {
+        List<String> paths = listed("node");
+        assertFalse(paths.isEmpty());
+        paths.forEach(path -> assertTrue(Files.exists(ROOT.resolve(path)), path));
     }
 
     /** Each command must be one text, so that the shell gets the whole command. */
     @Test
-    public void commandsAreTexts() throws IOException {
+    public void quotesEachCommandAsOneText() throws IOException {
         for (String key : List.of("build", "run", "sim")) {
             assertTrue(QUOTED.matcher(entries().get(key)).matches(), key);
         }
     }
 
     @Test
-    public void theProxyAndTheSimulatorAdapterAreStartedByTheirCommandWords() throws IOException {
+    public void startsProxyAndSimulatorAdapterBySubcommand() throws IOException {
         assertTrue(entries().get("run").endsWith(" -jar proxy/target/spurroad.jar serve\""));
         assertTrue(entries().get("sim").endsWith(" -jar proxy/target/spurroad.jar simulator\""));
     }
--- a/proxy/src/test/java/spurroad/configuration/EditableJson.java
+++ b/proxy/src/test/java/spurroad/configuration/EditableJson.java
@@ -12,14 +12,14 @@
  * A JSON document whose values can be set and removed by paths such as {@code settings.tracks.0.name}.
  */
 final class EditableJson {
-    private final Object whole;
+    private final Object root;
 
     /** Parses a text in which single quotes may be used for double quotes. */
     EditableJson(String text) {
-        whole = editable(parsed(text));
+        root = mutableCopy(parse(text));
     }
 
-    private static Object parsed(String text) {
+    private static Object parse(String text) {
         try {
             return Json.read(text.replace('\'', '"'));
         } catch (ProtocolException e) {
@@ -27,14 +27,14 @@
         }
     }
 
-    private static Object editable(Object value) {
+    private static Object mutableCopy(Object value) {
         if (value instanceof Map<?, ?> object) {
             Map<String, Object> copy = new TreeMap<>();
-            object.forEach((name, inner) -> copy.put((String) name, editable(inner)));
+            object.forEach((name, inner) -> copy.put((String) name, mutableCopy(inner)));
             return copy;
         }
         return value instanceof List<?> list
-            ? new ArrayList<>(list.stream().map(EditableJson::editable).toList())
+            ? new ArrayList<>(list.stream().map(EditableJson::mutableCopy).toList())
             : value;
     }
 
@@ -43,12 +43,12 @@
         String[] names = path.split("\\.");
         Object parent = parentOf(names);
         String last = names[names.length - 1];
-        Object value = editable(parsed(json));
+        Object value = mutableCopy(parse(json));
         if (parent instanceof List<?>) {
             List<Object> list = asList(parent);
-            int at = Integer.parseInt(last);
-            if (at < list.size()) {
-                list.set(at, value);
+            int index = Integer.parseInt(last);
+            if (index < list.size()) {
+                list.set(index, value);
             } else {
                 list.add(value);
             }
@@ -72,12 +72,12 @@
     }
 
     private Object parentOf(String... names) {
-        Object at = whole;
+        Object current = root;
         for (int i = 0; i < names.length - 1; i++) {
-            at = at instanceof List<?> list ? list.get(Integer.parseInt(names[i]))
-                : asObject(at).computeIfAbsent(names[i], name -> new TreeMap<String, Object>());
+            current = current instanceof List<?> list ? list.get(Integer.parseInt(names[i]))
+                : asObject(current).computeIfAbsent(names[i], name -> new TreeMap<String, Object>());
         }
-        return at;
+        return current;
     }
 
     @SuppressWarnings("unchecked")
@@ -92,7 +92,7 @@
 
     /** Returns the JSON text. */
     String text() {
-        return text(whole);
+        return text(root);
     }
 
     private static String text(Object value) {
@@ -115,7 +115,7 @@
      */
     String lines(String path) {
         StringBuilder lines = new StringBuilder();
-        appendLines("", asObject(whole).get(path), lines);
+        appendLines("", asObject(root).get(path), lines);
         return lines.toString();
     }
 
--- a/proxy/src/test/java/spurroad/configuration/SettingFaultsFormTest.java
+++ b/proxy/src/test/java/spurroad/configuration/SettingFaultsFormTest.java
@@ -14,11 +14,11 @@
 
 /** The exact error message for each kind of fault of each key. */
 public class SettingFaultsFormTest {
-    private static final String GONE = "gone";
+    private static final String REMOVED = "gone";
     private static final int COLUMNS = 3;
 
     /** A configuration with every key, to which the changes of the tables are applied. */
-    private static final String FULL = "{'name':'n1','listen':'127.0.0.1:11211',"
+    private static final String COMPLETE = "{'name':'n1','listen':'127.0.0.1:11211',"
         + "'discovery':'127.0.0.1:8500','admin_addr':'127.0.0.1:11280','seed':'7f',"
         + "'limits':{'cores':1,'memory_mb':192,'sockets':1024},"
         + "'known':{'rev':41,'all':true,'targets':[{'uid':'s-1','endpoint':'127.0.0.1:11301','az':'a',"
@@ -37,7 +37,7 @@
         + "'statementTimeoutUs':2000000,'importance':2,'tardyImportance':0.25,'aimStretch':1}]}}";
 
     /** Reads the rows of a resource: key, JSON value or {@code gone} for a removed key, and error message. */
-    private static Object[][] table(String name) {
+    private static Object[][] readTable(String name) {
         try (InputStream in = SettingFaultsFormTest.class.getResourceAsStream("/golden/forms/" + name)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines()
                 .filter(line -> !line.isBlank() && !line.startsWith("#"))
@@ -47,9 +47,9 @@
         }
     }
 
-    private static String changed(String key, String json) {
-        EditableJson file = new EditableJson(FULL);
-        return (json.equals(GONE) ? file.without(key) : file.with(key, json)).text();
+    private static String configurationWithChange(String key, String json) {
+        EditableJson file = new EditableJson(COMPLETE);
+        return (json.equals(REMOVED) ? file.without(key) : file.with(key, json)).text();
     }
 
     private static String faultOf(String text, Map<String, String> environment) {
@@ -60,17 +60,17 @@
     // ---- at startup
 
     @DataProvider
-    Object[][] startFaults() {
-        return table("setting-faults.txt");
+    Object[][] startupFaults() {
+        return readTable("setting-faults.txt");
     }
 
-    @Test(dataProvider = "startFaults")
-    public void aFaultAtAStartHasItsLine(String key, String json, String line) {
-        assertEquals(faultOf(changed(key, json), Map.of()), line);
+    @Test(dataProvider = "startupFaults")
+    public void reportsFaultAtStartup(String key, String json, String message) {
+        assertEquals(faultOf(configurationWithChange(key, json), Map.of()), message);
     }
 
     @DataProvider
-    Object[][] wholeFiles() {
+    Object[][] malformedFiles() {
         return new Object[][] {{"", "BALANCER_CONFIG is not JSON: expected a value at character 1"},
             {"{", "BALANCER_CONFIG is not JSON: expected '\"' at character 2"},
             {"{\"a\":1,}", "BALANCER_CONFIG is not JSON: expected '\"' at character 8"},
@@ -78,9 +78,9 @@
             {"{}", "name is missing"}};
     }
 
-    @Test(dataProvider = "wholeFiles")
-    public void aFileThatIsNoConfigurationHasItsLine(String text, String line) {
-        assertEquals(faultOf(text, Map.of()), line);
+    @Test(dataProvider = "malformedFiles")
+    public void reportsMalformedFile(String text, String message) {
+        assertEquals(faultOf(text, Map.of()), message);
     }
 
     @DataProvider
@@ -92,12 +92,12 @@
     }
 
     @Test(dataProvider = "environments")
-    public void aFaultOfTheEnvironmentHasItsLine(String variable, String value, String line) {
-        assertEquals(faultOf(changed("seed", "'7f'"), Map.of(variable, value)), line);
+    public void reportsFaultOfEnvironment(String variable, String value, String message) {
+        assertEquals(faultOf(configurationWithChange("seed", "'7f'"), Map.of(variable, value)), message);
     }
 
     @Test
-    public void aMissingFileHasItsLine() {
+    public void reportsMissingFile() {
         String notSet = "BALANCER_CONFIG is not set: expected the path of a JSON file";
         assertEquals(faultOfFile(Map.of()), notSet);
         assertEquals(faultOfFile(Map.of("BALANCER_CONFIG", "")), notSet);
@@ -115,36 +115,37 @@
 
     @DataProvider
     Object[][] reloadFaults() {
-        return table("setting-reload-faults.txt");
+        return readTable("setting-reload-faults.txt");
     }
 
     @Test(dataProvider = "reloadFaults")
-    public void aFaultAtAReloadHasItsLine(String key, String json, String line) {
-        ProxyConfiguration inForce = new ProxyConfiguration(new EditableJson(FULL).text());
-        ProxyConfiguration next = new ProxyConfiguration(changed(key, json));
+    public void reportsFaultAtReload(String key, String json, String message) {
+        ProxyConfiguration inForce = new ProxyConfiguration(new EditableJson(COMPLETE).text());
+        ProxyConfiguration next = new ProxyConfiguration(configurationWithChange(key, json));
         assertEquals(
             expectThrows(InvalidSettingException.class, () -> inForce.checkReplacement(next)).getMessage(),
-            line);
+            message);
     }
 
     @DataProvider
-    Object[][] acceptedAtAReload() {
-        return table("setting-reload-accepted.txt");
+    Object[][] changesAcceptedAtReload() {
+        return readTable("setting-reload-accepted.txt");
     }
 
     /** Changes that a reload accepts, and the keys among them that are reported as needing a restart. */
-    @Test(dataProvider = "acceptedAtAReload")
-    public void aChangeThatNeedsARestartIsNamed(String key, String json, String named) {
-        ProxyConfiguration inForce = new ProxyConfiguration(new EditableJson(FULL).text());
-        ProxyConfiguration next = new ProxyConfiguration(changed(key, json));
+    @Test(dataProvider = "changesAcceptedAtReload")
+    public void namesChangeThatNeedsRestart(String key, String json, String restartOnlyKeys) {
+        ProxyConfiguration inForce = new ProxyConfiguration(new EditableJson(COMPLETE).text());
+        ProxyConfiguration next = new ProxyConfiguration(configurationWithChange(key, json));
         inForce.checkReplacement(next);
-        assertEquals(String.join(" and ", inForce.restartOnlyChanges(next)), named.equals("-") ? "" : named);
+        assertEquals(String.join(" and ", inForce.restartOnlyChanges(next)),
+            restartOnlyKeys.equals("-") ? "" : restartOnlyKeys);
     }
 
     @Test
-    public void changesThatNeedARestartAreNamedInOrder() {
-        ProxyConfiguration inForce = new ProxyConfiguration(new EditableJson(FULL).text());
-        String text = new EditableJson(FULL).with("settings.allowed.maxOpen", "7").with("name", "'n2'")
+    public void namesChangesThatNeedRestartInOrder() {
+        ProxyConfiguration inForce = new ProxyConfiguration(new EditableJson(COMPLETE).text());
+        String text = new EditableJson(COMPLETE).with("settings.allowed.maxOpen", "7").with("name", "'n2'")
             .with("settings.weights", "'off'").with("limits.cores", "2").with("extra", "1").text();
         assertEquals(inForce.restartOnlyChanges(new ProxyConfiguration(text)),
             List.of("extra", "limits", "name",
--- a/proxy/src/test/java/spurroad/configuration/SettingsFormTest.java
+++ b/proxy/src/test/java/spurroad/configuration/SettingsFormTest.java
@@ -23,7 +23,7 @@
     private static final String MISSING = null;
 
     /** A configuration with the required keys only. */
-    static final String LEAST = "{'name':'n1','listen':'127.0.0.1:11211','discovery':'127.0.0.1:8500',"
+    static final String MINIMAL = "{'name':'n1','listen':'127.0.0.1:11211','discovery':'127.0.0.1:8500',"
         + "'seed':'7f','known':{'targets':[]},"
         + "'settings':{'tracks':[{'name':'read','effect':'retryable','sloTimeUs':8000000}]}}";
 
@@ -61,32 +61,32 @@
     }
 
     @Test(dataProvider = "keys")
-    public void aKeySetsItsField(String key, String json, Function<ProxyConfiguration, Object> field,
-                                 Object value) {
-        EditableJson file = new EditableJson(LEAST);
+    public void readsKeyIntoField(String key, String json, Function<ProxyConfiguration, Object> field,
+                                  Object value) {
+        EditableJson file = new EditableJson(MINIMAL);
         String text = json == MISSING ? file.text() : file.with(key, json).text();
         assertEquals(field.apply(new ProxyConfiguration(text)), value, key);
     }
 
     @Test
-    public void peerAddressesAreReadWhereGossipIsAllowed() {
-        ProxyConfiguration start = new ProxyConfiguration(
-            new EditableJson(LEAST).with("settings.allowed.peers", "true")
+    public void readsPeerAddressesIfGossipIsAllowed() {
+        ProxyConfiguration configuration = new ProxyConfiguration(
+            new EditableJson(MINIMAL).with("settings.allowed.peers", "true")
                 .with("settings.balancers", "2").with("proxies", "['10.0.0.1:5','10.0.0.1:6']").text());
-        assertEquals(start.peerAddresses,
+        assertEquals(configuration.peerAddresses,
             List.of(new InetSocketAddress("10.0.0.1", 5), new InetSocketAddress("10.0.0.1", 6)));
-        assertEquals(start.reservedDescriptors, 23);
+        assertEquals(configuration.reservedDescriptors, 23);
     }
 
     // ---- the environment
 
     @Test
-    public void theEnvironmentSetsItsFields() {
-        ProxyConfiguration none = new ProxyConfiguration(new EditableJson(LEAST).text(), Map.of());
+    public void readsEnvironmentVariables() {
+        ProxyConfiguration none = new ProxyConfiguration(new EditableJson(MINIMAL).text(), Map.of());
         assertNull(none.adminAddress);
         assertNull(none.restartDirectory);
         assertEquals(none.listenDescriptor, "");
-        String file = new EditableJson(LEAST).with("admin_addr", "'10.0.0.1:3'").text();
+        String file = new EditableJson(MINIMAL).with("admin_addr", "'10.0.0.1:3'").text();
         ProxyConfiguration all = new ProxyConfiguration(file, Map.of("BALANCER_ADMIN_ADDR", "10.0.0.1:7",
             "BALANCER_LISTEN_FD", "0", "TMPDIR", "/there"));
         assertEquals(all.adminAddress, new InetSocketAddress("10.0.0.1", 7));
@@ -96,10 +96,10 @@
 
     /** A proxy that opens its own socket shares no directory with other processes. */
     @Test
-    public void processesShareADirectoryOnlyOnAnInheritedSocket() {
-        assertNull(new ProxyConfiguration(new EditableJson(LEAST).text(),
+    public void sharesDirectoryOnlyWithInheritedSocket() {
+        assertNull(new ProxyConfiguration(new EditableJson(MINIMAL).text(),
             Map.of("TMPDIR", "/there")).restartDirectory);
-        assertNull(new ProxyConfiguration(new EditableJson(LEAST).text(),
+        assertNull(new ProxyConfiguration(new EditableJson(MINIMAL).text(),
             Map.of("BALANCER_LISTEN_FD", "0")).restartDirectory);
     }
 
@@ -178,24 +178,24 @@
 
     /** The same for the fields of a request class, called a track in the settings. */
     @DataProvider
-    Object[][] classSettings() {
-        return new Object[][] {track("effect", "'retryable'", RequestClass::effect, Effect.IDEMPOTENT),
-            track("effect", "'dedup'", RequestClass::effect, Effect.DEDUPLICATED),
-            track("effect", "'fragile'", RequestClass::effect, Effect.NON_IDEMPOTENT),
-            track("dedupScope", MISSING, RequestClass::deduplicationScope, DeduplicationScope.CELL),
-            track("dedupScope", "'cell'", RequestClass::deduplicationScope, DeduplicationScope.CELL),
-            track("dedupScope", "'other'", RequestClass::deduplicationScope, DeduplicationScope.CELL),
-            track("dedupScope", "'zone'", RequestClass::deduplicationScope, DeduplicationScope.ZONE),
-            track("dedupScope", "'all'", RequestClass::deduplicationScope, DeduplicationScope.ALL),
-            track("dedupWindowUs", MISSING, RequestClass::deduplicationWindowNanos, 0L),
-            track("dedupWindowUs", "2500", RequestClass::deduplicationWindowNanos, 2_500_000L),
-            track("sloTimeUs", "2500.7", RequestClass::latencyObjectiveNanos, 2_500_000L),
-            track("aimStretch", MISSING, RequestClass::latencyObjectiveStretch, 0.0),
-            track("aimStretch", "1.5", RequestClass::latencyObjectiveStretch, 1.5),
-            track("importance", MISSING, RequestClass::priorityWeight, 1.0),
-            track("importance", "2.5", RequestClass::priorityWeight, 2.5),
-            track("tardyImportance", MISSING, RequestClass::lateValueFraction, 0.0),
-            track("tardyImportance", "0.3", RequestClass::lateValueFraction, 0.3)};
+    Object[][] requestClassSettings() {
+        return new Object[][] {requestClass("effect", "'retryable'", RequestClass::effect, Effect.IDEMPOTENT),
+            requestClass("effect", "'dedup'", RequestClass::effect, Effect.DEDUPLICATED),
+            requestClass("effect", "'fragile'", RequestClass::effect, Effect.NON_IDEMPOTENT),
+            requestClass("dedupScope", MISSING, RequestClass::deduplicationScope, DeduplicationScope.CELL),
+            requestClass("dedupScope", "'cell'", RequestClass::deduplicationScope, DeduplicationScope.CELL),
+            requestClass("dedupScope", "'other'", RequestClass::deduplicationScope, DeduplicationScope.CELL),
+            requestClass("dedupScope", "'zone'", RequestClass::deduplicationScope, DeduplicationScope.ZONE),
+            requestClass("dedupScope", "'all'", RequestClass::deduplicationScope, DeduplicationScope.ALL),
+            requestClass("dedupWindowUs", MISSING, RequestClass::deduplicationWindowNanos, 0L),
+            requestClass("dedupWindowUs", "2500", RequestClass::deduplicationWindowNanos, 2_500_000L),
+            requestClass("sloTimeUs", "2500.7", RequestClass::latencyObjectiveNanos, 2_500_000L),
+            requestClass("aimStretch", MISSING, RequestClass::latencyObjectiveStretch, 0.0),
+            requestClass("aimStretch", "1.5", RequestClass::latencyObjectiveStretch, 1.5),
+            requestClass("importance", MISSING, RequestClass::priorityWeight, 1.0),
+            requestClass("importance", "2.5", RequestClass::priorityWeight, 2.5),
+            requestClass("tardyImportance", MISSING, RequestClass::lateValueFraction, 0.0),
+            requestClass("tardyImportance", "0.3", RequestClass::lateValueFraction, 0.3)};
     }
 
     private static Object[] setting(String key, String json, Function<DeploymentSettings, Object> field,
@@ -208,34 +208,34 @@
         return setting(key, json, s -> field.apply(s.deployment), value);
     }
 
-    private static Object[] track(String key, String json, Function<RequestClass, Object> field,
-                                  Object value) {
+    private static Object[] requestClass(String key, String json, Function<RequestClass, Object> field,
+                                         Object value) {
         return deployment("tracks.0." + key, json, d -> field.apply(d.requestClasses().get(0)), value);
     }
 
     @Test(dataProvider = "generalSettings")
-    public void aSettingSetsItsField(String key, String json, Function<DeploymentSettings, Object> field,
-                                     Object value) {
+    public void readsGeneralSetting(String key, String json, Function<DeploymentSettings, Object> field,
+                                    Object value) {
         checkSetting(key, json, field, value);
     }
 
     @Test(dataProvider = "deploymentSettings")
-    public void aSettingSetsItsFieldOfTheDeployment(String key, String json,
-                                                    Function<DeploymentSettings, Object> field,
-                                                    Object value) {
+    public void readsDeploymentSetting(String key, String json,
+                                       Function<DeploymentSettings, Object> field,
+                                       Object value) {
         checkSetting(key, json, field, value);
     }
 
-    @Test(dataProvider = "classSettings")
-    public void aSettingOfAClassSetsItsField(String key, String json,
-                                             Function<DeploymentSettings, Object> field,
-                                             Object value) {
+    @Test(dataProvider = "requestClassSettings")
+    public void readsRequestClassSetting(String key, String json,
+                                         Function<DeploymentSettings, Object> field,
+                                         Object value) {
         checkSetting(key, json, field, value);
     }
 
     private static void checkSetting(String key, String json, Function<DeploymentSettings, Object> field,
                                      Object value) {
-        EditableJson file = new EditableJson(LEAST);
+        EditableJson file = new EditableJson(MINIMAL);
         if (json != MISSING) {
             file.with(key, json);
         }
@@ -246,45 +246,45 @@
 
     /** Settings and the resulting fleet; the zone is used only if requests across zones cost 0.05 or more. */
     @DataProvider
-    Object[][] places() {
-        String both = "'failureDomains':['a','b'],";
+    Object[][] fleets() {
+        String twoZones = "'failureDomains':['a','b'],";
         return new Object[][] {{"", Fleet.STANDALONE},
             {"'balancers':3,'index':2,", new Fleet(null, 2, 3, false)},
             {"'balancers':2.9,", new Fleet(null, 0, 2, false)},
-            {both + "'myZone':1,", Fleet.STANDALONE},
-            {both + "'myZone':1,'deductions':{'crossZone':0.049},", Fleet.STANDALONE},
-            {both + "'myZone':1,'deductions':{'crossZone':0.05},", new Fleet(new ZoneId(1), 0, 1, false)},
-            {both + "'deductions':{'crossZone':0.13},", Fleet.STANDALONE}};
+            {twoZones + "'myZone':1,", Fleet.STANDALONE},
+            {twoZones + "'myZone':1,'deductions':{'crossZone':0.049},", Fleet.STANDALONE},
+            {twoZones + "'myZone':1,'deductions':{'crossZone':0.05},", new Fleet(new ZoneId(1), 0, 1, false)},
+            {twoZones + "'deductions':{'crossZone':0.13},", Fleet.STANDALONE}};
     }
 
-    @Test(dataProvider = "places")
-    public void theFleetIsRead(String settings, Fleet place) {
-        String text = LEAST.replace("'settings':{", "'settings':{" + settings);
+    @Test(dataProvider = "fleets")
+    public void readsFleet(String settings, Fleet fleet) {
+        String text = MINIMAL.replace("'settings':{", "'settings':{" + settings);
         assertEquals(new ProxyConfiguration(new EditableJson(text).text()).settings.deployment.fleet(),
-            place);
+            fleet);
         assertEquals(
             DeploymentSettings.fromLines(new EditableJson(text).lines("settings")).deployment.fleet(),
-            place);
+            fleet);
     }
 
     @Test
-    public void gossipIsEnabledWhereTheSettingsAllowIt() {
-        String lines = new EditableJson(LEAST).with("settings.allowed.peers", "true").lines("settings");
+    public void enablesGossipIfAllowed() {
+        String lines = new EditableJson(MINIMAL).with("settings.allowed.peers", "true").lines("settings");
         assertEquals(DeploymentSettings.fromLines(lines).deployment.fleet(), new Fleet(null, 0, 1, true));
     }
 
     /** Each proxy admits an equal share of a tenant's allowance. */
     @Test
-    public void theAllowanceOfATenantIsSharedByTheProxies() {
-        String text = new EditableJson(LEAST).with("settings.balancers", "4")
+    public void dividesTenantAllowanceAmongProxies() {
+        String text = new EditableJson(MINIMAL).with("settings.balancers", "4")
             .with("settings.projects", "[{'name':'acme','allowancePerS':300}]").text();
         assertEquals(new ProxyConfiguration(text).settings.deployment.tenantQuotasPerSecond(), List.of(75.0));
     }
 
     /** The longest statement timeout of all request classes is used. */
     @Test
-    public void theLongestStatementTimeoutCounts() {
-        String text = new EditableJson(LEAST)
+    public void usesLongestStatementTimeout() {
+        String text = new EditableJson(MINIMAL)
             .with("settings.tracks.0.statementTimeoutUs", "2500").with("settings.tracks.1",
                 "{'name':'put','effect':'dedup','sloTimeUs':1,'statementTimeoutUs':900}")
             .text();
--- a/proxy/src/test/java/spurroad/protocol/ArbitraryBytesTest.java
+++ b/proxy/src/test/java/spurroad/protocol/ArbitraryBytesTest.java
@@ -17,8 +17,8 @@
  * bytes, or throw an {@link IOException}. With any other exception a request would never be completed.
  */
 public class ArbitraryBytesTest {
-    private static final int PLAYS = 20_000;
-    private static final int MOST_CHANGES = 4;
+    private static final int ITERATIONS = 20_000;
+    private static final int MAX_MUTATIONS = 4;
     private static final long SEED = 41;
 
     /** Parses a message of a peer. */
@@ -67,18 +67,18 @@
     }
 
     @Test(dataProvider = "parsers")
-    public void anythingIsAMessageOrAFault(String name, Parser parser, String[] wellFormed) {
+    public void throwsOnlyIoExceptionForMutatedMessages(String name, Parser parser, String[] wellFormed) {
         Random random = new Random(SEED);
         List<String> failures = new ArrayList<>();
-        for (int i = 0; i < PLAYS && failures.size() < 5; i++) {
+        for (int i = 0; i < ITERATIONS && failures.size() < 5; i++) {
             byte[] bytes = wellFormed[i % wellFormed.length].getBytes(StandardCharsets.ISO_8859_1);
-            byte[] changed = i < wellFormed.length ? bytes : changed(bytes, random);
+            byte[] mutated = i < wellFormed.length ? bytes : mutate(bytes, random);
             try {
-                readInPieces(parser, changed, random);
+                readInPieces(parser, mutated, random);
             } catch (IOException e) {
                 continue; // reported as a malformed message
             } catch (RuntimeException e) {
-                failures.add(e + " for " + new String(changed, StandardCharsets.ISO_8859_1));
+                failures.add(e + " for " + new String(mutated, StandardCharsets.ISO_8859_1));
             }
         }
         assertTrue(failures.isEmpty(), String.join("\n", failures));
@@ -101,20 +101,21 @@
     }
 
     /** Returns a copy with bytes randomly replaced, removed or cut off. */
-    private static byte[] changed(byte[] bytes, Random random) {
-        byte[] changed = bytes.clone();
-        for (int n = 1 + random.nextInt(MOST_CHANGES); n > 0 && changed.length > 1; n--) {
-            int at = random.nextInt(changed.length);
+    private static byte[] mutate(byte[] bytes, Random random) {
+        byte[] mutated = bytes.clone();
+        for (int remaining = 1 + random.nextInt(MAX_MUTATIONS); remaining > 0
+            && mutated.length > 1; remaining--) {
+            int index = random.nextInt(mutated.length);
             switch (random.nextInt(4)) {
-                case 0 -> changed[at] = (byte) random.nextInt(256);
-                case 1 -> changed[at] = (byte) " ,=:\r\n0O-".charAt(random.nextInt(9));
+                case 0 -> mutated[index] = (byte) random.nextInt(256);
+                case 1 -> mutated[index] = (byte) " ,=:\r\n0O-".charAt(random.nextInt(9));
                 case 2 -> {
-                    System.arraycopy(changed, at + 1, changed, at, changed.length - at - 1);
-                    changed = Arrays.copyOf(changed, changed.length - 1);
+                    System.arraycopy(mutated, index + 1, mutated, index, mutated.length - index - 1);
+                    mutated = Arrays.copyOf(mutated, mutated.length - 1);
                 }
-                default -> changed = Arrays.copyOf(changed, at + 1);
+                default -> mutated = Arrays.copyOf(mutated, index + 1);
             }
         }
-        return changed;
+        return mutated;
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/EndpointListFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/EndpointListFormTest.java
@@ -35,15 +35,15 @@
         return EndpointList.read(Json.read(list.replace('\'', '"')), names);
     }
 
-    private static EndpointList.ListedEndpoint only(String entry, EndpointList.EndpointNames names)
+    private static EndpointList.ListedEndpoint readSingle(String entry, EndpointList.EndpointNames names)
         throws ProtocolException {
-        List<EndpointList.ListedEndpoint> members = read("{'targets':[" + entry + "]}", names).endpoints();
-        assertEquals(members.size(), 1);
-        return members.get(0);
+        List<EndpointList.ListedEndpoint> endpoints = read("{'targets':[" + entry + "]}", names).endpoints();
+        assertEquals(endpoints.size(), 1);
+        return endpoints.get(0);
     }
 
     @Test
-    public void aCompleteListIsRead() throws ProtocolException {
+    public void readsCompleteList() throws ProtocolException {
         EndpointList list = read("{'rev':41,'all':true,'targets':[" + ENTRY + "],'more':{}}", WEIGHTED);
         assertEquals(list.revision(), 41);
         assertTrue(list.isComplete());
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void changesAreRead() throws ProtocolException {
+    public void readsChanges() throws ProtocolException {
         EndpointList changes = read(
             "{'rev':43,'all':false,'targets':[" + ENTRY.replace("active", "left") + ","
                 + ENTRY.replace("active", "leaving").replace("5be2", "5be3") + "]}",
@@ -65,15 +65,15 @@
 
     /** A list without a revision has revision 0; one without {@code all} holds changes. */
     @Test
-    public void fieldsOfTheListMayBeMissing() throws ProtocolException {
+    public void usesDefaultsForMissingListFields() throws ProtocolException {
         EndpointList list = read("{'targets':[]}", WEIGHTED);
         assertEquals(list, new EndpointList(0, false, List.of()));
         assertFalse(read("{'all':'true','targets':[]}", WEIGHTED).isComplete());
     }
 
     @Test
-    public void fieldsOfAnEntryMayBeMissing() throws ProtocolException {
-        Endpoint entry = only(
+    public void usesDefaultsForMissingEntryFields() throws ProtocolException {
+        Endpoint entry = readSingle(
             "{'uid':'s','endpoint':'10.1.0.18:11211','az':'a','model':'m1','state':'active','new':[1]}",
             WEIGHTED).endpoint();
         assertEquals(entry.cell(), new CellId(0));
@@ -90,9 +90,9 @@
     }
 
     @Test(dataProvider = "states")
-    public void aStateThatIsNotKnownMeansDraining(String state, EndpointPhase phase)
+    public void treatsUnknownStateAsDraining(String state, EndpointPhase phase)
         throws ProtocolException {
-        assertSame(only(ENTRY.replace("active", state), WEIGHTED).endpoint().phase(), phase);
+        assertSame(readSingle(ENTRY.replace("active", state), WEIGHTED).endpoint().phase(), phase);
     }
 
     /** The listed capacity and the weight if capacities are used as weights. */
@@ -102,27 +102,29 @@
     }
 
     @Test(dataProvider = "weights")
-    public void sizesCountWhereTheSettingsSaySo(String size, double weight) throws ProtocolException {
-        String entry = ENTRY.replace("2.5", size);
-        assertEquals(only(entry, WEIGHTED).endpoint().weight(), weight);
-        assertEquals(only(entry, UNWEIGHTED).endpoint().weight(), 1.0);
+    public void usesCapacityAsWeightOnlyIfEnabled(String capacity, double weight) throws ProtocolException {
+        String entry = ENTRY.replace("2.5", capacity);
+        assertEquals(readSingle(entry, WEIGHTED).endpoint().weight(), weight);
+        assertEquals(readSingle(entry, UNWEIGHTED).endpoint().weight(), 1.0);
     }
 
     @Test
-    public void aStartBeforeTheEpochCountsAsLongAgo() throws ProtocolException {
-        assertEquals(only(ENTRY.replace("1700000000123", "-5"), WEIGHTED).endpoint().startedAtNanos(), 0);
+    public void clampsStartBeforeEpochToZero() throws ProtocolException {
+        assertEquals(readSingle(ENTRY.replace("1700000000123", "-5"), WEIGHTED).endpoint().startedAtNanos(),
+            0);
     }
 
     /** Names that are not in the settings get numbers from 65,536 on, the same in every proxy. */
     @Test
-    public void otherNamesHaveNumbersOfTheirOwn() throws ProtocolException {
-        Endpoint entry = only(ENTRY.replace("'origin'", "'m9'").replace("'b'", "'z'"), WEIGHTED).endpoint();
+    public void assignsHashedNumbersToNamesOutsideSettings() throws ProtocolException {
+        Endpoint entry = readSingle(ENTRY.replace("'origin'", "'m9'").replace("'b'", "'z'"), WEIGHTED)
+            .endpoint();
         assertEquals(entry.kind(), new EndpointKindId(65_536 + 0x8dd3));
         assertEquals(entry.zone(), new ZoneId(65_536 + 0x1a6d));
     }
 
     @Test
-    public void namesAndKeysHaveTheNumbersOfFnv1a() {
+    public void hashesNamesAndKeysWithFnv1a() {
         assertEquals(EndpointList.hash(""), 0xcbf29ce484222325L);
         assertEquals(EndpointList.hash("a"), 0xaf63dc4c8601ec8cL);
         assertEquals(EndpointList.hash("foobar"), 0x85944171f73967e8L);
@@ -130,55 +132,55 @@
     }
 
     @DataProvider
-    Object[][] endpoints() {
+    Object[][] addresses() {
         return new Object[][] {{"10.1.0.18:11211", "10.1.0.18", 11211}, {"255.255.255.255:0",
             "255.255.255.255", 0}, {"[::1]:65535", "::1", 65535}};
     }
 
-    @Test(dataProvider = "endpoints")
-    public void anEndpointIsAnAddressAndAPort(String text, String address, int port)
+    @Test(dataProvider = "addresses")
+    public void parsesAddressAndPort(String text, String address, int port)
         throws ProtocolException {
         assertEquals(EndpointList.parseAddress(text), new InetSocketAddress(address, port));
     }
 
     @DataProvider
-    Object[] faultyEndpoints() {
+    Object[] malformedAddresses() {
         return new Object[] {"", ":", "here", "10.1.0.18", "10.1.0.18:", "10.1.0.18:x", "10.1.0.18:65536",
             "10.1.0.18:-1", "10.1.0.256:1", "10.1.0:1", "localhost:1", "::1:1", "[]:1", "[::1:1", "[g]:1"};
     }
 
-    @Test(dataProvider = "faultyEndpoints")
-    public void whatIsNoEndpointIsNamed(String text) {
+    @Test(dataProvider = "malformedAddresses")
+    public void rejectsMalformedAddressAndNamesIt(String text) {
         assertEquals(
             expectThrows(ProtocolException.class, () -> EndpointList.parseAddress(text)).getMessage(),
             text + " is no address and port");
     }
 
     @DataProvider
-    Object[][] faultyLists() {
+    Object[][] malformedLists() {
         return new Object[][] {{"[]", "a list without targets"}, {"{'rev':1}", "a list without targets"},
             {"{'targets':{}}", "a list without targets"}, {"{'targets':[1]}",
                 "targets holds what is no entry"},
             {"{'rev':'1','targets':[]}", "rev is not a number"},
-            {faulty("'uid'", "'x'"), "an entry without uid"},
-            {faulty("'s-5be2a07c'", "7"), "an entry without uid"},
-            {faulty("'endpoint'", "'x'"), "an entry without endpoint"},
-            {faulty("'az'", "'x'"), "an entry without az"},
-            {faulty("'model'", "'x'"), "an entry without model"},
-            {faulty("'state'", "'x'"), "an entry without state"},
-            {faulty("'state':'active'", "'state':null"), "an entry without state"},
-            {faulty("'pod_group':3", "'pod_group':'3'"), "pod_group is not a number"},
-            {faulty("2.5", "true"), "capacity_hint is not a number"},
-            {faulty("1700000000123", "'0'"), "boot_ms is not a number"},
-            {faulty("10.1.0.18:11211", "there:1"), "there:1 is no address and port"}};
+            {listWithReplacedText("'uid'", "'x'"), "an entry without uid"},
+            {listWithReplacedText("'s-5be2a07c'", "7"), "an entry without uid"},
+            {listWithReplacedText("'endpoint'", "'x'"), "an entry without endpoint"},
+            {listWithReplacedText("'az'", "'x'"), "an entry without az"},
+            {listWithReplacedText("'model'", "'x'"), "an entry without model"},
+            {listWithReplacedText("'state'", "'x'"), "an entry without state"},
+            {listWithReplacedText("'state':'active'", "'state':null"), "an entry without state"},
+            {listWithReplacedText("'pod_group':3", "'pod_group':'3'"), "pod_group is not a number"},
+            {listWithReplacedText("2.5", "true"), "capacity_hint is not a number"},
+            {listWithReplacedText("1700000000123", "'0'"), "boot_ms is not a number"},
+            {listWithReplacedText("10.1.0.18:11211", "there:1"), "there:1 is no address and port"}};
     }
 
-    private static String faulty(String part, String instead) {
-        return "{'targets':[" + ENTRY.replace(part, instead) + "]}";
+    private static String listWithReplacedText(String replaced, String replacement) {
+        return "{'targets':[" + ENTRY.replace(replaced, replacement) + "]}";
     }
 
-    @Test(dataProvider = "faultyLists")
-    public void whatIsWrongWithAListIsNamed(String list, String message) {
+    @Test(dataProvider = "malformedLists")
+    public void reportsFaultOfMalformedList(String list, String message) {
         assertEquals(expectThrows(ProtocolException.class, () -> read(list, WEIGHTED)).getMessage(), message);
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/HttpFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/HttpFormTest.java
@@ -24,9 +24,9 @@
     private static final String READ = "mg k%y/\u007e-._v\u0021 v O9b1f Pc=read,d=480,t=acme\r\n";
     private static final String WRITE = "ms 7f3a 5 O9b1f Pc=put,d=480,k=5c0f\r\nhello\r\n";
     private static final String LONG_WRITE = "ms 7f3a 65537 O9b1f Pc=put,d=480,k=5c0f\r\n";
-    private static final long PROXY_WAIT_MS = 123;
+    private static final long PROXY_TIMEOUT_MILLIS = 123;
     private static final LoadReport NO_LOAD = LoadReport.NONE;
-    private static final int LONGEST_SHORT_BODY = 65_536;
+    private static final int MAX_BUFFERED_BODY_BYTES = 65_536;
 
     private static MetaCommand command(String text) throws IOException {
         return MetaCommand.read(WireText.stream(text));
@@ -35,7 +35,7 @@
     // ---- requests
 
     @Test
-    public void aPlainGetHasNoHeaderButItsHost() {
+    public void encodesGetWithHostHeaderOnly() {
         assertEquals(WireText.text(Http.get("/_load", HOST)),
             "GET /_load HTTP/1.1\r\nHost: 127.0.0.1:8080\r\n\r\n");
         assertEquals(WireText.text(Http.get("/catalog/members?follow=1&since=41", HOST)),
@@ -57,16 +57,16 @@
 
     /** The two request-specific headers may have either order; all other parts have a fixed position. */
     @Test(dataProvider = "originRequests")
-    public void aRequestToTheOriginHasItsForm(String command, String firstLine, String list, String length,
-                                              String body)
+    public void encodesOriginRequest(String command, String requestLine, String attributes, String length,
+                                     String body)
         throws IOException {
-        String request = WireText.text(Http.forOrigin(command(command), PROXY_WAIT_MS, HOST));
+        String request = WireText.text(Http.forOrigin(command(command), PROXY_TIMEOUT_MILLIS, HOST));
         String[] parts = request.split("\r\n\r\n", -1);
         assertEquals(parts.length, 2);
         List<String> head = Arrays.asList(parts[0].split("\r\n", -1));
-        assertEquals(head.subList(0, 2), List.of(firstLine, "Host: " + HOST));
+        assertEquals(head.subList(0, 2), List.of(requestLine, "Host: " + HOST));
         assertEquals(head.subList(2, 4).stream().sorted().toList(),
-            List.of("X-Extras: " + list, "X-Request-Id: 9b1f"));
+            List.of("X-Extras: " + attributes, "X-Request-Id: 9b1f"));
         assertEquals(head.subList(4, head.size()),
             length == null ? List.of() : List.of("Content-Length: " + length));
         assertEquals(parts[1], body);
@@ -83,7 +83,7 @@
      * reusable.
      */
     @DataProvider
-    Object[][] answersToReads() {
+    Object[][] responsesToReads() {
         return new Object[][] {
             {ok("Content-Length: 4\r\n", "body"), Outcome.SUCCEEDED, NO_LOAD, "VA 4 O9b1f\r\nbody\r\n", true},
             {ok("content-length:4\r\n", "body"), Outcome.SUCCEEDED, NO_LOAD, "VA 4 O9b1f\r\nbody\r\n", true},
@@ -117,21 +117,21 @@
             {"HTTP/1.1 404 None\r\nContent-Length: 2\r\n\r\nno", Outcome.FAILED, NO_LOAD, null, true}};
     }
 
-    @Test(dataProvider = "answersToReads")
-    public void anAnswerToAReadIsRead(String answer, Outcome outcome, LoadReport load, String forClient,
-                                      boolean reusable)
+    @Test(dataProvider = "responsesToReads")
+    public void readsResponseToRead(String response, Outcome outcome, LoadReport load, String clientResponse,
+                                    boolean reusable)
         throws IOException {
-        UpstreamReply reply = Http.read(WireText.stream(answer), command(READ));
+        UpstreamReply reply = Http.read(WireText.stream(response), command(READ));
         assertSame(reply.outcome(), outcome);
         assertSame(reply.cacheStatus(), CacheStatus.NONE);
         assertEquals(reply.loadReport(), load);
-        assertEquals(WireText.text(reply.response()), forClient);
+        assertEquals(WireText.text(reply.response()), clientResponse);
         assertEquals(reply.reusable(), reusable);
         assertNull(reply.streamedBody());
     }
 
     @Test
-    public void theBodyOfAnAnswerToAWriteIsItsReceipt() throws IOException {
+    public void readsReceiptFromBodyOfWriteResponse() throws IOException {
         UpstreamReply reply = Http.read(WireText.stream(ok("Content-Length: 6\r\n", " 77aa\n")),
             command(WRITE));
         assertEquals(WireText.text(reply.response()), "HD O9b1f c77aa\r\n");
@@ -143,7 +143,7 @@
 
     /** A body of a declared length over 64 KiB is not read with the head of its response. */
     @Test
-    public void aLongBodyStaysBehindItsHead() throws IOException {
+    public void leavesLongBodyUnread() throws IOException {
         ByteSource in = WireText.stream(ok("Content-Length: 65537\r\nConnection: close\r\n", "abc"));
         UpstreamReply reply = Http.read(in, command(READ));
         assertSame(reply.outcome(), Outcome.SUCCEEDED);
@@ -155,22 +155,22 @@
 
     /** A body without a declared length is accepted up to 64 KiB. */
     @Test
-    public void aBodyOfUnknownLengthHasAtMost64KiB() throws IOException {
-        String longest = "x".repeat(LONGEST_SHORT_BODY);
+    public void limitsBodyOfUnknownLengthTo64KiB() throws IOException {
+        String longestBody = "x".repeat(MAX_BUFFERED_BODY_BYTES);
         String chunked = "Transfer-Encoding: chunked\r\n";
-        String answer = "VA 65536 O9b1f\r\n" + longest + "\r\n";
-        assertEquals(WireText.text(Http.read(WireText.stream(ok("", longest)), command(READ)).response()),
-            answer);
-        assertEquals(WireText.text(Http.read(WireText.stream(ok(chunked, "10000\r\n" + longest
-            + "\r\n0\r\n\r\n")), command(READ)).response()), answer);
+        String clientResponse = "VA 65536 O9b1f\r\n" + longestBody + "\r\n";
+        assertEquals(WireText.text(Http.read(WireText.stream(ok("", longestBody)), command(READ)).response()),
+            clientResponse);
+        assertEquals(WireText.text(Http.read(WireText.stream(ok(chunked, "10000\r\n" + longestBody
+            + "\r\n0\r\n\r\n")), command(READ)).response()), clientResponse);
         assertThrows(ProtocolException.class,
-            () -> Http.read(WireText.stream(ok("", longest + "x")), command(READ)));
+            () -> Http.read(WireText.stream(ok("", longestBody + "x")), command(READ)));
         assertThrows(ProtocolException.class, () -> Http.read(WireText.stream(ok(chunked, "10000\r\n"
-            + longest + "\r\n1\r\nx\r\n0\r\n\r\n")), command(READ)));
+            + longestBody + "\r\n1\r\nx\r\n0\r\n\r\n")), command(READ)));
     }
 
     @Test
-    public void theAnswerToAHealthCheckBringsTheLoad() throws IOException {
+    public void readsLoadReportFromProbeResponse() throws IOException {
         UpstreamReply reply = Http.readProbeResponse(
             WireText.stream(ok("X-Load: inflight=7,queue=2,util=0.6\r\nContent-Length: 2\r\n", "ok")));
         assertSame(reply.outcome(), Outcome.SUCCEEDED);
@@ -182,7 +182,7 @@
     }
 
     @DataProvider
-    Object[] unusableAnswers() {
+    Object[] malformedResponses() {
         String chunked = "Transfer-Encoding: chunked\r\n";
         return new Object[] {"", "MN\r\n\r\n", "HTTP/2 200 OK\r\n\r\n", "HTTP/1.1\r\n\r\n",
             "HTTP/1.1 x\r\n\r\n", "HTTP/1.1 99 x\r\n\r\n", "HTTP/1.1 1000 x\r\n\r\n",
@@ -195,26 +195,26 @@
             ok("A: " + "x".repeat(8192) + "\r\n", ""), ok("A: x\r\n".repeat(100), "")};
     }
 
-    @Test(dataProvider = "unusableAnswers")
-    public void anUnusableAnswerBreaksTheConnection(String answer) {
-        assertThrows(ProtocolException.class, () -> Http.read(WireText.stream(answer), command(READ)));
+    @Test(dataProvider = "malformedResponses")
+    public void rejectsMalformedResponse(String response) {
+        assertThrows(ProtocolException.class, () -> Http.read(WireText.stream(response), command(READ)));
     }
 
     @DataProvider
-    Object[] cutAnswers() {
+    Object[] truncatedResponses() {
         return new Object[] {"HTTP/1.1 200 O", ok("Content-Length: 4\r\n", "bod"),
             ok("Transfer-Encoding: chunked\r\n", "4\r\nbod"), ok("Transfer-Encoding: chunked\r\n", "4")};
     }
 
-    @Test(dataProvider = "cutAnswers")
-    public void anAnswerThatEndsInTheMiddleIsNone(String answer) {
-        assertThrows(EOFException.class, () -> Http.read(WireText.stream(answer), command(READ)));
+    @Test(dataProvider = "truncatedResponses")
+    public void rejectsTruncatedResponse(String response) {
+        assertThrows(EOFException.class, () -> Http.read(WireText.stream(response), command(READ)));
     }
 
     // ---- responses of discovery
 
     @Test
-    public void aHeadHasItsStatusAndItsHeadersInSmallLetters() throws IOException {
+    public void readsStatusAndLowerCaseHeaderNames() throws IOException {
         Http.Head head = Http
             .readFinalHead(WireText.stream("HTTP/1.1 503 Busy\r\nRetry-After:  2 \r\nA: b:c\r\n\r\n"));
         assertEquals(head.status(), 503);
@@ -223,7 +223,7 @@
 
     /** The lists of a watch may be indented, span chunks and have empty lines between them. */
     @Test
-    public void aChunkedWatchIsReadByLists() throws IOException {
+    public void splitsChunkedWatchIntoLists() throws IOException {
         ByteSource in = WireText.stream(ok("Transfer-Encoding: chunked\r\n",
             "9\r\n{\"rev\":1}\r\n" + "2\r\n\n\n\r\n" + "3\r\n{\r\n\r\n" + "F\r\n \"a\": \"}\\\"{\"\n}\n\r\n"
                 + "0\r\n\r\n"));
@@ -235,7 +235,7 @@
     }
 
     @Test
-    public void aWatchWithoutChunksIsReadUpToItsEnd() throws IOException {
+    public void splitsUnchunkedWatchIntoListsUpToItsEnd() throws IOException {
         ByteSource in = WireText.stream(ok("", "{\"rev\":1}\r\n\r\n{\"rev\":2}\n"));
         ByteSource watch = Http.bodyStream(in, Http.readFinalHead(in));
         assertEquals(Http.readListText(watch), "{\"rev\":1}");
--- a/proxy/src/test/java/spurroad/protocol/HttpTest.java
+++ b/proxy/src/test/java/spurroad/protocol/HttpTest.java
@@ -40,17 +40,18 @@
     }
 
     @Test(dataProvider = "responses")
-    public void aResponseIsReadWhereverItIsSplit(String command, String reply, Outcome outcome,
-                                                 String answer,
-                                                 boolean more)
+    public void readsResponseSplitAtAnyByte(String command, String reply, Outcome outcome,
+                                            String clientResponse,
+                                            boolean reusable)
         throws IOException {
-        MetaCommand c = MetaCommand.read(WireText.stream(command));
+        MetaCommand parsedCommand = MetaCommand.read(WireText.stream(command));
         for (int split = 1; split < reply.length(); split++) {
-            UpstreamReply r = Http.read(WireText.streamInTwoParts(reply, split), c);
-            assertEquals(r.outcome(), outcome);
-            assertEquals(r.response() == null ? null : WireText.text(r.response()), answer);
-            assertEquals(r.reusable(), more);
-            assertEquals(r.loadReport().queued(), reply.contains("X-Load") ? 4 : Double.NaN);
+            UpstreamReply parsedReply = Http.read(WireText.streamInTwoParts(reply, split), parsedCommand);
+            assertEquals(parsedReply.outcome(), outcome);
+            assertEquals(parsedReply.response() == null ? null : WireText.text(parsedReply.response()),
+                clientResponse);
+            assertEquals(parsedReply.reusable(), reusable);
+            assertEquals(parsedReply.loadReport().queued(), reply.contains("X-Load") ? 4 : Double.NaN);
         }
     }
 
@@ -69,13 +70,13 @@
     }
 
     @Test(dataProvider = "unusableResponses")
-    public void anUnusableResponseIsRejected(String reply) throws IOException {
-        MetaCommand c = MetaCommand.read(WireText.stream(READ));
-        assertThrows(IOException.class, () -> Http.read(WireText.stream(reply), c));
+    public void rejectsUnusableResponse(String reply) throws IOException {
+        MetaCommand command = MetaCommand.read(WireText.stream(READ));
+        assertThrows(IOException.class, () -> Http.read(WireText.stream(reply), command));
     }
 
     @Test
-    public void linesGoOnOverChunksOfAStreamThatMayEndInsideOne() throws IOException {
+    public void readsListSpanningChunksAndRejectsTruncatedList() throws IOException {
         String watch = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{\"\r\n4\r\na\"}\n\r\n"
             + "1\r\n\n\r\n";
         ByteSource in = WireText.stream(watch + "0\r\n\r\n");
@@ -83,15 +84,15 @@
         assertEquals(Http.readListText(lines), "{\"a\"}");
         assertEquals(Http.readListText(lines), "");
         assertNull(Http.readListText(lines));
-        ByteSource cut = WireText.stream(watch + "3\r\n{\"");
-        ByteSource cutLines = Http.bodyStream(cut, Http.readFinalHead(cut));
-        Http.readListText(cutLines);
-        Http.readListText(cutLines);
-        assertThrows(IOException.class, () -> Http.readListText(cutLines));
+        ByteSource truncated = WireText.stream(watch + "3\r\n{\"");
+        ByteSource truncatedLines = Http.bodyStream(truncated, Http.readFinalHead(truncated));
+        Http.readListText(truncatedLines);
+        Http.readListText(truncatedLines);
+        assertThrows(IOException.class, () -> Http.readListText(truncatedLines));
     }
 
     @Test
-    public void aListMayHaveSeveralLines() throws IOException {
+    public void readsListOfSeveralLines() throws IOException {
         ByteSource lines = WireText.stream("\n{\n  \"a}\": {\"b\": \"\\\"{\"\n  }\n}\n\n{}\n{\n");
         assertEquals(Http.readListText(lines), "");
         assertEquals(Json.read(Http.readListText(lines)), Map.of("a}", Map.of("b", "\"{")));
--- a/proxy/src/test/java/spurroad/protocol/JsonFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/JsonFormTest.java
@@ -12,7 +12,7 @@
 
 /** Parsing of JSON, and the error messages for malformed texts. */
 public class JsonFormTest {
-    private static final int DEEPEST = 32;
+    private static final int MAX_DEPTH = 32;
 
     @DataProvider
     Object[][] values() {
@@ -27,18 +27,18 @@
     }
 
     @Test(dataProvider = "values")
-    public void aValueIsRead(String text, Object value) throws ProtocolException {
+    public void parsesValue(String text, Object value) throws ProtocolException {
         assertEquals(Json.read(text), value);
     }
 
     @Test
-    public void namesKeepTheirOrder() throws ProtocolException {
+    public void keepsOrderOfNames() throws ProtocolException {
         Map<?, ?> object = (Map<?, ?>) Json.read("{\"c\":1,\"a\":2,\"b\":3}");
         assertEquals(new ArrayList<>(object.keySet()), List.of("c", "a", "b"));
     }
 
     @DataProvider
-    Object[][] faults() {
+    Object[][] malformedTexts() {
         return new Object[][] {{"", "a value at character 1"}, {"  ", "a value at character 3"},
             {"nul", "a value at character 1"}, {"x", "a value at character 1"},
             {"[1,]", "a value at character 4"}, {"1e999", "a value at character 1"},
@@ -54,16 +54,16 @@
             {"\"\\u00", "an escape sequence at character 4"}};
     }
 
-    @Test(dataProvider = "faults")
-    public void aFaultIsNamedWithItsPlace(String text, String expected) {
+    @Test(dataProvider = "malformedTexts")
+    public void reportsExpectationAndPositionOfFault(String text, String expected) {
         assertEquals(expectThrows(ProtocolException.class, () -> Json.read(text)).getMessage(),
             "not JSON: expected " + expected);
     }
 
     @Test
-    public void aValueMayBe32LevelsDeep() throws ProtocolException {
-        Json.read("[".repeat(DEEPEST + 1) + "]".repeat(DEEPEST + 1));
-        assertEquals(expectThrows(ProtocolException.class, () -> Json.read("[".repeat(DEEPEST + 2)))
+    public void limitsNestingTo32Levels() throws ProtocolException {
+        Json.read("[".repeat(MAX_DEPTH + 1) + "]".repeat(MAX_DEPTH + 1));
+        assertEquals(expectThrows(ProtocolException.class, () -> Json.read("[".repeat(MAX_DEPTH + 2)))
             .getMessage(), "not JSON: expected fewer levels of nesting at character 34");
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/JsonTest.java
+++ b/proxy/src/test/java/spurroad/protocol/JsonTest.java
@@ -19,19 +19,19 @@
     }
 
     @Test(dataProvider = "values")
-    public void aValueIsRead(String text, Object value) throws IOException {
+    public void parsesValue(String text, Object value) throws IOException {
         assertEquals(Json.read(text), value);
     }
 
     @DataProvider
-    Object[][] malformed() {
+    Object[][] malformedTexts() {
         return new Object[][] {{""}, {"{"}, {"{\"a\"}"}, {"[1,]"}, {"[1 2]"}, {"\"a"}, {"\"\\x\""},
             {"\"\\u00g0\""},
             {"tru"}, {"1 2"}, {"--1"}, {"1e999"}, {"{\"a\":1"}, {"[".repeat(100)}, {"\"\n\""}};
     }
 
-    @Test(dataProvider = "malformed")
-    public void malformedTextIsRejected(String text) {
+    @Test(dataProvider = "malformedTexts")
+    public void rejectsMalformedText(String text) {
         assertThrows(ProtocolException.class, () -> Json.read(text));
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/MetaCommandFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/MetaCommandFormTest.java
@@ -17,42 +17,47 @@
     private static final String BAD_FORMAT = "CLIENT_ERROR bad command line format";
     private static final String BAD_KEY = "CLIENT_ERROR bad key";
     private static final String BAD_LENGTH = "CLIENT_ERROR bad length";
-    private static final String BAD_CHUNK = "CLIENT_ERROR bad data chunk";
+    private static final String BAD_DATA_CHUNK = "CLIENT_ERROR bad data chunk";
     private static final String NO_ID = "CLIENT_ERROR no request id";
-    private static final String NO_WAIT = "CLIENT_ERROR no time to wait";
-    private static final String TOO_LONG = "CLIENT_ERROR line too long";
-    private static final String UNKNOWN = "ERROR";
-    private static final int LONGEST_KEY = 250;
-    private static final int LONGEST_ID = 32;
-    private static final int LONGEST_LINE = 2048;
-    private static final int LONGEST_SHORT_VALUE = 65_536;
-    private static final int LONGEST_VALUE = 4_194_304;
-    private static final long PROXY_WAIT_MS = 123;
+    private static final String NO_TIMEOUT = "CLIENT_ERROR no time to wait";
+    private static final String LINE_TOO_LONG = "CLIENT_ERROR line too long";
+    private static final String UNKNOWN_COMMAND = "ERROR";
+    private static final int MAX_KEY_BYTES = 250;
+    private static final int MAX_ID_BYTES = 32;
+    private static final int MAX_LINE_BYTES = 2048;
+    private static final int MAX_BUFFERED_VALUE_BYTES = 65_536;
+    private static final int MAX_VALUE_BYTES = 4_194_304;
+    private static final long PROXY_TIMEOUT_MILLIS = 123;
 
     /** A valid command: the text that the client sends, its meaning, and the message to a cache node. */
-    private record Usable(String sent, Kind kind, String key, String id, long waitMs, long hintUs,
-                          String value, String listForOrigin, String sentToNode) {
+    private record ValidCommand(String sent, Kind kind, String key, String id, long timeoutMillis,
+                                long costHintMicros,
+                                String value, String attributesForOrigin, String sentToNode) {
         @Override
         public String toString() {
             return sent.length() < 200 ? sent.replace("\r\n", "|") : sent.substring(0, 60) + "...";
         }
     }
 
-    private static Usable read(String sent, String key, String id, long waitMs, long hintUs, String list,
-                               String sentToNode) {
-        return new Usable(sent, Kind.READ, key, id, waitMs, hintUs, "", list, sentToNode);
+    private static ValidCommand read(String sent, String key, String id, long timeoutMillis,
+                                     long costHintMicros, String attributesForOrigin,
+                                     String sentToNode) {
+        return new ValidCommand(sent, Kind.READ, key, id, timeoutMillis, costHintMicros, "",
+            attributesForOrigin, sentToNode);
     }
 
-    private static Usable write(String sent, String key, String id, long waitMs, String value, String list,
-                                String sentToNode) {
-        return new Usable(sent, Kind.WRITE, key, id, waitMs, 0, value, list, sentToNode);
+    private static ValidCommand write(String sent, String key, String id, long timeoutMillis, String value,
+                                      String attributesForOrigin,
+                                      String sentToNode) {
+        return new ValidCommand(sent, Kind.WRITE, key, id, timeoutMillis, 0, value, attributesForOrigin,
+            sentToNode);
     }
 
     @DataProvider
-    Object[] usable() {
-        String longKey = "k".repeat(LONGEST_KEY);
-        String longId = "1".repeat(LONGEST_ID);
-        String longValue = "x".repeat(LONGEST_SHORT_VALUE);
+    Object[] validCommands() {
+        String longKey = "k".repeat(MAX_KEY_BYTES);
+        String longId = "1".repeat(MAX_ID_BYTES);
+        String longValue = "x".repeat(MAX_BUFFERED_VALUE_BYTES);
         return new Object[] {
             read("mg 7f3a v O9b1f Pc=read,t=acme,d=480\r\n", "7f3a", "9b1f", 480, 0, "c=read,t=acme,d=123",
                 "mg 7f3a v O9b1f Pc=read,t=acme,d=123\r\n"),
@@ -82,28 +87,28 @@
                 "d=123", "ms 7f3a 65536 O9b1f Pd=123\r\n" + longValue + "\r\n")};
     }
 
-    @Test(dataProvider = "usable")
-    public void aUsableCommandIsReadAndForwarded(Usable form) throws IOException {
-        checkUsable(MetaCommand.read(WireText.stream(form.sent)), form);
-        checkUsable(WireText.readByteByByte(form.sent, MetaCommand::read), form);
+    @Test(dataProvider = "validCommands")
+    public void readsAndForwardsValidCommand(ValidCommand expected) throws IOException {
+        checkValid(MetaCommand.read(WireText.stream(expected.sent)), expected);
+        checkValid(WireText.readByteByByte(expected.sent, MetaCommand::read), expected);
     }
 
-    private static void checkUsable(MetaCommand command, Usable form) {
+    private static void checkValid(MetaCommand command, ValidCommand expected) {
         assertNull(command.errorResponse);
-        assertSame(command.kind, form.kind);
-        assertEquals(command.key(), form.key);
-        assertEquals(command.id(), form.id);
-        assertEquals(command.timeoutMillis(), form.waitMs);
-        assertEquals(command.costHintMicros(), form.hintUs);
+        assertSame(command.kind, expected.kind);
+        assertEquals(command.key(), expected.key);
+        assertEquals(command.id(), expected.id);
+        assertEquals(command.timeoutMillis(), expected.timeoutMillis);
+        assertEquals(command.costHintMicros(), expected.costHintMicros);
         assertFalse(command.hasLongValue());
-        assertEquals(command.valueLength(), form.value.length());
-        assertEquals(WireText.text(command.value), form.value);
-        assertEquals(command.attributesWithTimeout(PROXY_WAIT_MS), form.listForOrigin);
-        assertEquals(WireText.text(command.forEndpoint(PROXY_WAIT_MS)), form.sentToNode);
+        assertEquals(command.valueLength(), expected.value.length());
+        assertEquals(WireText.text(command.value), expected.value);
+        assertEquals(command.attributesWithTimeout(PROXY_TIMEOUT_MILLIS), expected.attributesForOrigin);
+        assertEquals(WireText.text(command.forEndpoint(PROXY_TIMEOUT_MILLIS)), expected.sentToNode);
     }
 
     @Test
-    public void eachNameOfTheListHasItsValue() throws IOException {
+    public void returnsValueOfEachAttribute() throws IOException {
         MetaCommand command = MetaCommand.read(WireText.stream("mg a v O1 Pc=read,t=acme,r=1,d=480\r\n"));
         Map.of("c", "read", "t", "acme", "r", "1", "d", "480").forEach((name, value) -> {
             assertTrue(command.hasAttribute(name), name);
@@ -114,25 +119,25 @@
     }
 
     @DataProvider
-    Object[] readiness() {
+    Object[] readinessChecks() {
         return new Object[] {"mn\r\n", "mn\n", "mn  \r\n", "mn O1 k\r\n"};
     }
 
-    @Test(dataProvider = "readiness")
-    public void theReadinessCommandTakesAnyFlags(String sent) throws IOException {
+    @Test(dataProvider = "readinessChecks")
+    public void acceptsAnyFlagsOnReadinessCheck(String sent) throws IOException {
         assertSame(MetaCommand.read(WireText.stream(sent)).kind, Kind.READY);
     }
 
     @DataProvider
     Object[][] longWrites() {
-        return new Object[][] {{"ms 7f3a 65537 O9b1f Pc=put,d=480,k=5\r\n", LONGEST_SHORT_VALUE + 1,
+        return new Object[][] {{"ms 7f3a 65537 O9b1f Pc=put,d=480,k=5\r\n", MAX_BUFFERED_VALUE_BYTES + 1,
             "ms 7f3a 65537 O9b1f Pc=put,d=123,k=5\r\n"},
-            {"ms 7f3a 4194304 Pd=480 O9b1f\r\n", LONGEST_VALUE, "ms 7f3a 4194304 Pd=123 O9b1f\r\n"}};
+            {"ms 7f3a 4194304 Pd=480 O9b1f\r\n", MAX_VALUE_BYTES, "ms 7f3a 4194304 Pd=123 O9b1f\r\n"}};
     }
 
     /** A value of over 64 KiB is not read with its command, and not part of the message to the cache node. */
     @Test(dataProvider = "longWrites")
-    public void aLongValueStaysBehindItsCommand(String sent, int length, String sentToNode)
+    public void leavesLongValueUnread(String sent, int length, String sentToNode)
         throws IOException {
         ByteSource in = WireText.stream(sent + "abc");
         MetaCommand command = MetaCommand.read(in);
@@ -141,25 +146,27 @@
         assertEquals(command.valueLength(), length);
         assertEquals(command.value.length, 0);
         assertEquals(in.available(), "abc".length());
-        assertEquals(WireText.text(command.forEndpoint(PROXY_WAIT_MS)), sentToNode);
+        assertEquals(WireText.text(command.forEndpoint(PROXY_TIMEOUT_MILLIS)), sentToNode);
     }
 
     /** Faults after which the next command can still be found: sent text and error response. */
     @DataProvider
-    Object[][] faults() {
-        String tooLongKey = "k".repeat(LONGEST_KEY + 1);
-        String tooLongId = "1".repeat(LONGEST_ID + 1);
-        return new Object[][] {{"\r\n", UNKNOWN}, {"   \r\n", UNKNOWN}, {" mg a v O1 Pd=5\r\n", UNKNOWN},
-            {"get a\r\n", UNKNOWN}, {"MG a v O1 Pd=5\r\n", UNKNOWN}, {"mnx\r\n", UNKNOWN},
-            {"stats load\r\n", UNKNOWN}, {"me a\r\n", UNKNOWN},
+    Object[][] recoverableFaults() {
+        String tooLongKey = "k".repeat(MAX_KEY_BYTES + 1);
+        String tooLongId = "1".repeat(MAX_ID_BYTES + 1);
+        return new Object[][] {{"\r\n", UNKNOWN_COMMAND}, {"   \r\n", UNKNOWN_COMMAND},
+            {" mg a v O1 Pd=5\r\n", UNKNOWN_COMMAND},
+            {"get a\r\n", UNKNOWN_COMMAND}, {"MG a v O1 Pd=5\r\n", UNKNOWN_COMMAND},
+            {"mnx\r\n", UNKNOWN_COMMAND},
+            {"stats load\r\n", UNKNOWN_COMMAND}, {"me a\r\n", UNKNOWN_COMMAND},
             {"mg\r\n", BAD_KEY}, {"mg  v O1 Pd=5\r\n", BAD_KEY},
             {"mg " + tooLongKey + " v O1 Pd=5\r\n", BAD_KEY},
             {"mg a v Pd=5\r\n", NO_ID}, {"mg a v O Pd=5\r\n", NO_ID}, {"mg a\r\n", NO_ID},
             {"mg a v O" + tooLongId + " Pd=5\r\n", NO_ID},
-            {"mg a v O1\r\n", NO_WAIT}, {"mg a v O1 Pc=read\r\n", NO_WAIT},
-            {"mg a v O1 Pd=\r\n", NO_WAIT}, {"mg a v O1 Pd=-5\r\n", NO_WAIT},
-            {"mg a v O1 Pd=1.5\r\n", NO_WAIT}, {"mg a v O1 Pd=3600001\r\n", NO_WAIT},
-            {"mg a v O1 Pd=0000000000000005\r\n", NO_WAIT},
+            {"mg a v O1\r\n", NO_TIMEOUT}, {"mg a v O1 Pc=read\r\n", NO_TIMEOUT},
+            {"mg a v O1 Pd=\r\n", NO_TIMEOUT}, {"mg a v O1 Pd=-5\r\n", NO_TIMEOUT},
+            {"mg a v O1 Pd=1.5\r\n", NO_TIMEOUT}, {"mg a v O1 Pd=3600001\r\n", NO_TIMEOUT},
+            {"mg a v O1 Pd=0000000000000005\r\n", NO_TIMEOUT},
             {"mg a k O1 Pd=5\r\n", BAD_FORMAT}, {"mg a vv O1 Pd=5\r\n", BAD_FORMAT},
             {"mg a O1 Pd=5\r\n", BAD_FORMAT}, {"mg a O1 v Pd=5\r\n", BAD_FORMAT},
             {"mg a v O1 Pd=5 q\r\n", BAD_FORMAT}, {"mg a v  O1 Pd=5\r\n", BAD_FORMAT},
@@ -168,56 +175,57 @@
             {"mg a v O1 Pd=5,c\r\n", BAD_FORMAT}, {"mg a v O1 Pd=5,c=\r\n", BAD_FORMAT},
             {"mg a v O1 Pd=5,=read\r\n", BAD_FORMAT}, {"mg a v O1 Pd=5,d=6\r\n", BAD_FORMAT},
             {"mg a v O1 Pd=5,h=x\r\n", BAD_FORMAT}, {"mg a v O1 Pd=5,h=-1\r\n", BAD_FORMAT},
-            {"ms a 1 Pd=5\r\nx\r\n", NO_ID}, {"ms a 1 O1 Pc=put\r\nx\r\n", NO_WAIT},
+            {"ms a 1 Pd=5\r\nx\r\n", NO_ID}, {"ms a 1 O1 Pc=put\r\nx\r\n", NO_TIMEOUT},
             {"ms  1 O1 Pd=5\r\nx\r\n", BAD_KEY}};
     }
 
-    @Test(dataProvider = "faults")
-    public void aFaultIsAnsweredWithItsLine(String sent, String answer) throws IOException {
-        checkFault(MetaCommand.read(WireText.stream(sent)), answer, false);
-        checkFault(WireText.readByteByByte(sent, MetaCommand::read), answer, false);
+    @Test(dataProvider = "recoverableFaults")
+    public void answersRecoverableFault(String sent, String response) throws IOException {
+        checkFault(MetaCommand.read(WireText.stream(sent)), response, false);
+        checkFault(WireText.readByteByByte(sent, MetaCommand::read), response, false);
     }
 
     /** Faults after which the start of the next command is unknown: sent text and error response. */
     @DataProvider
-    Object[][] faultsThatEndTheConnection() {
-        return new Object[][] {{"x".repeat(LONGEST_LINE + 2) + "\r\n", TOO_LONG},
-            {"mg " + "x".repeat(LONGEST_LINE), TOO_LONG},
+    Object[][] unrecoverableFaults() {
+        return new Object[][] {{"x".repeat(MAX_LINE_BYTES + 2) + "\r\n", LINE_TOO_LONG},
+            {"mg " + "x".repeat(MAX_LINE_BYTES), LINE_TOO_LONG},
             {"ms\r\n", BAD_LENGTH}, {"ms a\r\n", BAD_LENGTH}, {"ms a x O1 Pd=5\r\n", BAD_LENGTH},
             {"ms a -1 O1 Pd=5\r\n", BAD_LENGTH}, {"ms a 4194305 O1 Pd=5\r\n", BAD_LENGTH},
-            {"ms a 1 O1 Pd=5\r\nxy\r\n", BAD_CHUNK}, {"ms a 1 O1 Pd=5\r\nx\n\n", BAD_CHUNK},
-            {"ms a 65537 Pd=5\r\n", NO_ID}, {"ms a 65537 O1\r\n", NO_WAIT},
-            {"ms " + "k".repeat(LONGEST_KEY + 1) + " 65537 O1 Pd=5\r\n", BAD_KEY},
+            {"ms a 1 O1 Pd=5\r\nxy\r\n", BAD_DATA_CHUNK}, {"ms a 1 O1 Pd=5\r\nx\n\n", BAD_DATA_CHUNK},
+            {"ms a 65537 Pd=5\r\n", NO_ID}, {"ms a 65537 O1\r\n", NO_TIMEOUT},
+            {"ms " + "k".repeat(MAX_KEY_BYTES + 1) + " 65537 O1 Pd=5\r\n", BAD_KEY},
             {"ms a 65537 O1 Pd=5 q\r\n", BAD_FORMAT}};
     }
 
-    @Test(dataProvider = "faultsThatEndTheConnection")
-    public void aFaultThatHidesWhatFollowsEndsTheConnection(String sent, String answer) throws IOException {
-        checkFault(MetaCommand.read(WireText.stream(sent)), answer, true);
-        checkFault(WireText.readByteByByte(sent, MetaCommand::read), answer, true);
+    @Test(dataProvider = "unrecoverableFaults")
+    public void answersUnrecoverableFaultAndMarksIt(String sent, String response) throws IOException {
+        checkFault(MetaCommand.read(WireText.stream(sent)), response, true);
+        checkFault(WireText.readByteByByte(sent, MetaCommand::read), response, true);
     }
 
-    private static void checkFault(MetaCommand command, String answer, boolean endsConnection) {
+    private static void checkFault(MetaCommand command, String response, boolean unrecoverable) {
         assertSame(command.kind, Kind.INVALID);
-        assertEquals(command.errorResponse, answer);
-        assertEquals(command.unrecoverable, endsConnection);
+        assertEquals(command.errorResponse, response);
+        assertEquals(command.unrecoverable, unrecoverable);
     }
 
     /** The maximum length does not include the line end; the long command has an unknown name. */
     @Test
-    public void aLineMayHave2048Bytes() throws IOException {
-        checkFault(MetaCommand.read(WireText.stream("x".repeat(LONGEST_LINE) + "\n")), UNKNOWN, false);
-        assertSame(MetaCommand.read(WireText.stream("mn" + " ".repeat(LONGEST_LINE - 2) + "\n")).kind,
+    public void acceptsLineOf2048Bytes() throws IOException {
+        checkFault(MetaCommand.read(WireText.stream("x".repeat(MAX_LINE_BYTES) + "\n")), UNKNOWN_COMMAND,
+            false);
+        assertSame(MetaCommand.read(WireText.stream("mn" + " ".repeat(MAX_LINE_BYTES - 2) + "\n")).kind,
             Kind.READY);
     }
 
     @Test
-    public void commandsFollowEachOther() throws IOException {
+    public void readsConsecutiveCommands() throws IOException {
         ByteSource in = WireText.stream("mn\r\nms a 1 O1 Pd=5\r\nx\r\nmg a v O2 Pd=5\r\nnonsense\r\n");
         assertSame(MetaCommand.read(in).kind, Kind.READY);
         assertEquals(MetaCommand.read(in).id(), "1");
         assertEquals(MetaCommand.read(in).id(), "2");
-        assertEquals(MetaCommand.read(in).errorResponse, UNKNOWN);
+        assertEquals(MetaCommand.read(in).errorResponse, UNKNOWN_COMMAND);
         assertNull(MetaCommand.read(in));
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/MetaCommandTest.java
+++ b/proxy/src/test/java/spurroad/protocol/MetaCommandTest.java
@@ -16,20 +16,21 @@
 public class MetaCommandTest {
     private static final String READ = "mg 7f3a v O9b1f Pc=read,t=acme,d=480\r\n";
     private static final String WRITE = "ms 7f3a 5 O9b1f Pc=put,t=acme,d=480,k=5c0f\r\nhello\r\n";
-    private static final String FORM = "CLIENT_ERROR bad command line format";
+    private static final String BAD_FORMAT = "CLIENT_ERROR bad command line format";
     private static final String LONG = "x".repeat(70_000);
 
     @Test
-    public void commandsAreReadAlikeWhereverTheirBytesAreSplit() throws IOException {
+    public void readsCommandsSplitAtAnyByte() throws IOException {
         String all = READ + "mn\r\n" + WRITE + "hello\r\n" + READ;
         for (int split = 1; split < all.length(); split++) {
             ByteSource in = WireText.streamInTwoParts(all, split);
             List<String> read = new ArrayList<>();
-            for (MetaCommand c = MetaCommand.read(in); c != null; c = MetaCommand.read(in)) {
-                read.add(switch (c.kind) {
-                    case READ, WRITE -> WireText.text(c.forEndpoint(77));
+            for (MetaCommand command = MetaCommand.read(in); command
+                != null; command = MetaCommand.read(in)) {
+                read.add(switch (command.kind) {
+                    case READ, WRITE -> WireText.text(command.forEndpoint(77));
                     case READY -> "ready";
-                    case INVALID -> c.errorResponse;
+                    case INVALID -> command.errorResponse;
                 });
             }
             assertEquals(read,
@@ -43,22 +44,25 @@
      * request that is too late: a CLIENT_ERROR would count as a failure.
      */
     @Test
-    public void aTimeoutMayBeZero() throws IOException {
+    public void acceptsTimeoutOfZero() throws IOException {
         assertEquals(MetaCommand.read(WireText.stream("mg k v O1 Pc=read,d=0\r\n")).kind,
             MetaCommand.Kind.READ);
     }
 
     @Test
-    public void aRequestHasItsAttributes() throws IOException {
-        MetaCommand c = MetaCommand
+    public void readsAndForwardsAttributes() throws IOException {
+        MetaCommand command = MetaCommand
             .read(WireText.stream("mg k v O1 Pc=read,t=acme,d=480,r=1,h=900,size=20\r\n"));
-        assertEquals(List.of(c.key(), c.id(), c.timeoutMillis(), c.costHintMicros(), c.attribute("c")),
+        assertEquals(
+            List.of(command.key(), command.id(), command.timeoutMillis(), command.costHintMicros(),
+                command.attribute("c")),
             List.of("k", "1", 480L, 900L, "read"));
-        assertEquals(WireText.text(c.forEndpoint(5)), "mg k v O1 Pc=read,t=acme,d=5,r=1,h=900,size=20\r\n");
-        String toOrigin = WireText.text(Http.forOrigin(c, 5, "h:1"));
-        assertEquals(toOrigin.split("\r\n")[0], "GET /k HTTP/1.1");
-        assertTrue(toOrigin.contains("\r\nX-Request-Id: 1\r\n"));
-        assertTrue(toOrigin.contains("\r\nX-Extras: c=read,t=acme,d=5,r=1,h=900,size=20\r\n"));
+        assertEquals(WireText.text(command.forEndpoint(5)),
+            "mg k v O1 Pc=read,t=acme,d=5,r=1,h=900,size=20\r\n");
+        String originRequest = WireText.text(Http.forOrigin(command, 5, "h:1"));
+        assertEquals(originRequest.split("\r\n")[0], "GET /k HTTP/1.1");
+        assertTrue(originRequest.contains("\r\nX-Request-Id: 1\r\n"));
+        assertTrue(originRequest.contains("\r\nX-Extras: c=read,t=acme,d=5,r=1,h=900,size=20\r\n"));
     }
 
     @DataProvider
@@ -78,26 +82,28 @@
             {"ms k 1 O1 Pd=5\r\nabcd\r\n", "CLIENT_ERROR bad data chunk", true},
             {"mg k v O" + "1".repeat(33) + " Pd=5\r\n", "CLIENT_ERROR no request id", false},
             {"mg k v O1 Pd=3600001\r\n", "CLIENT_ERROR no time to wait", false},
-            {"mg k v O1 O2 Pd=5\r\n", FORM, false}, {"mg k v O1 Pd=5 Pd=5\r\n", FORM, false},
-            {"mg k v O1 Pd=5,d=6\r\n", FORM, false}, {"mg k v O1 Pd=5,c=a,c=b\r\n", FORM, false},
-            {"mg k v O1 Pd=5,c=\r\n", FORM, false}, {"mg k v O1 Pd=5,x\r\n", FORM, false},
-            {"mg k v O1 Pd=5,h=-1\r\n", FORM, false}, {"mg k v  O1 Pd=5\r\n", FORM, false},
-            {"mg k v O1 Pd=5 t\r\n", FORM, false}, {"mg k\u0007 v O1 Pd=5\r\n", FORM, false},
-            {"mg k\u00e9 v O1 Pd=5\r\n", FORM, false}, {"mg k 1 O1 Pd=5\r\n", FORM, false},
+            {"mg k v O1 O2 Pd=5\r\n", BAD_FORMAT, false}, {"mg k v O1 Pd=5 Pd=5\r\n", BAD_FORMAT, false},
+            {"mg k v O1 Pd=5,d=6\r\n", BAD_FORMAT, false}, {"mg k v O1 Pd=5,c=a,c=b\r\n", BAD_FORMAT, false},
+            {"mg k v O1 Pd=5,c=\r\n", BAD_FORMAT, false}, {"mg k v O1 Pd=5,x\r\n", BAD_FORMAT, false},
+            {"mg k v O1 Pd=5,h=-1\r\n", BAD_FORMAT, false}, {"mg k v  O1 Pd=5\r\n", BAD_FORMAT, false},
+            {"mg k v O1 Pd=5 t\r\n", BAD_FORMAT, false}, {"mg k\u0007 v O1 Pd=5\r\n", BAD_FORMAT, false},
+            {"mg k\u00e9 v O1 Pd=5\r\n", BAD_FORMAT, false}, {"mg k 1 O1 Pd=5\r\n", BAD_FORMAT, false},
             {LONG, "CLIENT_ERROR line too long", true}};
     }
 
     @Test(dataProvider = "invalidCommands")
-    public void anInvalidCommandHasAnAnswer(String command, String answer, boolean lost) throws IOException {
+    public void answersInvalidCommand(String command, String response, boolean unrecoverable)
+        throws IOException {
         ByteSource in = WireText.stream(command + READ);
-        MetaCommand c = MetaCommand.read(in);
-        assertEquals(List.of(c.kind, c.errorResponse, c.unrecoverable),
-            List.of(MetaCommand.Kind.INVALID, answer, lost));
-        assertEquals(lost ? MetaCommand.Kind.READ : MetaCommand.read(in).kind, MetaCommand.Kind.READ);
+        MetaCommand parsedCommand = MetaCommand.read(in);
+        assertEquals(List.of(parsedCommand.kind, parsedCommand.errorResponse, parsedCommand.unrecoverable),
+            List.of(MetaCommand.Kind.INVALID, response, unrecoverable));
+        assertEquals(unrecoverable ? MetaCommand.Kind.READ : MetaCommand.read(in).kind,
+            MetaCommand.Kind.READ);
     }
 
     @Test
-    public void aStreamThatEndsBetweenCommandsHasNoNext() throws IOException {
+    public void returnsNullOnlyAtEndOfStreamBetweenCommands() throws IOException {
         assertNull(MetaCommand.read(new ByteSource(new ByteArrayInputStream(new byte[0]))));
         assertThrows(IOException.class, () -> MetaCommand.read(WireText.stream("mg k")));
         assertThrows(IOException.class, () -> MetaCommand.read(WireText.stream("ms k 5 O1 Pd=5\r\nab")));
--- a/proxy/src/test/java/spurroad/protocol/MetaResponseFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/MetaResponseFormTest.java
@@ -18,13 +18,13 @@
 public class MetaResponseFormTest {
     private static final String ID = "9b1f";
     private static final double UNKNOWN = Double.NaN;
-    private static final int LONGEST_SHORT_VALUE = 65_536;
-    private static final LoadReport BOTH = new LoadReport(7, 2);
+    private static final int MAX_BUFFERED_VALUE_BYTES = 65_536;
+    private static final LoadReport SEVEN_IN_FLIGHT_TWO_QUEUED = new LoadReport(7, 2);
 
     /** A response to request 9b1f: outcome, cache status, load report and the message to the client. */
     @DataProvider
-    Object[][] answers() {
-        String longValue = "x".repeat(LONGEST_SHORT_VALUE);
+    Object[][] responses() {
+        String longValue = "x".repeat(MAX_BUFFERED_VALUE_BYTES);
         return new Object[][] {
             {"VA 5 O9b1f\r\nhello\r\n", Outcome.SUCCEEDED, CacheStatus.NONE, LoadReport.NONE,
                 "VA 5 O9b1f\r\nhello\r\n"},
@@ -34,61 +34,65 @@
                 "VA 4 O9b1f\r\n\r\n\0\u00ff\r\n"},
             {"VA 1 O9b1f h0\r\nx\r\n", Outcome.SUCCEEDED, CacheStatus.MISS, LoadReport.NONE,
                 "VA 1 O9b1f\r\nx\r\n"},
-            {"VA 1 h1 O9b1f Linflight=7,queue=2,util=0.61\r\nx\r\n", Outcome.SUCCEEDED, CacheStatus.HIT, BOTH,
+            {"VA 1 h1 O9b1f Linflight=7,queue=2,util=0.61\r\nx\r\n", Outcome.SUCCEEDED, CacheStatus.HIT,
+                SEVEN_IN_FLIGHT_TWO_QUEUED,
                 "VA 1 O9b1f\r\nx\r\n"},
             {"VA 65536 O9b1f\r\n" + longValue + "\r\n", Outcome.SUCCEEDED, CacheStatus.NONE, LoadReport.NONE,
                 "VA 65536 O9b1f\r\n" + longValue + "\r\n"},
             {"HD O9b1f c77aa\r\n", Outcome.SUCCEEDED, CacheStatus.NONE, LoadReport.NONE,
                 "HD O9b1f c77aa\r\n"},
-            {"HD c77aa O9b1f h1 Lq=2,rif=7\n", Outcome.SUCCEEDED, CacheStatus.HIT, BOTH,
+            {"HD c77aa O9b1f h1 Lq=2,rif=7\n", Outcome.SUCCEEDED, CacheStatus.HIT, SEVEN_IN_FLIGHT_TWO_QUEUED,
                 "HD O9b1f c77aa\r\n"},
             {"EN O9b1f\r\n", Outcome.CACHE_MISS, CacheStatus.NONE, LoadReport.NONE, null},
             {"EN O9b1f h0\r\n", Outcome.CACHE_MISS, CacheStatus.MISS, LoadReport.NONE, null},
-            {"EN O9b1f h0 Z Linflight=7,queue=2\r\n", Outcome.CACHE_MISS, CacheStatus.FETCH_PENDING, BOTH,
+            {"EN O9b1f h0 Z Linflight=7,queue=2\r\n", Outcome.CACHE_MISS, CacheStatus.FETCH_PENDING,
+                SEVEN_IN_FLIGHT_TWO_QUEUED,
                 null},
             {"SERVER_ERROR busy\r\n", Outcome.REJECTED, CacheStatus.NONE, LoadReport.NONE, null},
-            {"SERVER_ERROR busy Linflight=7,queue=2\r\n", Outcome.REJECTED, CacheStatus.NONE, BOTH, null},
+            {"SERVER_ERROR busy Linflight=7,queue=2\r\n", Outcome.REJECTED, CacheStatus.NONE,
+                SEVEN_IN_FLIGHT_TWO_QUEUED, null},
             {"SERVER_ERROR busy 250\r\n", Outcome.REJECTED, CacheStatus.NONE, LoadReport.NONE, null},
             {"SERVER_ERROR failed\r\n", Outcome.FAILED, CacheStatus.NONE, LoadReport.NONE, null},
             {"SERVER_ERROR\r\n", Outcome.FAILED, CacheStatus.NONE, LoadReport.NONE, null}};
     }
 
-    @Test(dataProvider = "answers")
-    public void anAnswerOfACacheNodeIsRead(String answer, Outcome outcome, CacheStatus note, LoadReport load,
-                                           String forClient)
+    @Test(dataProvider = "responses")
+    public void readsCacheNodeResponse(String response, Outcome outcome, CacheStatus cacheStatus,
+                                       LoadReport load,
+                                       String clientResponse)
         throws IOException {
-        for (UpstreamReply reply : new UpstreamReply[] {MetaResponse.read(WireText.stream(answer), ID),
-            WireText.readByteByByte(answer, in -> MetaResponse.read(in, ID))}) {
+        for (UpstreamReply reply : new UpstreamReply[] {MetaResponse.read(WireText.stream(response), ID),
+            WireText.readByteByByte(response, in -> MetaResponse.read(in, ID))}) {
             assertSame(reply.outcome(), outcome);
-            assertSame(reply.cacheStatus(), note);
+            assertSame(reply.cacheStatus(), cacheStatus);
             assertEquals(reply.loadReport(), load);
-            assertEquals(WireText.text(reply.response()), forClient);
+            assertEquals(WireText.text(reply.response()), clientResponse);
             assertTrue(reply.reusable());
             assertNull(reply.streamedBody());
         }
     }
 
     @DataProvider
-    Object[][] longAnswers() {
+    Object[][] longValueResponses() {
         return new Object[][] {{"VA 65537 O9b1f h1 Linflight=7,queue=2\r\n", 65_537L, "VA 65537 O9b1f\r\n"},
             {"VA 4194304 O9b1f h1 Linflight=7,queue=2\r\n", 4_194_304L, "VA 4194304 O9b1f\r\n"}};
     }
 
-    @Test(dataProvider = "longAnswers")
-    public void aLongValueStaysBehindItsLine(String line, long length, String forClient) throws IOException {
+    @Test(dataProvider = "longValueResponses")
+    public void leavesLongValueUnread(String line, long length, String clientResponse) throws IOException {
         ByteSource in = WireText.stream(line + "abc");
         UpstreamReply reply = MetaResponse.read(in, ID);
         assertSame(reply.outcome(), Outcome.SUCCEEDED);
         assertSame(reply.cacheStatus(), CacheStatus.HIT);
-        assertEquals(reply.loadReport(), BOTH);
-        assertEquals(WireText.text(reply.response()), forClient);
+        assertEquals(reply.loadReport(), SEVEN_IN_FLIGHT_TWO_QUEUED);
+        assertEquals(WireText.text(reply.response()), clientResponse);
         assertEquals(reply.streamedBody(), new UpstreamReply.StreamedBody(length, true));
         assertEquals(in.available(), "abc".length());
     }
 
     /** Responses after which the connection can't be used. */
     @DataProvider
-    Object[] unusableAnswers() {
+    Object[] malformedResponses() {
         return new Object[] {"\r\n", "OK\r\n", "MN\r\n", "ERROR\r\n", "CLIENT_ERROR bad key\r\n",
             "VA\r\n", "VA x O9b1f\r\n", "VA -1 O9b1f\r\n\r\n", "VA 4194305 O9b1f\r\n",
             "VA 1 O9b1f\r\nxy\r\n", "VA 1 O9b1f\r\nx\n\n", "VA 1\r\nx\r\n", "VA 1 O9b2f\r\nx\r\n",
@@ -96,25 +100,25 @@
             "EN O9b2f\r\n", "x".repeat(2050) + "\r\n", ""};
     }
 
-    @Test(dataProvider = "unusableAnswers")
-    public void anUnusableAnswerBreaksTheConnection(String answer) {
-        assertThrows(ProtocolException.class, () -> MetaResponse.read(WireText.stream(answer), ID));
+    @Test(dataProvider = "malformedResponses")
+    public void rejectsMalformedResponse(String response) {
+        assertThrows(ProtocolException.class, () -> MetaResponse.read(WireText.stream(response), ID));
     }
 
     @DataProvider
-    Object[] cutAnswers() {
+    Object[] truncatedResponses() {
         return new Object[] {"VA 5 O9b", "VA 5 O9b1f\r\nhel", "VA 5 O9b1f\r\nhello\r", "HD O9b1f c7"};
     }
 
-    @Test(dataProvider = "cutAnswers")
-    public void anAnswerThatEndsInTheMiddleIsNone(String answer) throws IOException {
-        assertThrows(EOFException.class, () -> MetaResponse.read(WireText.stream(answer), ID));
-        assertNull(WireText.readByteByByte(answer, in -> MetaResponse.read(in, ID)));
+    @Test(dataProvider = "truncatedResponses")
+    public void rejectsTruncatedResponse(String response) throws IOException {
+        assertThrows(EOFException.class, () -> MetaResponse.read(WireText.stream(response), ID));
+        assertNull(WireText.readByteByByte(response, in -> MetaResponse.read(in, ID)));
     }
 
     /** A response to a load probe: outcome, requests in flight and queued requests. */
     @DataProvider
-    Object[][] loadAnswers() {
+    Object[][] probeResponses() {
         return new Object[][] {
             {"STAT inflight 7\r\nSTAT queue 2\r\nSTAT util 0.61\r\nEND\r\n", Outcome.SUCCEEDED, 7, 2},
             {"STAT rif 7.5\nSTAT q 2\nEND\n", Outcome.SUCCEEDED, 7.5, 2},
@@ -127,18 +131,18 @@
                 UNKNOWN}};
     }
 
-    @Test(dataProvider = "loadAnswers")
-    public void theAnswerToAHealthCheckIsRead(String answer, Outcome outcome, double inFlight, double queue)
+    @Test(dataProvider = "probeResponses")
+    public void readsProbeResponse(String response, Outcome outcome, double inFlight, double queued)
         throws IOException {
-        UpstreamReply reply = MetaResponse.readProbeResponse(WireText.stream(answer));
+        UpstreamReply reply = MetaResponse.readProbeResponse(WireText.stream(response));
         assertSame(reply.outcome(), outcome);
-        assertEquals(reply.loadReport(), new LoadReport(inFlight, queue));
+        assertEquals(reply.loadReport(), new LoadReport(inFlight, queued));
         assertNull(reply.response());
         assertTrue(reply.reusable());
     }
 
     @Test
-    public void aLoadReportHasAtMost64Lines() throws IOException {
+    public void limitsLoadReportTo64Lines() throws IOException {
         String line = "STAT inflight 7\r\n";
         assertSame(MetaResponse.readProbeResponse(WireText.stream(line.repeat(63) + "END\r\n")).outcome(),
             Outcome.SUCCEEDED);
@@ -147,7 +151,7 @@
     }
 
     @Test
-    public void eachMessageIsWrittenInItsForm() throws IOException {
+    public void encodesEachMessage() throws IOException {
         assertEquals(WireText.text(MetaResponse.loadProbe()), "stats load\r\n");
         assertEquals(WireText.text(MetaResponse.ready()), "MN\r\n");
         assertEquals(WireText.text(MetaResponse.lineEnd()), "\r\n");
@@ -164,12 +168,12 @@
     }
 
     @DataProvider
-    Object[] impossibleReceipts() {
+    Object[] invalidReceipts() {
         return new Object[] {"", "a b", "a\r", "\u00e4"};
     }
 
-    @Test(dataProvider = "impossibleReceipts")
-    public void aReceiptIsOnePrintableWord(String receipt) {
+    @Test(dataProvider = "invalidReceipts")
+    public void rejectsReceiptThatIsNotOneVisibleToken(String receipt) {
         assertThrows(ProtocolException.class, () -> MetaResponse.receipt(ID, receipt));
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/MetaResponseTest.java
+++ b/proxy/src/test/java/spurroad/protocol/MetaResponseTest.java
@@ -16,13 +16,13 @@
 
     @DataProvider
     Object[][] responses() {
-        String big = "VA 65536 O1\r\n" + LONG.substring(0, 65536) + "\r\n";
-        String large = "VA 70000 O1\r\n" + LONG + "\r\n"; // its value is not read with the line
+        String longestBuffered = "VA 65536 O1\r\n" + LONG.substring(0, 65536) + "\r\n";
+        String longValue = "VA 70000 O1\r\n" + LONG + "\r\n"; // its value is not read with the line
         return new Object[][] {{"VA 0 O1\r\n\r\n", Outcome.SUCCEEDED, CacheStatus.NONE, "VA 0 O1\r\n\r\n"},
             {"VA 2 O1 h1 Linflight=7,queue=2\r\nab\r\n", Outcome.SUCCEEDED, CacheStatus.HIT,
                 "VA 2 O1\r\nab\r\n"},
-            {big, Outcome.SUCCEEDED, CacheStatus.NONE, big},
-            {large, Outcome.SUCCEEDED, CacheStatus.NONE, "VA 70000 O1\r\n"},
+            {longestBuffered, Outcome.SUCCEEDED, CacheStatus.NONE, longestBuffered},
+            {longValue, Outcome.SUCCEEDED, CacheStatus.NONE, "VA 70000 O1\r\n"},
             {"HD O1 cff\r\n", Outcome.SUCCEEDED, CacheStatus.NONE, "HD O1 cff\r\n"},
             {"EN O1 h0\r\n", Outcome.CACHE_MISS, CacheStatus.MISS, null},
             {"EN O1 h0 Z\r\n", Outcome.CACHE_MISS, CacheStatus.FETCH_PENDING, null},
@@ -31,15 +31,16 @@
     }
 
     @Test(dataProvider = "responses")
-    public void aResponseIsReadWhereverItIsSplit(String reply, Outcome outcome, CacheStatus note,
-                                                 String answer)
+    public void readsResponseSplitAtAnyByte(String reply, Outcome outcome, CacheStatus cacheStatus,
+                                            String clientResponse)
         throws IOException {
         for (int split = 1; split < Math.min(100, reply.length()); split++) {
-            UpstreamReply r = MetaResponse.read(WireText.streamInTwoParts(reply, split), "1");
-            assertEquals(r.outcome(), outcome);
-            assertEquals(r.cacheStatus(), note);
-            assertEquals(r.response() == null ? null : WireText.text(r.response()), answer);
-            assertEquals(r.loadReport().inFlight(), reply.contains("L") ? 7 : Double.NaN);
+            UpstreamReply parsedReply = MetaResponse.read(WireText.streamInTwoParts(reply, split), "1");
+            assertEquals(parsedReply.outcome(), outcome);
+            assertEquals(parsedReply.cacheStatus(), cacheStatus);
+            assertEquals(parsedReply.response() == null ? null : WireText.text(parsedReply.response()),
+                clientResponse);
+            assertEquals(parsedReply.loadReport().inFlight(), reply.contains("L") ? 7 : Double.NaN);
         }
     }
 
@@ -53,16 +54,16 @@
     }
 
     @Test(dataProvider = "unusableResponses")
-    public void anUnusableResponseIsRejected(String reply) {
+    public void rejectsUnusableResponse(String reply) {
         assertThrows(IOException.class, () -> MetaResponse.read(WireText.stream(reply), "1"));
     }
 
     @Test
-    public void unknownFieldsOfALoadReportAreIgnored() throws IOException {
-        UpstreamReply r = MetaResponse
+    public void ignoresUnknownFieldsOfLoadReport() throws IOException {
+        UpstreamReply reply = MetaResponse
             .readProbeResponse(
                 WireText.stream("STAT util 0.5\r\nSTAT inflight 3\r\nSTAT queue 1\r\nEND\r\n"));
-        assertEquals(List.of(r.outcome(), r.loadReport().inFlight(), r.loadReport().queued()),
+        assertEquals(List.of(reply.outcome(), reply.loadReport().inFlight(), reply.loadReport().queued()),
             List.of(Outcome.SUCCEEDED, 3.0, 1.0));
         assertEquals(MetaResponse.readProbeResponse(WireText.stream("SERVER_ERROR busy\r\n")).outcome(),
             Outcome.FAILED);
--- a/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecFormTest.java
+++ b/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecFormTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test(dataProvider = "messages")
-    public void aMessageHasItsBytes(PeerUpdate message, String hex) throws ProtocolException {
+    public void encodesAndDecodesMessage(PeerUpdate message, String hex) throws ProtocolException {
         byte[] bytes = bytes(hex);
         assertEquals(HEX.formatHex(PeerUpdateCodec.encode(message)), HEX.formatHex(bytes));
         assertEquals(PeerUpdateCodec.decode(bytes), message);
@@ -50,14 +50,14 @@
 
     /** A service time beyond the range of its field is encoded as the largest possible value. */
     @Test
-    public void aTimeBeyondTheFieldIsWrittenAsTheLongest() {
+    public void saturatesServiceTimeBeyondFieldRange() {
         PeerUpdate message = new PeerUpdate(Topic.LOAD, 1, 1, Long.MAX_VALUE, 1);
         assertEquals(HEX.formatHex(PeerUpdateCodec.encode(message)), "01" + "0000000000000001" + "3f800000"
             + "ffffffff" + "3f800000");
     }
 
     @DataProvider
-    Object[][] noMessages() {
+    Object[][] malformedMessages() {
         return new Object[][] {{"nothing", ""}, {"unknown topic", "08 0000000000000003 3f800000"},
             {"topic 255", "ff 0000000000000003 3f800000"},
             {"one byte missing", "02 0000000000000003 3f8000"},
@@ -84,8 +84,8 @@
                 "07 0000000000000003 bf800000 00000000 3f800000 91f03b7c55d20a64"}};
     }
 
-    @Test(dataProvider = "noMessages")
-    public void otherBytesAreNoMessage(String what, String hex) {
+    @Test(dataProvider = "malformedMessages")
+    public void rejectsMalformedMessage(String description, String hex) {
         assertThrows(ProtocolException.class, () -> PeerUpdateCodec.decode(bytes(hex)));
     }
 
--- a/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecTest.java
+++ b/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecTest.java
@@ -29,12 +29,13 @@
     }
 
     @Test(dataProvider = "updates")
-    public void updatesAreReadAsTheyWereWritten(PeerUpdate update, int bytes) throws ProtocolException {
+    public void decodesEncodedUpdateAndRejectsOtherLengths(PeerUpdate update, int length)
+        throws ProtocolException {
         byte[] message = PeerUpdateCodec.encode(update);
-        assertEquals(message.length, bytes);
+        assertEquals(message.length, length);
         assertEquals(PeerUpdateCodec.decode(message), update);
-        for (int cut = 0; cut < message.length; cut++) {
-            byte[] part = Arrays.copyOf(message, cut);
+        for (int partLength = 0; partLength < message.length; partLength++) {
+            byte[] part = Arrays.copyOf(message, partLength);
             assertThrows(ProtocolException.class, () -> PeerUpdateCodec.decode(part));
         }
         assertThrows(ProtocolException.class,
@@ -42,7 +43,7 @@
     }
 
     @DataProvider
-    Object[][] impossible() {
+    Object[][] invalidValues() {
         return new Object[][] {{0, 0f, 1f}, {0, 2f, 1f}, {0, -1.5f, 1f}, {0, Float.NaN, 1f}, {1, -1f, 1f},
             {1, Float.POSITIVE_INFINITY, 1f}, {1, 2e6f, 1f}, {1, 5f, 0f}, {1, 5f, 1.01f}, {1, 5f, -0.5f},
             {1, 5f, Float.NaN},
@@ -52,8 +53,8 @@
             {7, 5f, Float.NaN}, {8, 1f, 1f}, {-1, 1f, 1f}};
     }
 
-    @Test(dataProvider = "impossible")
-    public void impossibleValuesAreRejected(int topic, float value, float cachedFraction) {
+    @Test(dataProvider = "invalidValues")
+    public void rejectsInvalidValues(int topic, float value, float cachedFraction) {
         boolean hasKey = topic == 0 || topic == 6 || topic == 7;
         boolean hasQueue = topic == 1 || topic == 7;
         ByteBuffer bytes = ByteBuffer.allocate(13 + (hasQueue ? 8 : 0) + (hasKey ? 8 : 0)).put((byte) topic)
--- a/proxy/src/test/java/spurroad/protocol/WireText.java
+++ b/proxy/src/test/java/spurroad/protocol/WireText.java
@@ -43,13 +43,13 @@
     }
 
     /** Reads a message from a source that is fed byte by byte; returns null if the text is incomplete. */
-    static <T> T readByteByByte(String text, ByteSource.Parser<T> form) throws IOException {
+    static <T> T readByteByByte(String text, ByteSource.Parser<T> parser) throws IOException {
         ByteSource source = new ByteSource();
         T message = null;
         for (byte next : bytes(text)) {
             source.feed(ByteBuffer.wrap(new byte[] {next}));
             if (message == null && source.mayHaveMessage()) {
-                message = source.readMessage(form);
+                message = source.readMessage(parser);
             }
         }
         return message;
