--- a/proxy/src/main/java/spurroad/configuration/CapacityPlan.java
+++ b/proxy/src/main/java/spurroad/configuration/CapacityPlan.java
@@ -19,11 +19,11 @@
     private static final int GOSSIP_DESCRIPTORS = 3;
     // MiB; the virtual machine without load
     private static final double BASE_PROCESS_MB = 45;
-    // fraction of the memory; requests may hold an eighth of the memory, and leave garbage
+    // fraction of the memory; requests may hold an eighth of the memory, and leave garbage to collect
     private static final double HEAP_FRACTION = 0.22;
     // MiB per connection; a connection takes up to 77 KiB
     private static final double CONNECTION_MB = 0.08;
-    // with too little memory, serves few connections at the risk of exceeding it, rather than none
+    // a process with too little memory still serves this many, at the risk of exceeding it
     private static final int MIN_PERMITS_BY_MEMORY = 32;
 
     /**
--- a/proxy/src/main/java/spurroad/configuration/ProxyConfiguration.java
+++ b/proxy/src/main/java/spurroad/configuration/ProxyConfiguration.java
@@ -70,7 +70,7 @@
     /** The settings of the deployment. */
     public final DeploymentSettings settings;
 
-    private final Map<?, ?> parsedFile; // as parsed
+    private final Map<?, ?> parsedFile;
 
     /**
      * Reads the file that the environment names.
@@ -200,7 +200,7 @@
     }
 
     /**
-     * Checks that a configuration read at a reload has all keys of this one, which is in force.
+     * Checks that a configuration read at a reload has all keys of this one, the current configuration.
      *
      * @throws InvalidSettingException if a key is missing or its value is of another type
      */
--- a/proxy/src/main/java/spurroad/configuration/ReplacementCheck.java
+++ b/proxy/src/main/java/spurroad/configuration/ReplacementCheck.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * Checks that a configuration read at a reload has all keys of the one in force, as a missing key indicates a
+ * Checks that a configuration read at a reload has all keys of the current one, as a missing key indicates a
  * file that was not written completely. Request classes, tenants and the endpoints known at startup may be
  * added and removed.
  */
--- a/proxy/src/main/java/spurroad/protocol/KeyValueList.java
+++ b/proxy/src/main/java/spurroad/protocol/KeyValueList.java
@@ -6,7 +6,7 @@
 
 /** Parses comma-separated {@code name=value} pairs, such as {@code inflight=7,queue=2}. */
 public final class KeyValueList {
-    private static final double MAX_REPORTED_REQUESTS = 1e6; // higher counts are read as unknown
+    private static final double MAX_REPORTED_REQUESTS = 1e6; // implausible above: read as unknown
 
     private KeyValueList() {}
 
