--- a/proxy/src/main/java/spurroad/configuration/ProxyConfiguration.java
+++ b/proxy/src/main/java/spurroad/configuration/ProxyConfiguration.java
@@ -16,57 +16,67 @@
 import spurroad.protocol.Json;
 import spurroad.protocol.ProtocolException;
 
-/** What one proxy is started with: the platform's file and what the environment sets beside it. Immutable. */
+/** The configuration of a proxy process, read from a JSON file and environment variables. Immutable. */
 public final class ProxyConfiguration {
     private static final String FILE_VARIABLE = "BALANCER_CONFIG";
     private static final String LISTEN_DESCRIPTOR_VARIABLE = "BALANCER_LISTEN_FD";
     private static final String INHERITED_DESCRIPTOR = "0";
-    // takes precedence over the file, as each process of a proxy has its own
+    // takes precedence over the file, as each process of a proxy has its own admin address
     private static final String ADMIN_VARIABLE = "BALANCER_ADMIN_ADDR";
     private static final String ADMIN_KEY = "admin_addr";
     private static final String SETTINGS_KEY = "settings";
 
-    private static final double DEFAULT_MEMORY_MB = 192; // the least that a proxy is tested in
-    private static final double DEFAULT_DESCRIPTORS = 1024; // the usual limit of a system
+    private static final double DEFAULT_MEMORY_MB = 192; // the smallest tested size
+    private static final double DEFAULT_DESCRIPTORS = 1024; // the usual limit of a Linux process
     private static final double DEFAULT_CORES = 1;
     private static final double MIN_CORES = 0.01;
     private static final double MIN_MEMORY_MB = 64; // the virtual machine alone takes 45 MiB
 
-    /** The keys that a reload puts in force, or that each start of a process sets anew. */
-    private static final Set<String> RELOADED_KEYS = Set.of("discovery", "seed", "known", ADMIN_KEY);
+    /**
+     * The keys whose changes need no restart: a reload applies them, or each process start sets them anew.
+     */
+    private static final Set<String> KEYS_WITHOUT_RESTART = Set.of("discovery", "seed", "known", ADMIN_KEY);
 
     /** The name of the proxy in its deployment. */
     public final String name;
-    /** Where clients connect. */
+    /** The address that clients connect to. */
     public final InetSocketAddress listenAddress;
-    /** Where the endpoint list is followed. */
+    /** The address of discovery, which serves the endpoint list. */
     public final InetSocketAddress discoveryAddress;
-    /** Where the operators' calls are taken; null where nothing listens for them. */
+    /** The address of the admin server; null if there is none. */
     public final InetSocketAddress adminAddress;
-    /** The seed of all random draws. */
+    /** The seed of all random number generators. */
     public final long seed;
     /** The memory of the process, in MiB. */
     public final int memoryMb;
-    /** The number of the inherited descriptor to listen at; empty where the process opens its own socket. */
+    /** The number of the inherited descriptor to listen on; empty if the process opens its own socket. */
     public final String listenDescriptor;
-    /** The directory that processes of one proxy share; null where the platform gives none. */
+    /** The directory that the processes of one proxy share for hot restarts; null if there is none. */
     public final Path restartDirectory;
-    /** How many cores the process gets; less than one is a part of a core. */
+    /** The number of cores of the process; may be a fraction of a core. */
     public final double cores;
-    /** How many connections of clients and endpoints fit into the limits on descriptors and on memory. */
+    /**
+     * The maximum number of connections to clients and endpoints within the limits on descriptors and memory.
+     */
     public final int connectionPermits;
-    /** How many descriptors the process holds besides. */
+    /** The number of descriptors reserved for purposes other than connections to clients and endpoints. */
     public final int reservedDescriptors;
-    /** The endpoints that are known at the start. */
+    /** The endpoints known at startup. */
     public final EndpointList initialEndpoints;
-    /** Where each proxy of the deployment gets peer updates, by its number; empty where none are sent. */
+    /**
+     * The peer update addresses of the deployment's proxies, indexed by proxy number; empty without gossip.
+     */
     public final List<InetSocketAddress> peerAddresses;
     /** The settings of the deployment. */
     public final DeploymentSettings settings;
 
-    private final Map<?, ?> file; // as parsed
+    private final Map<?, ?> parsedFile;
 
-    /** Reads the file that the environment names. */
+    /**
+     * Reads the file that the environment names.
+     *
+     * @throws InvalidSettingException if the file can't be read or a setting is missing or invalid
+     */
     public static ProxyConfiguration fromEnvironment(Map<String, String> environment) {
         String path = environment.get(FILE_VARIABLE);
         if (path == null || path.isEmpty()) {
@@ -81,40 +91,40 @@
         }
     }
 
-    /** Reads the text of a file, with an empty environment. */
+    /** Parses the text of a file, with an empty environment. */
     public ProxyConfiguration(String text) {
         this(text, Map.of());
     }
 
-    /** Reads the text of a file, and what the environment sets beside it. */
+    /** Parses the text of a file and the environment variables. */
     public ProxyConfiguration(String text, Map<String, String> environment) {
         this(text, environment, ProcessLimits.NONE);
     }
 
-    /** Reads the text of a file for a process with limits of its own. */
+    /** Parses the text of a file and the environment variables, for a process with the given limits. */
     ProxyConfiguration(String text, Map<String, String> environment, ProcessLimits processLimits) {
-        file = parse(text);
-        name = JsonFields.text(file, "name");
-        listenAddress = JsonFields.address(file, "listen");
-        discoveryAddress = JsonFields.address(file, "discovery");
-        adminAddress = adminAddress(file, environment);
-        seed = JsonFields.hexadecimal(file, "seed");
+        parsedFile = parse(text);
+        name = JsonFields.text(parsedFile, "name");
+        listenAddress = JsonFields.address(parsedFile, "listen");
+        discoveryAddress = JsonFields.address(parsedFile, "discovery");
+        adminAddress = adminAddress(parsedFile, environment);
+        seed = JsonFields.hexadecimal(parsedFile, "seed");
         listenDescriptor = listenDescriptor(environment);
         restartDirectory = restartDirectory(environment);
-        Map<?, ?> limits = file.get("limits") == null ? Map.of()
-            : JsonFields.object(file.get("limits"), "limits");
+        Map<?, ?> limits = parsedFile.get("limits") == null ? Map.of()
+            : JsonFields.object(parsedFile.get("limits"), "limits");
         memoryMb = (int) JsonFields.number(limits, "limits.", "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB);
         cores = JsonFields.number(limits, "limits.", "cores", DEFAULT_CORES, MIN_CORES);
         int descriptors = (int) JsonFields.number(limits, "limits.", "sockets", DEFAULT_DESCRIPTORS,
             CapacityPlan.MIN_DESCRIPTORS);
-        settings = DeploymentSettings.fromJson(JsonFields.object(file.get(SETTINGS_KEY), SETTINGS_KEY));
+        settings = DeploymentSettings.fromJson(JsonFields.object(parsedFile.get(SETTINGS_KEY), SETTINGS_KEY));
         Fleet fleet = settings.deployment.fleet();
-        peerAddresses = fleet.gossipEnabled() ? peerAddresses(file, fleet) : List.of();
+        peerAddresses = fleet.gossipEnabled() ? peerAddresses(parsedFile, fleet) : List.of();
         CapacityPlan capacity = CapacityPlan.of(descriptors, memoryMb, adminAddress != null,
             fleet.gossipEnabled(), processLimits);
         reservedDescriptors = capacity.reservedDescriptors();
         connectionPermits = capacity.connectionPermits();
-        initialEndpoints = initialEndpoints(file, settings);
+        initialEndpoints = initialEndpoints(parsedFile, settings);
     }
 
     private static Map<?, ?> parse(String text) {
@@ -142,12 +152,12 @@
     }
 
     private Path restartDirectory(Map<String, String> environment) {
-        String temporary = environment.getOrDefault("TMPDIR", "");
-        boolean shared = !temporary.isEmpty() && !listenDescriptor.isEmpty();
-        return shared ? Path.of(temporary, "spurroad-" + name) : null;
+        String temporaryDirectory = environment.getOrDefault("TMPDIR", "");
+        boolean isShared = !temporaryDirectory.isEmpty() && !listenDescriptor.isEmpty();
+        return isShared ? Path.of(temporaryDirectory, "spurroad-" + name) : null;
     }
 
-    /** Reads as many addresses as the settings say that there are proxies, each of them once. */
+    /** Reads the addresses of the proxies: one per proxy of the deployment, all different. */
     private static List<InetSocketAddress> peerAddresses(Map<?, ?> file, Fleet fleet) {
         if (!(file.get("proxies") instanceof List<?> listed) || listed.size() != fleet.proxyCount()) {
             throw new InvalidSettingException("proxies does not list " + fleet.proxyCount()
@@ -174,27 +184,27 @@
     }
 
     /**
-     * Returns the keys whose values differ in another configuration and count only from a restart on: all but
-     * those that a reload puts in force.
+     * Returns the keys whose values differ in another configuration and that take effect only after a
+     * restart: all keys except those that a reload applies.
      */
     public List<String> restartOnlyChanges(ProxyConfiguration other) {
         Set<Object> keys = new TreeSet<>(Comparator.comparing(String::valueOf));
-        keys.addAll(file.keySet());
-        keys.addAll(other.file.keySet());
-        keys.removeAll(RELOADED_KEYS);
+        keys.addAll(parsedFile.keySet());
+        keys.addAll(other.parsedFile.keySet());
+        keys.removeAll(KEYS_WITHOUT_RESTART);
         keys.remove(SETTINGS_KEY); // compared one by one below
-        keys.removeIf(key -> Objects.equals(file.get(key), other.file.get(key)));
+        keys.removeIf(key -> Objects.equals(parsedFile.get(key), other.parsedFile.get(key)));
         List<String> changed = new ArrayList<>(keys.stream().map(String::valueOf).toList());
         changed.addAll(settings.restartOnlyChanges(other.settings));
         return changed;
     }
 
     /**
-     * Checks that another configuration, read while this one is in force, has all keys of this one.
+     * Checks that a configuration read at a reload has all keys of this one, the current configuration.
      *
-     * @throws InvalidSettingException where a key is gone or its value is of another type
+     * @throws InvalidSettingException if a key is missing or its value is of another type
      */
     public void checkReplacement(ProxyConfiguration next) {
-        ReplacementCheck.check(file, next.file);
+        ReplacementCheck.check(parsedFile, next.parsedFile);
     }
 }
--- a/proxy/src/main/java/spurroad/protocol/ByteSource.java
+++ b/proxy/src/main/java/spurroad/protocol/ByteSource.java
@@ -8,12 +8,12 @@
 import java.util.Arrays;
 
 /**
- * A buffered stream that is read by lines and by lengths, both bounded. Text is ISO 8859-1, one character a
- * byte, so nothing is lost.
+ * A buffered input that is read by lines and by byte counts, both bounded. Text is decoded as ISO 8859-1, one
+ * character per byte, so that no byte is lost.
  *
- * <p>It has one of two modes. A blocking one reads from a stream and waits for it. A fed one is given bytes
- * as they arrive; there, {@link #message} returns null for a message that is not complete, which is parsed
- * anew from its first byte once enough more has arrived.
+ * <p>A source has one of two modes. A blocking source reads from a stream and waits for it. A fed source gets
+ * bytes as they arrive; {@link #readMessage} returns null if a message is not complete yet, and parses it
+ * again from its first byte when enough further bytes have arrived.
  */
 public final class ByteSource {
     /** Parses one message. */
@@ -21,7 +21,8 @@
         /**
          * Returns the message, never null.
          *
-         * @throws IOException if the bytes are no message; an {@link IncompleteMessage} is for the source
+         * @throws IOException if the bytes are malformed; {@link IncompleteMessageException} is left to the
+         *     source to handle
          */
         T read(ByteSource in) throws IOException;
     }
@@ -30,32 +31,37 @@
     private static final byte[] NO_BUFFER = {};
     private static final byte[] LINE_END = {'\r', '\n'};
 
-    private final InputStream in; // null for one that is fed
+    private final InputStream in; // null in a fed source
     private byte[] buffer;
     private int position;
     private int limit;
-    // for one that is fed
+    // fed sources only
     private int messageStart;
-    private int messageMinBytes; // what the message being parsed has at least, as far as is known
-    private boolean isEnded;
+    private int messageMinBytes; // known lower bound of the current message's length
+    private boolean isInputEnded;
 
-    /** Creates a blocking one. */
+    /** Creates a blocking source that reads from a stream. */
     public ByteSource(InputStream in) {
         this.in = in;
         buffer = new byte[BLOCKING_BUFFER_BYTES];
     }
 
-    /** Creates one to be fed; it has a buffer only while it has bytes. */
+    /** Creates a fed source, which holds a buffer only while it has unread bytes. */
     public ByteSource() {
         in = null;
         buffer = NO_BUFFER;
     }
 
-    /** Returns whether there is a byte to read, for which a blocking one waits; false at the stream's end. */
-    public boolean await() throws IOException {
-        if (position == limit && in == null && !isEnded) {
+    /**
+     * Returns whether there is a byte to read; false at the end of the input. A blocking source waits for the
+     * byte.
+     *
+     * @throws IOException if reading from the stream fails, or if a fed source has to wait for more bytes
+     */
+    public boolean awaitByte() throws IOException {
+        if (position == limit && in == null && !isInputEnded) {
             messageMinBytes = limit - messageStart + 1;
-            throw IncompleteMessage.INSTANCE;
+            throw IncompleteMessageException.INSTANCE;
         }
         if (position == limit && in != null) {
             position = 0;
@@ -64,14 +70,14 @@
         return position < limit;
     }
 
-    // ---- being fed
+    // ---- feeding
 
-    /** Appends bytes that have arrived; not while a message is being parsed. */
-    public void feed(ByteBuffer arrived) {
+    /** Appends received bytes. Must not be called while a message is being parsed. */
+    public void feed(ByteBuffer received) {
         int unread = limit - position;
-        int size = unread + arrived.remaining();
+        int size = unread + received.remaining();
         if (size > buffer.length) {
-            // as much as the message needs, which is bounded: so it is copied only once
+            // allocates the known length of the message, which is bounded, so that it is copied only once
             byte[] larger = new byte[Math.max(size, messageMinBytes)];
             System.arraycopy(buffer, position, larger, 0, unread);
             buffer = larger;
@@ -80,12 +86,15 @@
         }
         position = 0;
         messageStart = 0;
-        arrived.get(buffer, unread, arrived.remaining());
+        received.get(buffer, unread, received.remaining());
         limit = size;
     }
 
-    /** Takes up to so many bytes that have arrived, as an array of their own; only between two messages. */
-    public byte[] take(long maxBytes) {
+    /**
+     * Removes up to {@code maxBytes} buffered bytes and returns them in a new array. Must be called between
+     * two messages only.
+     */
+    public byte[] takeBuffered(long maxBytes) {
         int end = position + (int) Math.min(maxBytes, limit - position);
         byte[] taken = Arrays.copyOfRange(buffer, position, end);
         position = end;
@@ -94,34 +103,34 @@
         return taken;
     }
 
-    /** Notes that no more bytes will arrive. */
-    public void end() {
-        isEnded = true;
+    /** Marks the end of the input: no more bytes will be fed. */
+    public void endInput() {
+        isInputEnded = true;
     }
 
-    /** Returns how many bytes have arrived and were not read. */
+    /** Returns the number of buffered bytes that have not been read. */
     public int available() {
         return limit - position;
     }
 
-    /** Returns whether there may be a complete message now. */
-    public boolean worthReading() {
-        return available() > 0 && (isEnded || available() >= messageMinBytes);
+    /** Returns whether the buffered bytes may hold a complete message, so that parsing is worth a try. */
+    public boolean mayHaveMessage() {
+        return available() > 0 && (isInputEnded || available() >= messageMinBytes);
     }
 
     /**
-     * Parses the next message; returns null if it is not complete.
+     * Parses the next message; returns null if it is not complete yet.
      *
-     * @throws IOException what the parser throws
+     * @throws IOException if the parser fails
      */
-    public <T> T message(Parser<T> parser) throws IOException {
+    public <T> T readMessage(Parser<T> parser) throws IOException {
         try {
             startMessage();
             T message = parser.read(this);
             releaseEmptyBuffer();
             startMessage();
             return message;
-        } catch (IncompleteMessage e) {
+        } catch (IncompleteMessageException e) {
             position = messageStart;
             return null;
         }
@@ -143,22 +152,23 @@
     // ---- reading
 
     /**
-     * Reads a line without its end, LF or CRLF; returns null at the end of the stream.
+     * Reads a line that ends in LF or CRLF and returns it without the line end; returns null at the end of
+     * the stream.
      *
-     * @throws ProtocolException if it is longer than the maximum
-     * @throws EOFException if the stream ends inside it
+     * @throws ProtocolException if the line is longer than {@code maxBytes}
+     * @throws EOFException if the stream ends inside the line
      */
-    public String line(int maxBytes) throws IOException {
-        if (!await()) {
+    public String readLine(int maxBytes) throws IOException {
+        if (!awaitByte()) {
             return null;
         }
         int end = indexOfLineFeed();
-        if (end < limit && end - position <= maxBytes) { // nearly always, as lines are short
+        if (end < limit && end - position <= maxBytes) { // the usual case: the whole line is buffered
             return takeBufferedLine(end);
         }
         StringBuilder line = new StringBuilder();
         while (true) {
-            line.append(text(position, end));
+            line.append(decode(position, end));
             if (line.length() > maxBytes + 1) {
                 throw new ProtocolException("a line of over " + maxBytes + " bytes");
             }
@@ -167,14 +177,14 @@
                 return withoutCarriageReturn(line);
             }
             position = limit;
-            if (!await()) {
-                throw new EOFException("the stream ended inside a line");
+            if (!awaitByte()) {
+                throw new EOFException("end of stream inside a line, expected a line feed");
             }
             end = indexOfLineFeed();
         }
     }
 
-    /** Returns where the next line feed is in the buffer; its limit if there is none. */
+    /** Returns the index of the next line feed in the buffer; the limit if there is none. */
     private int indexOfLineFeed() {
         int end = position;
         while (end < limit && buffer[end] != '\n') {
@@ -185,12 +195,12 @@
 
     private String takeBufferedLine(int end) {
         int textEnd = end > position && buffer[end - 1] == '\r' ? end - 1 : end;
-        String line = text(position, textEnd);
+        String line = decode(position, textEnd);
         position = end + 1;
         return line;
     }
 
-    private String text(int from, int to) {
+    private String decode(int from, int to) {
         return new String(buffer, from, to - from, StandardCharsets.ISO_8859_1);
     }
 
@@ -202,18 +212,22 @@
         return line.toString();
     }
 
-    /** Reads a line as {@link #line} does, where there has to be one. */
-    String requiredLine(int maxBytes) throws IOException {
-        String line = line(maxBytes);
+    /**
+     * Reads a line as {@link #readLine} does, but fails at the end of the stream.
+     *
+     * @throws ProtocolException if there is no line, or if it is longer than {@code maxBytes}
+     */
+    String readRequiredLine(int maxBytes) throws IOException {
+        String line = readLine(maxBytes);
         if (line == null) {
-            throw new ProtocolException("the stream ended");
+            throw new ProtocolException("end of stream, expected a line");
         }
         return line;
     }
 
-    /** Reads at least one byte and at most so many into an array; returns how many, -1 at the end. */
+    /** Reads from 1 to {@code maxBytes} bytes into an array; returns their number, or -1 at the end. */
     int read(byte[] into, int from, int maxBytes) throws IOException {
-        if (!await()) {
+        if (!awaitByte()) {
             return -1;
         }
         int count = Math.min(limit - position, maxBytes);
@@ -222,39 +236,44 @@
         return count;
     }
 
-    /** Returns whether a byte can be read without waiting. */
-    public boolean more() throws IOException {
+    /** Returns whether a byte can be read without blocking. */
+    public boolean isReady() throws IOException {
         return position < limit || in != null && in.available() > 0;
     }
 
-    /** Goes on only if so many bytes have arrived, so that no memory is allocated for those that have not. */
-    void awaitBytes(int count) throws IncompleteMessage {
-        if (in == null && !isEnded && limit - position < count) {
+    /**
+     * Requires a fed source to have {@code count} buffered bytes, so that callers allocate no memory for
+     * bytes that have not arrived.
+     *
+     * @throws IncompleteMessageException if bytes are missing and the input has not ended
+     */
+    void awaitBytes(int count) throws IncompleteMessageException {
+        if (in == null && !isInputEnded && limit - position < count) {
             messageMinBytes = position - messageStart + count;
-            throw IncompleteMessage.INSTANCE;
+            throw IncompleteMessageException.INSTANCE;
         }
     }
 
-    /** Reads exactly so many bytes. */
-    byte[] bytes(int count) throws IOException {
+    /** Reads exactly {@code count} bytes into a new array. */
+    byte[] readFully(int count) throws IOException {
         awaitBytes(count);
         byte[] bytes = new byte[count];
-        bytes(bytes, 0, count);
+        readFully(bytes, 0, count);
         return bytes;
     }
 
     /**
-     * Reads exactly so many bytes into an array.
+     * Reads exactly {@code count} bytes into an array.
      *
-     * @throws EOFException if the stream ends before
+     * @throws EOFException if the stream ends before that
      */
-    public void bytes(byte[] into, int from, int count) throws IOException {
+    public void readFully(byte[] into, int from, int count) throws IOException {
         awaitBytes(count);
         int end = from + count;
         for (int next = from; next < end;) {
             int read = read(into, next, end - next);
             if (read < 0) {
-                throw new EOFException("the stream ended inside a value");
+                throw new EOFException("end of stream inside a value");
             }
             next += read;
         }
@@ -263,13 +282,13 @@
     /**
      * Reads the CRLF that follows a value.
      *
-     * @throws ProtocolException if there is something else
+     * @throws ProtocolException if other bytes follow
      */
-    public void lineEnd() throws IOException {
+    public void readLineEnd() throws IOException {
         byte[] end = new byte[LINE_END.length];
-        bytes(end, 0, end.length);
+        readFully(end, 0, end.length);
         if (!Arrays.equals(end, LINE_END)) {
-            throw new ProtocolException("no line end after a value");
+            throw new ProtocolException("expected CRLF after a value");
         }
     }
 }
--- a/proxy/src/main/java/spurroad/protocol/Http.java
+++ b/proxy/src/main/java/spurroad/protocol/Http.java
@@ -11,15 +11,15 @@
 import spurroad.model.LoadReport;
 import spurroad.model.Outcome;
 
-/** Writes requests to the origin and discovery in HTTP/1.1, and reads their responses. */
+/** Encodes HTTP/1.1 requests to the origin and to discovery, and reads their responses. */
 public final class Http {
-    static final int MAX_LIST_BYTES = 4 * 1024 * 1024; // 1,024 nodes of long names, indented
-    static final int MAX_HEAD_LINE_BYTES = 8192; // the usual bound of servers
-    static final int MAX_HEADERS = 100; // the usual bound of servers
+    static final int MAX_LIST_BYTES = 4 * 1024 * 1024; // 1,024 endpoints with long names, indented
+    static final int MAX_HEAD_LINE_BYTES = 8192; // the usual limit of HTTP servers
+    static final int MAX_HEADERS = 100; // the usual limit of HTTP servers
 
     private static final String VERSION_PREFIX = "HTTP/1.";
     private static final int OK = 200;
-    private static final int FIRST_FINAL_STATUS = 200; // below it a response only announces another
+    private static final int FIRST_FINAL_STATUS = 200; // lower ones are informational
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
     private static final int SERVICE_UNAVAILABLE = 503;
@@ -27,31 +27,40 @@
     private static final String CONTENT_LENGTH = "content-length";
     private static final String TRANSFER_ENCODING = "transfer-encoding";
     private static final Set<String> LENGTH_HEADERS = Set.of(CONTENT_LENGTH, TRANSFER_ENCODING);
-    private static final String UNRESERVED = "-._~"; // in a path, besides letters and digits
+    private static final String UNRESERVED_PUNCTUATION = "-._~"; // not escaped in paths
 
-    /** The status and the headers of a response, by their names in lower case. */
+    /**
+     * The head of a response.
+     *
+     * @param headers the header values by lower-case header name
+     */
     public record Head(int status, Map<String, String> headers) {
         boolean isChunked() {
             return header(TRANSFER_ENCODING).toLowerCase(Locale.ROOT).contains("chunked");
         }
 
-        /** Returns whether the head states where the body ends; else it ends with the connection. */
-        boolean statesLength() {
+        /**
+         * Returns whether the head defines the end of the body; otherwise the body ends with the connection.
+         */
+        boolean definesBodyLength() {
             return isChunked() || headers.containsKey(CONTENT_LENGTH) || status == NO_CONTENT
                 || status == NOT_MODIFIED;
         }
 
-        boolean keepsAlive() {
-            return statesLength() && !header("connection").equalsIgnoreCase("close");
+        boolean isKeepAlive() {
+            return definesBodyLength() && !header("connection").equalsIgnoreCase("close");
         }
 
-        /** Returns the stated length in bytes, or that of a default; -1 if it is no number. */
+        /**
+         * Returns the Content-Length in bytes, parsed from the header or else from a default text; -1 if that
+         * is not a number.
+         */
         long contentLength(String defaultText) {
             return NumberParser.parseWhole(headers.getOrDefault(CONTENT_LENGTH, defaultText));
         }
 
         LoadReport loadReport() {
-            return KeyValueList.load(KeyValueList.read(header("x-load")));
+            return KeyValueList.toLoadReport(KeyValueList.parse(header("x-load")));
         }
 
         private String header(String name) {
@@ -63,25 +72,31 @@
 
     // ---- requests
 
-    /** Returns a GET request. */
+    /** Returns a GET request without headers other than Host. */
     public static byte[] get(String target, String host) {
         return request("GET", target, host, Map.of(), 0, null);
     }
 
     /**
-     * Returns a command as a request to the origin, without a long value. The id and the attributes go on as
-     * they came, but for the time that the proxy will wait.
+     * Returns the request to the origin for a command, without a long value. The request id and the
+     * attributes are passed on unchanged, except for the timeout, which is the time that the proxy will wait.
      */
     public static byte[] forOrigin(MetaCommand command, long timeoutMillis, String host) {
         Map<String, String> headers = Map.of("X-Request-Id", command.id(), "X-Extras",
-            command.extras(timeoutMillis));
+            command.attributesWithTimeout(timeoutMillis));
         String target = "/" + percentEncode(command.key());
         return command.kind == MetaCommand.Kind.WRITE
-            ? request("PUT", target, host, headers, command.length(), command.value)
+            ? request("PUT", target, host, headers, command.valueLength(), command.value)
             : request("GET", target, host, headers, 0, null);
     }
 
-    /** Writes a request; a body of null is none, and one that is shorter than its length follows later. */
+    /**
+     * Encodes a request.
+     *
+     * @param contentLength the length of the body in bytes, which may follow later
+     * @param body the body; null if the request has none, shorter than {@code contentLength} if it follows
+     *     later
+     */
     private static byte[] request(String method, String target, String host, Map<String, String> headers,
                                   int contentLength, byte[] body) {
         StringBuilder head = new StringBuilder(method + " " + target + " HTTP/1.1\r\nHost: " + host + "\r\n");
@@ -101,32 +116,33 @@
     private static String percentEncode(String key) {
         StringBuilder path = new StringBuilder();
         for (char c : key.toCharArray()) {
-            boolean isUnreserved = c < 128 && Character.isLetterOrDigit(c) || UNRESERVED.indexOf(c) >= 0;
+            boolean isUnreserved = c < 128 && Character.isLetterOrDigit(c)
+                || UNRESERVED_PUNCTUATION.indexOf(c) >= 0;
             path.append(isUnreserved ? String.valueOf(c) : String.format("%%%02X", (int) c));
         }
         return path.toString();
     }
 
-    // ---- heads of responses
+    // ---- response heads
 
     /**
-     * Reads the head of a response, past those of informational ones.
+     * Reads the head of the final response and skips informational responses before it.
      *
-     * @throws ProtocolException if it is malformed, or its length is stated in two ways
+     * @throws ProtocolException if a head is malformed, or defines the body's length in two ways
      */
-    public static Head head(ByteSource in) throws IOException {
-        Head head = readHead(in);
+    public static Head readFinalHead(ByteSource in) throws IOException {
+        Head head = readSingleHead(in);
         for (int i = 0; head.status < FIRST_FINAL_STATUS && i < MAX_HEADERS; i++) {
-            head = readHead(in);
+            head = readSingleHead(in);
         }
         return head;
     }
 
-    private static Head readHead(ByteSource in) throws IOException {
-        int status = parseStatus(in.requiredLine(MAX_HEAD_LINE_BYTES));
+    private static Head readSingleHead(ByteSource in) throws IOException {
+        int status = parseStatus(in.readRequiredLine(MAX_HEAD_LINE_BYTES));
         Map<String, String> headers = new HashMap<>();
         for (int i = 0; i < MAX_HEADERS; i++) {
-            String line = in.requiredLine(MAX_HEAD_LINE_BYTES);
+            String line = in.readRequiredLine(MAX_HEAD_LINE_BYTES);
             if (line.isEmpty()) {
                 if (headers.keySet().containsAll(LENGTH_HEADERS)) {
                     throw new ProtocolException("a length beside chunks");
@@ -154,8 +170,8 @@
             throw new ProtocolException("a header without a name");
         }
         String name = line.substring(0, separator).toLowerCase(Locale.ROOT);
-        String former = headers.put(name, line.substring(separator + 1).strip());
-        if (former != null && LENGTH_HEADERS.contains(name)) {
+        String previous = headers.put(name, line.substring(separator + 1).strip());
+        if (previous != null && LENGTH_HEADERS.contains(name)) {
             throw new ProtocolException("two headers " + name);
         }
     }
@@ -165,34 +181,35 @@
     /**
      * Reads the origin's response to a command.
      *
-     * @throws ProtocolException if it is malformed
+     * @throws ProtocolException if the response is malformed
      */
     public static UpstreamReply read(ByteSource in, MetaCommand command) throws IOException {
-        Head head = head(in);
+        Head head = readFinalHead(in);
         if (hasStreamedBody(head, command)) {
             return streamedReply(head, command);
         }
         byte[] body = HttpBody.readWhole(in, head);
         Outcome outcome = outcome(head);
         byte[] response = outcome == Outcome.SUCCEEDED && command != null ? response(command, body) : null;
-        return new UpstreamReply(outcome, CacheStatus.NONE, head.loadReport(), response, head.keepsAlive());
+        return new UpstreamReply(outcome, CacheStatus.NONE, head.loadReport(), response, head.isKeepAlive());
     }
 
     private static UpstreamReply streamedReply(Head head, MetaCommand command) {
         long length = head.contentLength("");
-        byte[] line = MetaResponse.text(MetaResponse.valueLine(length, command.id()));
+        byte[] line = MetaResponse.encodeLine(MetaResponse.valueLine(length, command.id()));
         return new UpstreamReply(Outcome.SUCCEEDED, CacheStatus.NONE, head.loadReport(), line,
-            head.keepsAlive(), new UpstreamReply.StreamedBody(length, false));
+            head.isKeepAlive(), new UpstreamReply.StreamedBody(length, false));
     }
 
-    /** Reads the origin's response to a load probe, whose report is in a header. */
-    public static UpstreamReply readProbe(ByteSource in) throws IOException {
+    /** Reads the origin's response to a load probe; the load report is in a header. */
+    public static UpstreamReply readProbeResponse(ByteSource in) throws IOException {
         return read(in, null);
     }
 
     private static boolean hasStreamedBody(Head head, MetaCommand command) {
         long length = head.isChunked() ? -1 : head.contentLength("");
-        return head.status == OK && length > MetaCommand.LONG_VALUE && length <= MetaCommand.MOST_VALUE
+        return head.status == OK && length > MetaCommand.MAX_BUFFERED_VALUE_BYTES
+            && length <= MetaCommand.MAX_VALUE_BYTES
             && command != null && command.kind == MetaCommand.Kind.READ;
     }
 
@@ -209,18 +226,18 @@
             : MetaResponse.receipt(command.id(), new String(body, StandardCharsets.ISO_8859_1).strip());
     }
 
-    // ---- streams of discovery
+    // ---- discovery streams
 
-    /** Returns the body of a response that goes on, in which lines may go on over the chunks' bounds. */
-    public static ByteSource stream(ByteSource in, Head head) {
-        return new ByteSource(new HttpBody.Stream(in, head.isChunked()));
+    /** Returns the body of a streaming response, without chunk boundaries, which may be inside lines. */
+    public static ByteSource bodyStream(ByteSource in, Head head) {
+        return new ByteSource(new HttpBody.BodyInputStream(in, head.isChunked()));
     }
 
     /**
-     * Reads the next list, which is one JSON object and may have several lines, or an empty line; returns
+     * Reads the next endpoint list, which is one JSON object of one or more lines, or an empty line; returns
      * null at the end of the stream.
      */
-    public static String listText(ByteSource stream) throws IOException {
+    public static String readListText(ByteSource stream) throws IOException {
         return JsonObjectStream.next(stream, MAX_LIST_BYTES);
     }
 }
--- a/proxy/src/main/java/spurroad/protocol/MetaResponse.java
+++ b/proxy/src/main/java/spurroad/protocol/MetaResponse.java
@@ -9,7 +9,7 @@
 import spurroad.model.LoadReport;
 import spurroad.model.Outcome;
 
-/** Reads the responses of cache nodes to meta commands, and writes those to clients. */
+/** Reads the responses of cache nodes to meta commands, and encodes the responses to clients. */
 public final class MetaResponse {
     private static final int MAX_STAT_LINES = 64; // a load report has four at most
     private static final String LINE_END = "\r\n";
@@ -18,19 +18,19 @@
     private static final char HIT_FLAG = 'h';
     private static final String FETCH_PENDING_FLAG = "Z";
     private static final String LOAD_FLAG = "L";
-    private static final byte[] LOAD_PROBE = text("stats load");
+    private static final byte[] LOAD_PROBE = encodeLine("stats load");
 
     private MetaResponse() {}
 
-    // ---- of cache nodes
+    // ---- responses of cache nodes
 
     /**
-     * Reads a node's response to the request of an id.
+     * Reads a cache node's response to the request with an id.
      *
-     * @throws ProtocolException if it is malformed, or the response to another request
+     * @throws ProtocolException if the response is malformed, or carries the id of another request
      */
     public static UpstreamReply read(ByteSource in, String id) throws IOException {
-        String line = in.requiredLine(MetaCommand.MAX_LINE_BYTES);
+        String line = in.readRequiredLine(MetaCommand.MAX_LINE_BYTES);
         String[] tokens = tokens(line);
         LoadReport load = loadReport(tokens);
         CacheStatus status = cacheStatus(tokens);
@@ -58,36 +58,37 @@
                                            CacheStatus status, LoadReport load)
         throws IOException {
         long length = tokens.length < 2 ? -1 : NumberParser.parseWhole(tokens[1]);
-        if (length < 0 || length > MetaCommand.MOST_VALUE) {
+        if (length < 0 || length > MetaCommand.MAX_VALUE_BYTES) {
             throw new ProtocolException("a value of impossible length, " + line);
         }
-        if (length > MetaCommand.LONG_VALUE) {
+        if (length > MetaCommand.MAX_BUFFERED_VALUE_BYTES) {
             requireId(tokens, id);
-            return new UpstreamReply(Outcome.SUCCEEDED, status, load, text(valueLine(length, id)), true,
+            return new UpstreamReply(Outcome.SUCCEEDED, status, load, encodeLine(valueLine(length, id)), true,
                 new UpstreamReply.StreamedBody(length, true));
         }
         int valueBytes = (int) length;
         in.awaitBytes(valueBytes);
-        byte[] response = withUnsetValue(valueLine(length, id), valueBytes);
-        in.bytes(response, valueFrom(response, valueBytes), valueBytes);
-        in.lineEnd();
+        byte[] response = allocateMessage(valueLine(length, id), valueBytes);
+        in.readFully(response, valueOffset(response, valueBytes), valueBytes);
+        in.readLineEnd();
         requireId(tokens, id);
         return new UpstreamReply(Outcome.SUCCEEDED, status, load, response, true);
     }
 
     /**
-     * Reads a node's response to a load probe.
+     * Reads a cache node's response to a load probe.
      *
-     * @throws ProtocolException if the report does not end
+     * @throws ProtocolException if the report has more than the maximum number of lines
      */
-    public static UpstreamReply readProbe(ByteSource in) throws IOException {
+    public static UpstreamReply readProbeResponse(ByteSource in) throws IOException {
         Map<String, String> report = new LinkedHashMap<>();
         for (int i = 0; i < MAX_STAT_LINES; i++) {
-            String[] tokens = tokens(in.requiredLine(MetaCommand.MAX_LINE_BYTES));
+            String[] tokens = tokens(in.readRequiredLine(MetaCommand.MAX_LINE_BYTES));
             if (tokens[0].equals("STAT") && tokens.length > 2) {
                 report.put(tokens[1], tokens[2]);
             } else if (tokens[0].equals("END")) {
-                return new UpstreamReply(Outcome.SUCCEEDED, CacheStatus.NONE, KeyValueList.load(report), null,
+                return new UpstreamReply(Outcome.SUCCEEDED, CacheStatus.NONE,
+                    KeyValueList.toLoadReport(report), null,
                     true);
             } else {
                 return new UpstreamReply(Outcome.FAILED, CacheStatus.NONE, LoadReport.NONE, null, true);
@@ -96,7 +97,7 @@
         throw new ProtocolException("an endless report");
     }
 
-    /** Returns the tokens of a line; an empty one if there is none. */
+    /** Returns the tokens of a line; one empty token if the line is blank. */
     private static String[] tokens(String line) {
         String[] tokens = line.split(" ");
         return tokens.length == 0 ? new String[] {""} : tokens;
@@ -108,7 +109,7 @@
         }
     }
 
-    /** Returns what follows the letter of a flag; empty if there is no such flag. */
+    /** Returns the text after the letter of a flag; empty if there is no such flag. */
     private static String flag(String[] tokens, char letter) {
         for (int i = 1; i < tokens.length; i++) {
             if (!tokens[i].isEmpty() && tokens[i].charAt(0) == letter) {
@@ -120,7 +121,7 @@
 
     private static LoadReport loadReport(String[] tokens) {
         String last = tokens[tokens.length - 1];
-        return last.startsWith(LOAD_FLAG) ? KeyValueList.load(KeyValueList.read(last.substring(1)))
+        return last.startsWith(LOAD_FLAG) ? KeyValueList.toLoadReport(KeyValueList.parse(last.substring(1)))
             : LoadReport.NONE;
     }
 
@@ -133,77 +134,82 @@
         };
     }
 
-    /** Returns the command that asks a node for its load. Not to be changed. */
-    public static byte[] probe() {
+    /** Returns the command that requests the load report of a cache node. The array must not be modified. */
+    public static byte[] loadProbe() {
         return LOAD_PROBE;
     }
 
-    // ---- to clients
+    // ---- responses to clients
 
     /** Returns the response to a read. */
     public static byte[] value(byte[] value, String id) {
         return withValue(valueLine(value.length, id), value);
     }
 
-    /** Returns the line before a value, without its end. */
+    /** Returns the line before a value, without its line end. */
     static String valueLine(long length, String id) {
         return "VA " + length + " " + ID_FLAG + id;
     }
 
-    /** Returns a line, a value, and the line end after it. */
+    /** Returns a message of a line, a value, and the line end after the value. */
     static byte[] withValue(String line, byte[] value) {
-        byte[] message = withUnsetValue(line, value.length);
-        System.arraycopy(value, 0, message, valueFrom(message, value.length), value.length);
+        byte[] message = allocateMessage(line, value.length);
+        System.arraycopy(value, 0, message, valueOffset(message, value.length), value.length);
         return message;
     }
 
-    /** Returns the same message with a value that is still to be set. */
-    private static byte[] withUnsetValue(String line, int valueBytes) {
-        byte[] head = text(line);
+    /** Returns the message of a line and a value, with zero bytes in place of the value. */
+    private static byte[] allocateMessage(String line, int valueBytes) {
+        byte[] head = encodeLine(line);
         byte[] message = Arrays.copyOf(head, head.length + valueBytes + LINE_END.length());
         message[message.length - 2] = '\r';
         message[message.length - 1] = '\n';
         return message;
     }
 
-    private static int valueFrom(byte[] message, int valueBytes) {
+    private static int valueOffset(byte[] message, int valueBytes) {
         return message.length - LINE_END.length() - valueBytes;
     }
 
     /**
      * Returns the response to a write.
      *
-     * @throws ProtocolException if the receipt can't be a token of a line
+     * @throws ProtocolException if the receipt is empty or has a character other than visible ASCII
      */
     public static byte[] receipt(String id, String receipt) throws ProtocolException {
         if (!CommandLine.isToken(receipt)) {
             throw new ProtocolException("no receipt");
         }
-        return text("HD " + ID_FLAG + id + " " + RECEIPT_FLAG + receipt);
+        return encodeLine("HD " + ID_FLAG + id + " " + RECEIPT_FLAG + receipt);
     }
 
-    /** Returns the response to a request that is rejected; a time of zero or less is left out. */
+    /**
+     * Returns the response to a rejected request.
+     *
+     * @param retryAfterMillis the delay after which the client may retry; not sent if zero or less
+     */
     public static byte[] rejected(long retryAfterMillis) {
-        return text(retryAfterMillis > 0 ? "SERVER_ERROR busy " + retryAfterMillis : "SERVER_ERROR busy");
+        return encodeLine(
+            retryAfterMillis > 0 ? "SERVER_ERROR busy " + retryAfterMillis : "SERVER_ERROR busy");
     }
 
-    /** Returns the response to a request that failed. */
+    /** Returns the response to a failed request. */
     public static byte[] failed() {
-        return text("SERVER_ERROR failed");
+        return encodeLine("SERVER_ERROR failed");
     }
 
     /** Returns the response to a readiness check. */
     public static byte[] ready() {
-        return text("MN");
+        return encodeLine("MN");
     }
 
     /** Returns the line end after a value. */
     public static byte[] lineEnd() {
-        return text("");
+        return encodeLine("");
     }
 
-    /** Returns the bytes of a line with its end. */
-    public static byte[] text(String line) {
+    /** Returns the ISO 8859-1 bytes of a line, with CRLF appended. */
+    public static byte[] encodeLine(String line) {
         return (line + LINE_END).getBytes(StandardCharsets.ISO_8859_1);
     }
 }
--- a/proxy/src/test/java/spurroad/configuration/EditableJson.java
+++ b/proxy/src/test/java/spurroad/configuration/EditableJson.java
@@ -9,17 +9,17 @@
 import spurroad.protocol.ProtocolException;
 
 /**
- * A JSON text whose values can be set and taken out by their paths, such as {@code settings.tracks.0.name}.
+ * A JSON document whose values can be set and removed by paths such as {@code settings.tracks.0.name}.
  */
 final class EditableJson {
-    private final Object whole;
+    private final Object root;
 
-    /** Of a text in which strings may stand in single quotes. */
+    /** Parses a text in which single quotes may be used for double quotes. */
     EditableJson(String text) {
-        whole = editable(parsed(text));
+        root = mutableCopy(parse(text));
     }
 
-    private static Object parsed(String text) {
+    private static Object parse(String text) {
         try {
             return Json.read(text.replace('\'', '"'));
         } catch (ProtocolException e) {
@@ -27,28 +27,28 @@
         }
     }
 
-    private static Object editable(Object value) {
+    private static Object mutableCopy(Object value) {
         if (value instanceof Map<?, ?> object) {
             Map<String, Object> copy = new TreeMap<>();
-            object.forEach((name, inner) -> copy.put((String) name, editable(inner)));
+            object.forEach((name, inner) -> copy.put((String) name, mutableCopy(inner)));
             return copy;
         }
         return value instanceof List<?> list
-            ? new ArrayList<>(list.stream().map(EditableJson::editable).toList())
+            ? new ArrayList<>(list.stream().map(EditableJson::mutableCopy).toList())
             : value;
     }
 
-    /** Puts a value, written as JSON, at a path; objects on the way are made where they are missing. */
+    /** Sets the value at a path to a JSON text; missing objects along the path are created. */
     EditableJson with(String path, String json) {
         String[] names = path.split("\\.");
         Object parent = parentOf(names);
         String last = names[names.length - 1];
-        Object value = editable(parsed(json));
+        Object value = mutableCopy(parse(json));
         if (parent instanceof List<?>) {
             List<Object> list = asList(parent);
-            int at = Integer.parseInt(last);
-            if (at < list.size()) {
-                list.set(at, value);
+            int index = Integer.parseInt(last);
+            if (index < list.size()) {
+                list.set(index, value);
             } else {
                 list.add(value);
             }
@@ -58,7 +58,7 @@
         return this;
     }
 
-    /** Takes out what stands at a path. */
+    /** Removes the value at a path. */
     EditableJson without(String path) {
         String[] names = path.split("\\.");
         Object parent = parentOf(names);
@@ -72,12 +72,12 @@
     }
 
     private Object parentOf(String... names) {
-        Object at = whole;
+        Object current = root;
         for (int i = 0; i < names.length - 1; i++) {
-            at = at instanceof List<?> list ? list.get(Integer.parseInt(names[i]))
-                : asObject(at).computeIfAbsent(names[i], name -> new TreeMap<String, Object>());
+            current = current instanceof List<?> list ? list.get(Integer.parseInt(names[i]))
+                : asObject(current).computeIfAbsent(names[i], name -> new TreeMap<String, Object>());
         }
-        return at;
+        return current;
     }
 
     @SuppressWarnings("unchecked")
@@ -90,9 +90,9 @@
         return (List<Object>) value;
     }
 
-    /** The JSON text. */
+    /** Returns the JSON text. */
     String text() {
-        return text(whole);
+        return text(root);
     }
 
     private static String text(Object value) {
@@ -110,12 +110,12 @@
     }
 
     /**
-     * The object at a path as the simulator sends settings: a line for each plain value and each list of
-     * them, and the count of each list of objects.
+     * Returns the object at a path in the simulator's format for settings: one line for each plain value and
+     * each list of plain values, and one for the length of each list of objects.
      */
     String lines(String path) {
         StringBuilder lines = new StringBuilder();
-        appendLines("", asObject(whole).get(path), lines);
+        appendLines("", asObject(root).get(path), lines);
         return lines.toString();
     }
 
--- a/proxy/src/test/java/spurroad/protocol/ArbitraryBytesTest.java
+++ b/proxy/src/test/java/spurroad/protocol/ArbitraryBytesTest.java
@@ -13,15 +13,15 @@
 import org.testng.annotations.Test;
 
 /**
- * Parsers between peers and the proxy, given anything: what a peer sends is a message, not whole yet, or an
- * {@link IOException}. Any other exception would leave a request without its end.
+ * Feeds randomly mutated bytes to the parsers of all peers. Parsing must return a message, wait for more
+ * bytes, or throw an {@link IOException}. With any other exception a request would never be completed.
  */
 public class ArbitraryBytesTest {
-    private static final int PLAYS = 20_000;
-    private static final int MOST_CHANGES = 4;
+    private static final int ITERATIONS = 20_000;
+    private static final int MAX_MUTATIONS = 4;
     private static final long SEED = 41;
 
-    /** Something that is read from a peer. */
+    /** Parses a message of a peer. */
     private interface Parser {
         Object read(ByteSource in) throws IOException;
     }
@@ -33,7 +33,7 @@
         try {
             ByteSource in = new ByteSource();
             in.feed(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
-            return in.message(MetaCommand::read);
+            return in.readMessage(MetaCommand::read);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -47,38 +47,38 @@
             + "\"pod_group\":3,\"state\":\"active\",\"capacity_hint\":1.0,\"boot_ms\":0}";
         EndpointList.EndpointNames names = new EndpointList.EndpointNames(List.of("m1"), List.of("a"), true);
         return new Object[][] {
-            {"a client's command", (Parser) MetaCommand::read,
+            {"client command", (Parser) MetaCommand::read,
                 new String[] {"mg k v Oab Pc=read,t=acme,d=900,h=7\r\n", "mn\r\n",
                     "ms k 3 Oab Pc=put,t=acme,d=900,k=7\r\nabc\r\n"}},
-            {"a node's answer", (Parser) in -> MetaResponse.read(in, "ab"),
+            {"cache node response", (Parser) in -> MetaResponse.read(in, "ab"),
                 new String[] {"VA 3 Oab h1 Linflight=7,queue=2,util=0.61\r\nabc\r\n", "HD Oab c77\r\n",
                     "EN Oab h0 Z\r\n", "SERVER_ERROR busy\r\n", " \r\n", "   \r\n", "VA\r\n", "HD\r\n"}},
-            {"a node's report", (Parser) MetaResponse::readProbe,
+            {"cache node load report", (Parser) MetaResponse::readProbeResponse,
                 new String[] {"STAT inflight 7\r\nSTAT queue 2\r\nEND\r\n", " \r\n", "\r\n", "STAT\r\n"}},
-            {"the origin's answer to a read", (Parser) in -> Http.read(in, READ), new String[] {ok, chunks}},
-            {"the origin's answer to a write", (Parser) in -> Http.read(in, WRITE),
+            {"origin response to a read", (Parser) in -> Http.read(in, READ), new String[] {ok, chunks}},
+            {"origin response to a write", (Parser) in -> Http.read(in, WRITE),
                 new String[] {ok, chunks}},
-            {"the origin's report", (Parser) Http::readProbe, new String[] {ok, chunks}},
-            {"discovery's list", (Parser) in -> {
-                String text = Http.listText(in);
+            {"origin load report", (Parser) Http::readProbeResponse, new String[] {ok, chunks}},
+            {"endpoint list of discovery", (Parser) in -> {
+                String text = Http.readListText(in);
                 return text == null || text.isBlank() ? "" : EndpointList.read(Json.read(text), names);
             }, new String[] {"{\"rev\":43,\"all\":false,\"targets\":[" + entry + "]}\n",
                 "{\"rev\":1e300,\"all\":true,\"targets\":[" + entry.replace("3", "-1e99") + "]}\n"}}};
     }
 
     @Test(dataProvider = "parsers")
-    public void anythingIsAMessageOrAFault(String name, Parser parser, String[] wellFormed) {
+    public void throwsOnlyIoExceptionForMutatedMessages(String name, Parser parser, String[] wellFormed) {
         Random random = new Random(SEED);
         List<String> failures = new ArrayList<>();
-        for (int i = 0; i < PLAYS && failures.size() < 5; i++) {
+        for (int i = 0; i < ITERATIONS && failures.size() < 5; i++) {
             byte[] bytes = wellFormed[i % wellFormed.length].getBytes(StandardCharsets.ISO_8859_1);
-            byte[] changed = i < wellFormed.length ? bytes : changed(bytes, random);
+            byte[] mutated = i < wellFormed.length ? bytes : mutate(bytes, random);
             try {
-                readInPieces(parser, changed, random);
+                readInPieces(parser, mutated, random);
             } catch (IOException e) {
-                continue; // its sender's fault, told to whoever asked
+                continue; // reported as a malformed message
             } catch (RuntimeException e) {
-                failures.add(e + " for " + new String(changed, StandardCharsets.ISO_8859_1));
+                failures.add(e + " for " + new String(mutated, StandardCharsets.ISO_8859_1));
             }
         }
         assertTrue(failures.isEmpty(), String.join("\n", failures));
@@ -89,32 +89,33 @@
         for (int from = 0; from < bytes.length;) {
             int to = Math.min(bytes.length, from + 1 + random.nextInt(bytes.length));
             in.feed(ByteBuffer.wrap(bytes, from, to - from));
-            while (in.worthReading() && in.message(parser::read) != null) {
+            while (in.mayHaveMessage() && in.readMessage(parser::read) != null) {
                 continue;
             }
             from = to;
         }
-        in.end();
-        while (in.worthReading() && in.message(parser::read) != null) {
+        in.endInput();
+        while (in.mayHaveMessage() && in.readMessage(parser::read) != null) {
             continue;
         }
     }
 
-    /** Some bytes of it turned, taken out, doubled or cut off. */
-    private static byte[] changed(byte[] bytes, Random random) {
-        byte[] changed = bytes.clone();
-        for (int n = 1 + random.nextInt(MOST_CHANGES); n > 0 && changed.length > 1; n--) {
-            int at = random.nextInt(changed.length);
+    /** Returns a copy with bytes randomly replaced, removed or cut off. */
+    private static byte[] mutate(byte[] bytes, Random random) {
+        byte[] mutated = bytes.clone();
+        for (int remaining = 1 + random.nextInt(MAX_MUTATIONS); remaining > 0
+            && mutated.length > 1; remaining--) {
+            int index = random.nextInt(mutated.length);
             switch (random.nextInt(4)) {
-                case 0 -> changed[at] = (byte) random.nextInt(256);
-                case 1 -> changed[at] = (byte) " ,=:\r\n0O-".charAt(random.nextInt(9));
+                case 0 -> mutated[index] = (byte) random.nextInt(256);
+                case 1 -> mutated[index] = (byte) " ,=:\r\n0O-".charAt(random.nextInt(9));
                 case 2 -> {
-                    System.arraycopy(changed, at + 1, changed, at, changed.length - at - 1);
-                    changed = Arrays.copyOf(changed, changed.length - 1);
+                    System.arraycopy(mutated, index + 1, mutated, index, mutated.length - index - 1);
+                    mutated = Arrays.copyOf(mutated, mutated.length - 1);
                 }
-                default -> changed = Arrays.copyOf(changed, at + 1);
+                default -> mutated = Arrays.copyOf(mutated, index + 1);
             }
         }
-        return changed;
+        return mutated;
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/HttpTest.java
+++ b/proxy/src/test/java/spurroad/protocol/HttpTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 import spurroad.model.Outcome;
 
-/** Responses of the origin, split at any byte, and streams of discovery. */
+/** Responses of the origin, split at any byte, and discovery streams. */
 public class HttpTest {
     private static final String READ = "mg 7f3a v O9b1f Pc=read,t=acme,d=480\r\n";
     private static final String WRITE = "ms 7f3a 5 O9b1f Pc=put,t=acme,d=480,k=5c0f\r\nhello\r\n";
@@ -40,17 +40,18 @@
     }
 
     @Test(dataProvider = "responses")
-    public void aResponseIsReadWhereverItIsSplit(String command, String reply, Outcome outcome,
-                                                 String answer,
-                                                 boolean more)
+    public void readsResponseSplitAtAnyByte(String command, String reply, Outcome outcome,
+                                            String clientResponse,
+                                            boolean reusable)
         throws IOException {
-        MetaCommand c = MetaCommand.read(WireText.stream(command));
+        MetaCommand parsedCommand = MetaCommand.read(WireText.stream(command));
         for (int split = 1; split < reply.length(); split++) {
-            UpstreamReply r = Http.read(WireText.streamInTwoParts(reply, split), c);
-            assertEquals(r.outcome(), outcome);
-            assertEquals(r.response() == null ? null : WireText.text(r.response()), answer);
-            assertEquals(r.reusable(), more);
-            assertEquals(r.load().queued(), reply.contains("X-Load") ? 4 : Double.NaN);
+            UpstreamReply parsedReply = Http.read(WireText.streamInTwoParts(reply, split), parsedCommand);
+            assertEquals(parsedReply.outcome(), outcome);
+            assertEquals(parsedReply.response() == null ? null : WireText.text(parsedReply.response()),
+                clientResponse);
+            assertEquals(parsedReply.reusable(), reusable);
+            assertEquals(parsedReply.loadReport().queued(), reply.contains("X-Load") ? 4 : Double.NaN);
         }
     }
 
@@ -69,34 +70,34 @@
     }
 
     @Test(dataProvider = "unusableResponses")
-    public void anUnusableResponseIsRejected(String reply) throws IOException {
-        MetaCommand c = MetaCommand.read(WireText.stream(READ));
-        assertThrows(IOException.class, () -> Http.read(WireText.stream(reply), c));
+    public void rejectsUnusableResponse(String reply) throws IOException {
+        MetaCommand command = MetaCommand.read(WireText.stream(READ));
+        assertThrows(IOException.class, () -> Http.read(WireText.stream(reply), command));
     }
 
     @Test
-    public void linesGoOnOverChunksOfAStreamThatMayEndInsideOne() throws IOException {
+    public void readsListSpanningChunksAndRejectsTruncatedList() throws IOException {
         String watch = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{\"\r\n4\r\na\"}\n\r\n"
             + "1\r\n\n\r\n";
         ByteSource in = WireText.stream(watch + "0\r\n\r\n");
-        ByteSource lines = Http.stream(in, Http.head(in));
-        assertEquals(Http.listText(lines), "{\"a\"}");
-        assertEquals(Http.listText(lines), "");
-        assertNull(Http.listText(lines));
-        ByteSource cut = WireText.stream(watch + "3\r\n{\"");
-        ByteSource cutLines = Http.stream(cut, Http.head(cut));
-        Http.listText(cutLines);
-        Http.listText(cutLines);
-        assertThrows(IOException.class, () -> Http.listText(cutLines));
+        ByteSource lines = Http.bodyStream(in, Http.readFinalHead(in));
+        assertEquals(Http.readListText(lines), "{\"a\"}");
+        assertEquals(Http.readListText(lines), "");
+        assertNull(Http.readListText(lines));
+        ByteSource truncated = WireText.stream(watch + "3\r\n{\"");
+        ByteSource truncatedLines = Http.bodyStream(truncated, Http.readFinalHead(truncated));
+        Http.readListText(truncatedLines);
+        Http.readListText(truncatedLines);
+        assertThrows(IOException.class, () -> Http.readListText(truncatedLines));
     }
 
     @Test
-    public void aListMayHaveSeveralLines() throws IOException {
+    public void readsListOfSeveralLines() throws IOException {
         ByteSource lines = WireText.stream("\n{\n  \"a}\": {\"b\": \"\\\"{\"\n  }\n}\n\n{}\n{\n");
-        assertEquals(Http.listText(lines), "");
-        assertEquals(Json.read(Http.listText(lines)), Map.of("a}", Map.of("b", "\"{")));
-        assertEquals(Http.listText(lines), "");
-        assertEquals(Http.listText(lines), "{}");
-        assertThrows(IOException.class, () -> Http.listText(lines));
+        assertEquals(Http.readListText(lines), "");
+        assertEquals(Json.read(Http.readListText(lines)), Map.of("a}", Map.of("b", "\"{")));
+        assertEquals(Http.readListText(lines), "");
+        assertEquals(Http.readListText(lines), "{}");
+        assertThrows(IOException.class, () -> Http.readListText(lines));
     }
 }
--- a/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecTest.java
+++ b/proxy/src/test/java/spurroad/protocol/PeerUpdateCodecTest.java
@@ -11,7 +11,7 @@
 import spurroad.model.PeerUpdate;
 import spurroad.model.PeerUpdate.Topic;
 
-/** The bytes of updates between proxies. */
+/** Lengths of encoded peer updates, and rejection of invalid values. */
 public class PeerUpdateCodecTest {
     @DataProvider
     Object[][] updates() {
@@ -29,20 +29,21 @@
     }
 
     @Test(dataProvider = "updates")
-    public void updatesAreReadAsTheyWereWritten(PeerUpdate update, int bytes) throws ProtocolException {
-        byte[] message = PeerUpdateCodec.write(update);
-        assertEquals(message.length, bytes);
-        assertEquals(PeerUpdateCodec.read(message), update);
-        for (int cut = 0; cut < message.length; cut++) {
-            byte[] part = Arrays.copyOf(message, cut);
-            assertThrows(ProtocolException.class, () -> PeerUpdateCodec.read(part));
+    public void decodesEncodedUpdateAndRejectsOtherLengths(PeerUpdate update, int length)
+        throws ProtocolException {
+        byte[] message = PeerUpdateCodec.encode(update);
+        assertEquals(message.length, length);
+        assertEquals(PeerUpdateCodec.decode(message), update);
+        for (int partLength = 0; partLength < message.length; partLength++) {
+            byte[] part = Arrays.copyOf(message, partLength);
+            assertThrows(ProtocolException.class, () -> PeerUpdateCodec.decode(part));
         }
         assertThrows(ProtocolException.class,
-            () -> PeerUpdateCodec.read(Arrays.copyOf(message, message.length + 1)));
+            () -> PeerUpdateCodec.decode(Arrays.copyOf(message, message.length + 1)));
     }
 
     @DataProvider
-    Object[][] impossible() {
+    Object[][] invalidValues() {
         return new Object[][] {{0, 0f, 1f}, {0, 2f, 1f}, {0, -1.5f, 1f}, {0, Float.NaN, 1f}, {1, -1f, 1f},
             {1, Float.POSITIVE_INFINITY, 1f}, {1, 2e6f, 1f}, {1, 5f, 0f}, {1, 5f, 1.01f}, {1, 5f, -0.5f},
             {1, 5f, Float.NaN},
@@ -52,13 +53,13 @@
             {7, 5f, Float.NaN}, {8, 1f, 1f}, {-1, 1f, 1f}};
     }
 
-    @Test(dataProvider = "impossible")
-    public void impossibleValuesAreRejected(int topic, float value, float cachedFraction) {
+    @Test(dataProvider = "invalidValues")
+    public void rejectsInvalidValues(int topic, float value, float cachedFraction) {
         boolean hasKey = topic == 0 || topic == 6 || topic == 7;
         boolean hasQueue = topic == 1 || topic == 7;
         ByteBuffer bytes = ByteBuffer.allocate(13 + (hasQueue ? 8 : 0) + (hasKey ? 8 : 0)).put((byte) topic)
             .putLong(1).putFloat(value);
         byte[] message = (hasQueue ? bytes.putInt(1000).putFloat(cachedFraction) : bytes).array();
-        assertThrows(ProtocolException.class, () -> PeerUpdateCodec.read(message));
+        assertThrows(ProtocolException.class, () -> PeerUpdateCodec.decode(message));
     }
 }
