--- a/control/src/main/java/spurroad/control/decide/EndpointState.java
+++ b/control/src/main/java/spurroad/control/decide/EndpointState.java
@@ -1,14 +1,15 @@
 package spurroad.control.decide;
 
 /**
- * Which requests may be sent to an endpoint, from the least to the most restrictive state. The names are a
- * part of the version of a snapshot and of the differences that people read: they must not change.
+ * Defines which requests may be sent to an endpoint, from the least to the most restrictive state. The names
+ * of the constants are part of the hash in a snapshot's version and of the differences that are shown to
+ * operators, so they must not change.
  */
 public enum EndpointState {
-    /** All requests. */
+    /** The endpoint receives all requests. */
     ACTIVE,
-    /** No new requests; requests in flight are completed. */
+    /** The endpoint receives no new requests; requests in flight are completed. */
     DRAINING,
-    /** No requests; the endpoint has left the fleet. */
+    /** The endpoint receives no requests; it has left the fleet. */
     GONE
 }
--- a/control/src/main/java/spurroad/control/decide/Rollout.java
+++ b/control/src/main/java/spurroad/control/decide/Rollout.java
@@ -3,42 +3,43 @@
 import java.util.Arrays;
 
 /**
- * A staged roll-out of a policy: some proxies get it first, as a canary, and the rest stage by stage while
- * the canary is not worse. A stage lasts for a minimum time and a minimum number of requests of the canary.
- * When the canary's failure rate exceeds that of the others, the baseline, by more than a margin and the
- * variation to be expected by chance, the policy is rolled back everywhere.
+ * A staged rollout of a policy. Some proxies, the canary, receive the policy first; the others follow stage
+ * by stage as long as the canary performs no worse. Each stage lasts for a minimum time and a minimum number
+ * of canary requests. The policy is rolled back everywhere when the canary's failure rate exceeds that of the
+ * other proxies, the baseline, by more than a margin plus the variation that is expected by chance.
  *
- * <p>The proxies of a canary follow from a hash of their names and the version, so that every control service
- * chooses the same ones, and each version others. The comparison is a one-sided two-proportion z-test against
- * the margin, which is repeated with every evaluation.
+ * <p>The proxies of a canary are chosen by a hash of their names and the version, so that every control
+ * service chooses the same proxies, and each version uses different ones. The comparison is a one-sided
+ * two-proportion z-test against the margin, which is repeated with every evaluation.
  *
  * <p>Not thread-safe. Times are nanoseconds of a monotonic clock.
  */
 public final class Rollout {
-    /** The progress of a roll-out. */
+    /** The progress of a rollout. */
     public enum Status {
         /** A stage is in progress. */
         IN_PROGRESS,
-        /** All proxies have the policy, for good. */
+        /** All proxies have the policy; final. */
         COMPLETED,
-        /** No proxy has the policy any more, for good. */
+        /** The policy was withdrawn from all proxies; final. */
         ROLLED_BACK
     }
 
-    /** Standard deviations beyond which a difference is not chance: one false alarm in 740 evaluations. */
+    /** Significance threshold in standard deviations; 3 gives one false alarm in 740 evaluations. */
     private static final double SIGNIFICANT_DEVIATIONS = 3;
 
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
     private static final long SPLIT_MIX_FIRST_FACTOR = 0xbf58476d1ce4e5b9L;
     private static final long SPLIT_MIX_SECOND_FACTOR = 0x94d049bb133111ebL;
-    /** Bits of a long that do not fit the mantissa of a double, and the unit of the remaining 53. */
+    /** Low bits of a hash to drop, as the mantissa of a double has only 53 bits. */
     private static final int EXCESS_BITS = 11;
+    /** Scales a 53-bit integer to the range from 0 to below 1. */
     private static final double MANTISSA_UNIT = 0x1p-53;
 
-    /** The requests of a group of proxies in one stage. */
+    /** Counts the requests of a group of proxies in one stage. */
     private static final class RequestCounts {
-        private long served; // in time
+        private long served; // answered in time
         private long total;
 
         private void add(long moreServed, long moreTotal) {
@@ -65,21 +66,22 @@
     /**
      * Begins the first stage.
      *
-     * @param nowNanos the time
-     * @param version of the policy that is rolled out
-     * @param stageFractions fraction of the proxies that have the policy in each stage, rising, the last one
-     *     1
+     * @param nowNanos the current time
+     * @param version version of the policy
+     * @param stageFractions fraction of the proxies that have the policy in each stage, ascending; the last
+     *     one must be 1
      * @param minStageNanos minimum duration of a stage
-     * @param minCanaryRequests how many requests the canary must report in a stage
+     * @param minCanaryRequests minimum number of requests that the canary must report in a stage
      * @param margin by which the canary's failure rate may exceed the baseline's, as a fraction of all
      *     requests
-     * @throws IllegalArgumentException where the last stage is not that of all proxies
+     * @throws IllegalArgumentException if the last stage does not include all proxies
      */
     public Rollout(long nowNanos, String version, double[] stageFractions, long minStageNanos,
                    long minCanaryRequests, double margin) {
         if (stageFractions.length == 0 || stageFractions[stageFractions.length - 1] != 1) {
             throw new IllegalArgumentException(
-                "stages " + Arrays.toString(stageFractions) + ": expected the last one to be 1");
+                "stage fractions " + Arrays.toString(stageFractions)
+                    + ": expected the last fraction to be 1");
         }
         this.version = version;
         this.stageFractions = stageFractions.clone();
@@ -89,13 +91,14 @@
         stageStartNanos = nowNanos;
     }
 
-    /** Whether the policy applies to a proxy now. */
+    /** Returns whether the policy applies to a proxy now. */
     public boolean includes(String proxy) {
         return status != Status.ROLLED_BACK && position(proxy) < stageFractions[stage];
     }
 
     /**
-     * A proxy's position in the order of the roll-out, from 0 to below 1: a hash, FNV-1a mixed by SplitMix64.
+     * Returns a proxy's position in the order of the rollout, from 0 to below 1: an FNV-1a hash that is mixed
+     * with the finalizer of SplitMix64.
      */
     private double position(String proxy) {
         long hash = FNV_OFFSET_BASIS;
@@ -108,7 +111,7 @@
     }
 
     /**
-     * Adds a proxy's report.
+     * Adds a proxy's report to the counts of the current stage.
      *
      * @param served requests since the previous report that the proxy served in time
      * @param total all requests since the previous report
@@ -118,8 +121,8 @@
     }
 
     /**
-     * Compares canary and baseline, and advances to the next stage, completes or rolls back where that is
-     * due.
+     * Compares canary and baseline, and then advances to the next stage, completes the rollout or rolls it
+     * back if that is due. Returns the resulting status.
      */
     public Status evaluate(long nowNanos) {
         if (status != Status.IN_PROGRESS || canary.total < minCanaryRequests) {
@@ -144,7 +147,7 @@
         }
     }
 
-    /** Without a baseline, as in the last stage, there is nothing to compare with. */
+    /** Returns false without a baseline, as in the last stage, because there is nothing to compare with. */
     private boolean isCanaryWorse() {
         if (baseline.total == 0) {
             return false;
@@ -156,7 +159,7 @@
         return canary.failureRate() - baseline.failureRate() > margin + SIGNIFICANT_DEVIATIONS * deviation;
     }
 
-    /** The fraction of the proxies that have the policy now. */
+    /** Returns the fraction of the proxies that have the policy now. */
     public double includedFraction() {
         return status == Status.ROLLED_BACK ? 0 : stageFractions[stage];
     }
--- a/control/src/main/java/spurroad/control/decide/Snapshot.java
+++ b/control/src/main/java/spurroad/control/decide/Snapshot.java
@@ -9,30 +9,30 @@
 import java.util.TreeMap;
 
 /**
- * All endpoints and policy that are sent to proxies at one time. The version is a hash of the content alone:
- * control services without contact compute the same version for the same content, so that a proxy which
- * changes from one to another sees no change.
+ * All endpoints and the policy that are sent to proxies at one time. The version is a hash of the content
+ * alone. Control services that are not in contact therefore compute the same version for the same content,
+ * and a proxy that switches between them sees no change.
  *
- * @param number counts the snapshots of one control service, from 1 on
- * @param version of the content, in hexadecimal digits
- * @param createdAtMillis Unix time in milliseconds
- * @param cause why the snapshot differs from the previous one, in one line
- * @param endpoints by uid
- * @param policy keys and values of the operators' policy, in the form that proxies accept
+ * @param number number of the snapshot at one control service, starting at 1
+ * @param version hash of the content, in hexadecimal digits
+ * @param createdAtMillis creation time, Unix time in milliseconds
+ * @param cause one-line reason why the snapshot differs from the previous one
+ * @param endpoints the endpoints by uid
+ * @param policy keys and values of the operators' policy, in the format that proxies accept
  */
 public record Snapshot(long number, String version, long createdAtMillis, String cause,
                        SortedMap<String, Endpoint> endpoints, SortedMap<String, String> policy) {
-    /** How many hexadecimal digits of the SHA-256 a version has: 64 bits. */
+    /** Number of hexadecimal digits of the SHA-256 hash in a version: 64 bits. */
     private static final int VERSION_DIGITS = 16;
 
-    /** Creates a snapshot with the version of its content, which is copied. */
+    /** Creates a snapshot of copies of the content, and computes its version. */
     public static Snapshot of(long number, long createdAtMillis, String cause,
                               SortedMap<String, Endpoint> endpoints, SortedMap<String, String> policy) {
         return new Snapshot(number, version(endpoints, policy), createdAtMillis, cause,
             new TreeMap<>(endpoints), new TreeMap<>(policy));
     }
 
-    /** The version of a content. */
+    /** Returns the hash that identifies the given content. */
     public static String version(SortedMap<String, Endpoint> endpoints, SortedMap<String, String> policy) {
         MessageDigest digest = sha256();
         endpoints.values().forEach(endpoint -> update(digest, endpoint));
@@ -44,13 +44,14 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("SHA-256 is missing: expected in every Java runtime", e);
+            throw new IllegalStateException(
+                "SHA-256 is not available, though every Java runtime must provide it", e);
         }
     }
 
     /**
-     * Adds an endpoint. The literal in the first field is a part of the version and must not change with the
-     * name of the type.
+     * Adds an endpoint to the digest. The literal {@code member} in the first field is part of the hash and
+     * must not change, whatever the type is called.
      */
     private static void update(MessageDigest digest, Endpoint endpoint) {
         update(digest, "member", endpoint.uid(), endpoint.address(), endpoint.zone(), endpoint.kind(),
@@ -58,7 +59,7 @@
             endpoint.status().state().name());
     }
 
-    /** Adds each field with its length before it, so that different contents result in different bytes. */
+    /** Adds each field preceded by its length, so that different contents result in different bytes. */
     private static void update(MessageDigest digest, String... fields) {
         for (String field : fields) {
             byte[] bytes = field.getBytes(StandardCharsets.UTF_8);
@@ -69,7 +70,8 @@
     }
 
     /**
-     * The differences from an earlier snapshot, a line each, in the order of uids and then of policy keys.
+     * Returns the differences from an earlier snapshot, one line each: endpoints in the order of uids, then
+     * policy settings in the order of keys.
      */
     public List<String> differencesFrom(Snapshot earlier) {
         return SnapshotDiff.of(earlier, this);
--- a/control/src/main/java/spurroad/control/decide/SnapshotDiff.java
+++ b/control/src/main/java/spurroad/control/decide/SnapshotDiff.java
@@ -8,12 +8,13 @@
 import java.util.function.BiFunction;
 
 /**
- * The differences between two snapshots for people: lines that begin with {@code +}, {@code -} or {@code ~}.
+ * Describes the differences between two snapshots for operators, in lines that begin with {@code +},
+ * {@code -} or {@code ~}.
  */
 final class SnapshotDiff {
     private SnapshotDiff() {}
 
-    /** The lines for all that was added, removed or changed. */
+    /** Returns one line for each endpoint and policy key that was added, removed or changed. */
     static List<String> of(Snapshot before, Snapshot after) {
         List<String> lines = new ArrayList<>();
         compare(before.endpoints(), after.endpoints(), lines, SnapshotDiff::describe,
--- a/control/src/main/java/spurroad/control/decide/SnapshotHistory.java
+++ b/control/src/main/java/spurroad/control/decide/SnapshotHistory.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.SortedMap;
 
-/** The latest snapshots, a bounded number of them. Not thread-safe. */
+/** Retains a bounded number of the latest snapshots. Not thread-safe. */
 public final class SnapshotHistory {
     private static final int MIN_CAPACITY = 2;
 
@@ -14,32 +14,32 @@
     private final Deque<Snapshot> snapshots = new ArrayDeque<>();
     private long lastNumber;
 
-    /** Creates an empty history that retains {@code capacity} snapshots, but at least two. */
+    /** Creates an empty history that retains up to {@code capacity} snapshots, but at least two. */
     public SnapshotHistory(int capacity) {
         this.capacity = Math.max(MIN_CAPACITY, capacity);
     }
 
-    /** The latest snapshot; empty before the first. */
+    /** Returns the latest snapshot; empty before the first. */
     public Optional<Snapshot> latest() {
         return Optional.ofNullable(snapshots.peekLast());
     }
 
-    /** All retained snapshots, the oldest first. */
+    /** Returns all retained snapshots, the oldest first. */
     public List<Snapshot> all() {
         return List.copyOf(snapshots);
     }
 
-    /** The snapshot with a number; empty where it is not retained, or never existed. */
+    /** Returns the snapshot with a number; empty if it is no longer retained or never existed. */
     public Optional<Snapshot> find(long number) {
         return snapshots.stream().filter(snapshot -> snapshot.number() == number).findFirst();
     }
 
     /**
-     * Adds a snapshot of a content unless the content has not changed.
+     * Adds a snapshot of the given content if it differs from the latest snapshot.
      *
-     * @param createdAtMillis Unix time in milliseconds
-     * @param cause why the content differs from the previous one, in one line
-     * @return the latest snapshot, which has that content
+     * @param createdAtMillis creation time, Unix time in milliseconds
+     * @param cause one-line reason why the content differs from the previous one
+     * @return the latest snapshot, which has the given content
      */
     public Snapshot record(long createdAtMillis, String cause, SortedMap<String, Endpoint> endpoints,
                            SortedMap<String, String> policy) {
@@ -57,12 +57,12 @@
     }
 
     /**
-     * Adds a snapshot with the policy of an earlier one. The current endpoints are retained: with old ones,
-     * requests would be sent to nodes that have left since.
+     * Adds a snapshot with the policy of an earlier one and the current endpoints. With the earlier
+     * endpoints, requests would be sent to cache nodes that have left since.
      *
-     * @param createdAtMillis Unix time in milliseconds
-     * @param number of the earlier snapshot
-     * @return the latest snapshot; empty where the earlier one is not retained
+     * @param createdAtMillis creation time, Unix time in milliseconds
+     * @param number number of the earlier snapshot
+     * @return the latest snapshot; empty if the earlier one is not retained
      */
     public Optional<Snapshot> rollBackPolicy(long createdAtMillis, long number) {
         return find(number).map(earlier -> record(createdAtMillis, "policy of snapshot " + number + " again",
--- a/control/src/main/java/spurroad/control/decide/SourceViews.java
+++ b/control/src/main/java/spurroad/control/decide/SourceViews.java
@@ -8,20 +8,21 @@
 import java.util.TreeMap;
 
 /**
- * The endpoints as several sources report them, such as discovery, a second discovery and the endpoints
- * themselves. The status of an endpoint is the join of what the sources report ({@link EndpointStatus}). An
- * endpoint that a full list omits is gone for its source, unless another source reports it in a later
- * incarnation. The reports of a lost source still count, as they can only be older or more restrictive; its
- * omissions do not, as a lost source can't know of later endpoints.
+ * Merges the endpoints that several sources report, such as discovery, a second discovery and the endpoints
+ * themselves. The status of an endpoint is the join of the reported statuses ({@link EndpointStatus}). An
+ * endpoint that a source omits from its full list counts as gone, unless another source reports a later
+ * incarnation of it. The reports of a lost source still count, as they can only be older or more restrictive.
+ * Omissions of a lost source do not count, because it can't know of later endpoints.
  *
- * <p>Memory is bounded by the endpoints that some source does not report as gone. Not thread-safe.
+ * <p>Memory is bounded by the number of endpoints that at least one source does not report as gone. Not
+ * thread-safe.
  */
 public final class SourceViews {
-    /** What one source has reported. */
-    private static final class View {
+    /** The endpoints that one source has reported. */
+    private static final class SourceView {
         private final Map<String, Endpoint> endpoints = new HashMap<>();
         private boolean isLive;
-        private boolean isComplete; // whether it has sent a full list
+        private boolean isComplete; // the source has sent a full list
 
         private boolean omits(String uid) {
             return isLive && isComplete && !endpoints.containsKey(uid);
@@ -33,45 +34,45 @@
         }
     }
 
-    private final Map<String, View> views = new LinkedHashMap<>(); // by source
+    private final Map<String, SourceView> views = new LinkedHashMap<>(); // by source
 
-    /** Replaces all earlier reports of a source with the endpoints that it knows. */
+    /** Replaces all earlier reports of a source with a full list of its endpoints. */
     public void onFullList(String source, Collection<Endpoint> endpoints) {
-        View view = liveView(source);
+        SourceView view = liveView(source);
         view.isComplete = true;
         view.endpoints.clear();
         endpoints.forEach(endpoint -> view.endpoints.put(endpoint.uid(), endpoint));
     }
 
-    /** Adds or replaces the endpoints of a source that are new or have changed. */
+    /** Adds endpoints that are new at a source, and replaces those that have changed. */
     public void onChanges(String source, Collection<Endpoint> endpoints) {
-        View view = liveView(source);
+        SourceView view = liveView(source);
         endpoints.forEach(endpoint -> view.endpoints.put(endpoint.uid(), endpoint));
     }
 
-    private View liveView(String source) {
-        View view = views.computeIfAbsent(source, key -> new View());
+    private SourceView liveView(String source) {
+        SourceView view = views.computeIfAbsent(source, key -> new SourceView());
         view.isLive = true;
         return view;
     }
 
-    /** Records that a source can't be reached any more; its next report makes it live again. */
+    /** Marks a source as unreachable; its next report marks it as live again. */
     public void onSourceLost(String source) {
-        View view = views.get(source);
+        SourceView view = views.get(source);
         if (view != null) {
             view.isLive = false;
         }
     }
 
-    /** Whether any source can be reached. */
+    /** Returns whether at least one source is reachable. */
     public boolean isAnySourceLive() {
         return views.values().stream().anyMatch(view -> view.isLive);
     }
 
-    /** The endpoints that are not gone, by uid, with the join of what all sources report. */
+    /** Returns the endpoints that are not gone, by uid, with the joined status of all sources. */
     public SortedMap<String, Endpoint> mergedEndpoints() {
         SortedMap<String, Endpoint> merged = new TreeMap<>();
-        for (View view : views.values()) {
+        for (SourceView view : views.values()) {
             view.endpoints.forEach((uid, endpoint) -> merged.merge(uid, endpoint, SourceViews::join));
         }
         merged.replaceAll((uid, endpoint) -> endpoint.withStatus(
@@ -81,7 +82,7 @@
         return merged;
     }
 
-    /** The endpoint that has the joined status, with its address. */
+    /** Returns whichever endpoint has the joined status; the second one if both have it. */
     private static Endpoint join(Endpoint first, Endpoint second) {
         EndpointStatus joined = first.status().join(second.status());
         return joined.equals(second.status()) ? second : first;
@@ -94,7 +95,7 @@
 
     /** Removes the endpoints that every source omits or reports as gone. */
     private void removeGone() {
-        for (View view : views.values()) {
+        for (SourceView view : views.values()) {
             view.endpoints.keySet().removeIf(this::isGoneEverywhere);
         }
     }
--- a/control/src/main/java/spurroad/control/decide/XdsSubscription.java
+++ b/control/src/main/java/spurroad/control/decide/XdsSubscription.java
@@ -4,47 +4,47 @@
 
 /**
  * The subscription of one proxy to one type of resource on an xDS stream, in the state-of-the-world variant.
- * At most one response is unanswered at a time; a newer version replaces the one that is queued behind it, so
- * that a slow proxy is sent the newest state and no queue grows. A version that the proxy rejected is not
- * sent again.
+ * At most one response is unanswered at a time, and only the newest version waits behind it, so that a slow
+ * proxy receives the newest state and no queue grows. A version that the proxy rejected is not sent again.
  *
  * <p>Source: "xDS REST and gRPC protocol", sections on ACK, NACK, nonces and resource type instance versions.
  *
- * <p>Not thread-safe. An empty version stands for none.
+ * <p>Not thread-safe. An empty string stands for no version.
  */
 public final class XdsSubscription {
     private static final String NONE = "";
 
     private String newestVersion = NONE;
-    private String pendingVersion = NONE; // of the response that is not answered yet
+    private String pendingVersion = NONE; // version of the unanswered response
     private String lastNonce = NONE;
     private String acknowledgedVersion = NONE;
     private String rejectedVersion = NONE;
     private long responseCount;
     private boolean hasRequest;
-    private boolean mustResend; // other resources were requested, so even the acknowledged version is sent
+    private boolean mustResend; // the requested resources changed: even an acknowledged version is sent again
 
     /**
-     * A response to send.
+     * A response to send to the proxy.
      *
-     * @param nonce that the proxy returns with its acknowledgement or rejection
+     * @param version version of the resources in the response
+     * @param nonce identifier that the proxy returns when it acknowledges or rejects the response
      */
     public record Response(String version, String nonce) {}
 
-    /** Handles a new version of the resources; returns the response to send now. */
+    /** Handles a new version of the resources; returns the response to send now, if any. */
     public Optional<Response> onNewVersion(String version) {
         newestVersion = version;
         return nextResponse();
     }
 
     /**
-     * Handles a request of the proxy, which also acknowledges or rejects a response; returns the response to
-     * send now.
+     * Handles a request of the proxy, which may acknowledge or reject a response; returns the response to
+     * send now, if any.
      *
-     * @param version that the proxy acknowledged last; empty for none
-     * @param nonce of the response that this answers; empty in the first request of a stream
-     * @param error why the proxy rejects that response (NACK); null where it acknowledges it (ACK)
-     * @param resourcesChanged whether other resources are requested than before
+     * @param version version that the proxy acknowledged last; empty for none
+     * @param nonce nonce of the response that this request answers; empty in the first request of a stream
+     * @param error reason why the proxy rejects that response (NACK); null if it acknowledges it (ACK)
+     * @param resourcesChanged whether the set of requested resources differs from the previous request
      */
     public Optional<Response> onRequest(String version, String nonce, String error,
                                         boolean resourcesChanged) {
@@ -52,7 +52,7 @@
             return onFirstRequest(version, resourcesChanged);
         }
         if (!nonce.equals(lastNonce)) {
-            return Optional.empty(); // answers a response that a later one has replaced
+            return Optional.empty(); // answers a response that a later one has superseded
         }
         if (hasPendingResponse()) {
             completePendingResponse(error == null);
@@ -61,7 +61,9 @@
         return nextResponse();
     }
 
-    /** A proxy that resumes is not sent the version again that it has. */
+    /**
+     * Handles the first request; a proxy that resumes a subscription is not sent its current version again.
+     */
     private Optional<Response> onFirstRequest(String version, boolean resourcesChanged) {
         hasRequest = true;
         acknowledgedVersion = version;
@@ -95,17 +97,17 @@
         return Optional.of(new Response(pendingVersion, lastNonce));
     }
 
-    /** The version that the proxy acknowledged last; empty for none. */
+    /** Returns the version that the proxy acknowledged last; empty for none. */
     public String acknowledgedVersion() {
         return acknowledgedVersion;
     }
 
-    /** The version that the proxy rejected last; empty for none. */
+    /** Returns the version that the proxy rejected last; empty for none. */
     public String rejectedVersion() {
         return rejectedVersion;
     }
 
-    /** Whether the proxy has acknowledged the newest version. */
+    /** Returns whether the proxy has acknowledged the newest version. */
     public boolean isUpToDate() {
         return acknowledgedVersion.equals(newestVersion);
     }
--- a/control/src/main/java/spurroad/control/distribution/DistributionSettings.java
+++ b/control/src/main/java/spurroad/control/distribution/DistributionSettings.java
@@ -1,82 +1,84 @@
 package spurroad.control.distribution;
 
 /**
- * Times and bounds of the distribution, the same at all processes of a fleet. Durations are in nanoseconds.
- * Immutable.
+ * Durations and limits of the distribution, which must be the same at all processes of a fleet. Durations are
+ * in nanoseconds. Immutable.
  */
 public final class DistributionSettings {
-    /** Nanoseconds in a millisecond. */
+    /** Number of nanoseconds in a millisecond. */
     public static final long NANOS_PER_MILLISECOND = 1_000_000;
-    /** Nanoseconds in a second. */
+    /** Number of nanoseconds in a second. */
     public static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLISECOND;
 
     // ---- links
 
-    /** How often a publisher sends each child what is new, or a heartbeat. */
+    /**
+     * Interval at which a publisher sends each child an update: new changes and purges, or a bare heartbeat.
+     */
     public final long flushIntervalNanos = 250 * NANOS_PER_MILLISECOND;
-    /** After how long without an update a parent is lost: four heartbeats. */
+    /** Time without an update after which a parent counts as lost: four heartbeats. */
     public final long parentTimeoutNanos = 1_200 * NANOS_PER_MILLISECOND;
-    /** How long a reply to a request is awaited: above a round trip to the other side of the globe. */
+    /** Timeout for the reply to a request: longer than a round trip to the other side of the globe. */
     public final long requestTimeoutNanos = 450 * NANOS_PER_MILLISECOND;
-    /** After how long a subscriber detaches from a parent that has no parent itself. */
+    /** Time after which a subscriber detaches from a parent that has no parent itself. */
     public final long detachedTimeoutNanos = 700 * NANOS_PER_MILLISECOND;
-    /** After how long without an acknowledgement updates are sent again. */
+    /** Time without an acknowledgement after which updates are sent again. */
     public final long resendTimeoutNanos = NANOS_PER_SECOND;
-    /** After how long without a message a child is dropped. */
+    /** Time without a message after which a child is dropped. */
     public final long childTimeoutNanos = 5 * NANOS_PER_SECOND;
     /**
-     * After how long with a parent that is not preferred a subscriber searches for a preferred one; random
-     * jitter extends it up to twice that.
+     * Interval at which a subscriber whose parent is not a preferred one searches for a preferred parent;
+     * random jitter extends it to at most twice that.
      */
     public final long returnIntervalNanos = 10 * NANOS_PER_SECOND;
     /**
-     * How many updates to a child may be unacknowledged: those of a round trip around the globe, and a late
-     * one.
+     * Maximum number of unacknowledged updates to a child: those of a round trip around the globe, and one
+     * late update.
      */
     public final int maxUnacknowledgedUpdates = 3;
-    /** Purges in one update: 32 KiB, so that a child which catches up is sent 128 KiB/s. */
+    /** Maximum number of purges in one update: 32 KiB, so that a child that catches up receives 128 KiB/s. */
     public final int maxPurgesPerUpdate = 4_096;
 
     // ---- children of one publisher
 
-    /** How many children a publisher has at most. */
+    /** Maximum number of children of a publisher. */
     public final int maxChildren = 600;
-    /** How many new children a publisher accepts in a second, on average. */
+    /** Average number of new children that a publisher accepts per second. */
     public final int admissionsPerSecond = 200;
-    /** How many new children a publisher accepts in a burst. */
+    /** Maximum number of new children that a publisher accepts in a burst. */
     public final int admissionBurst = 40;
 
     // ---- retained for processes that are behind
 
-    /** Changes of the configuration: those of an hour and a half at 54,000 a day. */
+    /** Retained changes of the configuration: an hour and a half of changes at 54,000 a day. */
     public final int configurationLogCapacity = 4_096;
-    /** Purges that a relay retains in any case: those of 18 s at 450/s. */
+    /** Purges that a relay always retains: 18 s of purges at 450/s. */
     public final int usualPurgeLogCapacity = 8_192;
-    /** Purges that are retained while they are needed: those of more than an hour at 450/s; 16 MiB. */
+    /** Maximum number of purges retained while a process needs them: over an hour at 450/s; 16 MiB. */
     public final int maxPurgeLogCapacity = 1 << 21;
-    /** Entries of the replicated log. */
+    /** Retained entries of the replicated log. */
     public final int replicatedLogCapacity = 8_192;
 
     // ---- leases
 
     /**
-     * For how long a process serves responses as fresh without knowing of later purges: the 7 s in which a
-     * purge must take effect, less the time that applying it takes.
+     * How long a process may serve stored responses as fresh without information about later purges: the 7 s
+     * within which a purge must take effect, less the time to apply it.
      */
     public final long freshnessLeaseNanos = 6_500 * NANOS_PER_MILLISECOND;
-    /** How long a relay lease lasts. */
+    /** Duration of a relay lease. */
     public final long leaseDurationNanos = 3 * NANOS_PER_SECOND;
-    /** How often a relay lease is requested or renewed. */
+    /** Interval at which a relay lease is requested or renewed. */
     public final long leaseIntervalNanos = NANOS_PER_SECOND;
 
     // ---- replicated log
 
-    /** How often a leader sends each follower entries or a heartbeat. */
+    /** Interval at which a leader sends each follower entries or a heartbeat. */
     public final long heartbeatIntervalNanos = 100 * NANOS_PER_MILLISECOND;
-    /** After how long without a leader the first replica by rank stands for election. */
+    /** Time without a leader after which the replica with the first rank stands for election. */
     public final long electionTimeoutNanos = 450 * NANOS_PER_MILLISECOND;
-    /** How much later each next replica by rank stands for election, so that votes are seldom split. */
+    /** Additional election delay per rank, so that split votes are rare. */
     public final long electionStaggerNanos = 100 * NANOS_PER_MILLISECOND;
-    /** How many entries one message has at most. */
+    /** Maximum number of log entries in one message. */
     public final int maxEntriesPerAppend = 512;
 }
--- a/control/src/main/java/spurroad/control/distribution/MonotonicTime.java
+++ b/control/src/main/java/spurroad/control/distribution/MonotonicTime.java
@@ -1,18 +1,18 @@
 package spurroad.control.distribution;
 
 /**
- * Conversion between the nanoseconds in which a process counts time and the milliseconds in which messages
- * carry it. Both are of the same monotonic clock, whose zero means nothing outside its process.
+ * Converts between the nanoseconds that a process uses for times and the milliseconds that messages use. Both
+ * are readings of the same monotonic clock, whose origin has no meaning outside its process.
  */
 public final class MonotonicTime {
     private MonotonicTime() {}
 
-    /** The milliseconds of a time or duration, rounded towards zero. */
+    /** Converts a time or duration to milliseconds, rounded towards zero. */
     public static long toMillis(long nanos) {
         return nanos / DistributionSettings.NANOS_PER_MILLISECOND;
     }
 
-    /** The nanoseconds of a time or duration; wraps around beyond 292 years. */
+    /** Converts a time or duration to nanoseconds; overflows beyond 292 years. */
     public static long toNanos(long millis) {
         return millis * DistributionSettings.NANOS_PER_MILLISECOND;
     }
--- a/control/src/main/java/spurroad/control/distribution/codec/ConfigurationFormat.java
+++ b/control/src/main/java/spurroad/control/distribution/codec/ConfigurationFormat.java
@@ -9,13 +9,13 @@
 import spurroad.control.distribution.state.ConfigurationUpdate.Snapshot;
 import spurroad.control.distribution.state.ResourceKey;
 
-/** Configuration as a part of messages. Sequence numbers of entries are written as differences. */
+/** Wire format of configuration updates. The sequence numbers of entries are delta-encoded. */
 final class ConfigurationFormat {
-    private static final int ABSENT = 0; // kinds of an update
+    private static final int ABSENT = 0; // byte for the kind of update
     private static final int DELTA = 1;
     private static final int SNAPSHOT = 2;
 
-    private static final int MIN_ENTRY_BYTES = 4; // sequence, region, name and value, one byte each
+    private static final int MIN_ENTRY_BYTES = 4; // sequence number, region, name and value, one byte each
 
     private ConfigurationFormat() {}
 
@@ -39,7 +39,8 @@
             case ABSENT -> Optional.empty();
             case DELTA -> Optional.of(new Delta(in.readVarint(), in.readVarint(), readEntries(in)));
             case SNAPSHOT -> Optional.of(readSnapshot(in));
-            default -> throw new MalformedMessageException("configuration part " + kind);
+            default -> throw new MalformedMessageException(
+                "unknown kind of configuration update: expected 0 to 2, got " + kind);
         };
     }
 
@@ -83,7 +84,7 @@
         return new ResourceKey(in.readString(), in.readString());
     }
 
-    /** Writes a value that may be null, which stands for a removal. */
+    /** Writes a value, which is null for a removal. */
     static void writeValue(MessageWriter out, byte[] value) {
         out.writeBoolean(value != null);
         if (value != null) {
@@ -91,7 +92,7 @@
         }
     }
 
-    /** Reads a value that may be null, which stands for a removal. */
+    /** Reads a value; returns null for a removal. */
     static byte[] readValue(MessageReader in) throws MalformedMessageException {
         return in.readBoolean() ? in.readBytes() : null;
     }
--- a/control/src/main/java/spurroad/control/distribution/codec/LeaseFormats.java
+++ b/control/src/main/java/spurroad/control/distribution/codec/LeaseFormats.java
@@ -4,9 +4,9 @@
 import spurroad.control.distribution.message.Message.LeaseReply;
 import spurroad.control.distribution.message.Message.LeaseRequest;
 
-/** The messages about relay leases on the wire. */
+/** Wire formats of the messages about relay leases. */
 final class LeaseFormats {
-    /** The formats of both kinds. */
+    /** The formats of both message kinds. */
     static final List<MessageFormat<?>> ALL = List.of(
         new MessageFormat<>(5, LeaseRequest.class, LeaseFormats::writeRequest, LeaseFormats::readRequest),
         new MessageFormat<>(6, LeaseReply.class, LeaseFormats::writeReply, LeaseFormats::readReply));
--- a/control/src/main/java/spurroad/control/distribution/codec/MessageCodec.java
+++ b/control/src/main/java/spurroad/control/distribution/codec/MessageCodec.java
@@ -8,8 +8,9 @@
 import spurroad.control.distribution.message.Message;
 
 /**
- * Messages as bytes: the kind, the fields in the order of the record, and a CRC32C of both. A message is
- * decoded as a whole or not at all. Framing is up to the transport. Stateless and thread-safe.
+ * Encodes and decodes messages: a byte for the kind, the fields in the order of the record, and a CRC32C of
+ * both. A message is decoded completely or not at all. Framing is left to the transport. Stateless and
+ * thread-safe.
  */
 public final class MessageCodec {
     private static final List<MessageFormat<?>> FORMATS = Stream
@@ -24,11 +25,11 @@
         return FORMATS.stream().collect(Collectors.toUnmodifiableMap(key, Function.identity()));
     }
 
-    /** Encodes a message. */
+    /** Returns the bytes of a message, including the checksum. */
     public static byte[] encode(Message message) {
         MessageFormat<?> format = BY_TYPE.get(message.getClass());
         if (format == null) {
-            throw new IllegalArgumentException("no format for " + message.getClass());
+            throw new IllegalArgumentException("no wire format for message type " + message.getClass());
         }
         MessageWriter out = new MessageWriter();
         format.write(out, message);
@@ -36,10 +37,10 @@
     }
 
     /**
-     * Decodes a message, which must consist of all of the bytes.
+     * Decodes a message, which must use all of the bytes.
      *
-     * @throws MalformedMessageException where the bytes are cut off, corrupted, too many or contradict
-     *     themselves
+     * @throws MalformedMessageException if the bytes are truncated, corrupted, inconsistent, or followed by
+     *     more bytes
      */
     public static Message decode(byte[] bytes) throws MalformedMessageException {
         MessageReader in = new MessageReader(bytes);
@@ -55,7 +56,7 @@
     private static MessageFormat<?> formatOf(int kind) throws MalformedMessageException {
         MessageFormat<?> format = BY_KIND.get(kind);
         if (format == null) {
-            throw new MalformedMessageException("kind " + kind);
+            throw new MalformedMessageException("unknown message kind " + kind);
         }
         return format;
     }
--- a/control/src/main/java/spurroad/control/distribution/codec/MessageReader.java
+++ b/control/src/main/java/spurroad/control/distribution/codec/MessageReader.java
@@ -8,7 +8,8 @@
 
 /**
  * Reads the primitive types that a {@link MessageWriter} writes. Verifies the checksum first, and then each
- * value, so that no bytes lead to another exception or to an array larger than the message. Not thread-safe.
+ * value, so that invalid bytes cause no other exception, and no array larger than the message. Not
+ * thread-safe.
  */
 final class MessageReader {
     private static final int CHECKSUM_BYTES = 4;
@@ -21,16 +22,17 @@
         this.bytes = bytes;
         end = bytes.length - CHECKSUM_BYTES;
         if (end < 1) {
-            throw new MalformedMessageException("only " + bytes.length + " bytes");
+            throw new MalformedMessageException(
+                "message has " + bytes.length + " bytes: expected at least 5");
         }
         CRC32C checksum = new CRC32C();
         checksum.update(bytes, 0, end);
         if ((int) checksum.getValue() != ByteBuffer.wrap(bytes).getInt(end)) {
-            throw new MalformedMessageException("wrong checksum");
+            throw new MalformedMessageException("checksum does not match the content");
         }
     }
 
-    /** Reads a byte, from 0 to 255. */
+    /** Reads an unsigned byte, from 0 to 255. */
     int readByte() throws MalformedMessageException {
         requireRemaining(1);
         return bytes[position++] & 0xFF;
@@ -39,12 +41,12 @@
     boolean readBoolean() throws MalformedMessageException {
         int value = readByte();
         if (value > 1) {
-            throw new MalformedMessageException("flag " + value);
+            throw new MalformedMessageException("boolean: expected 0 or 1, got " + value);
         }
         return value == 1;
     }
 
-    /** Reads a number that is not negative, in its shortest form. */
+    /** Reads a number of 0 or more (LEB128), which must be in its shortest encoding. */
     long readVarint() throws MalformedMessageException {
         long value = 0;
         for (int shift = 0; shift < 63; shift += 7) {
@@ -52,30 +54,31 @@
             value |= (long) (next & 0x7F) << shift;
             if (next < 0x80) {
                 if (next == 0 && shift > 0) {
-                    throw new MalformedMessageException("a number longer than it needs to be");
+                    throw new MalformedMessageException(
+                        "varint has a redundant zero byte: expected the shortest encoding");
                 }
                 return value;
             }
         }
-        throw new MalformedMessageException("a number of more than 63 bits");
+        throw new MalformedMessageException("varint has more than 63 bits");
     }
 
-    /** Reads a number that is -1 for none. */
+    /** Reads a number of -1 or more, where -1 stands for no value. */
     long readVarintOrNone() throws MalformedMessageException {
         return readVarint() - 1;
     }
 
-    /** Reads how many elements follow, each of at least {@code minBytesEach} bytes. */
+    /** Reads the number of elements that follow, each of at least {@code minBytesEach} bytes. */
     int readCount(int minBytesEach) throws MalformedMessageException {
         long count = readVarint();
         if (count > (end - position) / minBytesEach) {
             throw new MalformedMessageException(
-                "a count of " + count + " with " + (end - position) + " bytes left");
+                "count or length of " + count + " exceeds the " + (end - position) + " remaining bytes");
         }
         return (int) count;
     }
 
-    /** Reads eight bytes, the high one first. */
+    /** Reads a long of eight bytes in big-endian order. */
     long readFixed64() throws MalformedMessageException {
         requireRemaining(Long.BYTES);
         long value = ByteBuffer.wrap(bytes).getLong(position);
@@ -83,33 +86,33 @@
         return value;
     }
 
-    /** Reads a text in UTF-8. */
+    /** Reads a string in UTF-8, preceded by its length in bytes. */
     String readString() throws MalformedMessageException {
         byte[] encoded = readBytes();
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(encoded)).toString();
         } catch (CharacterCodingException invalid) {
-            throw new MalformedMessageException("a text that is not UTF-8", invalid);
+            throw new MalformedMessageException("string is not valid UTF-8", invalid);
         }
     }
 
-    /** Reads bytes into an array of their own. */
+    /** Reads bytes, preceded by their number, into a new array. */
     byte[] readBytes() throws MalformedMessageException {
         int length = readCount(1);
         position += length;
         return Arrays.copyOfRange(bytes, position - length, position);
     }
 
-    /** Requires that all bytes before the checksum were read. */
+    /** Throws an exception unless all bytes before the checksum were read. */
     void requireFullyRead() throws MalformedMessageException {
         if (position != end) {
-            throw new MalformedMessageException(end - position + " bytes too many");
+            throw new MalformedMessageException(end - position + " unread bytes after the last field");
         }
     }
 
     private void requireRemaining(int byteCount) throws MalformedMessageException {
         if (end - position < byteCount) {
-            throw new MalformedMessageException("cut off");
+            throw new MalformedMessageException("message is truncated: a field ends after the last byte");
         }
     }
 }
--- a/control/src/main/java/spurroad/control/distribution/codec/MessageWriter.java
+++ b/control/src/main/java/spurroad/control/distribution/codec/MessageWriter.java
@@ -4,14 +4,14 @@
 import java.util.Arrays;
 import java.util.zip.CRC32C;
 
-/** Writes primitive types into an array that grows. Not thread-safe. */
+/** Writes primitive types into a growing array. Not thread-safe. */
 final class MessageWriter {
     private static final int INITIAL_BYTES = 64;
 
     private byte[] bytes = new byte[INITIAL_BYTES];
     private int length;
 
-    /** Writes the low eight bits. */
+    /** Writes the low eight bits of a value. */
     void writeByte(int value) {
         ensureCapacity(1);
         bytes[length++] = (byte) value;
@@ -21,22 +21,22 @@
         writeByte(value ? 1 : 0);
     }
 
-    /** Writes a number that is not negative: seven bits a byte, the low ones first (LEB128). */
+    /** Writes a number of 0 or more with seven bits per byte, the low ones first (LEB128). */
     void writeVarint(long value) {
-        long rest = value;
-        while ((rest & ~0x7FL) != 0) {
-            writeByte((int) ((rest & 0x7F) | 0x80));
-            rest >>>= 7;
+        long remaining = value;
+        while ((remaining & ~0x7FL) != 0) {
+            writeByte((int) ((remaining & 0x7F) | 0x80));
+            remaining >>>= 7;
         }
-        writeByte((int) rest);
+        writeByte((int) remaining);
     }
 
-    /** Writes a number that is -1 for none. */
+    /** Writes a number of -1 or more, where -1 stands for no value. */
     void writeVarintOrNone(long value) {
         writeVarint(value + 1);
     }
 
-    /** Writes eight bytes, the high one first. */
+    /** Writes a long as eight bytes in big-endian order. */
     void writeFixed64(long value) {
         ensureCapacity(Long.BYTES);
         for (int shift = 56; shift >= 0; shift -= 8) {
@@ -44,12 +44,12 @@
         }
     }
 
-    /** Writes a text in UTF-8, its length in bytes first. */
+    /** Writes a string in UTF-8, preceded by its length in bytes. */
     void writeString(String value) {
         writeBytes(value.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Writes bytes, their number first. */
+    /** Writes bytes, preceded by their number. */
     void writeBytes(byte[] value) {
         writeVarint(value.length);
         ensureCapacity(value.length);
@@ -63,13 +63,13 @@
         }
     }
 
-    /** Appends the checksum of all bytes that were written; returns the bytes with the checksum. */
+    /** Appends the checksum of all written bytes; returns the bytes including the checksum. */
     byte[] toByteArray() {
         CRC32C checksum = new CRC32C();
         checksum.update(bytes, 0, length);
-        int sum = (int) checksum.getValue();
+        int crc = (int) checksum.getValue();
         for (int shift = 24; shift >= 0; shift -= 8) {
-            writeByte(sum >>> shift);
+            writeByte(crc >>> shift);
         }
         return Arrays.copyOf(bytes, length);
     }
--- a/control/src/main/java/spurroad/control/distribution/codec/PurgeFormat.java
+++ b/control/src/main/java/spurroad/control/distribution/codec/PurgeFormat.java
@@ -4,9 +4,9 @@
 import spurroad.control.distribution.state.PurgeBatch;
 import spurroad.control.distribution.state.PurgeUpdate;
 
-/** Purges as a part of messages: eight bytes each. */
+/** Wire format of purge updates, with eight bytes for each purge. */
 final class PurgeFormat {
-    private static final int ABSENT = 0; // kinds of an update
+    private static final int ABSENT = 0; // byte for the kind of update
     private static final int BATCH = 1;
     private static final int RESET = 2;
 
@@ -32,7 +32,8 @@
             case ABSENT -> Optional.empty();
             case BATCH -> Optional.of(new PurgeBatch(in.readVarint(), readHashes(in)));
             case RESET -> Optional.of(new PurgeUpdate.Reset(in.readVarint()));
-            default -> throw new MalformedMessageException("purge part " + kind);
+            default -> throw new MalformedMessageException(
+                "unknown kind of purge update: expected 0 to 2, got " + kind);
         };
     }
 
--- a/control/src/main/java/spurroad/control/distribution/codec/ReplicationFormats.java
+++ b/control/src/main/java/spurroad/control/distribution/codec/ReplicationFormats.java
@@ -11,9 +11,9 @@
 import spurroad.control.distribution.message.Message.RequestVote;
 import spurroad.control.distribution.message.Message.RequestVoteReply;
 
-/** The messages between replicas of the core on the wire. */
+/** Wire formats of the messages between replicas of the core. */
 final class ReplicationFormats {
-    /** The formats of all five kinds. */
+    /** The formats of all five message kinds. */
     static final List<MessageFormat<?>> ALL = List.of(
         new MessageFormat<>(7, RequestVote.class, ReplicationFormats::writeRequestVote,
             ReplicationFormats::readRequestVote),
@@ -26,11 +26,11 @@
         new MessageFormat<>(11, InstallSnapshot.class, ReplicationFormats::writeInstallSnapshot,
             ReplicationFormats::readInstallSnapshot));
 
-    private static final int NO_OP = 0; // kinds of a command
+    private static final int NO_OP = 0; // byte for the kind of command
     private static final int CONFIGURATION_CHANGE = 1;
     private static final int PURGE = 2;
 
-    private static final int MIN_ENTRY_BYTES = 2; // a term and a kind of command, one byte each
+    private static final int MIN_ENTRY_BYTES = 2; // term and kind of command, one byte each
 
     private ReplicationFormats() {}
 
@@ -99,7 +99,7 @@
         } else if (command instanceof Command.NoOp) {
             out.writeByte(NO_OP);
         } else {
-            throw new IllegalArgumentException("no format for " + command.getClass());
+            throw new IllegalArgumentException("no wire format for command type " + command.getClass());
         }
     }
 
@@ -110,7 +110,8 @@
             case CONFIGURATION_CHANGE -> new Command.ConfigurationChange(ConfigurationFormat.readKey(in),
                 ConfigurationFormat.readValue(in));
             case PURGE -> new Command.Purge(PurgeFormat.readHashes(in));
-            default -> throw new MalformedMessageException("command " + kind);
+            default ->
+                throw new MalformedMessageException("unknown kind of command: expected 0 to 2, got " + kind);
         };
     }
 
--- a/control/src/main/java/spurroad/control/distribution/codec/SubscriptionFormats.java
+++ b/control/src/main/java/spurroad/control/distribution/codec/SubscriptionFormats.java
@@ -10,9 +10,9 @@
 import spurroad.control.distribution.message.Message.Update;
 import spurroad.control.distribution.state.Scope;
 
-/** The messages between a publisher and its subscribers on the wire. */
+/** Wire formats of the messages between a publisher and its subscribers. */
 final class SubscriptionFormats {
-    /** The formats of all five kinds. */
+    /** The formats of all five message kinds. */
     static final List<MessageFormat<?>> ALL = List.of(
         new MessageFormat<>(1, Subscribe.class, SubscriptionFormats::writeSubscribe,
             SubscriptionFormats::readSubscribe),
@@ -53,7 +53,8 @@
         boolean isAllRegions = in.readBoolean();
         String region = in.readString();
         if (isAllRegions && !region.equals(NO_REGION)) {
-            throw new MalformedMessageException("all regions and " + region);
+            throw new MalformedMessageException(
+                "scope has the flag for all regions, but names region " + region);
         }
         return isAllRegions ? Scope.ALL : new Scope(region);
     }
@@ -70,7 +71,7 @@
     private static RejectionReason readReason(MessageReader in) throws MalformedMessageException {
         int code = in.readByte();
         if (code >= REASONS_BY_CODE.size()) {
-            throw new MalformedMessageException("refusal " + code);
+            throw new MalformedMessageException("unknown rejection reason: expected 0 to 3, got " + code);
         }
         return REASONS_BY_CODE.get(code);
     }
--- a/control/src/main/java/spurroad/control/distribution/core/ControlMachine.java
+++ b/control/src/main/java/spurroad/control/distribution/core/ControlMachine.java
@@ -18,8 +18,8 @@
 import spurroad.control.distribution.state.Scope;
 
 /**
- * One machine of the control service: a replica of the core that publishes what is committed to the relays of
- * regions, and grants them their leases.
+ * One machine of the control service: a replica of the core that publishes committed changes and purges to
+ * the regional relays, and grants them their leases.
  *
  * <p>Not thread-safe. Times are nanoseconds of a monotonic clock.
  */
@@ -31,12 +31,13 @@
     /**
      * Creates a machine whose replica starts as a follower.
      *
-     * @param nowNanos the time, in nanoseconds of a monotonic clock
-     * @param members of the core, this one among them, in the order that all members use
-     * @param persistent state of the replica's previous run, or a new one
-     * @param leasesPerGroup how many relays each region has
-     * @param listener is notified of each command that is committed
-     * @param seed of all its random choices
+     * @param nowNanos the current time, in nanoseconds of a monotonic clock
+     * @param self this machine's identifier
+     * @param members all members of the core including this one, in the same order at every member
+     * @param persistent persistent state of the replica's previous run, or a new state
+     * @param leasesPerGroup number of relays that each region may have
+     * @param listener notified of each committed command
+     * @param seed seed of all random choices of this machine
      */
     public ControlMachine(long nowNanos, DistributionSettings settings, ProcessId self,
                           List<ProcessId> members, PersistentState persistent, int leasesPerGroup,
@@ -49,7 +50,7 @@
         grantor = new LeaseGrantor(nowNanos, settings, leasesPerGroup);
     }
 
-    /** Handles a message; those to subscribers and to candidates for a lease are ignored. */
+    /** Handles a message; ignores messages for subscribers and for candidates for a lease. */
     @Override
     public void onMessage(long nowNanos, ProcessId from, Message message, Outbox outbox) {
         if (message instanceof SubscriberMessage fromSubscriber) {
@@ -77,12 +78,12 @@
         return Math.min(replica.nextTimerNanos(), publisher.nextFlushNanos());
     }
 
-    /** The replica of the core. */
+    /** Returns the replica of the replicated log. */
     public RaftReplica replica() {
         return replica;
     }
 
-    /** The sending end of the links to relays. */
+    /** Returns the publisher that sends updates to the regional relays. */
     public Publisher publisher() {
         return publisher;
     }
--- a/control/src/main/java/spurroad/control/distribution/core/package-info.java
+++ b/control/src/main/java/spurroad/control/distribution/core/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A machine of the core: {@link spurroad.control.distribution.core.ControlMachine} puts a replica, a
- * publisher of what is committed, and a grantor of leases to regions' relays together. Holds no state of its
- * own. Not thread-safe.
+ * A machine of the core: {@link spurroad.control.distribution.core.ControlMachine} combines a replica, a
+ * publisher of committed changes and purges, and a grantor of leases to regional relays. It has no state of
+ * its own and is not thread-safe.
  */
 package spurroad.control.distribution.core;
--- a/control/src/main/java/spurroad/control/distribution/log/LogEntry.java
+++ b/control/src/main/java/spurroad/control/distribution/log/LogEntry.java
@@ -3,7 +3,7 @@
 /**
  * One entry of the core's replicated log.
  *
- * @param term of the leader that appended it
- * @param command what it changes
+ * @param term term of the leader that appended the entry
+ * @param command the change of state
  */
 public record LogEntry(long term, Command command) {}
--- a/control/src/main/java/spurroad/control/distribution/log/LogSnapshot.java
+++ b/control/src/main/java/spurroad/control/distribution/log/LogSnapshot.java
@@ -4,12 +4,13 @@
 import spurroad.control.distribution.state.ConfigurationUpdate;
 
 /**
- * The applied state at an index of the core's replicated log. Of purges it has only how many there were.
+ * The applied state at an index of the core's replicated log. It contains the number of the latest purge, but
+ * no purges.
  *
- * @param lastIncludedIndex index of the last entry whose effect it contains; 0 for none
+ * @param lastIncludedIndex index of the last entry that the snapshot includes; 0 for none
  * @param lastIncludedTerm term of that entry
- * @param configuration after that entry
- * @param purgeNumber number of the latest purge up to that entry
+ * @param configuration the configuration after that entry
+ * @param purgeNumber number of the latest purge up to that entry; 0 for none
  */
 public record LogSnapshot(long lastIncludedIndex, long lastIncludedTerm,
                           ConfigurationUpdate.Snapshot configuration, long purgeNumber) {
--- a/control/src/main/java/spurroad/control/distribution/message/Message.java
+++ b/control/src/main/java/spurroad/control/distribution/message/Message.java
@@ -10,48 +10,50 @@
 import spurroad.control.distribution.state.Scope;
 
 /**
- * A message between processes of the fleet, in one of four families by its sender and receiver.
+ * A message between processes of the fleet. The four subinterfaces group messages by sender and receiver.
  *
- * <p>Times are milliseconds of the monotonic clock of one process. {@code sentAtMillis} is of the sender's
- * clock; {@code echoMillis} returns the latest {@code sentAtMillis} that the sender has received from the
- * receiver, and so is of the receiver's clock.
+ * <p>Times are milliseconds of the monotonic clock of one process. {@code sentAtMillis} is a reading of the
+ * sender's clock. {@code echoMillis} repeats the latest {@code sentAtMillis} that the sender has received
+ * from the receiver, so it is a reading of the receiver's clock.
  */
 public sealed interface Message
     permits SubscriberMessage, PublisherMessage, LeaseMessage, ReplicationMessage {
     // ---- subscriber to publisher
 
     /**
-     * Requests to become a child, and reports what the subscriber has already.
+     * Requests to become a child of the publisher, and reports the subscriber's position.
      *
-     * @param scope the part of the configuration that the subscriber uses
+     * @param scope part of the configuration that the subscriber uses
      * @param hasConfiguration whether it has ever received a configuration
-     * @param configurationSequence the sequence number that its configuration has reached
-     * @param purgeNumber the last purge that it has, or {@link #NO_PURGE_NUMBER}
-     * @param purgeHistory how many earlier purges it requests where it has {@link #NO_PURGE_NUMBER}
-     * @param acceptsPurgeReset whether the subscriber accepts a reset where the publisher no longer has the
+     * @param configurationSequence sequence number of the latest change in its configuration
+     * @param purgeNumber number of the latest purge that it has applied, or {@link #NO_PURGE_NUMBER}
+     * @param purgeHistory number of earlier purges that it requests if it has {@link #NO_PURGE_NUMBER}
+     * @param acceptsPurgeReset whether the subscriber accepts a reset if the publisher no longer retains the
      *     purges
      */
     record Subscribe(Scope scope, boolean hasConfiguration, long configurationSequence, long purgeNumber,
                      int purgeHistory, boolean acceptsPurgeReset, long sentAtMillis)
         implements
             SubscriberMessage {
-        /** The purge number of a subscriber that has stored nothing which a purge could concern. */
+        /**
+         * Purge number of a subscriber that has stored no responses, so that no earlier purge applies to it.
+         */
         public static final long NO_PURGE_NUMBER = -1;
 
-        /** Whether the subscriber has stored nothing which a purge could concern. */
+        /** Returns whether the subscriber has stored no responses, so that no earlier purge applies to it. */
         public boolean startsWithoutPurges() {
             return purgeNumber == NO_PURGE_NUMBER;
         }
     }
 
-    /** Ends a subscription; has no effect where it was sent before a later {@link Subscribe}. */
+    /** Ends a subscription; ignored if it was sent before the latest {@link Subscribe}. */
     record Unsubscribe(long sentAtMillis) implements SubscriberMessage {}
 
     /**
-     * Answers an update with what the subscriber has applied by now.
+     * Acknowledges an update with the subscriber's current position.
      *
-     * @param updateNumber of the update that this answers
-     * @param hasGap whether the subscriber lacks changes or purges that it should have after that update
+     * @param updateNumber number of the update that this message answers
+     * @param hasGap whether the subscriber is missing changes or purges up to that update
      */
     record Acknowledgement(long updateNumber, long configurationSequence, long purgeNumber, boolean hasGap,
                            long sentAtMillis)
@@ -60,44 +62,44 @@
 
     // ---- publisher to subscriber
 
-    /** Why a subscription was rejected, or ended by the publisher. */
+    /** Reason for which a publisher rejected or ended a subscription. */
     enum RejectionReason {
         /** The process holds no relay lease. */
         NOT_A_RELAY,
-        /** The process has no configuration yet, or a narrower one, or no parent. */
+        /** The process has no configuration yet, a configuration of a narrower scope, or no parent. */
         NOT_READY,
-        /** The process accepts no further children at present. */
+        /** The process currently accepts no further children. */
         BUSY,
-        /** The purge log does not retain the purges after the subscriber's position. */
+        /** The purge log no longer retains all purges after the subscriber's position. */
         LOG_TOO_SHORT
     }
 
     /**
-     * Rejects a subscription, or ends one.
+     * Rejects a subscription, or ends an existing one.
      *
-     * @param retryAfterMillis after how long the subscriber may retry; used only with
+     * @param retryAfterMillis delay before the subscriber may retry, in milliseconds; used only with
      *     {@link RejectionReason#BUSY}
      */
     record SubscriptionRejected(RejectionReason reason, long retryAfterMillis) implements PublisherMessage {}
 
     /**
      * The part of an update that reports the publisher's state, and the position that the subscriber reaches
-     * when it has applied everything up to that update.
+     * by applying all updates up to this one.
      *
-     * @param term of the core in which the publisher's latest state was committed
-     * @param configurationSequence that the subscriber will have reached
-     * @param purgeNumber that the subscriber will have reached
-     * @param ageMillis for how long, at most, the core may have committed what the publisher has not sent;
-     *     {@link Freshness#UNKNOWN_AGE_MILLIS} where the publisher does not know
-     * @param isConnected whether the publisher has a parent, or a leader, of its own
+     * @param term term of the core in which the publisher's latest state was committed
+     * @param configurationSequence sequence number that the subscriber will have reached
+     * @param purgeNumber purge number that the subscriber will have reached
+     * @param ageMillis upper bound of the time since the core may have committed something that the publisher
+     *     has not sent; {@link Freshness#UNKNOWN_AGE_MILLIS} if unknown
+     * @param isConnected whether the publisher itself has a parent or a leader
      */
     record Heartbeat(long term, long configurationSequence, long purgeNumber, long ageMillis,
                      long echoMillis, boolean isConnected) {}
 
     /**
-     * A heartbeat together with what is new.
+     * A heartbeat with the new changes and purges.
      *
-     * @param updateNumber counts the updates of a subscription, from 1 on
+     * @param updateNumber number of the update in its subscription, starting at 1
      */
     record Update(long updateNumber, Heartbeat heartbeat, Optional<ConfigurationUpdate> configuration,
                   Optional<PurgeUpdate> purges)
@@ -106,33 +108,33 @@
 
     // ---- leases
 
-    /** Requests, or renews, the lease to be one of a group's relays. */
+    /** Requests or renews a lease to act as one of a group's relays. */
     record LeaseRequest(String group, long sentAtMillis) implements LeaseMessage {}
 
     /**
      * Answers a lease request.
      *
-     * @param durationMillis how long a granted lease lasts, from when its request was sent;
-     *     {@link #NOT_A_GRANTOR} from a process that grants no leases at present
+     * @param durationMillis duration of a granted lease, counted from the time its request was sent;
+     *     {@link #NOT_A_GRANTOR} from a process that currently grants no leases
      */
     record LeaseReply(String group, boolean isGranted, long durationMillis, long echoMillis)
         implements
             LeaseMessage {
-        /** In place of a duration: the request is to be sent to another process. */
+        /** Replaces the duration if the request must be sent to another process. */
         public static final long NOT_A_GRANTOR = -1;
 
-        /** Whether the sender grants no leases to any process at present. */
+        /** Returns whether the sender currently grants no leases to any process. */
         public boolean isNotAGrantor() {
             return !isGranted && durationMillis == NOT_A_GRANTOR;
         }
     }
 
-    // ---- replicas of the core; Raft's terms
+    // ---- replicas of the core; terms as in Raft
 
     /**
-     * Requests a vote, or with a pre-vote whether the vote would be granted.
+     * Requests a vote. A pre-vote only asks whether the vote would be granted.
      *
-     * @param term that the candidate has entered, or would enter after the pre-vote
+     * @param term term that the candidate has entered, or would enter after the pre-vote
      */
     record RequestVote(long term, long lastLogIndex, long lastLogTerm, boolean isPreVote)
         implements
@@ -141,15 +143,15 @@
     /**
      * Answers a vote request.
      *
-     * @param term of the request where the vote is granted, else the voter's current one
+     * @param term term of the request if the vote is granted, else the voter's current term
      */
     record RequestVoteReply(long term, boolean isGranted, boolean isPreVote) implements ReplicationMessage {}
 
     /**
-     * The entries of the leader's log after an index; without entries a heartbeat.
+     * Sends the entries of the leader's log after an index; a heartbeat if there are none.
      *
-     * @param ageMillis for how long, at most, something may have been committed that the leader does not
-     *     know; {@link Freshness#UNKNOWN_AGE_MILLIS} where it is unknown
+     * @param ageMillis upper bound of the time since something may have been committed that the leader does
+     *     not know of; {@link Freshness#UNKNOWN_AGE_MILLIS} if unknown
      */
     record AppendEntries(long term, long previousLogIndex, long previousLogTerm, List<LogEntry> entries,
                          long leaderCommitIndex, long sentAtMillis, long ageMillis, long echoMillis)
@@ -157,17 +159,18 @@
             ReplicationMessage {}
 
     /**
-     * Answers entries, or a snapshot.
+     * Answers an {@link AppendEntries} or an {@link InstallSnapshot} message.
      *
-     * @param isSuccess whether the entries fitted the follower's log
-     * @param logIndex on success the last index up to which the logs agree; else the last one where they may
+     * @param isSuccess whether the entries matched the follower's log
+     * @param logIndex on success the last index up to which the logs agree, else the last index up to which
+     *     they may agree
      */
     record AppendEntriesReply(long term, boolean isSuccess, long logIndex, long echoMillis,
                               long sentAtMillis)
         implements
             ReplicationMessage {}
 
-    /** The leader's snapshot, for a follower that lacks entries which the leader has compacted. */
+    /** Sends the leader's snapshot to a follower that lacks entries that the leader has compacted. */
     record InstallSnapshot(long term, LogSnapshot snapshot, long sentAtMillis)
         implements
             ReplicationMessage {}
--- a/control/src/main/java/spurroad/control/distribution/message/PublisherMessage.java
+++ b/control/src/main/java/spurroad/control/distribution/message/PublisherMessage.java
@@ -1,5 +1,5 @@
 package spurroad.control.distribution.message;
 
-/** A message of a publisher to a subscriber. */
+/** A message from a publisher to a subscriber. */
 public sealed interface PublisherMessage extends Message
     permits Message.SubscriptionRejected, Message.Update {}
--- a/control/src/main/java/spurroad/control/distribution/message/SubscriberMessage.java
+++ b/control/src/main/java/spurroad/control/distribution/message/SubscriberMessage.java
@@ -1,5 +1,5 @@
 package spurroad.control.distribution.message;
 
-/** A message of a subscriber to its publisher, or to a candidate for one. */
+/** A message from a subscriber to its publisher, or to a process that may become its publisher. */
 public sealed interface SubscriberMessage extends Message
     permits Message.Subscribe, Message.Unsubscribe, Message.Acknowledgement {}
--- a/control/src/main/java/spurroad/control/distribution/package-info.java
+++ b/control/src/main/java/spurroad/control/distribution/package-info.java
@@ -1,22 +1,21 @@
 /**
- * How changes of configuration and purges reach a large fleet: a replicated log at its core, and numbered
- * differences from there down a tree of relays. This package contains the types that all parts share; the
- * parts are packages that depend on each other in one direction only, from the end of this list to its
- * beginning:
+ * Distributes configuration changes and purges to a large fleet: a replicated log at the core orders them,
+ * and a tree of relays passes them on as numbered deltas. This package contains the types that all
+ * subpackages share. Each subpackage depends only on those before it in this list:
  *
  * <ol>
- * <li>{@code state}: configuration, purges and freshness as one process knows them
+ * <li>{@code state}: configuration, purges and freshness at one process
  * <li>{@code log}: entries, commands and snapshots of the replicated log
- * <li>{@code message}: all messages, and how a process is driven by them
- * <li>{@code codec}: messages as bytes
- * <li>{@code replication}: the replicated log, after Raft
- * <li>{@code publish} and {@code subscribe}: the ends of a link
- * <li>{@code lease}: which processes may relay
- * <li>{@code relay} and {@code core}: the processes, put together from the parts above</ol>
+ * <li>{@code message}: all messages, and the interface through which a process receives them
+ * <li>{@code codec}: encoding and decoding of messages
+ * <li>{@code replication}: the replicated log, based on Raft
+ * <li>{@code publish} and {@code subscribe}: the sending and the receiving end of a link
+ * <li>{@code lease}: leases that allow processes to act as relays
+ * <li>{@code relay} and {@code core}: the processes that combine the packages above</ol>
  *
- * <p>Decisions only: the caller passes the time (nanoseconds of a monotonic clock of its own process) and the
- * message that was received, and an outbox accepts the messages to send. No input or output, no clock, no
- * threads; nothing is thread-safe unless it is immutable.
+ * <p>The packages perform no I/O, read no clock and start no threads. The caller passes the time (nanoseconds
+ * of its process's monotonic clock) and the received message, and an outbox accepts the messages to send.
+ * Only immutable classes are thread-safe.
  *
  * <p>See {@code docs/design/distribution.md}.
  */
--- a/control/src/main/java/spurroad/control/distribution/state/ChangeLog.java
+++ b/control/src/main/java/spurroad/control/distribution/state/ChangeLog.java
@@ -10,21 +10,21 @@
 import java.util.Set;
 
 /**
- * The latest changes of a configuration, a bounded number of them.
+ * Retains a bounded number of the latest changes of a configuration.
  *
- * <p>Invariant: it has the latest change of each resource that changed after its start sequence number.
+ * <p>Invariant: the log contains the latest change of each resource that changed after {@code startSequence}.
  */
 final class ChangeLog {
     private final int capacity;
     private final Deque<ConfigurationEntry> entries = new ArrayDeque<>(1);
     private long startSequence;
 
-    /** Creates an empty log; with a capacity of 0 it stays empty. */
+    /** Creates an empty log, which stays empty if the capacity is 0. */
     ChangeLog(int capacity) {
         this.capacity = capacity;
     }
 
-    /** Adds the next change. */
+    /** Appends the next change; drops the oldest ones beyond the capacity. */
     void append(ConfigurationEntry entry) {
         entries.addLast(entry);
         while (entries.size() > capacity) {
@@ -38,12 +38,18 @@
         startSequence = sequence;
     }
 
-    /** Whether the log retains the latest change of each resource that changed after a sequence number. */
+    /**
+     * Returns whether the log retains the latest change of each resource that changed after a sequence
+     * number.
+     */
     boolean retainsAfter(long sequence) {
         return sequence >= startSequence;
     }
 
-    /** The latest change after a sequence number of each resource of a scope, in the order of the changes. */
+    /**
+     * Returns the latest change of each resource in a scope after a sequence number, in the order of sequence
+     * numbers.
+     */
     List<ConfigurationEntry> latestAfter(long sequence, Scope scope) {
         List<ConfigurationEntry> latest = new ArrayList<>();
         Set<ResourceKey> seen = new HashSet<>();
--- a/control/src/main/java/spurroad/control/distribution/state/ConfigurationEntry.java
+++ b/control/src/main/java/spurroad/control/distribution/state/ConfigurationEntry.java
@@ -4,22 +4,23 @@
 import java.util.Objects;
 
 /**
- * One committed change of one resource. The value is not copied and must not be written to.
+ * One committed change of one resource. The value is not copied and must not be modified.
  *
- * @param sequence number of the change, from 1 on, the same at every process
- * @param key what changed
- * @param value the new value; null where the resource was removed
+ * @param sequence sequence number of the change, starting at 1, the same at every process
+ * @param key the changed resource
+ * @param value the new value; null if the resource was removed
  */
 public record ConfigurationEntry(long sequence, ResourceKey key, byte[] value) {
-    /** Requires a key and a sequence number of 1 or more. */
+    /** Validates that the key is not null and the sequence number is 1 or more. */
     public ConfigurationEntry {
         Objects.requireNonNull(key);
         if (sequence < 1) {
-            throw new IllegalArgumentException("sequence " + sequence + ": expected 1 or more");
+            throw new IllegalArgumentException(
+                "entry with sequence number " + sequence + ": expected 1 or more");
         }
     }
 
-    /** Whether the change removes the resource. */
+    /** Returns whether the change removes the resource. */
     public boolean isRemoval() {
         return value == null;
     }
--- a/control/src/main/java/spurroad/control/distribution/state/ConfigurationState.java
+++ b/control/src/main/java/spurroad/control/distribution/state/ConfigurationState.java
@@ -15,9 +15,9 @@
 import spurroad.control.distribution.state.ConfigurationUpdate.Snapshot;
 
 /**
- * The configuration as one process knows it: the state after all changes up to a sequence number, and a
- * bounded log of the latest changes from which other processes catch up. The state never regresses: an older
- * update is ignored, one that would leave a gap is rejected.
+ * The configuration at one process: the state after all changes up to a sequence number, and a bounded log of
+ * the latest changes, from which other processes catch up. The state never regresses: an older update is
+ * ignored, and an update that would leave a gap is rejected.
  *
  * <p>Not thread-safe.
  */
@@ -26,7 +26,7 @@
     public enum Result {
         /** The update has advanced the state. */
         APPLIED,
-        /** The state includes everything in the update already. */
+        /** The state already includes everything in the update. */
         ALREADY_KNOWN,
         /** Changes before the update are missing; none of its entries was applied. */
         GAP
@@ -40,40 +40,43 @@
     /**
      * Creates the state at sequence number 0, which is empty.
      *
-     * @param logCapacity how many changes are retained for other processes; 0 where none catches up from this
-     *     one
+     * @param logCapacity number of changes to retain for other processes; 0 if no process catches up from
+     *     this one
      */
     public ConfigurationState(int logCapacity) {
         log = new ChangeLog(logCapacity);
     }
 
-    /** The sequence number of the latest change that is contained. */
+    /** Returns the sequence number of the latest change in this state; 0 before the first. */
     public long sequence() {
         return sequence;
     }
 
-    /** Whether a change or snapshot was ever applied. The state may be empty nevertheless. */
+    /** Returns whether any change or snapshot was applied; the state may be empty even then. */
     public boolean isInitialized() {
         return initialized;
     }
 
-    /** The value of a resource; null where there is none. The array is not copied. */
+    /**
+     * Returns the value of a resource; null if there is none. The array is not copied and must not be
+     * modified.
+     */
     public byte[] value(ResourceKey key) {
         ConfigurationEntry entry = entries.get(key);
         return entry == null ? null : entry.value();
     }
 
-    /** How many resources there are. */
+    /** Returns the number of resources. */
     public int size() {
         return entries.size();
     }
 
-    /** All entries, in no particular order. */
+    /** Returns a live, read-only view of all entries, in no particular order. */
     public Iterable<ConfigurationEntry> entries() {
         return Collections.unmodifiableCollection(entries.values());
     }
 
-    /** Applies the next change, with a null value for a removal; returns it with its sequence number. */
+    /** Applies the next change, a removal if the value is null; returns it with its sequence number. */
     public ConfigurationEntry append(ResourceKey key, byte[] value) {
         ConfigurationEntry entry = new ConfigurationEntry(sequence + 1, key, value);
         applyChange(entry);
@@ -82,10 +85,10 @@
     }
 
     /**
-     * Applies an update as a whole or not at all.
+     * Applies an update completely or not at all.
      *
-     * @param listener is notified of each entry that takes effect, in order; resources that a snapshot no
-     *     longer contains are notified as removals at the snapshot's sequence number
+     * @param listener notified of each entry that takes effect, in order; resources that a snapshot no longer
+     *     contains are reported as removals at the snapshot's sequence number
      */
     public Result apply(ConfigurationUpdate update, Consumer<ConfigurationEntry> listener) {
         return update instanceof Snapshot snapshot ? applySnapshot(snapshot, listener)
@@ -122,10 +125,10 @@
         if (initialized && snapshot.toSequence() <= sequence) {
             return Result.ALREADY_KNOWN;
         }
-        removeAllBut(keysOf(snapshot), snapshot.toSequence(), listener);
+        removeAllExcept(keysOf(snapshot), snapshot.toSequence(), listener);
         for (ConfigurationEntry entry : snapshot.entries()) {
-            ConfigurationEntry known = entries.get(entry.key());
-            if (known == null || known.sequence() < entry.sequence()) {
+            ConfigurationEntry current = entries.get(entry.key());
+            if (current == null || current.sequence() < entry.sequence()) {
                 entries.put(entry.key(), entry);
                 listener.accept(entry);
             }
@@ -143,8 +146,8 @@
         return keys;
     }
 
-    private void removeAllBut(Set<ResourceKey> remaining, long removalSequence,
-                              Consumer<ConfigurationEntry> listener) {
+    private void removeAllExcept(Set<ResourceKey> remaining, long removalSequence,
+                                 Consumer<ConfigurationEntry> listener) {
         for (Iterator<ResourceKey> keys = entries.keySet().iterator(); keys.hasNext();) {
             ResourceKey key = keys.next();
             if (!remaining.contains(key)) {
@@ -160,13 +163,13 @@
     }
 
     /**
-     * The update that advances another process to this state: a delta where the log retains the changes, else
-     * a snapshot.
+     * Returns the update that advances another process to this state: a delta if the log retains the changes,
+     * else a snapshot.
      *
-     * @param afterSequence the sequence number that the other process has reached
-     * @param hasState whether it has a state at all
-     * @param scope the part of the configuration that it uses
-     * @return the update; empty where the other process has all changes, or this state is not initialized
+     * @param afterSequence sequence number that the other process has reached
+     * @param hasState whether the other process has any state
+     * @param scope part of the configuration that the other process uses
+     * @return the update; empty if the other process has all changes or this state is not initialized
      */
     public Optional<ConfigurationUpdate> updateAfter(long afterSequence, boolean hasState, Scope scope) {
         if (!initialized || (hasState && afterSequence >= sequence)) {
@@ -177,7 +180,7 @@
             ? new Delta(afterSequence, sequence, log.latestAfter(afterSequence, scope)) : snapshot(scope));
     }
 
-    /** The state of a scope as a whole, in the order of sequence numbers. */
+    /** Returns the complete state of a scope, its entries in the order of sequence numbers. */
     public Snapshot snapshot(Scope scope) {
         List<ConfigurationEntry> included = new ArrayList<>();
         for (ConfigurationEntry entry : entries.values()) {
--- a/control/src/main/java/spurroad/control/distribution/state/ConfigurationUpdate.java
+++ b/control/src/main/java/spurroad/control/distribution/state/ConfigurationUpdate.java
@@ -2,40 +2,44 @@
 
 import java.util.List;
 
-/** An update that advances the configuration of a subscriber: the changes, or the state as a whole. */
+/** An update that advances the configuration of a subscriber: a delta of changes, or the complete state. */
 public sealed interface ConfigurationUpdate permits ConfigurationUpdate.Delta, ConfigurationUpdate.Snapshot {
-    /** The sequence number that the subscriber has reached once it has applied this. */
+    /** Returns the sequence number that a subscriber reaches by applying this update. */
     long toSequence();
 
-    /** The entries that it contains, in the order of sequence numbers. */
+    /** Returns the entries of this update, in the order of sequence numbers. */
     List<ConfigurationEntry> entries();
 
     /**
-     * All changes of a scope in {@code (fromSequence, toSequence]}, coalesced: only the latest one of each
-     * resource.
+     * The changes of a scope in the range {@code (fromSequence, toSequence]}, coalesced to the latest change
+     * of each resource.
      */
     record Delta(long fromSequence, long toSequence,
                  List<ConfigurationEntry> entries)
         implements
             ConfigurationUpdate {
-        /** Requires a range that is not empty, and entries in ascending order within it. */
+        /** Validates that the range is not empty, and that entries are in ascending order within it. */
         public Delta {
             if (fromSequence < 0 || toSequence <= fromSequence) {
-                throw new IllegalArgumentException("delta from " + fromSequence + " to " + toSequence);
+                throw new IllegalArgumentException(
+                    "delta: expected 0 <= from < to, got from " + fromSequence + " to " + toSequence);
             }
             requireOrder(entries, fromSequence, toSequence);
             entries = List.copyOf(entries);
         }
     }
 
-    /** The state of a scope as a whole at a sequence number; it contains no removals. */
+    /** The complete state of a scope at a sequence number, without removals. */
     record Snapshot(long toSequence, List<ConfigurationEntry> entries) implements ConfigurationUpdate {
-        /** Requires entries in ascending order up to the sequence number, and no removal. */
+        /**
+         * Validates that entries are in ascending order up to the sequence number, and contain no removal.
+         */
         public Snapshot {
             requireOrder(entries, 0, toSequence);
             for (ConfigurationEntry entry : entries) {
                 if (entry.isRemoval()) {
-                    throw new IllegalArgumentException("snapshot with the removal of " + entry.key());
+                    throw new IllegalArgumentException(
+                        "snapshot contains a removal, expected values only: " + entry.key());
                 }
             }
             entries = List.copyOf(entries);
@@ -47,7 +51,8 @@
         for (ConfigurationEntry entry : entries) {
             if (entry.sequence() <= previous || entry.sequence() > last) {
                 throw new IllegalArgumentException(
-                    "sequence " + entry.sequence() + " after " + previous + " up to "
+                    "entry with sequence number " + entry.sequence() + ": expected over " + previous
+                        + " and up to "
                         + last);
             }
             previous = entry.sequence();
--- a/control/src/main/java/spurroad/control/distribution/state/Freshness.java
+++ b/control/src/main/java/spurroad/control/distribution/state/Freshness.java
@@ -3,46 +3,47 @@
 import spurroad.control.distribution.MonotonicTime;
 
 /**
- * The time up to which a process knows everything that the core has committed, and whether that is recent
- * enough to serve stored responses as fresh. A publisher reports how old its own knowledge is and echoes the
- * latest time at which the subscriber sent something; as the report was sent after that time, the age is
- * counted from there. That overstates the age by a round trip and the time between two updates at most, and
- * never understates it. Clocks need to run at the same rate, not to agree.
+ * Tracks the time up to which a process has received everything that the core committed, and whether that
+ * time is recent enough to serve stored responses as fresh. A publisher reports the age of its own state, and
+ * echoes the send time of the latest message from the subscriber. As the report was sent after that time, the
+ * age is counted from there. This overstates the age by at most a round trip plus the time between two
+ * updates, and never understates it. Clocks must run at the same rate, but need not be synchronized.
  *
  * <p>Source: Gray and Cheriton, "Leases" (1989), for counting from the time of the request.
  *
  * <p>Not thread-safe. Times are nanoseconds of a monotonic clock of this process.
  */
 public final class Freshness {
-    /** In place of an age in milliseconds: the age is unknown. */
+    /** Replaces an age in milliseconds if the age is unknown. */
     public static final long UNKNOWN_AGE_MILLIS = -1;
 
     private static final long NEVER = Long.MIN_VALUE;
-    /** A day; a report of a greater age is ignored. */
+    /** Maximum age that a report may have, one day; a report of a greater age is ignored. */
     private static final long MAX_AGE_MILLIS = 86_400_000;
 
     private final long leaseNanos;
-    private long knownAsOfNanos = NEVER;
+    private long completeUpToNanos = NEVER;
 
     /**
-     * Creates the freshness of a process that knows nothing yet.
+     * Creates the freshness of a process that has received nothing yet.
      *
-     * @param leaseNanos for how long knowledge counts as recent enough
+     * @param leaseNanos maximum age of the state for which stored responses count as fresh
      */
     public Freshness(long leaseNanos) {
         this.leaseNanos = leaseNanos;
     }
 
-    /** Records that everything that was committed up to a time is known. */
+    /** Records that everything committed up to the given time was received; earlier times have no effect. */
     public void advanceTo(long timeNanos) {
-        knownAsOfNanos = Math.max(knownAsOfNanos, timeNanos);
+        completeUpToNanos = Math.max(completeUpToNanos, timeNanos);
     }
 
     /**
-     * Handles a publisher's report. Ignores it where the age is unknown, or the echoed time is in the future.
+     * Handles a publisher's report. Ignores it if the age is unknown or over a day, or if the echoed time is
+     * in the future.
      *
-     * @param echoMillis the time of this process that the publisher echoed
-     * @param ageMillis how old the publisher's knowledge was; negative for unknown
+     * @param echoMillis time of this process's clock that the publisher echoed
+     * @param ageMillis age of the publisher's state; negative if unknown
      */
     public void onReport(long nowNanos, long echoMillis, long ageMillis) {
         boolean isAgeUsable = ageMillis >= 0 && ageMillis <= MAX_AGE_MILLIS;
@@ -52,21 +53,22 @@
     }
 
     /**
-     * Whether stored responses may be served as fresh: all purges are known that are older than the lease.
+     * Returns whether stored responses may be served as fresh: all purges that are older than the lease were
+     * received.
      */
     public boolean isFresh(long nowNanos) {
-        return knownAsOfNanos != NEVER && nowNanos - knownAsOfNanos < leaseNanos;
+        return completeUpToNanos != NEVER && nowNanos - completeUpToNanos < leaseNanos;
     }
 
     /**
-     * The age of what is known, in milliseconds rounded up; {@link #UNKNOWN_AGE_MILLIS} before the first
+     * Returns the age of the state in milliseconds, rounded up; {@link #UNKNOWN_AGE_MILLIS} before the first
      * report.
      */
     public long ageMillis(long nowNanos) {
-        if (knownAsOfNanos == NEVER) {
+        if (completeUpToNanos == NEVER) {
             return UNKNOWN_AGE_MILLIS;
         }
-        long ageNanos = Math.max(0, nowNanos - knownAsOfNanos);
+        long ageNanos = Math.max(0, nowNanos - completeUpToNanos);
         return MonotonicTime.toMillis(ageNanos + MonotonicTime.toNanos(1) - 1);
     }
 }
--- a/control/src/main/java/spurroad/control/distribution/state/PurgeBatch.java
+++ b/control/src/main/java/spurroad/control/distribution/state/PurgeBatch.java
@@ -4,16 +4,21 @@
 
 /**
  * Purges with the numbers {@code (fromNumber, fromNumber + hashes.length]}. The array is not copied and must
- * not be written to.
+ * not be modified.
  *
- * @param fromNumber number of the last purge before these
- * @param hashes 64-bit hashes of the keys that are no longer valid
+ * @param fromNumber number of the last purge before this batch
+ * @param hashes 64-bit hashes of the purged keys
  */
 public record PurgeBatch(long fromNumber, long[] hashes) implements PurgeUpdate {
-    /** Requires at least one hash and numbers without overflow. */
+    /**
+     * Validates that there is at least one hash, and that the numbers are not negative and do not overflow.
+     */
     public PurgeBatch {
         if (fromNumber < 0 || hashes.length == 0 || fromNumber > Long.MAX_VALUE - hashes.length) {
-            throw new IllegalArgumentException("purges after " + fromNumber + ": " + hashes.length);
+            throw new IllegalArgumentException(
+                "purge batch: expected fromNumber >= 0, at least 1 hash and no overflow; got fromNumber "
+                    + fromNumber
+                    + ", hash count " + hashes.length);
         }
     }
 
--- a/control/src/main/java/spurroad/control/distribution/state/PurgeLog.java
+++ b/control/src/main/java/spurroad/control/distribution/state/PurgeLog.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 
 /**
- * The latest purges in a ring of their hashes, eight bytes each. Purges are numbered from 1 on; a purge is
- * idempotent, and its number alone identifies it. The usual capacity bounds how many purges are retained;
- * while a process still needs older ones, the maximum capacity does.
+ * Retains the hashes of the latest purges in a ring buffer, eight bytes each. Purges are numbered from 1; a
+ * purge is idempotent, and is identified by its number alone. The usual capacity limits the number of
+ * retained purges; while a process still needs older ones, the maximum capacity does.
  *
  * <p>Invariant: the purges with the numbers {@code (startNumber, lastNumber]} are retained.
  *
  * <p>Not thread-safe.
  */
 public final class PurgeLog {
-    /** Returned by {@link #append(PurgeBatch)} where purges before the batch are missing. */
+    /** Returned by {@link #append(PurgeBatch)} if purges before the batch are missing. */
     public static final int GAP = -1;
 
     private static final int MIN_RING_LENGTH = 1024;
@@ -27,10 +27,10 @@
     /**
      * Creates a log without purges.
      *
-     * @param usualCapacity how many purges are retained in any case; 0 where no process catches up from this
+     * @param usualCapacity number of purges that are always retained; 0 if no process catches up from this
      *     one
-     * @param maxCapacity how many purges are retained at most while they are needed; not less than the usual
-     *     capacity
+     * @param maxCapacity maximum number of purges that are retained while they are needed; raised to the
+     *     usual capacity if lower
      */
     public PurgeLog(int usualCapacity, int maxCapacity) {
         this.usualCapacity = usualCapacity;
@@ -38,24 +38,24 @@
     }
 
     /**
-     * Retains the purges after a number, up to the maximum capacity; {@code Long.MAX_VALUE} to retain none in
-     * particular.
+     * Requests that the purges after a number are retained, up to the maximum capacity;
+     * {@code Long.MAX_VALUE} withdraws the request.
      */
     public void retainAfter(long number) {
         neededAfter = number;
     }
 
-    /** The number of the latest purge; 0 before the first. */
+    /** Returns the number of the latest purge; 0 before the first. */
     public long lastNumber() {
         return lastNumber;
     }
 
-    /** The number of the last purge that is no longer retained; others can catch up from there. */
+    /** Returns the number before the first retained purge; other processes can catch up from there. */
     public long startNumber() {
         return lastNumber - retainedCount;
     }
 
-    /** Adds the purges of a batch that are not known yet; returns how many were added, or {@link #GAP}. */
+    /** Adds the purges of a batch that are new; returns the number of added purges, or {@link #GAP}. */
     public int append(PurgeBatch batch) {
         if (batch.fromNumber() > lastNumber) {
             return GAP;
@@ -70,7 +70,7 @@
         return batch.hashes().length - firstNew;
     }
 
-    /** Adds one purge with the next number. */
+    /** Adds one purge, which gets the next number. */
     public void append(long hash) {
         lastNumber++;
         if (usualCapacity == 0) {
@@ -92,30 +92,30 @@
         return isOldestNeeded ? maxCapacity : usualCapacity;
     }
 
-    /** Grows the ring for the purge with the last number, which is not stored yet. */
+    /** Grows the ring before the purge with the last number is stored. */
     private void growRing() {
-        long[] larger = new long[Math.min(capacity(), Math.max(MIN_RING_LENGTH, ring.length * 2))];
+        long[] newRing = new long[Math.min(capacity(), Math.max(MIN_RING_LENGTH, ring.length * 2))];
         for (long number = lastNumber - retainedCount; number < lastNumber; number++) {
-            larger[(int) (number % larger.length)] = ring[slot(number)];
+            newRing[(int) (number % newRing.length)] = ring[slot(number)];
         }
-        ring = larger;
+        ring = newRing;
     }
 
-    /** Drops all purges; the next one will follow that number. */
+    /** Drops all purges and continues the numbering after the given number. */
     public void reset(long toNumber) {
         lastNumber = toNumber;
         retainedCount = 0;
     }
 
-    /** Whether all purges after a number are retained. */
+    /** Returns whether all purges after a number are retained. */
     public boolean retainsAfter(long number) {
         return number >= startNumber();
     }
 
     /**
-     * The first purges after a number, at most {@code maxCount}; empty where there are no later ones.
+     * Returns the first purges after a number, at most {@code maxCount}; empty if there are no later ones.
      *
-     * @throws IllegalArgumentException where they are not all {@linkplain #retainsAfter retained}
+     * @throws IllegalArgumentException if some of them are no longer {@linkplain #retainsAfter retained}
      */
     public Optional<PurgeBatch> batchAfter(long number, int maxCount) {
         int count = (int) Math.min(maxCount, lastNumber - number);
@@ -124,7 +124,8 @@
         }
         if (!retainsAfter(number)) {
             throw new IllegalArgumentException(
-                "purges after " + number + ": retained after " + startNumber());
+                "purges after number " + number + " requested: the log retains only those after number "
+                    + startNumber());
         }
         long[] hashes = new long[count];
         for (int i = 0; i < count; i++) {
--- a/control/src/main/java/spurroad/control/distribution/state/ResourceKey.java
+++ b/control/src/main/java/spurroad/control/distribution/state/ResourceKey.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * Names one piece of the configuration, such as a cache node or a setting.
+ * Identifies one resource of the configuration, such as a cache node or a setting.
  *
- * @param region whose proxies use it; {@link #EVERYWHERE} for those of all regions
- * @param name unique within the region
+ * @param region region whose proxies use the resource; {@link #EVERYWHERE} if all proxies use it
+ * @param name name that is unique within the region
  */
 public record ResourceKey(String region, String name) {
-    /** The region of what the proxies of all regions use. */
+    /** Replaces the region of resources that the proxies of all regions use. */
     public static final String EVERYWHERE = "";
 
-    /** Requires a region and a name, which may be empty. */
+    /** Validates that region and name are not null; both may be empty. */
     public ResourceKey {
         Objects.requireNonNull(region, "region");
         Objects.requireNonNull(name, "name");
--- a/control/src/main/java/spurroad/control/distribution/state/Scope.java
+++ b/control/src/main/java/spurroad/control/distribution/state/Scope.java
@@ -1,21 +1,22 @@
 package spurroad.control.distribution.state;
 
 /**
- * The part of the configuration that a subscriber uses: the resources of all regions, and those of its own.
+ * The part of the configuration that a subscriber uses: resources for all regions and those of its own
+ * region.
  *
- * @param region the region; null for the configuration of all regions
+ * @param region the region of the subscriber; null for the complete configuration
  */
 public record Scope(String region) {
-    /** The whole configuration. */
+    /** The complete configuration. */
     public static final Scope ALL = new Scope(null);
 
-    /** Whether a resource belongs to this scope. */
+    /** Returns whether a resource belongs to this scope. */
     public boolean includes(ResourceKey key) {
         return region == null || key.region().equals(ResourceKey.EVERYWHERE)
             || key.region().equals(region);
     }
 
-    /** Whether a process with this scope can publish to a subscriber with another one. */
+    /** Returns whether this scope includes all resources of another one. */
     public boolean covers(Scope other) {
         return region == null || region.equals(other.region);
     }
--- a/control/src/test/java/spurroad/control/decide/Endpoints.java
+++ b/control/src/test/java/spurroad/control/decide/Endpoints.java
@@ -16,7 +16,7 @@
         return endpoint(uid, 0, EndpointState.ACTIVE);
     }
 
-    /** Active endpoints with these uids. */
+    /** Returns active endpoints with these uids. */
     static SortedMap<String, Endpoint> activeEndpoints(String... uids) {
         SortedMap<String, Endpoint> endpoints = new TreeMap<>();
         for (String uid : uids) {
@@ -25,7 +25,7 @@
         return endpoints;
     }
 
-    /** That many active endpoints. */
+    /** Returns the given number of active endpoints. */
     static SortedMap<String, Endpoint> activeEndpoints(int count) {
         SortedMap<String, Endpoint> endpoints = new TreeMap<>();
         for (int i = 0; i < count; i++) {
--- a/control/src/test/java/spurroad/control/distribution/TracedFleet.java
+++ b/control/src/test/java/spurroad/control/distribution/TracedFleet.java
@@ -173,7 +173,7 @@
         }
     }
 
-    /** The first control machine that is a leader; the first one at all where there is none. */
+    /** Returns the first control machine that is a leader; the first one at all where there is none. */
     ProcessId leader() {
         return TreeTopology.CONTROL_MACHINES.stream()
             .filter(id -> machines.containsKey(id) && machines.get(id).replica().isLeader())
--- a/control/src/test/java/spurroad/control/distribution/TreeFailureTest.java
+++ b/control/src/test/java/spurroad/control/distribution/TreeFailureTest.java
@@ -190,7 +190,10 @@
         }
     }
 
-    /** The backlog of an hour at 450 a second, which the log just retains, and one that exceeds the log. */
+    /**
+     * Returns the backlog of an hour at 450 a second, which the log just retains, and one that exceeds the
+     * log.
+     */
     @DataProvider
     public Object[][] backlogs() {
         return new Object[][] {{1_620_000, false}, {2_400_000, true}};
--- a/control/src/test/java/spurroad/control/distribution/codec/MessageCodecGoldenTest.java
+++ b/control/src/test/java/spurroad/control/distribution/codec/MessageCodecGoldenTest.java
@@ -103,33 +103,41 @@
     @DataProvider
     public Object[][] malformedBytes() {
         return new Object[][] {
-            {"", "only 0 bytes"},
-            {"00000000", "only 4 bytes"},
-            {"0c1100000000", "wrong checksum"},
-            {withChecksum("00"), "kind 0"},
-            {withChecksum("0d"), "kind 13"},
-            {withChecksum("ff"), "kind 255"},
-            {withChecksum("0c"), "cut off"},
-            {withChecksum("0c80"), "cut off"},
-            {withChecksum("0c1101"), "1 bytes too many"},
-            {withChecksum("0c8000"), "a number longer than it needs to be"},
-            {withChecksum("0cffffffffffffffffff"), "a number of more than 63 bits"},
-            {withChecksum("0204"), "refusal 4"},
-            {withChecksum("0102"), "flag 2"},
-            {withChecksum("01010161"), "all regions and a"},
-            {withChecksum("050561"), "a count of 5 with 1 bytes left"},
-            {withChecksum("0501ff00"), "a text that is not UTF-8"},
-            {withChecksum("030101020305050003"), "configuration part 3"},
-            {withChecksum("03010102030505000003"), "purge part 3"},
-            {withChecksum("0301010203050500010505000000"), "delta from 5 to 5"},
-            {withChecksum("03010102030505000105090401"), "a count of 4 with 1 bytes left"},
-            {withChecksum("030101020305050001050901000161000000"), "sequence 0: expected 1 or more"},
-            {withChecksum("03010102030505000105090105000161000000"), "sequence 5 after 5 up to 9"},
-            {withChecksum("0301010203050500010509010a000161000000"), "sequence 10 after 5 up to 9"},
-            {withChecksum("030101020305050000010000"), "purges after 0: 0"},
-            {withChecksum("03010102030505000001050200"), "a count of 2 with 1 bytes left"},
-            {withChecksum("0901020301"), "a count of 1 with 0 bytes left"},
-            {withChecksum("09010203010003"), "command 3"},
+            {"", "message has 0 bytes: expected at least 5"},
+            {"00000000", "message has 4 bytes: expected at least 5"},
+            {"0c1100000000", "checksum does not match the content"},
+            {withChecksum("00"), "unknown message kind 0"},
+            {withChecksum("0d"), "unknown message kind 13"},
+            {withChecksum("ff"), "unknown message kind 255"},
+            {withChecksum("0c"), "message is truncated: a field ends after the last byte"},
+            {withChecksum("0c80"), "message is truncated: a field ends after the last byte"},
+            {withChecksum("0c1101"), "1 unread bytes after the last field"},
+            {withChecksum("0c8000"), "varint has a redundant zero byte: expected the shortest encoding"},
+            {withChecksum("0cffffffffffffffffff"), "varint has more than 63 bits"},
+            {withChecksum("0204"), "unknown rejection reason: expected 0 to 3, got 4"},
+            {withChecksum("0102"), "boolean: expected 0 or 1, got 2"},
+            {withChecksum("01010161"), "scope has the flag for all regions, but names region a"},
+            {withChecksum("050561"), "count or length of 5 exceeds the 1 remaining bytes"},
+            {withChecksum("0501ff00"), "string is not valid UTF-8"},
+            {withChecksum("030101020305050003"),
+                "unknown kind of configuration update: expected 0 to 2, got 3"},
+            {withChecksum("03010102030505000003"), "unknown kind of purge update: expected 0 to 2, got 3"},
+            {withChecksum("0301010203050500010505000000"), "delta: expected 0 <= from < to, got from 5 to 5"},
+            {withChecksum("03010102030505000105090401"),
+                "count or length of 4 exceeds the 1 remaining bytes"},
+            {withChecksum("030101020305050001050901000161000000"),
+                "entry with sequence number 0: expected 1 or more"},
+            {withChecksum("03010102030505000105090105000161000000"),
+                "entry with sequence number 5: expected over 5 and up to 9"},
+            {withChecksum("0301010203050500010509010a000161000000"),
+                "entry with sequence number 10: expected over 5 and up to 9"},
+            {withChecksum("030101020305050000010000"),
+                "purge batch: expected fromNumber >= 0, at least 1 hash and no overflow; "
+                    + "got fromNumber 0, hash count 0"},
+            {withChecksum("03010102030505000001050200"),
+                "count or length of 2 exceeds the 1 remaining bytes"},
+            {withChecksum("0901020301"), "count or length of 1 exceeds the 0 remaining bytes"},
+            {withChecksum("09010203010003"), "unknown kind of command: expected 0 to 2, got 3"},
         };
     }
 
@@ -138,11 +146,15 @@
         assertEquals(errorOf(HEX.parseHex(bytes)), error);
     }
 
-    /** The rest of the error is the text of the key's record, which contains the names of its components. */
+    /**
+     * Checks the start of the error only, as the rest contains the names of the components of the key's
+     * record.
+     */
     @Test
     public void aSnapshotWithARemovalIsMalformed() {
         String bytes = withChecksum("0301010203050500020901070001610000");
-        assertTrue(errorOf(HEX.parseHex(bytes)).startsWith("snapshot with the removal of "));
+        assertTrue(
+            errorOf(HEX.parseHex(bytes)).startsWith("snapshot contains a removal, expected values only: "));
     }
 
     private static String errorOf(byte[] bytes) {
