--- a/control/src/main/java/spurroad/control/decide/MassRemovalGuard.java
+++ b/control/src/main/java/spurroad/control/decide/MassRemovalGuard.java
@@ -34,7 +34,7 @@
 
     private final double maxRemovedFraction;
     private final long retentionNanos;
-    private final Map<String, MissingEndpoint> missing = new LinkedHashMap<>(); // by uid, in order of disappearance
+    private final Map<String, MissingEndpoint> missing = new LinkedHashMap<>(); // by uid, oldest first
     private SortedMap<String, Endpoint> lastEndpoints = new TreeMap<>();
     private double activeWeightBefore; // active weight at the last time when no endpoint was missing
 
--- a/control/src/test/java/spurroad/control/Trace.java
+++ b/control/src/test/java/spurroad/control/Trace.java
@@ -11,10 +11,10 @@
 import java.util.HexFormat;
 
 /**
- * Records calls of state machines and all their results, a line each, and computes a digest of the whole
- * text. The text contains no name of a type, field or constant (enumerations are written as ordinals), so
- * that it does not change when those are renamed. With the system property {@code trace.folder} set, the text
- * of a named trace is written to a file there as well, to find the first line that differs.
+ * Records calls of state machines and all their results, one line each, and computes a digest of the complete
+ * text. The text contains no names of types, fields or constants (enum constants are written as ordinals), so
+ * that renaming them does not change it. If the system property {@code trace.folder} is set, the text of a
+ * named trace is also written to a file in that folder, so that the first differing line can be found.
  */
 public final class Trace {
     private static final String FOLDER = System.getProperty("trace.folder");
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Begins a trace; its name is that of the file. */
+    /** Begins a trace; the name determines the name of the file. */
     public static Trace named(String name) {
         if (FOLDER == null) {
             return unnamed();
@@ -51,31 +51,31 @@
         return new Trace(null);
     }
 
-    /** Begins a part of a line, with a letter for the kind of the next fields. */
+    /** Begins a part of a line with a letter that identifies the kind of the next fields. */
     public Trace part(char letter) {
         line.append(' ').append(letter);
         return this;
     }
 
-    /** Writes a whole number. */
+    /** Writes an integer. */
     public Trace number(long value) {
         line.append(' ').append(value);
         return this;
     }
 
-    /** Writes a truth value. */
+    /** Writes a boolean. */
     public Trace flag(boolean value) {
         line.append(value ? " T" : " F");
         return this;
     }
 
-    /** Writes a floating-point number, bit by bit. */
+    /** Writes the exact bits of a floating-point number in hexadecimal digits. */
     public Trace real(double value) {
         line.append(" x").append(Long.toHexString(Double.doubleToLongBits(value)));
         return this;
     }
 
-    /** Writes a text, which may be null. */
+    /** Writes a string, which may be null. */
     public Trace text(String value) {
         line.append(value == null ? ABSENT : " \"" + value + '"');
         return this;
--- a/control/src/test/java/spurroad/control/decide/DecideTraceTest.java
+++ b/control/src/test/java/spurroad/control/decide/DecideTraceTest.java
@@ -13,31 +13,31 @@
 import spurroad.control.Trace;
 
 /**
- * Verifies that the decisions of the control service are unchanged, over random calls. The lines of a
- * difference and the versions of snapshots are written as they are, since operators and proxies receive them
- * in that form.
+ * Pins the decisions of the control service over random calls by digests of their traces. The traces contain
+ * the lines of snapshot differences and the versions of snapshots verbatim, because operators and proxies
+ * receive them in that form.
  */
 public class DecideTraceTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
     private static final List<String> SOURCES = List.of("discovery", "second", "nodes");
     private static final EndpointState[] STATES = EndpointState.values();
     private static final String[] POLICIES = {"soft-limit", "ring-points", "retries", "timeout"};
 
-    private static Endpoint randomEndpoint(Random random, int nodes) {
-        int node = random.nextInt(nodes);
-        String address = "10.0.0." + node + ":" + (random.nextInt(12) == 0 ? 81 : 80);
+    private static Endpoint randomEndpoint(Random random, int nodeCount) {
+        int nodeNumber = random.nextInt(nodeCount);
+        String address = "10.0.0." + nodeNumber + ":" + (random.nextInt(12) == 0 ? 81 : 80);
         String zone = random.nextInt(20) == 0 ? "west" : "east";
         String kind = random.nextInt(20) == 0 ? "m2" : "m1";
         EndpointState state = random.nextInt(3) > 0 ? EndpointState.ACTIVE : STATES[random.nextInt(3)];
-        double weight = random.nextInt(10) == 0 ? 2.5 : 1 + node % 3;
-        return new Endpoint("n" + node, address, zone, kind, weight,
+        double weight = random.nextInt(10) == 0 ? 2.5 : 1 + nodeNumber % 3;
+        return new Endpoint("n" + nodeNumber, address, zone, kind, weight,
             new EndpointStatus(random.nextInt(4) * 1_000L, state));
     }
 
-    private static List<Endpoint> randomEndpoints(Random random, int nodes, int count) {
+    private static List<Endpoint> randomEndpoints(Random random, int nodeCount, int count) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            endpoints.add(randomEndpoint(random, nodes));
+            endpoints.add(randomEndpoint(random, nodeCount));
         }
         return endpoints;
     }
@@ -72,7 +72,7 @@
         });
     }
 
-    // ---- views of sources
+    // ---- merged endpoints of several sources
 
     @DataProvider
     public Object[][] seeds() {
@@ -83,7 +83,7 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void sourcesAreMergedAsBefore(int seed, String digest) {
+    public void mergedEndpointsAreUnchanged(int seed, String digest) {
         Trace trace = Trace.named("views-" + seed);
         Random random = new Random(seed);
         SourceViews views = new SourceViews();
@@ -106,43 +106,43 @@
     }
 
     @Test
-    public void statusesAreJoinedAsBefore() {
+    public void joinedStatusesAreUnchanged() {
         Trace trace = Trace.named("statuses");
         Random random = new Random(1);
         for (int i = 0; i < 300; i++) {
-            Endpoint one = randomEndpoint(random, 3);
-            Endpoint other = randomEndpoint(random, 3);
-            EndpointStatus joined = one.status().join(other.status());
-            writeEndpoint(trace, one);
-            writeEndpoint(trace, other.withStatus(joined));
-            trace.number(Integer.signum(one.compareTo(other))).end();
+            Endpoint firstEndpoint = randomEndpoint(random, 3);
+            Endpoint secondEndpoint = randomEndpoint(random, 3);
+            EndpointStatus joined = firstEndpoint.status().join(secondEndpoint.status());
+            writeEndpoint(trace, firstEndpoint);
+            writeEndpoint(trace, secondEndpoint.withStatus(joined));
+            trace.number(Integer.signum(firstEndpoint.compareTo(secondEndpoint))).end();
         }
         assertEquals(trace.digest(), "0fc2460214ac3ef79cb577907689e9e1c8c40e497e34ca72bda9d4ea49d28685");
     }
 
-    // ---- the guard
+    // ---- guard against mass removal
 
     @DataProvider
     public Object[][] guards() {
         return new Object[][] {
-            {0.25, 30 * SECOND, "3078c0fc5bba9d385031db56a8c5ee1127ae2115dc2f759467e4471a9f1385d3"},
-            {0.5, 4 * SECOND, "8b50627b5f336082f35b9c804d9c6590f399ab242673fb5018b40675dcad5e58"},
-            {0.0, 2 * SECOND, "668c0ad0c4997aebe06a3c90a2fbc76870747d20d20a6362925de730a96d248c"},
-            {1.0, 10 * SECOND, "ac345aeb6ff32ac9c176ca370108bc5441fc368793412b4b9ce4407184395438"},
+            {0.25, 30 * SECOND_NANOS, "3078c0fc5bba9d385031db56a8c5ee1127ae2115dc2f759467e4471a9f1385d3"},
+            {0.5, 4 * SECOND_NANOS, "8b50627b5f336082f35b9c804d9c6590f399ab242673fb5018b40675dcad5e58"},
+            {0.0, 2 * SECOND_NANOS, "668c0ad0c4997aebe06a3c90a2fbc76870747d20d20a6362925de730a96d248c"},
+            {1.0, 10 * SECOND_NANOS, "ac345aeb6ff32ac9c176ca370108bc5441fc368793412b4b9ce4407184395438"},
         };
     }
 
     @Test(dataProvider = "guards")
-    public void removalsAreFilteredAsBefore(double maxRemovedFraction, long retentionNanos, String digest) {
+    public void filteredRemovalsAreUnchanged(double maxRemovedFraction, long retentionNanos, String digest) {
         Trace trace = Trace.named("guard-" + maxRemovedFraction);
         Random random = new Random((long) (maxRemovedFraction * 8));
         MassRemovalGuard guard = new MassRemovalGuard(maxRemovedFraction, retentionNanos);
-        SortedMap<String, Endpoint> proposed = new TreeMap<>();
+        SortedMap<String, Endpoint> reportedEndpoints = new TreeMap<>();
         long now = 0;
         for (int step = 0; step < 4_000; step++) {
-            now += random.nextInt(4) * SECOND;
-            propose(random, proposed);
-            MassRemovalGuard.FilteredEndpoints filtered = guard.filter(now, proposed);
+            now += random.nextInt(4) * SECOND_NANOS;
+            changeReportedEndpoints(random, reportedEndpoints);
+            MassRemovalGuard.FilteredEndpoints filtered = guard.filter(now, reportedEndpoints);
             trace.number(now);
             writeEndpoints(trace, filtered.endpoints());
             trace.part('h');
@@ -152,13 +152,14 @@
         assertEquals(trace.digest(), digest);
     }
 
-    private static void propose(Random random, SortedMap<String, Endpoint> proposed) {
+    private static void changeReportedEndpoints(Random random,
+                                                SortedMap<String, Endpoint> reportedEndpoints) {
         if (random.nextInt(15) == 0) {
-            proposed.clear();
+            reportedEndpoints.clear();
         } else if (random.nextInt(6) == 0) {
-            proposed.values().removeIf(endpoint -> random.nextInt(3) == 0);
+            reportedEndpoints.values().removeIf(endpoint -> random.nextInt(3) == 0);
         } else if (random.nextInt(3) > 0) {
-            proposed.putAll(byUid(randomEndpoints(random, 12, 1 + random.nextInt(8))));
+            reportedEndpoints.putAll(byUid(randomEndpoints(random, 12, 1 + random.nextInt(8))));
         }
     }
 
@@ -174,14 +175,14 @@
     }
 
     @Test(dataProvider = "histories")
-    public void snapshotsAreRecordedAsBefore(int capacity, String digest) {
+    public void recordedSnapshotsAreUnchanged(int capacity, String digest) {
         Trace trace = Trace.named("history-" + capacity);
         Random random = new Random(capacity);
         SnapshotHistory history = new SnapshotHistory(capacity);
         SortedMap<String, Endpoint> endpoints = new TreeMap<>();
         SortedMap<String, String> policy = new TreeMap<>();
         for (int step = 0; step < 1_000; step++) {
-            propose(random, endpoints);
+            changeReportedEndpoints(random, endpoints);
             if (random.nextInt(4) == 0) {
                 policy = randomPolicy(random);
             }
@@ -212,7 +213,7 @@
         trace.end();
     }
 
-    // ---- roll-outs
+    // ---- rollouts
 
     @DataProvider
     public Object[][] rollouts() {
@@ -225,40 +226,44 @@
         };
     }
 
-    /** Proxies with the new policy have another success rate than the rest. */
+    /** The canary, which has the new policy, has another success rate than the baseline. */
     @Test(dataProvider = "rollouts")
-    public void policiesAreRolledOutAsBefore(String version, double rest, double first, String digest) {
+    public void rolloutProgressIsUnchanged(String version, double baselineRate, double canaryRate,
+                                           String digest) {
         Trace trace = Trace.named("rollout-" + version);
         Random random = new Random(version.hashCode());
         for (int run = 0; run < 20; run++) {
-            Rollout rollout = new Rollout(0, version + run, new double[] {0.05, 0.3, 0.7, 1}, 10 * SECOND,
+            Rollout rollout = new Rollout(0, version + run, new double[] {0.05, 0.3, 0.7, 1},
+                10 * SECOND_NANOS,
                 400, 0.005);
             for (int second = 1; second <= 60; second++) {
-                report(trace, random, rollout, rest, first);
-                trace.number(rollout.evaluate(second * SECOND).ordinal()).real(rollout.includedFraction())
+                report(trace, random, rollout, baselineRate, canaryRate);
+                trace.number(rollout.evaluate(second * SECOND_NANOS).ordinal())
+                    .real(rollout.includedFraction())
                     .end();
             }
         }
         assertEquals(trace.digest(), digest);
     }
 
-    private static void report(Trace trace, Random random, Rollout rollout, double rest, double first) {
+    private static void report(Trace trace, Random random, Rollout rollout, double baselineRate,
+                               double canaryRate) {
         for (int proxy = 0; proxy < 40; proxy++) {
             String name = "proxy-" + proxy;
-            boolean has = rollout.includes(name);
-            trace.flag(has);
+            boolean isIncluded = rollout.includes(name);
+            trace.flag(isIncluded);
             int requests = random.nextInt(40);
             int served = 0;
             for (int request = 0; request < requests; request++) {
-                served += random.nextDouble() < (has ? first : rest) ? 1 : 0;
+                served += random.nextDouble() < (isIncluded ? canaryRate : baselineRate) ? 1 : 0;
             }
             rollout.onReport(name, served, requests);
         }
     }
 
-    /** Reports around the minimum number of requests and around the margin, request by request. */
+    /** Reports all request counts around the minimum, and all failure rates around the margin. */
     @Test
-    public void boundsOfARolloutAreAsBefore() {
+    public void rolloutDecisionsAtBoundsAreUnchanged() {
         Trace trace = Trace.named("rollout-bounds");
         for (int requests = 95; requests <= 105; requests++) {
             for (long served = requests - 15L; served <= requests; served++) {
@@ -271,29 +276,29 @@
     }
 
     private static void evaluateAtBounds(Trace trace, int requests, long served, double margin) {
-        Rollout rollout = new Rollout(0, "v", new double[] {0.5, 1}, 5 * SECOND, 100, margin);
+        Rollout rollout = new Rollout(0, "v", new double[] {0.5, 1}, 5 * SECOND_NANOS, 100, margin);
         for (int proxy = 0; proxy < 2; proxy++) {
-            String name = proxyOfHalf(rollout, proxy == 0);
+            String name = proxyInGroup(rollout, proxy == 0);
             rollout.onReport(name, proxy == 0 ? served : requests, requests);
         }
-        for (long now = 4 * SECOND; now <= 6 * SECOND; now += SECOND) {
+        for (long now = 4 * SECOND_NANOS; now <= 6 * SECOND_NANOS; now += SECOND_NANOS) {
             trace.number(rollout.evaluate(now).ordinal()).real(rollout.includedFraction());
         }
         trace.end();
     }
 
-    private static String proxyOfHalf(Rollout rollout, boolean first) {
+    private static String proxyInGroup(Rollout rollout, boolean isInCanary) {
         int proxy = 0;
-        while (rollout.includes("p" + proxy) != first) {
+        while (rollout.includes("p" + proxy) != isInCanary) {
             proxy++;
         }
         return "p" + proxy;
     }
 
-    // ---- subscriptions
+    // ---- xDS subscriptions
 
     @Test
-    public void subscriptionsAreServedAsBefore() {
+    public void responsesToRequestsAreUnchanged() {
         Trace trace = Trace.named("subscription");
         Random random = new Random(1);
         XdsSubscription subscription = new XdsSubscription();
@@ -310,10 +315,10 @@
                 sent = subscription.onNewVersion(version).orElse(null);
             } else {
                 String error = random.nextInt(4) == 0 ? "a fault" : null;
-                String answered = random.nextInt(8) == 0 ? "7" : nonce;
-                boolean changed = random.nextInt(6) == 0;
-                trace.part('r').text(version).text(answered).text(error).flag(changed);
-                sent = subscription.onRequest(version, answered, error, changed).orElse(null);
+                String answeredNonce = random.nextInt(8) == 0 ? "7" : nonce;
+                boolean resourcesChanged = random.nextInt(6) == 0;
+                trace.part('r').text(version).text(answeredNonce).text(error).flag(resourcesChanged);
+                sent = subscription.onRequest(version, answeredNonce, error, resourcesChanged).orElse(null);
             }
             if (sent != null) {
                 nonce = sent.nonce();
--- a/control/src/test/java/spurroad/control/decide/Endpoints.java
+++ b/control/src/test/java/spurroad/control/decide/Endpoints.java
@@ -3,7 +3,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Endpoints for tests. */
+/** Creates endpoints for tests. */
 final class Endpoints {
     private Endpoints() {}
 
--- a/control/src/test/java/spurroad/control/decide/MassRemovalGuardTest.java
+++ b/control/src/test/java/spurroad/control/decide/MassRemovalGuardTest.java
@@ -8,12 +8,12 @@
 import java.util.TreeMap;
 import org.testng.annotations.Test;
 
-/** How much of a fleet may disappear at once. */
+/** Tests the limit on how much of a fleet may disappear at once. */
 public class MassRemovalGuardTest {
     private static final long SECOND_NANOS = 1_000_000_000L;
 
     @Test
-    public void anEmptyListRemovesOnlyTheAllowedFractionUntilTheRetentionEnds() {
+    public void emptyListRemovesOnlyAllowedFractionUntilRetentionEnds() {
         MassRemovalGuard guard = new MassRemovalGuard(0.25, 30 * SECOND_NANOS);
         assertEquals(guard.filter(0, Endpoints.activeEndpoints(8)).endpoints().size(), 8);
         MassRemovalGuard.FilteredEndpoints filtered = guard.filter(SECOND_NANOS, new TreeMap<>());
@@ -22,15 +22,15 @@
         assertEquals(guard.filter(2 * SECOND_NANOS, Endpoints.activeEndpoints(8)).retained(), Set.of());
         assertEquals(guard.filter(3 * SECOND_NANOS, new TreeMap<>()).endpoints().size(), 6);
         assertEquals(guard.filter(33 * SECOND_NANOS, new TreeMap<>()).endpoints().size(), 0,
-            "after the retention");
+            "after the end of the retention");
     }
 
     @Test
-    public void aFleetThatDisappearsInSlicesIsRetainedAsWell() {
+    public void fleetThatDisappearsStepByStepIsRetained() {
         MassRemovalGuard guard = new MassRemovalGuard(0.25, 30 * SECOND_NANOS);
         guard.filter(0, Endpoints.activeEndpoints(8));
-        for (int left = 7; left >= 0; left--) {
-            guard.filter((8 - left) * SECOND_NANOS, Endpoints.activeEndpoints(left));
+        for (int remainingCount = 7; remainingCount >= 0; remainingCount--) {
+            guard.filter((8 - remainingCount) * SECOND_NANOS, Endpoints.activeEndpoints(remainingCount));
         }
         assertEquals(guard.filter(9 * SECOND_NANOS, Endpoints.activeEndpoints(0)).endpoints().size(), 6);
     }
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void aSmallFractionIsRemovedAtOnce() {
+    public void allowedFractionIsRemovedImmediately() {
         MassRemovalGuard guard = new MassRemovalGuard(0.25, 30 * SECOND_NANOS);
         guard.filter(0, Endpoints.activeEndpoints(8));
         assertEquals(guard.filter(SECOND_NANOS, Endpoints.activeEndpoints(6)).endpoints().size(), 6);
--- a/control/src/test/java/spurroad/control/decide/RolloutTest.java
+++ b/control/src/test/java/spurroad/control/decide/RolloutTest.java
@@ -16,12 +16,12 @@
     private static final double[] STAGES = {0.1, 0.5, 1};
     private final List<String> proxies = IntStream.range(0, 200).mapToObj(i -> "p-" + i).toList();
 
-    private static Rollout rolloutOf(String version) {
+    private static Rollout newRollout(String version) {
         return new Rollout(0, version, STAGES, 30 * SECOND_NANOS, 1000, 0.005);
     }
 
     /**
-     * Simulates proxies with a success rate of the baseline and one of the canary; returns the last status.
+     * Simulates proxies with different success rates in baseline and canary; returns the last status.
      */
     private Rollout.Status simulate(Rollout rollout, double baselineRate, double canaryRate, int seconds) {
         Random random = new Random(4);
@@ -38,44 +38,45 @@
     }
 
     @Test
-    public void theCanaryDependsOnTheVersionAlone() {
-        List<String> canary = proxies.stream().filter(rolloutOf("v1")::includes).toList();
-        assertEquals(proxies.stream().filter(rolloutOf("v1")::includes).toList(), canary);
-        assertNotEquals(proxies.stream().filter(rolloutOf("v2")::includes).toList(), canary);
-        assertTrue(canary.size() > 8 && canary.size() < 36, canary.size() + " of 200 in a tenth");
+    public void canaryDependsOnlyOnVersion() {
+        List<String> canary = proxies.stream().filter(newRollout("v1")::includes).toList();
+        assertEquals(proxies.stream().filter(newRollout("v1")::includes).toList(), canary);
+        assertNotEquals(proxies.stream().filter(newRollout("v2")::includes).toList(), canary);
+        assertTrue(canary.size() > 8 && canary.size() < 36,
+            canary.size() + " of 200 proxies in the first stage, which includes a tenth");
     }
 
     @Test
-    public void aHarmlessPolicyReachesAllProxiesInStages() {
-        Rollout rollout = rolloutOf("v1");
+    public void harmlessPolicyReachesAllProxiesInStages() {
+        Rollout rollout = newRollout("v1");
         assertEquals(simulate(rollout, 0.97, 0.97, 29), Rollout.Status.IN_PROGRESS);
         assertEquals(rollout.includedFraction(), 0.1);
-        assertEquals(simulate(rolloutOf("v1"), 0.97, 0.97, 200), Rollout.Status.COMPLETED);
+        assertEquals(simulate(newRollout("v1"), 0.97, 0.97, 200), Rollout.Status.COMPLETED);
     }
 
     @Test
-    public void aHarmfulPolicyIsRolledBackEverywhere() {
-        Rollout rollout = rolloutOf("v1");
+    public void harmfulPolicyIsRolledBackEverywhere() {
+        Rollout rollout = newRollout("v1");
         assertEquals(simulate(rollout, 0.97, 0.90, 200), Rollout.Status.ROLLED_BACK);
         assertEquals(rollout.includedFraction(), 0.0);
         assertTrue(proxies.stream().noneMatch(rollout::includes));
-        assertEquals(rollout.evaluate(1000 * SECOND_NANOS), Rollout.Status.ROLLED_BACK, "for good");
+        assertEquals(rollout.evaluate(1000 * SECOND_NANOS), Rollout.Status.ROLLED_BACK, "rollback is final");
     }
 
     @Test
     public void failuresSharedWithTheBaselineDoNotRollBack() {
-        assertEquals(simulate(rolloutOf("v1"), 0.4, 0.4, 200), Rollout.Status.COMPLETED);
+        assertEquals(simulate(newRollout("v1"), 0.4, 0.4, 200), Rollout.Status.COMPLETED);
     }
 
     @Test
-    public void withoutReportsTheFirstStageContinues() {
-        Rollout rollout = rolloutOf("v1");
+    public void firstStageContinuesWithoutReports() {
+        Rollout rollout = newRollout("v1");
         assertEquals(rollout.evaluate(1000 * SECOND_NANOS), Rollout.Status.IN_PROGRESS);
         assertEquals(rollout.includedFraction(), 0.1);
     }
 
     @Test
-    public void theLastStageMustIncludeAllProxies() {
+    public void lastStageMustIncludeAllProxies() {
         assertThrows(IllegalArgumentException.class,
             () -> new Rollout(0, "v", new double[] {0.5}, SECOND_NANOS, 1, 0));
     }
--- a/control/src/test/java/spurroad/control/decide/SnapshotHistoryTest.java
+++ b/control/src/test/java/spurroad/control/decide/SnapshotHistoryTest.java
@@ -10,12 +10,12 @@
 import java.util.TreeMap;
 import org.testng.annotations.Test;
 
-/** Versions of snapshots, their differences and their history. */
+/** Tests the versions, differences and history of snapshots. */
 public class SnapshotHistoryTest {
     private static final SortedMap<String, String> NO_POLICY = new TreeMap<>();
 
     @Test
-    public void theVersionDependsOnTheWholeContentAndNothingElse() {
+    public void versionDependsOnCompleteContentOnly() {
         Snapshot snapshot = Snapshot.of(1, 5, "first", Endpoints.activeEndpoints("n1", "n2"), NO_POLICY);
         assertEquals(
             Snapshot.of(9, 7, "elsewhere", Endpoints.activeEndpoints("n2", "n1"), NO_POLICY).version(),
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void rollingBackRestoresThePolicyAndKeepsTheEndpoints() {
+    public void rollbackRestoresPolicyAndRetainsEndpoints() {
         SnapshotHistory history = new SnapshotHistory(3);
         SortedMap<String, String> earlierPolicy = new TreeMap<>(Map.of("soft-limit", "0.1"));
         SortedMap<String, String> laterPolicy = new TreeMap<>(
@@ -48,12 +48,12 @@
                 + ", ACTIVE", "+ n3 at " + second.endpoints().get("n3").address() + ", ACTIVE",
                 "+ ring-points = 96",
                 "~ soft-limit: 0.1 -> 0.3"));
-        Snapshot back = history.rollBackPolicy(4, first.number()).orElseThrow();
-        assertEquals(back.policy(), earlierPolicy);
-        assertEquals(back.endpoints(), laterEndpoints);
-        assertEquals(back.number(), 3);
+        Snapshot rolledBack = history.rollBackPolicy(4, first.number()).orElseThrow();
+        assertEquals(rolledBack.policy(), earlierPolicy);
+        assertEquals(rolledBack.endpoints(), laterEndpoints);
+        assertEquals(rolledBack.number(), 3);
         history.record(5, "more", Endpoints.activeEndpoints("n9"), earlierPolicy);
-        assertEquals(history.all().size(), 3, "bounded");
+        assertEquals(history.all().size(), 3, "number of retained snapshots");
         assertFalse(history.rollBackPolicy(6, first.number()).isPresent());
     }
 }
--- a/control/src/test/java/spurroad/control/decide/SourceViewsProperties.java
+++ b/control/src/test/java/spurroad/control/decide/SourceViewsProperties.java
@@ -13,9 +13,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Properties of the merged endpoints for any reports of the sources in any order. */
+/** Properties of the merged endpoints for arbitrary reports of the sources in any order. */
 class SourceViewsProperties {
-    /** A report of a source on an endpoint. */
+    /** A report of one source about one endpoint. */
     record Report(String source, Endpoint endpoint) {}
 
     @Provide
@@ -34,21 +34,22 @@
     }
 
     @Property(seed = "1")
-    void statusesFormALattice(@ForAll("statuses") EndpointStatus a, @ForAll("statuses") EndpointStatus b,
-                              @ForAll("statuses") EndpointStatus c) {
-        assertTrue(a.join(a).equals(a), "a report counts once");
-        assertTrue(a.join(b).equals(b.join(a)), "in either order");
-        assertTrue(a.join(b).join(c).equals(a.join(b.join(c))), "however they are grouped");
+    void statusesFormJoinSemilattice(@ForAll("statuses") EndpointStatus a,
+                                     @ForAll("statuses") EndpointStatus b,
+                                     @ForAll("statuses") EndpointStatus c) {
+        assertTrue(a.join(a).equals(a), "join is not idempotent");
+        assertTrue(a.join(b).equals(b.join(a)), "join is not commutative");
+        assertTrue(a.join(b).join(c).equals(a.join(b.join(c))), "join is not associative");
     }
 
-    /** The same reports, in any order of the sources, give the same endpoints. */
+    /** The order in which sources report does not affect the merged endpoints. */
     @Property(seed = "2", tries = 300)
-    void theOrderOfReportsDoesNotMatter(@ForAll("reports") List<Report> reports,
-                                        @ForAll Random random) {
+    void orderOfSourcesDoesNotAffectMergedEndpoints(@ForAll("reports") List<Report> reports,
+                                                    @ForAll Random random) {
         List<String> sources = new ArrayList<>(List.of("a", "b", "c"));
-        SourceViews one = views(reports, sources);
+        SourceViews inOriginalOrder = views(reports, sources);
         Collections.shuffle(sources, random);
-        assertTrue(one.mergedEndpoints().equals(views(reports, sources).mergedEndpoints()),
+        assertTrue(inOriginalOrder.mergedEndpoints().equals(views(reports, sources).mergedEndpoints()),
             "in the order " + sources);
     }
 
@@ -62,17 +63,18 @@
     }
 
     /**
-     * No endpoint is more available than a source, live or lost, reports in its latest incarnation.
+     * In its latest incarnation, an endpoint is in no less restrictive state than any live or lost source
+     * reports.
      */
     @Property(seed = "3", tries = 300)
-    void theMoreRestrictiveStateWins(@ForAll("reports") List<Report> reports, @ForAll boolean lost) {
+    void moreRestrictiveStateWins(@ForAll("reports") List<Report> reports, @ForAll boolean isSourceLost) {
         SourceViews views = views(reports, List.of("a", "b", "c"));
-        if (lost) {
+        if (isSourceLost) {
             views.onSourceLost("b");
         }
         for (Endpoint merged : views.mergedEndpoints().values()) {
             for (String source : List.of("a", "b", "c")) {
-                // the latest report of that endpoint by that source
+                // the latest report of the source about the endpoint
                 reports.stream().filter(s -> s.source.equals(source) && s.endpoint.uid().equals(merged.uid()))
                     .reduce((x, y) -> y).map(s -> s.endpoint.status()).ifPresent(s -> assertTrue(
                         s.startedAtMillis() < merged.status().startedAtMillis()
--- a/control/src/test/java/spurroad/control/decide/SourceViewsTest.java
+++ b/control/src/test/java/spurroad/control/decide/SourceViewsTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The endpoints as several sources report them. */
+/** Tests how the reports of several sources are merged. */
 public class SourceViewsTest {
     private static EndpointState state(SourceViews views, String uid) {
         Endpoint endpoint = views.mergedEndpoints().get(uid);
@@ -23,19 +23,19 @@
     }
 
     @Test
-    public void anEndpointOmittedFromAFullListIsGoneUnlessThatSourceIsLost() {
+    public void endpointOmittedFromFullListIsGoneUnlessSourceIsLost() {
         SourceViews views = new SourceViews();
         views.onFullList("a", List.of(Endpoints.active("n1")));
         views.onFullList("b", List.of(Endpoints.active("n1"), Endpoints.active("n2")));
         assertEquals(state(views, "n2"), EndpointState.GONE);
         views.onSourceLost("a");
         assertEquals(state(views, "n2"), EndpointState.ACTIVE,
-            "its first report came after the loss of source a");
+            "omitted only by the lost source a");
         assertEquals(state(views, "n1"), EndpointState.ACTIVE);
     }
 
     @Test
-    public void aLaterIncarnationIsActiveWhateverWasReportedOfAnEarlierOne() {
+    public void laterIncarnationIsActiveDespiteReportsOfEarlierOne() {
         SourceViews views = new SourceViews();
         views.onChanges("a", List.of(Endpoints.endpoint("n1", 100, EndpointState.GONE)));
         views.onChanges("b", List.of(Endpoints.endpoint("n1", 100, EndpointState.ACTIVE)));
--- a/control/src/test/java/spurroad/control/decide/XdsSubscriptionTest.java
+++ b/control/src/test/java/spurroad/control/decide/XdsSubscriptionTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 import spurroad.control.decide.XdsSubscription.Response;
 
-/** One xDS subscription, request by request. */
+/** Tests the responses of one xDS subscription to sequences of requests and versions. */
 public class XdsSubscriptionTest {
     private XdsSubscription newSubscription;
 
@@ -22,7 +22,7 @@
         return Optional.of(new Response(version, nonce));
     }
 
-    private XdsSubscription subscribed(String version) {
+    private XdsSubscription subscribedTo(String version) {
         XdsSubscription subscription = new XdsSubscription();
         subscription.onNewVersion(version);
         assertEquals(subscription.onRequest("", "", null, true), response(version, "1"));
@@ -30,15 +30,15 @@
     }
 
     @Test
-    public void nothingIsSentBeforeARequestOrAVersion() {
+    public void sendsNothingBeforeRequestAndVersion() {
         assertEquals(newSubscription.onRequest("", "", null, true), Optional.empty());
         assertEquals(newSubscription.onNewVersion("v1"), response("v1", "1"));
         assertEquals(new XdsSubscription().onNewVersion("v1"), Optional.empty());
     }
 
     @Test
-    public void anAcknowledgedVersionIsNotSentAgain() {
-        XdsSubscription subscription = subscribed("v1");
+    public void acknowledgedVersionIsNotSentAgain() {
+        XdsSubscription subscription = subscribedTo("v1");
         assertEquals(subscription.onRequest("v1", "1", null, false), Optional.empty());
         assertEquals(subscription.acknowledgedVersion(), "v1");
         assertTrue(subscription.isUpToDate());
@@ -47,8 +47,8 @@
     }
 
     @Test
-    public void aSlowReaderIsSentTheNewestVersionOnly() {
-        XdsSubscription subscription = subscribed("v1");
+    public void slowReaderReceivesOnlyNewestVersion() {
+        XdsSubscription subscription = subscribedTo("v1");
         for (int i = 2; i < 50; i++) {
             assertEquals(subscription.onNewVersion("v" + i), Optional.empty());
         }
@@ -56,8 +56,8 @@
     }
 
     @Test
-    public void aRejectedVersionIsNotSentAgain() {
-        XdsSubscription subscription = subscribed("v1");
+    public void rejectedVersionIsNotSentAgain() {
+        XdsSubscription subscription = subscribedTo("v1");
         subscription.onRequest("v1", "1", null, false);
         subscription.onNewVersion("v2");
         assertEquals(subscription.onRequest("v1", "2", "a faulty cluster", false), Optional.empty());
@@ -69,8 +69,8 @@
     }
 
     @Test
-    public void anAnswerWithAnOldNonceIsIgnored() {
-        XdsSubscription subscription = subscribed("v1");
+    public void requestWithOutdatedNonceIsIgnored() {
+        XdsSubscription subscription = subscribedTo("v1");
         subscription.onRequest("v1", "1", null, false);
         subscription.onNewVersion("v2");
         assertEquals(subscription.onRequest("v1", "1", "late", false), Optional.empty());
@@ -80,13 +80,13 @@
     }
 
     @Test
-    public void changedResourcesAreSentEvenWithTheSameVersion() {
-        XdsSubscription subscription = subscribed("v1");
+    public void changedResourcesAreSentWithUnchangedVersion() {
+        XdsSubscription subscription = subscribedTo("v1");
         assertEquals(subscription.onRequest("v1", "1", null, true), response("v1", "2"));
     }
 
     @Test
-    public void aResumedStreamIsNotSentTheVersionItHas() {
+    public void resumedStreamDoesNotReceiveItsCurrentVersion() {
         newSubscription.onNewVersion("v1");
         assertEquals(newSubscription.onRequest("v1", "", null, true), Optional.empty());
         assertEquals(newSubscription.onNewVersion("v2"), response("v2", "1"));
--- a/control/src/test/java/spurroad/control/distribution/FleetTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/FleetTraceTest.java
@@ -11,14 +11,14 @@
 import spurroad.control.distribution.support.SimulatedNetwork;
 
 /**
- * Verifies that the processes of the distribution are unchanged to the bit: the same calls result in the same
- * messages, timers and states. A change of behavior comes with new digests and their reason; a change that
- * only moves or renames code comes with none.
+ * Pins the behavior of the processes of the distribution: the same calls result in exactly the same messages,
+ * timers and states. A commit that changes behavior updates the digests and states the reason; a commit that
+ * only moves or renames code must not change them.
  */
 public class FleetTraceTest {
-    private static final long MS = SimulatedNetwork.NANOS_PER_MILLISECOND;
-    private static final long SECOND = SimulatedNetwork.NANOS_PER_SECOND;
-    private static final long STARTUP_NANOS = 8 * SECOND; // elections, leases, first parents
+    private static final long MILLISECOND_NANOS = SimulatedNetwork.NANOS_PER_MILLISECOND;
+    private static final long SECOND_NANOS = SimulatedNetwork.NANOS_PER_SECOND;
+    private static final long STARTUP_NANOS = 8 * SECOND_NANOS; // elections, leases, first parents
 
     private static Object[] row(String name, long seed, Consumer<TracedFleet> script, String digest) {
         return new Object[] {name, seed, script, digest};
@@ -27,7 +27,7 @@
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
-            row("calm", 1, FleetTraceTest::calm,
+            row("calm", 1, FleetTraceTest::faultFree,
                 "dbbfb723bb46e99216367b9dcee28e435fc213449b3a4cd8a3ba3d0ea2c21310"),
             row("lossy", 2, FleetTraceTest::lossy,
                 "c79050060e01cc34689040a7b8cc8779ac01a6b0522ebd91b05344df91bd28f1"),
@@ -49,7 +49,7 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void decidesAsBefore(String name, long seed, Consumer<TracedFleet> script, String digest) {
+    public void behaviorIsUnchanged(String name, long seed, Consumer<TracedFleet> script, String digest) {
         Trace trace = Trace.named("fleet-" + name);
         TracedFleet fleet = new TracedFleet(seed, trace);
         script.accept(fleet);
@@ -57,47 +57,48 @@
         assertEquals(trace.digest(), digest, name);
     }
 
-    private static void calm(TracedFleet fleet) {
+    private static void faultFree(TracedFleet fleet) {
         fleet.startAll();
         fleet.network.run(STARTUP_NANOS);
-        fleet.runWithCommands(12 * SECOND, 130 * MS, 3);
-        fleet.network.run(10 * SECOND);
+        fleet.runWithCommands(12 * SECOND_NANOS, 130 * MILLISECOND_NANOS, 3);
+        fleet.network.run(10 * SECOND_NANOS);
     }
 
     private static void lossy(TracedFleet fleet) {
         fleet.network.setFaults(0.08, 0.08);
-        fleet.network.setDelays(MS, 120 * MS);
+        fleet.network.setDelays(MILLISECOND_NANOS, 120 * MILLISECOND_NANOS);
         fleet.startAll();
         fleet.network.run(STARTUP_NANOS);
-        fleet.runWithCommands(12 * SECOND, 170 * MS, 5);
+        fleet.runWithCommands(12 * SECOND_NANOS, 170 * MILLISECOND_NANOS, 5);
         fleet.network.setFaults(0.35, 0.1);
-        fleet.network.setDelays(20 * MS, 400 * MS);
-        fleet.runWithCommands(12 * SECOND, 210 * MS, 20);
+        fleet.network.setDelays(20 * MILLISECOND_NANOS, 400 * MILLISECOND_NANOS);
+        fleet.runWithCommands(12 * SECOND_NANOS, 210 * MILLISECOND_NANOS, 20);
         fleet.network.setFaults(0, 0);
-        fleet.network.run(8 * SECOND);
+        fleet.network.run(8 * SECOND_NANOS);
     }
 
     private static void partitions(TracedFleet fleet) {
         fleet.startAll();
         fleet.network.run(STARTUP_NANOS);
         int leader = fleet.leader().value();
-        partitionFor(fleet, 4 * SECOND, id -> id == leader); // from all others
-        partitionFor(fleet, 4 * SECOND, id -> id <= 1 || (id >= 100 && id < 104)); // with relays of the east
-        partitionFor(fleet, 9 * SECOND, id -> id >= 200); // one region
-        partitionFor(fleet, 6 * SECOND, id -> id >= 110 && id < 120); // a site
-        partitionFor(fleet, 4 * SECOND, id -> id < 3); // three of five
-        fleet.network.setPassingLinks((from, to) -> from.value() < 100 || to.value() != 100); // one way only
-        fleet.runWithCommands(5 * SECOND, 300 * MS, 4);
+        partitionFor(fleet, 4 * SECOND_NANOS, id -> id == leader); // isolates the leader
+        partitionFor(fleet, 4 * SECOND_NANOS, id -> id <= 1 || (id >= 100 && id < 104)); // also east relays
+        partitionFor(fleet, 9 * SECOND_NANOS, id -> id >= 200); // isolates one region
+        partitionFor(fleet, 6 * SECOND_NANOS, id -> id >= 110 && id < 120); // isolates a site
+        partitionFor(fleet, 4 * SECOND_NANOS, id -> id < 3); // splits the core three to two
+        fleet.network.setPassingLinks((from, to) -> from.value() < 100 || to.value() != 100); // one direction
+        fleet.runWithCommands(5 * SECOND_NANOS, 300 * MILLISECOND_NANOS, 4);
         fleet.network.setPassingLinks((from, to) -> true);
-        fleet.network.run(62 * SECOND); // until the purges retained for former children are dropped
-        fleet.runWithCommands(3 * SECOND, 300 * MS, 4);
+        fleet.network.run(62 * SECOND_NANOS); // until the purges retained for former children are dropped
+        fleet.runWithCommands(3 * SECOND_NANOS, 300 * MILLISECOND_NANOS, 4);
     }
 
-    private static void partitionFor(TracedFleet fleet, long duration, IntPredicate oneSide) {
-        fleet.network.setPassingLinks((from, to) -> oneSide.test(from.value()) == oneSide.test(to.value()));
-        fleet.runWithCommands(duration, 310 * MS, 4);
+    private static void partitionFor(TracedFleet fleet, long durationNanos, IntPredicate isOnFirstSide) {
+        fleet.network.setPassingLinks(
+            (from, to) -> isOnFirstSide.test(from.value()) == isOnFirstSide.test(to.value()));
+        fleet.runWithCommands(durationNanos, 310 * MILLISECOND_NANOS, 4);
         fleet.network.setPassingLinks((from, to) -> true);
-        fleet.runWithCommands(5 * SECOND, 310 * MS, 4);
+        fleet.runWithCommands(5 * SECOND_NANOS, 310 * MILLISECOND_NANOS, 4);
     }
 
     private static void restarts(TracedFleet fleet) {
@@ -105,46 +106,50 @@
         fleet.network.run(STARTUP_NANOS);
         for (ProcessId id : fleet.all()) {
             fleet.stop(id);
-            fleet.runWithCommands(700 * MS, 100 * MS, 3);
+            fleet.runWithCommands(700 * MILLISECOND_NANOS, 100 * MILLISECOND_NANOS, 3);
             fleet.start(id);
-            fleet.runWithCommands(400 * MS, 200 * MS, 3);
+            fleet.runWithCommands(400 * MILLISECOND_NANOS, 200 * MILLISECOND_NANOS, 3);
         }
-        List<ProcessId> core = TreeTopology.CONTROL_MACHINES;
-        core.forEach(fleet::stop);
-        fleet.network.run(2 * SECOND);
-        core.forEach(fleet::start);
-        fleet.runWithCommands(6 * SECOND, 250 * MS, 3);
-        replaceDisk(fleet);
+        List<ProcessId> machines = TreeTopology.CONTROL_MACHINES;
+        machines.forEach(fleet::stop);
+        fleet.network.run(2 * SECOND_NANOS);
+        machines.forEach(fleet::start);
+        fleet.runWithCommands(6 * SECOND_NANOS, 250 * MILLISECOND_NANOS, 3);
+        restartWithoutPersistentState(fleet);
     }
 
     /**
-     * Restarts a replica with an empty disk. That is legal only if all others have all committed entries, and
-     * has an effect only under a leader that does not know the replica's progress yet.
+     * Restarts a replica without its persistent state. This is safe only if all other replicas have all
+     * committed entries, and has an effect only under a leader that has not tracked the replica's progress
+     * yet.
      */
-    private static void replaceDisk(TracedFleet fleet) {
+    private static void restartWithoutPersistentState(TracedFleet fleet) {
         ProcessId leader = fleet.leader();
         ProcessId replaced = fleet.all().get(leader.value() == 4 ? 3 : 4);
-        fleet.network.run(SECOND);
+        fleet.network.run(SECOND_NANOS);
         fleet.stop(replaced);
-        fleet.loseDisk(replaced);
+        fleet.deletePersistentState(replaced);
         fleet.stop(leader);
-        fleet.network.run(3 * SECOND);
+        fleet.network.run(3 * SECOND_NANOS);
         fleet.start(replaced);
-        fleet.runWithCommands(3 * SECOND, 250 * MS, 3);
+        fleet.runWithCommands(3 * SECOND_NANOS, 250 * MILLISECOND_NANOS, 3);
         fleet.start(leader);
-        fleet.runWithCommands(3 * SECOND, 250 * MS, 3);
+        fleet.runWithCommands(3 * SECOND_NANOS, 250 * MILLISECOND_NANOS, 3);
     }
 
-    /** More purges than relays retain, while a site is partitioned, so that its processes must be reset. */
+    /**
+     * Commits more purges than relays retain while a site is partitioned, so that its processes must be
+     * reset.
+     */
     private static void manyPurges(TracedFleet fleet) {
         fleet.startAll();
         fleet.network.run(STARTUP_NANOS);
-        fleet.runWithCommands(2 * SECOND, 200 * MS, 900);
+        fleet.runWithCommands(2 * SECOND_NANOS, 200 * MILLISECOND_NANOS, 900);
         fleet.network.setPassingLinks((from, to) -> isOfLastSite(from) == isOfLastSite(to));
-        fleet.runWithCommands(9 * SECOND, 200 * MS, 900);
+        fleet.runWithCommands(9 * SECOND_NANOS, 200 * MILLISECOND_NANOS, 900);
         fleet.network.setPassingLinks((from, to) -> true);
-        fleet.runWithCommands(6 * SECOND, 200 * MS, 400);
-        fleet.network.run(8 * SECOND);
+        fleet.runWithCommands(6 * SECOND_NANOS, 200 * MILLISECOND_NANOS, 400);
+        fleet.network.run(8 * SECOND_NANOS);
     }
 
     private static boolean isOfLastSite(ProcessId id) {
@@ -152,22 +157,23 @@
     }
 
     private static void slowReaders(TracedFleet fleet) {
-        fleet.readsSlowly(1, 60 * MS);
-        fleet.readsSlowly(2, 700 * MS);
-        fleet.readsSlowly(100, 900 * MS);
-        fleet.readsSlowly(110, 1_100 * MS);
-        fleet.readsSlowly(111, 300 * MS);
-        fleet.readsSlowly(113, 800 * MS);
-        fleet.readsSlowly(114, 2_500 * MS);
-        fleet.readsSlowly(213, 1_300 * MS);
+        fleet.setReadInterval(1, 60 * MILLISECOND_NANOS);
+        fleet.setReadInterval(2, 700 * MILLISECOND_NANOS);
+        fleet.setReadInterval(100, 900 * MILLISECOND_NANOS);
+        fleet.setReadInterval(110, 1_100 * MILLISECOND_NANOS);
+        fleet.setReadInterval(111, 300 * MILLISECOND_NANOS);
+        fleet.setReadInterval(113, 800 * MILLISECOND_NANOS);
+        fleet.setReadInterval(114, 2_500 * MILLISECOND_NANOS);
+        fleet.setReadInterval(213, 1_300 * MILLISECOND_NANOS);
         fleet.startAll();
         fleet.network.run(STARTUP_NANOS);
-        fleet.runWithCommands(20 * SECOND, 90 * MS, 30);
-        fleet.network.run(6 * SECOND);
+        fleet.runWithCommands(20 * SECOND_NANOS, 90 * MILLISECOND_NANOS, 30);
+        fleet.network.run(6 * SECOND_NANOS);
     }
 
     /**
-     * More commands than the core's log retains, so that a replica that has lost its disk is sent a snapshot.
+     * Commits more commands than the core's log retains, so that a replica without persistent state receives
+     * a snapshot.
      */
     private static void longLog(TracedFleet fleet) {
         fleet.startAll();
@@ -176,9 +182,9 @@
             for (int i = 0; i < 500; i++) {
                 fleet.propose(i == 0 ? fleet.purges(2) : fleet.change());
             }
-            fleet.network.run(260 * MS);
+            fleet.network.run(260 * MILLISECOND_NANOS);
         }
-        fleet.network.run(2 * SECOND);
-        replaceDisk(fleet);
+        fleet.network.run(2 * SECOND_NANOS);
+        restartWithoutPersistentState(fleet);
     }
 }
--- a/control/src/test/java/spurroad/control/distribution/SimulatedFleet.java
+++ b/control/src/test/java/spurroad/control/distribution/SimulatedFleet.java
@@ -20,22 +20,22 @@
 import spurroad.control.distribution.support.CheckingListener;
 import spurroad.control.distribution.support.SimulatedNetwork;
 
-/** The processes of {@link TreeTopology} in simulated time, and what they have committed and applied. */
+/** Runs the processes of {@link TreeTopology} in simulated time, and records what they commit and apply. */
 final class SimulatedFleet implements TreeTopology.Visitor {
     final DistributionSettings settings = new DistributionSettings();
     final SimulatedNetwork network;
     final Map<ProcessId, ControlMachine> control = new LinkedHashMap<>();
     final Map<ProcessId, Relay> relays = new LinkedHashMap<>();
-    final Map<ProcessId, Subscriber> subscribers = new LinkedHashMap<>(); // of relays too
+    final Map<ProcessId, Subscriber> subscribers = new LinkedHashMap<>(); // including those of relays
     final Map<ProcessId, CheckingListener> applied = new HashMap<>();
     final Map<ProcessId, String> regionOf = new HashMap<>();
     final Map<ProcessId, String> groupOf = new HashMap<>(); // of relay candidates
-    private final Map<ProcessId, PersistentState> disks = new HashMap<>();
+    private final Map<ProcessId, PersistentState> persistentStates = new HashMap<>();
     private final Map<ProcessId, Runnable> starters = new LinkedHashMap<>();
     private long seed;
 
     final Map<ResourceKey, Long> committedSequences = new HashMap<>();
-    final Map<Long, Long> committedPurgesAt = new LinkedHashMap<>(); // by the number of purges then
+    final Map<Long, Long> committedPurgesAt = new LinkedHashMap<>(); // commit time by purge number
     private long committedIndex;
     private long sequence;
     long purges;
@@ -76,9 +76,11 @@
     }
 
     private void startControl(ProcessId id) {
-        PersistentState disk = disks.computeIfAbsent(id, unused -> new PersistentState());
+        PersistentState persistentState = persistentStates.computeIfAbsent(id,
+            unused -> new PersistentState());
         ControlMachine machine = new ControlMachine(network.now(), settings, id,
-            TreeTopology.CONTROL_MACHINES, disk, TreeTopology.LEASES_PER_GROUP, this::committed, seed++);
+            TreeTopology.CONTROL_MACHINES, persistentState, TreeTopology.LEASES_PER_GROUP, this::committed,
+            seed++);
         control.put(id, machine);
         network.add(id, machine);
     }
@@ -108,7 +110,7 @@
         applied.remove(id);
     }
 
-    boolean runs(ProcessId id) {
+    boolean isRunning(ProcessId id) {
         return control.containsKey(id) || subscribers.containsKey(id);
     }
 
@@ -135,58 +137,60 @@
         return propose(new Command.Purge(new long[count]));
     }
 
-    Set<ProcessId> holders(String group) {
-        Set<ProcessId> holders = new TreeSet<>((a, b) -> Integer.compare(a.value(), b.value()));
+    Set<ProcessId> leaseHolders(String group) {
+        Set<ProcessId> leaseHolders = new TreeSet<>((a, b) -> Integer.compare(a.value(), b.value()));
         relays.forEach((id, relay) -> {
             if (relay.isRelay() && groupOf.get(id).equals(group)) {
-                holders.add(id);
+                leaseHolders.add(id);
             }
         });
-        return holders;
+        return leaseHolders;
     }
 
     /** Returns the processes that lack committed changes or purges of their scope. */
-    List<String> behind(Predicate<ProcessId> among) {
-        List<String> behind = new ArrayList<>();
+    List<String> processesBehind(Predicate<ProcessId> isIncluded) {
+        List<String> processesBehind = new ArrayList<>();
         subscribers.forEach((id, subscriber) -> {
-            if (!among.test(id)) {
+            if (!isIncluded.test(id)) {
                 return;
             }
             Scope scope = new Scope(regionOf.get(id));
             committedSequences.forEach((key, committed) -> {
                 if (scope.includes(key) && !committed.equals(applied.get(id).sequences.get(key))) {
-                    behind.add(
+                    processesBehind.add(
                         id.value() + ": " + key.name() + " " + applied.get(id).sequences.get(key) + " not "
                             + committed);
                 }
             });
             if (applied.get(id).purgeNumber < purges) {
-                behind.add(id.value() + ": purges up to " + applied.get(id).purgeNumber + " of " + purges);
+                processesBehind
+                    .add(id.value() + ": purges up to " + applied.get(id).purgeNumber + " of " + purges);
             }
         });
-        return behind;
+        return processesBehind;
     }
 
     /**
-     * Returns the processes that count as fresh but lack a purge that was committed longer ago than the
-     * lease.
+     * Returns the processes that count as fresh although they lack a purge that was committed longer ago than
+     * the freshness lease.
      */
-    List<String> wronglyFresh() {
+    List<String> processesWronglyFresh() {
         long now = network.now();
-        List<String> wrong = new ArrayList<>();
+        List<String> wronglyFresh = new ArrayList<>();
         subscribers.forEach((id, subscriber) -> {
             if (!subscriber.freshness().isFresh(now)) {
                 return;
             }
-            committedPurgesAt.forEach((number, at) -> {
-                if (at <= now - settings.freshnessLeaseNanos && applied.get(id).purgeNumber < number) {
-                    wrong.add(
+            committedPurgesAt.forEach((number, committedAtNanos) -> {
+                if (committedAtNanos <= now - settings.freshnessLeaseNanos
+                    && applied.get(id).purgeNumber < number) {
+                    wronglyFresh.add(
                         id.value() + ": has " + applied.get(id).purgeNumber + ", not " + number
                             + " committed "
-                            + (now - at) / SimulatedNetwork.NANOS_PER_MILLISECOND + " ms ago");
+                            + (now - committedAtNanos) / SimulatedNetwork.NANOS_PER_MILLISECOND + " ms ago");
                 }
             });
         });
-        return wrong;
+        return wronglyFresh;
     }
 }
--- a/control/src/test/java/spurroad/control/distribution/TracedFleet.java
+++ b/control/src/test/java/spurroad/control/distribution/TracedFleet.java
@@ -27,22 +27,22 @@
 import spurroad.control.distribution.support.TracedParticipant;
 
 /**
- * The processes of {@link TreeTopology} over a simulated network, with a trace of each call of each process.
+ * Runs the processes of {@link TreeTopology} over a simulated network, and traces each call of each process.
  * The same seed results in the same calls as long as the processes make the same decisions.
  */
 final class TracedFleet implements TreeTopology.Visitor {
     private static final int RESOURCES = 40;
-    private static final int REMOVAL_IN = 6; // one change in so many removes
+    private static final int CHANGES_PER_REMOVAL = 6; // one change of this many is a removal
 
     final SimulatedNetwork network;
     private final Trace trace;
     private final Random random;
     private final DistributionSettings settings = new DistributionSettings();
     private final Map<ProcessId, Runnable> starters = new LinkedHashMap<>();
-    private final Map<ProcessId, PersistentState> disks = new HashMap<>();
+    private final Map<ProcessId, PersistentState> persistentStates = new HashMap<>();
     private final Map<ProcessId, ControlMachine> machines = new HashMap<>();
     private final Map<ProcessId, ConfigurationState> configurations = new HashMap<>();
-    private final Map<ProcessId, Long> readIntervals = new HashMap<>();
+    private final Map<ProcessId, Long> readIntervalsNanos = new HashMap<>();
     private long nextSeed;
 
     TracedFleet(long seed, Trace trace) {
@@ -55,19 +55,20 @@
     }
 
     private void startMachine(ProcessId id) {
-        PersistentState disk = disks.computeIfAbsent(id, unused -> new PersistentState());
+        PersistentState persistentState = persistentStates.computeIfAbsent(id,
+            unused -> new PersistentState());
         ControlMachine machine = new ControlMachine(network.now(), settings, id,
-            TreeTopology.CONTROL_MACHINES, disk, TreeTopology.LEASES_PER_GROUP,
-            this::committed, nextSeed++);
+            TreeTopology.CONTROL_MACHINES, persistentState, TreeTopology.LEASES_PER_GROUP,
+            this::onCommitted, nextSeed++);
         machines.put(id, machine);
         configurations.put(id, machine.replica().configuration());
         add(id, machine, now -> {
             StateTrace.machine(trace, now, machine);
-            PersistentStateTrace.summary(trace, disk);
+            PersistentStateTrace.summary(trace, persistentState);
         });
     }
 
-    private void committed(long index, Command command) {
+    private void onCommitted(long index, Command command) {
         trace.part('a').number(index);
         MessageTrace.command(trace, command);
     }
@@ -97,10 +98,10 @@
         add(id, subscriber, now -> StateTrace.subscriber(trace, now, subscriber));
     }
 
-    private void add(ProcessId id, Participant process, LongConsumer stateAt) {
-        Participant traced = new TracedParticipant(id, process, trace, stateAt);
-        Long interval = readIntervals.get(id);
-        network.add(id, interval == null ? traced : new SlowReader(traced, interval));
+    private void add(ProcessId id, Participant process, LongConsumer stateTracer) {
+        Participant traced = new TracedParticipant(id, process, trace, stateTracer);
+        Long intervalNanos = readIntervalsNanos.get(id);
+        network.add(id, intervalNanos == null ? traced : new SlowReader(traced, intervalNanos));
     }
 
     // ---- events of a script
@@ -126,21 +127,24 @@
         machines.remove(id);
     }
 
-    /** Deletes the persistent state of a stopped control machine; legal only if all others have it. */
-    void loseDisk(ProcessId id) {
-        disks.remove(id);
+    /**
+     * Deletes the persistent state of a stopped control machine; safe only if all others have the same
+     * entries.
+     */
+    void deletePersistentState(ProcessId id) {
+        persistentStates.remove(id);
     }
 
-    /** Makes a process handle its messages only at intervals in nanoseconds, from its next start on. */
-    void readsSlowly(int id, long interval) {
-        readIntervals.put(new ProcessId(id), interval);
+    /** Makes a process handle its messages only at intervals, in nanoseconds; applies from its next start. */
+    void setReadInterval(int id, long intervalNanos) {
+        readIntervalsNanos.put(new ProcessId(id), intervalNanos);
     }
 
-    /** Runs for a duration, and proposes a random command at each interval, both in nanoseconds. */
-    void runWithCommands(long duration, long interval, int purgesPerCommand) {
-        for (long rest = duration; rest > 0; rest -= interval) {
+    /** Runs for a duration and proposes a random command at each interval, both in nanoseconds. */
+    void runWithCommands(long durationNanos, long intervalNanos, int purgesPerCommand) {
+        for (long remainingNanos = durationNanos; remainingNanos > 0; remainingNanos -= intervalNanos) {
             propose(random.nextInt(3) == 0 ? purges(purgesPerCommand) : change());
-            network.run(interval);
+            network.run(intervalNanos);
         }
     }
 
@@ -153,9 +157,9 @@
         String region = name % 3 == 0 ? ResourceKey.EVERYWHERE : TreeTopology.REGIONS.get(name % 2);
         byte[] value = new byte[1 + random.nextInt(4)];
         random.nextBytes(value);
-        boolean removes = random.nextInt(REMOVAL_IN) == 0;
+        boolean isRemoval = random.nextInt(CHANGES_PER_REMOVAL) == 0;
         return new Command.ConfigurationChange(new ResourceKey(region, "resource-" + name),
-            removes ? null : value);
+            isRemoval ? null : value);
     }
 
     /** Proposes a command at every control machine in turn, until one accepts it. */
@@ -173,7 +177,7 @@
         }
     }
 
-    /** Returns the first control machine that is a leader; the first one at all where there is none. */
+    /** Returns the first control machine that is a leader; if there is none, the first control machine. */
     ProcessId leader() {
         return TreeTopology.CONTROL_MACHINES.stream()
             .filter(id -> machines.containsKey(id) && machines.get(id).replica().isLeader())
@@ -182,7 +186,8 @@
 
     /** Writes the final state: each replica's log and each process's configuration. */
     void writeFinalState() {
-        TreeTopology.CONTROL_MACHINES.forEach(id -> PersistentStateTrace.full(trace, disks.get(id)));
+        TreeTopology.CONTROL_MACHINES
+            .forEach(id -> PersistentStateTrace.full(trace, persistentStates.get(id)));
         starters.keySet().forEach(id -> {
             trace.part('E').number(id.value());
             StateTrace.entries(trace, configurations.get(id));
--- a/control/src/test/java/spurroad/control/distribution/TreeTopology.java
+++ b/control/src/test/java/spurroad/control/distribution/TreeTopology.java
@@ -5,19 +5,19 @@
 import spurroad.control.distribution.relay.Relay;
 
 /**
- * The tree that the tests simulate: five control machines, and two regions of two sites. Each region has
- * three candidates for its two relays; each site has three candidates for its two relays and three more
- * proxies: 35 processes, 18 of which may relay.
+ * The tree of processes in simulations: five control machines, and two regions of two sites. Each region has
+ * three candidates for its two relays. Each site has three candidates for its two relays and three other
+ * proxies. In total there are 35 processes, 18 of which may act as relays.
  */
 final class TreeTopology {
     static final List<ProcessId> CONTROL_MACHINES = ids(0, 5);
     static final List<String> REGIONS = List.of("east", "west");
     static final int LEASES_PER_GROUP = 2;
     private static final int SITES_PER_REGION = 2;
-    private static final int RELAY_CANDIDATES = 3; // of a region or a site
-    private static final int PROXIES_PER_SITE = 3; // that are no candidates
+    private static final int RELAY_CANDIDATES = 3; // per region or site
+    private static final int PROXIES_PER_SITE = 3; // without relay candidates
 
-    /** Is called for each process below the control machines, parents before children. */
+    /** Called for each process below the control machines, parents before children. */
     interface Visitor {
         void addRelay(ProcessId id, String region, Relay.TreePosition position);
 
--- a/control/src/test/java/spurroad/control/distribution/codec/MessageCodecGoldenTest.java
+++ b/control/src/test/java/spurroad/control/distribution/codec/MessageCodecGoldenTest.java
@@ -27,7 +27,7 @@
 import spurroad.control.distribution.support.MessageTrace;
 
 /**
- * Pins the bytes of messages on the wire, and the errors for malformed bytes.
+ * Pins the encoding of all messages, and the errors for malformed bytes.
  */
 public class MessageCodecGoldenTest {
     private static final HexFormat HEX = HexFormat.of();
@@ -86,7 +86,7 @@
     }
 
     @Test(dataProvider = "messages")
-    public void bytesAreAsBefore(Message message, String bytes) throws MalformedMessageException {
+    public void encodingIsUnchanged(Message message, String bytes) throws MalformedMessageException {
         assertEquals(HEX.formatHex(MessageCodec.encode(message)), bytes);
         Message decoded = MessageCodec.decode(HEX.parseHex(bytes));
         assertEquals(digestOfFields(decoded), digestOfFields(message));
@@ -142,7 +142,7 @@
     }
 
     @Test(dataProvider = "malformedBytes")
-    public void malformedBytesGiveTheSameErrorAsBefore(String bytes, String error) {
+    public void malformedBytesAreRejectedWithExpectedError(String bytes, String error) {
         assertEquals(errorOf(HEX.parseHex(bytes)), error);
     }
 
@@ -151,7 +151,7 @@
      * record.
      */
     @Test
-    public void aSnapshotWithARemovalIsMalformed() {
+    public void snapshotWithRemovalIsMalformed() {
         String bytes = withChecksum("0301010203050500020901070001610000");
         assertTrue(
             errorOf(HEX.parseHex(bytes)).startsWith("snapshot contains a removal, expected values only: "));
@@ -175,31 +175,32 @@
         return bytes;
     }
 
-    /** Random changes of bytes with a valid checksum: which of them can be decoded, and to which messages. */
+    /** Pins which randomly changed bytes with a valid checksum can be decoded, and to which messages. */
     @Test
-    public void changedBytesAreReadAsBefore() {
+    public void decodingOfChangedBytesIsUnchanged() {
         Trace trace = Trace.named("codec");
         Random random = new Random(1);
         for (Object[] row : messages()) {
             byte[] bytes = MessageCodec.encode((Message) row[0]);
             for (int i = 0; i < 2_000; i++) {
-                read(trace, withChecksum(changed(random, bytes)));
+                traceDecoded(trace, withChecksum(randomlyChanged(random, bytes)));
             }
         }
         assertEquals(trace.digest(), "3422320e32f044672accd5ad622e40d80aca591482d9bc5f6113675f9f1cd0f3");
     }
 
-    private static byte[] changed(Random random, byte[] bytes) {
+    private static byte[] randomlyChanged(Random random, byte[] bytes) {
         int length = bytes.length - 4 + (random.nextInt(8) == 0 ? random.nextInt(3) - 1 : 0);
         byte[] body = Arrays.copyOf(bytes, length);
         for (int change = random.nextInt(3); change >= 0; change--) {
-            int at = random.nextInt(length);
-            body[at] = (byte) (random.nextBoolean() ? random.nextInt(6) : body[at] ^ 1 << random.nextInt(8));
+            int changeIndex = random.nextInt(length);
+            body[changeIndex] = (byte) (random.nextBoolean() ? random.nextInt(6)
+                : body[changeIndex] ^ 1 << random.nextInt(8));
         }
         return body;
     }
 
-    private static void read(Trace trace, byte[] bytes) {
+    private static void traceDecoded(Trace trace, byte[] bytes) {
         trace.bytes(bytes);
         try {
             MessageTrace.message(trace, MessageCodec.decode(bytes));
--- a/control/src/test/java/spurroad/control/distribution/codec/MessageCodecTest.java
+++ b/control/src/test/java/spurroad/control/distribution/codec/MessageCodecTest.java
@@ -59,9 +59,9 @@
             {new Message.InstallSnapshot(8, new LogSnapshot(5, 4, new Snapshot(9, List.of(ENTRY)), 3), 2)}};
     }
 
-    /** Ensures that the other tests cover all kinds of messages: a new kind without a row fails here. */
+    /** Verifies that the test data covers all kinds of messages; fails for a new kind without a row. */
     @Test
-    public void everyKindOfMessageIsTested() {
+    public void allMessageKindsAreTested() {
         Set<Class<?>> tested = Arrays.stream(messages()).map(row -> row[0].getClass())
             .collect(Collectors.toSet());
         assertEquals(tested, kindsOf(Message.class).collect(Collectors.toSet()));
@@ -74,7 +74,7 @@
     }
 
     @Test
-    public void everyRejectionReasonIsDecodedToItself() throws MalformedMessageException {
+    public void rejectionReasonsRoundTrip() throws MalformedMessageException {
         for (Message.RejectionReason reason : Message.RejectionReason.values()) {
             Message rejected = new Message.SubscriptionRejected(reason, 1);
             assertEquals(MessageCodec.decode(MessageCodec.encode(rejected)), rejected);
@@ -82,12 +82,12 @@
     }
 
     @Test(dataProvider = "messages")
-    public void anEncodedMessageIsDecodedToItself(Message message) throws MalformedMessageException {
+    public void messagesRoundTrip(Message message) throws MalformedMessageException {
         assertEquals(MessageCodec.decode(MessageCodec.encode(message)), message);
     }
 
     @Test
-    public void commandsWithArraysAreDecodedToThemselves() throws MalformedMessageException {
+    public void commandsWithArraysRoundTrip() throws MalformedMessageException {
         Message.AppendEntries read = (Message.AppendEntries) MessageCodec
             .decode(MessageCodec.encode(new Message.AppendEntries(1, 0, 0,
                 List.of(new LogEntry(1, new Command.Purge(new long[] {5, -6})),
@@ -101,21 +101,22 @@
     public void corruptedAndTruncatedMessagesAreRejected(Message message) {
         byte[] bytes = MessageCodec.encode(message);
         for (int bit = 0; bit < bytes.length * 8; bit++) {
-            byte[] spoilt = bytes.clone();
-            spoilt[bit / 8] ^= (byte) (1 << bit % 8);
-            assertThrows(MalformedMessageException.class, () -> MessageCodec.decode(spoilt));
+            byte[] corrupted = bytes.clone();
+            corrupted[bit / 8] ^= (byte) (1 << bit % 8);
+            assertThrows(MalformedMessageException.class, () -> MessageCodec.decode(corrupted));
         }
         for (int length = 0; length < bytes.length; length++) {
-            byte[] cut = Arrays.copyOf(bytes, length);
-            assertThrows(MalformedMessageException.class, () -> MessageCodec.decode(cut));
+            byte[] truncated = Arrays.copyOf(bytes, length);
+            assertThrows(MalformedMessageException.class, () -> MessageCodec.decode(truncated));
         }
     }
 
     /**
-     * Fields are validated also after a valid checksum: no other exception, and no large allocation.
+     * Verifies that fields are validated even if the checksum is valid: malformed ones cause no other
+     * exception and no large allocation.
      */
     @Test(dataProvider = "messages")
-    public void malformedFieldsGiveOnlyTheOneException(Message message) {
+    public void malformedFieldsThrowOnlyMalformedMessageException(Message message) {
         byte[] bytes = MessageCodec.encode(message);
         Random random = new Random(bytes.length);
         for (int i = 0; i < 3_000; i++) {
@@ -125,7 +126,7 @@
             }
             try {
                 Message read = MessageCodec.decode(withChecksum(body));
-                assertEquals(MessageCodec.encode(read).length, body.length + 4, "read as " + read);
+                assertEquals(MessageCodec.encode(read).length, body.length + 4, "decoded to " + read);
             } catch (MalformedMessageException expected) {
                 assertTrue(expected.getMessage() != null);
             }
@@ -135,15 +136,15 @@
     private static byte[] withChecksum(byte[] body) {
         CRC32C checksum = new CRC32C();
         checksum.update(body, 0, body.length);
-        byte[] whole = Arrays.copyOf(body, body.length + 4);
+        byte[] bodyWithChecksum = Arrays.copyOf(body, body.length + 4);
         for (int i = 0; i < 4; i++) {
-            whole[body.length + i] = (byte) (checksum.getValue() >>> (24 - 8 * i));
+            bodyWithChecksum[body.length + i] = (byte) (checksum.getValue() >>> (24 - 8 * i));
         }
-        return whole;
+        return bodyWithChecksum;
     }
 
     @Test
-    public void aHeartbeatIsShortAndAPurgeTakesEightBytes() {
+    public void heartbeatIsShortAndPurgeTakesEightBytes() {
         int heartbeat = MessageCodec.encode(new Message.Update(1_000, HEARTBEAT, Optional.empty(),
             Optional.empty())).length;
         int batch = MessageCodec.encode(new Message.Update(1_000, HEARTBEAT, Optional.empty(),
--- a/control/src/test/java/spurroad/control/distribution/state/ConfigurationStateTest.java
+++ b/control/src/test/java/spurroad/control/distribution/state/ConfigurationStateTest.java
@@ -39,23 +39,23 @@
     }
 
     @Test
-    public void aDeltaCoalescesChangesOfAResourceAndOmitsOtherScopes() {
+    public void deltaCoalescesChangesOfResourceAndOmitsOtherScopes() {
         ConfigurationState state = stateAfter(100, 20);
         Delta delta = (Delta) state.updateAfter(8, true, EAST).orElseThrow();
         assertEquals(sequences(delta), List.of(16L, 18L, 20L),
-            "10, 12 and 14 were replaced; odd ones are in the west");
+            "later changes replaced 10, 12 and 14; odd numbers are in the west");
         assertEquals(delta.fromSequence(), 8);
         assertEquals(delta.toSequence(), 20);
     }
 
     @Test
-    public void aSnapshotIsSentWhereTheLogIsTooShort() {
+    public void snapshotIsSentIfLogIsTooShort() {
         ConfigurationState state = stateAfter(5, 20);
         assertTrue(state.updateAfter(15, true, EAST).orElseThrow() instanceof Delta);
         assertTrue(state.updateAfter(14, true, EAST).orElseThrow() instanceof Snapshot);
         assertTrue(state.updateAfter(20, true, EAST).isEmpty());
         assertTrue(state.updateAfter(0, false, EAST).orElseThrow() instanceof Snapshot,
-            "to a subscriber without a state");
+            "for a subscriber without any state");
     }
 
     @DataProvider
@@ -67,26 +67,26 @@
             {"overlapping",
                 new Delta(0, 4, List.of(new ConfigurationEntry(1, key("east", 1), value(9)), third, fourth)),
                 Result.APPLIED, 4L, 2},
-            {"doubled", new Delta(1, 2, List.of(new ConfigurationEntry(2, key("east", 2), value(9)))),
+            {"duplicated", new Delta(1, 2, List.of(new ConfigurationEntry(2, key("east", 2), value(9)))),
                 Result.ALREADY_KNOWN, 2L, 0},
-            {"one is lost", new Delta(3, 4, List.of(fourth)), Result.GAP, 2L, 0},
+            {"preceding change is missing", new Delta(3, 4, List.of(fourth)), Result.GAP, 2L, 0},
             {"nothing in scope", new Delta(2, 9, List.of()), Result.APPLIED, 9L, 0},
             {"older snapshot", new Snapshot(1, List.of()), Result.ALREADY_KNOWN, 2L, 0},
             {"newer snapshot", new Snapshot(4, List.of(third, fourth)), Result.APPLIED, 4L, 4}};
     }
 
     @Test(dataProvider = "deltas")
-    public void anUpdateIsAppliedOnceAndOnlyWithoutAGap(String what, ConfigurationUpdate update,
-                                                        Result expected,
-                                                        long sequence, int notifiedCount) {
+    public void updateIsAppliedOnceAndOnlyWithoutGap(String description, ConfigurationUpdate update,
+                                                     Result expected,
+                                                     long sequence, int notifiedCount) {
         ConfigurationState state = new ConfigurationState(10);
         state.append(key("east", 1), value(1));
         state.append(key("east", 2), value(2));
         List<ConfigurationEntry> applied = new ArrayList<>();
-        assertEquals(state.apply(update, applied::add), expected, what);
-        assertEquals(state.sequence(), sequence, what);
-        assertEquals(applied.size(), notifiedCount, what + ": " + applied);
-        assertEquals(state.value(key("east", 2)) != null, !what.equals("newer snapshot"), what);
+        assertEquals(state.apply(update, applied::add), expected, description);
+        assertEquals(state.sequence(), sequence, description);
+        assertEquals(applied.size(), notifiedCount, description + ": " + applied);
+        assertEquals(state.value(key("east", 2)) != null, !description.equals("newer snapshot"), description);
     }
 
     @Test
@@ -101,11 +101,11 @@
     }
 
     /**
-     * However updates are split, coalesced, lost and duplicated, a process that has reached a sequence number
-     * has the state of that number.
+     * Verifies that a process that has reached a sequence number has the state of that number, however
+     * updates were split, coalesced, lost or duplicated.
      */
     @Test
-    public void equalSequenceNumbersMeanEqualStates() {
+    public void equalSequenceNumbersImplyEqualStates() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
             ConfigurationState core = new ConfigurationState(12);
@@ -131,14 +131,14 @@
         long base = Math.max(0, to.sequence() - random.nextInt(3));
         from.updateAfter(base, to.isInitialized(), EAST).ifPresent(update -> {
             to.apply(update, entry -> {});
-            assertFalse(to.apply(update, entry -> {}) == Result.APPLIED, "twice");
+            assertFalse(to.apply(update, entry -> {}) == Result.APPLIED, "update was applied twice");
         });
         to.apply(from.updateAfter(to.sequence(), to.isInitialized(), EAST).orElse(new Snapshot(0, List.of())),
             entry -> {});
     }
 
     @Test
-    public void purgesAreNumberedBoundedAndIdempotent() {
+    public void purgeLogIsNumberedBoundedAndIdempotent() {
         PurgeLog log = new PurgeLog(2_000, 2_000);
         IntStream.rangeClosed(1, 5_000).forEach(log::append);
         assertEquals(log.lastNumber(), 5_000);
@@ -162,7 +162,7 @@
         assertTrue(log.retainsAfter(2_500), "retained after " + log.startNumber());
         assertEquals(log.batchAfter(2_500, 1).orElseThrow().hashes(), new long[] {2_501});
         IntStream.rangeClosed(6_001, 20_000).forEach(log::append);
-        assertFalse(log.retainsAfter(2_500), "still bounded");
+        assertFalse(log.retainsAfter(2_500), "exceeds the maximum capacity");
         assertEquals(log.batchAfter(20_000 - 8_192, 1).orElseThrow().hashes(), new long[] {20_000 - 8_191});
     }
 }
--- a/control/src/test/java/spurroad/control/distribution/state/ConfigurationStateTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/state/ConfigurationStateTraceTest.java
@@ -14,7 +14,8 @@
 import spurroad.control.distribution.support.StateTrace;
 
 /**
- * Verifies that the configuration's log, snapshots and deltas are unchanged, over random changes and updates.
+ * Pins the configuration's log, snapshots and deltas for random changes and updates by digests of their
+ * traces.
  */
 public class ConfigurationStateTraceTest {
     private static final int STEPS = 3_000;
@@ -34,13 +35,13 @@
     }
 
     @Test(dataProvider = "logs")
-    public void followsAsBefore(int logCapacity, String digest) {
+    public void appliesChangesAndUpdatesUnchanged(int logCapacity, String digest) {
         Trace trace = Trace.named("configuration-" + logCapacity);
         Random random = new Random(logCapacity);
         ConfigurationState source = new ConfigurationState(logCapacity);
         ConfigurationState follower = new ConfigurationState(3);
         for (int step = 0; step < STEPS; step++) {
-            change(trace, random, source);
+            appendRandomChanges(trace, random, source);
             Optional<ConfigurationUpdate> update = updateAfterRandomSequence(trace, random, source);
             if (update.isPresent() && random.nextInt(3) == 0) {
                 apply(trace, follower, update.get());
@@ -52,7 +53,7 @@
         assertEquals(trace.digest(), digest);
     }
 
-    private static void change(Trace trace, Random random, ConfigurationState source) {
+    private static void appendRandomChanges(Trace trace, Random random, ConfigurationState source) {
         for (int i = random.nextInt(4); i > 0; i--) {
             int name = random.nextInt(RESOURCES);
             ResourceKey key = new ResourceKey(REGIONS.get(name % REGIONS.size()), "r" + name);
@@ -95,9 +96,9 @@
         trace.end();
     }
 
-    /** Which updates initialize a state, and how later ones apply to it. */
+    /** Pins which updates initialize a state, and how a second update applies to it. */
     @Test
-    public void beginsAsBefore() {
+    public void appliesFirstUpdatesUnchanged() {
         Trace trace = Trace.named("configuration-first");
         ConfigurationEntry entry = new ConfigurationEntry(3, new ResourceKey("", "r"), new byte[] {1});
         List<ConfigurationUpdate> updates = List.of(new Snapshot(0, List.of()), new Snapshot(5, List.of()),
@@ -114,7 +115,7 @@
     }
 
     @Test
-    public void scopesIncludeAndCoverAsBefore() {
+    public void scopesIncludeAndCoverUnchanged() {
         Trace trace = Trace.named("scopes");
         for (Scope scope : SCOPES) {
             REGIONS.forEach(region -> trace.flag(scope.includes(new ResourceKey(region, "r"))));
--- a/control/src/test/java/spurroad/control/distribution/state/PurgeLogTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/state/PurgeLogTraceTest.java
@@ -9,9 +9,9 @@
 import spurroad.control.distribution.DistributionSettings;
 import spurroad.control.distribution.support.MessageTrace;
 
-/** Verifies that the purge log and freshness are unchanged, over random calls. */
+/** Pins the purge log and freshness for random calls by digests of their traces. */
 public class PurgeLogTraceTest {
-    private static final long MS = DistributionSettings.NANOS_PER_MILLISECOND;
+    private static final long MILLISECOND_NANOS = DistributionSettings.NANOS_PER_MILLISECOND;
     private static final int STEPS = 4_000;
 
     @DataProvider
@@ -26,20 +26,20 @@
     }
 
     @Test(dataProvider = "capacities")
-    public void retainsPurgesAsBefore(int usualCapacity, int maxCapacity, String digest) {
+    public void retainsPurgesUnchanged(int usualCapacity, int maxCapacity, String digest) {
         Trace trace = Trace.named("purge-log-" + usualCapacity);
         Random random = new Random(usualCapacity);
         PurgeLog log = new PurgeLog(usualCapacity, maxCapacity);
         for (int step = 0; step < STEPS; step++) {
-            call(trace, random, log);
+            traceRandomChange(trace, random, log);
             trace.number(log.lastNumber()).number(log.startNumber());
-            query(trace, random, log);
+            traceRandomQuery(trace, random, log);
             trace.end();
         }
         assertEquals(trace.digest(), digest);
     }
 
-    private static void call(Trace trace, Random random, PurgeLog log) {
+    private static void traceRandomChange(Trace trace, Random random, PurgeLog log) {
         int kind = random.nextInt(100);
         if (kind < 60) {
             long from = Math.max(0, log.lastNumber() + 2 - random.nextInt(8));
@@ -49,9 +49,10 @@
             log.append(random.nextLong());
             trace.part('a');
         } else if (kind < 99) {
-            long needed = random.nextInt(3) == 0 ? Long.MAX_VALUE : log.lastNumber() - random.nextInt(60);
-            log.retainAfter(needed);
-            trace.part('n').number(needed);
+            long requiredNumber = random.nextInt(3) == 0 ? Long.MAX_VALUE
+                : log.lastNumber() - random.nextInt(60);
+            log.retainAfter(requiredNumber);
+            trace.part('n').number(requiredNumber);
         } else {
             long to = log.lastNumber() + random.nextInt(50);
             log.reset(to);
@@ -59,46 +60,46 @@
         }
     }
 
-    private static void query(Trace trace, Random random, PurgeLog log) {
+    private static void traceRandomQuery(Trace trace, Random random, PurgeLog log) {
         long from = log.startNumber() - 1 + random.nextInt((int) (log.lastNumber() - log.startNumber()) + 3);
-        boolean reaches = log.retainsAfter(from);
-        trace.part('q').number(from).flag(reaches);
-        if (from >= 0 && reaches) {
+        boolean isRetained = log.retainsAfter(from);
+        trace.part('q').number(from).flag(isRetained);
+        if (from >= 0 && isRetained) {
             log.batchAfter(from, 1 + random.nextInt(50))
                 .ifPresent(batch -> MessageTrace.purges(trace, batch));
         }
     }
 
     @Test
-    public void isFreshAsBefore() {
+    public void computesFreshnessUnchanged() {
         Trace trace = Trace.named("freshness");
         Random random = new Random(3);
-        Freshness freshness = new Freshness(600 * MS);
+        Freshness freshness = new Freshness(600 * MILLISECOND_NANOS);
         long now = 0;
         for (int step = 0; step < STEPS; step++) {
-            now += random.nextInt(5) * 25L * MS + (random.nextInt(9) == 0 ? 1 : 0);
+            now += random.nextInt(5) * 25L * MILLISECOND_NANOS + (random.nextInt(9) == 0 ? 1 : 0);
             if (random.nextInt(3) == 0) {
-                long echo = now / MS + 25L * (1 - random.nextInt(8));
+                long echo = now / MILLISECOND_NANOS + 25L * (1 - random.nextInt(8));
                 long age = random.nextInt(9) == 0 ? -1 : random.nextInt(20) * 25;
                 freshness.onReport(now, echo, age);
                 trace.part('h').number(echo).number(age);
             } else if (random.nextInt(20) == 0) {
-                long time = now - random.nextInt(30) * 25L * MS;
+                long time = now - random.nextInt(30) * 25L * MILLISECOND_NANOS;
                 freshness.advanceTo(time);
                 trace.part('k').number(time);
             }
             trace.number(now).flag(freshness.isFresh(now)).number(freshness.ageMillis(now)).end();
         }
-        oldest(trace);
+        traceMaximumAge(trace);
         assertEquals(trace.digest(), "da932d6099979f9b2142aed4f92a97bc0f9687cb418c0ec06f10b96e2e96846c");
     }
 
-    /** Knowledge about a day old: about the oldest that is believed. */
-    private static void oldest(Trace trace) {
-        long now = 200_000_000 * MS;
+    /** Traces reports with ages around one day, the maximum age that is accepted. */
+    private static void traceMaximumAge(Trace trace) {
+        long now = 200_000_000 * MILLISECOND_NANOS;
         for (long age : new long[] {86_399_999, 86_400_000, 86_400_001}) {
-            Freshness freshness = new Freshness(100_000_000 * MS);
-            freshness.onReport(now, now / MS, age);
+            Freshness freshness = new Freshness(100_000_000 * MILLISECOND_NANOS);
+            freshness.onReport(now, now / MILLISECOND_NANOS, age);
             trace.number(age).flag(freshness.isFresh(now)).number(freshness.ageMillis(now)).end();
         }
     }
