--- a/control/src/main/java/spurroad/control/distribution/message/Message.java
+++ b/control/src/main/java/spurroad/control/distribution/message/Message.java
@@ -120,7 +120,7 @@
     record LeaseReply(String group, boolean isGranted, long durationMillis, long echoMillis)
         implements
             LeaseMessage {
-        /** Replaces the duration if the request must be sent to another process. */
+        /** Duration of a reply that asks the candidate to send its request to another process. */
         public static final long NOT_A_GRANTOR = -1;
 
         /** Returns whether the sender currently grants no leases to any process. */
--- a/control/src/main/java/spurroad/control/distribution/state/ConfigurationState.java
+++ b/control/src/main/java/spurroad/control/distribution/state/ConfigurationState.java
@@ -27,7 +27,7 @@
         /** The update has advanced the state. */
         APPLIED,
         /** The state already includes everything in the update. */
-        ALREADY_KNOWN,
+        ALREADY_APPLIED,
         /** Changes before the update are missing; none of its entries was applied. */
         GAP
     }
@@ -100,7 +100,7 @@
             return Result.GAP;
         }
         if (delta.toSequence() <= sequence) {
-            return Result.ALREADY_KNOWN;
+            return Result.ALREADY_APPLIED;
         }
         for (ConfigurationEntry entry : delta.entries()) {
             if (entry.sequence() > sequence) {
@@ -123,7 +123,7 @@
 
     private Result applySnapshot(Snapshot snapshot, Consumer<ConfigurationEntry> listener) {
         if (initialized && snapshot.toSequence() <= sequence) {
-            return Result.ALREADY_KNOWN;
+            return Result.ALREADY_APPLIED;
         }
         removeAllExcept(keysOf(snapshot), snapshot.toSequence(), listener);
         for (ConfigurationEntry entry : snapshot.entries()) {
--- a/control/src/main/java/spurroad/control/distribution/state/Freshness.java
+++ b/control/src/main/java/spurroad/control/distribution/state/Freshness.java
@@ -14,7 +14,7 @@
  * <p>Not thread-safe. Times are nanoseconds of a monotonic clock of this process.
  */
 public final class Freshness {
-    /** Replaces an age in milliseconds if the age is unknown. */
+    /** Value of an age in milliseconds that stands for an unknown age. */
     public static final long UNKNOWN_AGE_MILLIS = -1;
 
     private static final long NEVER = Long.MIN_VALUE;
--- a/control/src/main/java/spurroad/control/distribution/state/PurgeLog.java
+++ b/control/src/main/java/spurroad/control/distribution/state/PurgeLog.java
@@ -63,11 +63,11 @@
         if (batch.toNumber() <= lastNumber) {
             return 0;
         }
-        int firstNew = (int) (lastNumber - batch.fromNumber());
-        for (int i = firstNew; i < batch.hashes().length; i++) {
+        int firstNewIndex = (int) (lastNumber - batch.fromNumber());
+        for (int i = firstNewIndex; i < batch.hashes().length; i++) {
             append(batch.hashes()[i]);
         }
-        return batch.hashes().length - firstNew;
+        return batch.hashes().length - firstNewIndex;
     }
 
     /** Adds one purge, which gets the next number. */
--- a/control/src/main/java/spurroad/control/distribution/state/ResourceKey.java
+++ b/control/src/main/java/spurroad/control/distribution/state/ResourceKey.java
@@ -9,7 +9,7 @@
  * @param name name that is unique within the region
  */
 public record ResourceKey(String region, String name) {
-    /** Replaces the region of resources that the proxies of all regions use. */
+    /** Region of the resources that the proxies of all regions use. */
     public static final String EVERYWHERE = "";
 
     /** Validates that region and name are not null; both may be empty. */
--- a/control/src/test/java/spurroad/control/decide/RolloutTest.java
+++ b/control/src/test/java/spurroad/control/decide/RolloutTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** A staged roll-out, with simulated proxies. */
+/** Tests a staged rollout with simulated proxies. */
 public class RolloutTest {
     private static final long SECOND_NANOS = 1_000_000_000L;
     private static final double[] STAGES = {0.1, 0.5, 1};
--- a/control/src/test/java/spurroad/control/decide/SourceViewsProperties.java
+++ b/control/src/test/java/spurroad/control/decide/SourceViewsProperties.java
@@ -63,8 +63,8 @@
     }
 
     /**
-     * In its latest incarnation, an endpoint is in no less restrictive state than any live or lost source
-     * reports.
+     * A merged endpoint is never in a less restrictive state than any source, live or lost, reports for its
+     * latest incarnation.
      */
     @Property(seed = "3", tries = 300)
     void moreRestrictiveStateWins(@ForAll("reports") List<Report> reports, @ForAll boolean isSourceLost) {
--- a/control/src/test/java/spurroad/control/distribution/FleetTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/FleetTraceTest.java
@@ -82,7 +82,7 @@
         fleet.network.run(STARTUP_NANOS);
         int leader = fleet.leader().value();
         partitionFor(fleet, 4 * SECOND_NANOS, id -> id == leader); // isolates the leader
-        partitionFor(fleet, 4 * SECOND_NANOS, id -> id <= 1 || (id >= 100 && id < 104)); // also east relays
+        partitionFor(fleet, 4 * SECOND_NANOS, id -> id <= 1 || (id >= 100 && id < 104)); // with east relays
         partitionFor(fleet, 9 * SECOND_NANOS, id -> id >= 200); // isolates one region
         partitionFor(fleet, 6 * SECOND_NANOS, id -> id >= 110 && id < 120); // isolates a site
         partitionFor(fleet, 4 * SECOND_NANOS, id -> id < 3); // splits the core three to two
--- a/control/src/test/java/spurroad/control/distribution/TreeFailureTest.java
+++ b/control/src/test/java/spurroad/control/distribution/TreeFailureTest.java
@@ -16,7 +16,7 @@
 import spurroad.control.distribution.state.ResourceKey;
 import spurroad.control.distribution.support.SimulatedNetwork;
 
-/** The whole tree under failures, in simulated time and with encoded messages. */
+/** Tests the complete tree of processes under failures, in simulated time and with encoded messages. */
 public class TreeFailureTest {
     private static final long SECOND_NANOS = SimulatedNetwork.NANOS_PER_SECOND;
     private static final long STARTUP_NANOS = 20 * SECOND_NANOS; // elections, leases, first parents
--- a/control/src/test/java/spurroad/control/distribution/state/ConfigurationStateTest.java
+++ b/control/src/test/java/spurroad/control/distribution/state/ConfigurationStateTest.java
@@ -68,10 +68,10 @@
                 new Delta(0, 4, List.of(new ConfigurationEntry(1, key("east", 1), value(9)), third, fourth)),
                 Result.APPLIED, 4L, 2},
             {"duplicated", new Delta(1, 2, List.of(new ConfigurationEntry(2, key("east", 2), value(9)))),
-                Result.ALREADY_KNOWN, 2L, 0},
+                Result.ALREADY_APPLIED, 2L, 0},
             {"preceding change is missing", new Delta(3, 4, List.of(fourth)), Result.GAP, 2L, 0},
             {"nothing in scope", new Delta(2, 9, List.of()), Result.APPLIED, 9L, 0},
-            {"older snapshot", new Snapshot(1, List.of()), Result.ALREADY_KNOWN, 2L, 0},
+            {"older snapshot", new Snapshot(1, List.of()), Result.ALREADY_APPLIED, 2L, 0},
             {"newer snapshot", new Snapshot(4, List.of(third, fourth)), Result.APPLIED, 4L, 4}};
     }
 
