--- a/proxy/src/main/java/spurroad/routing/AdmissionController.java
+++ b/proxy/src/main/java/spurroad/routing/AdmissionController.java
@@ -13,20 +13,32 @@
 import spurroad.transport.MemoryBudget;
 
 /**
- * Measures what the proxy itself uses, for {@link AdmissionPolicy}, and has requests rejected by its decision
- * before they take anything. Used on the event loop only.
+ * Measures the resource usage of this proxy for {@link AdmissionPolicy}, and rejects requests by the policy's
+ * decision before they reserve any resource. Used on the event loop only.
  */
 final class AdmissionController {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    /** Of the shortest latency objective, for the queue delay: endpoints are given most of it. */
+    /**
+     * Fraction of the shortest latency objective that is the queue delay limit: the endpoints get most of the
+     * objective.
+     */
     private static final double QUEUE_DELAY_SHARE = 0.25;
-    /** Of the shortest latency objective, for Retry-After, as the load balancer has it. */
+    /**
+     * Fraction of the shortest latency objective that is sent as Retry-After; the load balancer uses the
+     * same.
+     */
     private static final double RETRY_AFTER_SHARE = 0.5;
-    /** Intervals; the platform evens its limit out over some 100 ms. */
+    /**
+     * Number of intervals over which CPU usage is averaged: the platform enforces its CPU limit over some 100
+     * ms.
+     */
     private static final int CPU_WINDOW_INTERVALS = 2;
-    /** Responses that are kept, one a millisecond; a client told of more comes after so much. */
+    /**
+     * Number of cached responses, one for each Retry-After in milliseconds; a longer Retry-After is cut to
+     * the last of them.
+     */
     private static final int MAX_CACHED_RESPONSES = 4096;
-    /** Where no request class has an objective. */
+    /** Latency objective if no request class has one. */
     private static final long DEFAULT_LATENCY_OBJECTIVE_NANOS = 1_000_000_000L;
 
     private final EventLoop loop;
@@ -38,10 +50,10 @@
     private final CpuClock cpuClock = new CpuClock();
     private final long[] cpuUsedNanos = new long[CPU_WINDOW_INTERVALS];
     private final long[] cpuReadAtNanos = new long[CPU_WINDOW_INTERVALS];
-    private final byte[][] rejections = new byte[MAX_CACHED_RESPONSES][]; // by Retry-After, in milliseconds
+    private final byte[][] rejections = new byte[MAX_CACHED_RESPONSES][]; // indexed by Retry-After in milliseconds
     private byte[] busyResponse;
     private int cpuReadings;
-    private long queueDelayNanos; // of the requests taken since the last interval, together
+    private long queueDelayNanos; // total over the requests since the last interval
     private long delayedRequests;
     private long rejected; // since the last interval
 
@@ -57,7 +69,7 @@
         loop.execute(this::onInterval);
     }
 
-    /** Puts another deployment's settings in force for the requests that follow. */
+    /** Applies the settings of another deployment to the requests that follow. */
     void configure(Deployment deployment) {
         long objective = deployment.shortestLatencyObjectiveNanos(DEFAULT_LATENCY_OBJECTIVE_NANOS);
         long retryAfter = (long) (RETRY_AFTER_SHARE * objective);
@@ -70,20 +82,26 @@
     }
 
     /**
-     * The response to a request for which the proxy itself has no place: nothing was sent, and when to retry.
+     * Returns the response to a request that the proxy itself has no capacity for: the request was not sent,
+     * and the response says when to retry.
      */
     byte[] busyResponse() {
         return busyResponse;
     }
 
-    /** Whether a request is admitted, by the numbers of its class and tenant; -1 for an unknown tenant. */
+    /**
+     * Returns whether a request is admitted. The class and tenant are given by number; the tenant is -1 if it
+     * is unknown.
+     */
     boolean admits(int requestClass, int tenant) {
         boolean admitted = policy.admits(requestClass, tenant);
         rejected += admitted ? 0 : 1;
         return admitted;
     }
 
-    /** The response to a request that is not admitted; nothing may write into it. */
+    /**
+     * Returns the response to a request that is not admitted. The array is shared and must not be modified.
+     */
     byte[] rejection() {
         int millis = (int) Math.min(MAX_CACHED_RESPONSES - 1, policy.retryAfterNanos() / NANOS_PER_MILLI);
         byte[] response = rejections[millis];
@@ -93,7 +111,9 @@
         return response;
     }
 
-    /** So many requests have waited for the load balancer's thread, so long together. */
+    /**
+     * Adds the given total delay of the given number of requests that waited for the load balancer's thread.
+     */
     void onQueueDelay(long nanos, int requests) {
         queueDelayNanos += nanos;
         delayedRequests += requests;
@@ -121,7 +141,10 @@
             + " memoryPercent=" + Math.round(100 * usage.memoryFraction()));
     }
 
-    /** The used fraction of the process's share of cores in the last intervals; NaN where it is not known. */
+    /**
+     * Returns the used fraction of this process's share of the cores over the last intervals; NaN if it is
+     * unknown.
+     */
     private double cpuFraction(long now) {
         int i = cpuReadings++ % CPU_WINDOW_INTERVALS;
         long used = cpuClock.usedNanos();
--- a/proxy/src/main/java/spurroad/routing/ArrivalTimes.java
+++ b/proxy/src/main/java/spurroad/routing/ArrivalTimes.java
@@ -4,17 +4,18 @@
 import java.util.Deque;
 
 /**
- * Arrival times of the bytes of one connection that were read and not taken yet: commands wait for the
- * responses before them, and a request's time counts from its last byte. Times are Unix nanoseconds. Used on
- * the event loop only.
+ * Records the arrival times of bytes that were read from one connection and not consumed yet: commands wait
+ * for the responses before them, and a request's time counts from the arrival of its last byte. Times are
+ * Unix nanoseconds. Used on the event loop only.
  */
 final class ArrivalTimes {
     /**
-     * Arrivals so close together count as one, the earliest: a peer that sends byte by byte takes no memory.
+     * Arrivals within this time are merged into the earliest, so that a peer that sends byte by byte uses
+     * little memory.
      */
     static final long MERGED_NANOS = 5_000_000L;
 
-    /** Bytes that arrived together. */
+    /** Bytes that arrived together, with the time of arrival. */
     private static final class Arrival {
         private final long atNanos;
         private int bytes;
@@ -27,7 +28,7 @@
 
     private final Deque<Arrival> arrivals = new ArrayDeque<>(2);
 
-    /** So many more bytes have been read, which arrived at the given time or, as far as is known, later. */
+    /** Adds bytes that were read, which arrived at the given time or possibly later. */
     void onRead(int bytes, long atNanos) {
         Arrival last = arrivals.peekLast();
         if (last != null && atNanos - last.atNanos < MERGED_NANOS) {
@@ -37,7 +38,7 @@
         }
     }
 
-    /** Takes so many bytes, in order, and returns when the last of them arrived. */
+    /** Consumes the given number of bytes, oldest first, and returns the arrival time of the last of them. */
     long take(int bytes) {
         int remaining = bytes;
         while (arrivals.size() > 1 && arrivals.peek().bytes < remaining) {
@@ -51,7 +52,7 @@
         return last.atNanos;
     }
 
-    /** Returns when the first byte that was not taken arrived. */
+    /** Returns the arrival time of the first byte that was not consumed; requires that there is one. */
     long earliest() {
         return arrivals.peek().atNanos;
     }
--- a/proxy/src/main/java/spurroad/routing/AttemptListener.java
+++ b/proxy/src/main/java/spurroad/routing/AttemptListener.java
@@ -2,8 +2,8 @@
 
 import spurroad.protocol.UpstreamReply;
 
-/** Is notified of the end of each attempt and load probe. Called on the event loop. */
+/** Listener for the end of each attempt and load probe. Called on the event loop. */
 interface AttemptListener {
-    /** An attempt has ended, with the reply or what took its place; called exactly once for each. */
+    /** Called exactly once when an attempt ends, with the reply or the outcome that replaces it. */
     void onAttemptEnd(UpstreamRequest attempt, UpstreamReply reply);
 }
--- a/proxy/src/main/java/spurroad/routing/ClientActivity.java
+++ b/proxy/src/main/java/spurroad/routing/ClientActivity.java
@@ -1,75 +1,79 @@
 package spurroad.routing;
 
 /**
- * When a client last sent or took something on its connection, and which timeouts are over by that. Times are
- * Unix nanoseconds. Used on the event loop only.
+ * Tracks when data was last read from or written to a client connection, and which timeouts have expired.
+ * Times are Unix nanoseconds. Used on the event loop only.
  */
 final class ClientActivity {
-    /** A client that has sent nothing for so long after a response is not about to send the next command. */
+    /** A client that has sent nothing for this time after a response is unlikely to send a command next. */
     private static final long IDLE_AFTER_RESPONSE_NANOS = 50_000_000L;
-    /** A client that opens a connection for a request sends it sooner. */
+    /** A client that opens a connection for a request sends the request within this time. */
     private static final long IDLE_BEFORE_FIRST_COMMAND_NANOS = 250_000_000L;
-    /** For the rest of a command to go on; clients send the head within 2 s. */
+    /**
+     * Time without input after which an incomplete command is stalled; clients send the command line within 2
+     * s.
+     */
     private static final long COMMAND_STALL_NANOS = 2_200_000_000L;
     private static final long GUEST_COMMAND_STALL_NANOS = 1_000_000_000L;
-    private static final long MAX_COMMAND_NANOS = 20_000_000_000L; // for a command without a long value
+    private static final long MAX_COMMAND_NANOS = 20_000_000_000L; // total time for a command without a long value
 
-    // idle timeouts: after a response, and before the first; shorter ones while places are short
+    // idle timeouts after a response and before the first one; the crowded ones apply while many are connected
     private static final long IDLE_TIMEOUT_NANOS = 10_000_000_000L;
     private static final long UNUSED_TIMEOUT_NANOS = 2_200_000_000L;
     private static final long CROWDED_IDLE_TIMEOUT_NANOS = 300_000_000L;
     private static final long CROWDED_UNUSED_TIMEOUT_NANOS = 1_000_000_000L;
 
     private final boolean guest;
-    private boolean responded; // at least once
-    private long respondedAt; // last, or opened
+    private boolean responded; // whether the client has had a response
+    private long respondedAt; // time of the last response, or of the opening before the first
     private long readAt;
-    private long partialSince = Long.MAX_VALUE; // since when no more than a part of a command is there
+    private long partialSince = Long.MAX_VALUE; // MAX_VALUE if no command is incomplete
 
     ClientActivity(boolean guest, long openedAt) {
         this.guest = guest;
         respondedAt = openedAt;
     }
 
-    /** Something was read from the client, or could not be read until now. */
+    /** Notes that data was read from the client, or that the client could not send until now. */
     void onRead(long now) {
         readAt = now;
     }
 
-    /** The system has taken a response. */
+    /** Notes that the operating system has accepted a response. */
     void onResponseWritten(long now) {
         respondedAt = now;
         responded = true;
     }
 
-    /** A part of a command is there, and the rest is awaited. */
+    /** Notes that an incomplete command is buffered; keeps the time of the first call for this command. */
     void onPartialCommand(long now) {
         partialSince = Math.min(partialSince, now);
     }
 
-    /** No rest of a command is awaited. */
+    /** Notes that no incomplete command is awaited. */
     void onNoPartialCommand() {
         partialSince = Long.MAX_VALUE;
     }
 
-    /** Whether the client has had a response. */
+    /** Returns whether the client has had a response. */
     boolean hasResponded() {
         return responded;
     }
 
-    /** Since when nothing has passed on the connection. */
+    /** Returns the time of the last read or response, or of the opening. */
     long quietSince() {
         return Math.max(respondedAt, readAt);
     }
 
     /**
-     * Whether the client is not about to send a command, as far as the time since the last response tells.
+     * Returns whether the client is unlikely to send a command soon, judged by the time since the last
+     * response.
      */
     boolean isIdle(long now) {
         return now - respondedAt > (responded ? IDLE_AFTER_RESPONSE_NANOS : IDLE_BEFORE_FIRST_COMMAND_NANOS);
     }
 
-    /** Whether the connection has been idle for so long that it is to be closed. */
+    /** Returns whether the connection has been idle for so long that it should be closed. */
     boolean isIdleTimeoutOver(long now, boolean crowded) {
         return now - respondedAt > idleTimeoutNanos(crowded);
     }
@@ -81,7 +85,7 @@
         return responded ? IDLE_TIMEOUT_NANOS : UNUSED_TIMEOUT_NANOS;
     }
 
-    /** Whether the rest of a command, or of an upload that is being received, has not come for too long. */
+    /** Returns whether a command is incomplete, or an upload under way, and the rest is overdue. */
     boolean isCommandStalled(long now, boolean receivingUpload) {
         boolean partial = partialSince != Long.MAX_VALUE || receivingUpload;
         long timeout = guest ? GUEST_COMMAND_STALL_NANOS : COMMAND_STALL_NANOS;
--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -7,24 +7,27 @@
 import spurroad.transport.Connection;
 
 /**
- * One connection of a client: answers its commands or admits them as requests, and closes the connection
- * where its place or its memory is needed or nothing more is to come. Commands come from
- * {@link CommandReader}, responses go out by {@link ResponseWriter}. A guest, for whom there was no place, is
- * rejected and closed. Used on the event loop only.
+ * Connection of a client. Answers its commands or admits them as requests, and closes the connection if its
+ * descriptor or memory is needed or no more commands are expected. Commands come from {@link CommandReader},
+ * responses are written by {@link ResponseWriter}. A guest, a client connection without a descriptor of its
+ * own, is rejected and closed. Used on the event loop only.
  */
 final class ClientConnection
     implements
         Connection.Handler,
         ResponseWriter.Owner,
         CommandReader.Owner {
-    private static final int MAX_PIPELINED_COMMANDS = 16; // taken and not answered
-    /** Discarded while the last responses are to arrive. */
+    private static final int MAX_PIPELINED_COMMANDS = 16; // read and not answered yet
+    /** Input that is discarded at most while the last responses are being delivered. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
-    /** A client that has its next request waiting sends it within this time after a response. */
+    /** A client whose next request is ready sends it within this time after a response. */
     private static final long NEXT_COMMAND_NANOS = 5_000_000L;
     private static final long LINGER_NANOS = 1_000_000_000L;
-    /** A client that sends nonsense again at once costs others nothing. */
+    /**
+     * Pause after an invalid command, so that a client that repeats invalid commands costs other clients
+     * nothing.
+     */
     private static final long FAULT_PAUSE_NANOS = 100_000_000L;
 
     private final ClientConnections clients;
@@ -54,12 +57,14 @@
         connection.open(this);
     }
 
-    /** Reads the client's commands, and knows whether it is still connected. */
+    /**
+     * Returns the reader of the client's commands, which also knows whether the client is still connected.
+     */
     CommandReader commands() {
         return commands;
     }
 
-    /** Whether there was no place for it. */
+    /** Returns whether this connection has no descriptor of its own. */
     boolean isGuest() {
         return guest;
     }
@@ -83,7 +88,10 @@
         commands.onRead(bytes);
     }
 
-    /** Input behind a fault is read, as a close upon unread bytes would overtake the responses before it. */
+    /**
+     * Discards input after a protocol error. It is read because closing a socket with unread input sends a
+     * reset, which can overtake the responses before the error.
+     */
     private void discard(ByteBuffer bytes) {
         discardedBytes += bytes.remaining();
         if (discardedBytes <= MAX_DISCARDED_BYTES) {
@@ -92,7 +100,7 @@
         if (responses.isIdle()) {
             close(CloseReason.SENT_BEHIND_A_FAULT);
         } else {
-            connection.setReading(false); // until the requests before the fault have their responses
+            connection.setReading(false); // until the requests before the error have their responses
         }
     }
 
@@ -135,21 +143,24 @@
         respondLast(fault);
     }
 
-    /** Answers what can't be told apart from what follows it, as the last response. */
+    /** Sends an error as the last response, as the end of the malformed input can't be found. */
     private void respondLast(String fault) {
         ResponseSlot slot = responses.append();
         slot.response = rejectInput(slot, fault);
         responses.flush();
     }
 
-    /** Answers a command that can't be used; no other is taken for a while. */
+    /** Returns the response to an unusable command, and processes no other command for a while. */
     private byte[] pause(String fault) {
         state = ClientConnectionState.PAUSED;
         clients.loop.schedule(FAULT_PAUSE_NANOS, this::onPauseEnd);
         return unusable(fault);
     }
 
-    /** Answers what is no command, as the last response: nothing after it can be told apart. */
+    /**
+     * Returns the last response of the connection: no command can be found in the input after malformed
+     * input.
+     */
     private byte[] rejectInput(ResponseSlot slot, String fault) {
         slot.last = true;
         state = ClientConnectionState.REJECTING_INPUT;
@@ -164,7 +175,7 @@
         commands.processCommands();
     }
 
-    /** The response to a command that can't be used. */
+    /** Logs an unusable command and returns the response to it. */
     byte[] unusable(String fault) {
         clients.log.warn("command rejected", this + " reason=" + fault);
         return MetaResponse.text(fault);
@@ -180,7 +191,10 @@
 
     // ---- responses
 
-    /** The one final response of a request, from the load balancer's thread by way of the loop. */
+    /**
+     * Sends the only final response of a request; the load balancer's thread calls this through the event
+     * loop.
+     */
     void answer(ProxiedRequest request, byte[] response, OutcomeStatistics.End end,
                 StreamedResponse streamed) {
         if (isClosed() && streamed != null) {
@@ -206,7 +220,7 @@
         } else if (guest || clients.isEnding()) {
             closeBetweenCommands();
         } else if (clients.isHandingOver()) {
-            // not at once: a client that sends its next command on a response would cross each such close
+            // delayed: the next command of a client that sends one right after a response would cross the close
             clients.loop.schedule(NEXT_COMMAND_NANOS, () -> {
                 if (!isClosed() && quietSince() <= clients.now() - NEXT_COMMAND_NANOS) {
                     closeBetweenCommands();
@@ -215,21 +229,21 @@
         }
     }
 
-    /** A reset inside the value tells the client that it is broken off. */
+    /** Resets the connection: a reset inside the value tells the client that the value is incomplete. */
     @Override
     public void onStreamBroken() {
         connection.reset();
         close(CloseReason.VALUE_BROKEN_OFF);
     }
 
-    // ---- the end
+    // ---- closing
 
     private void closeBetweenCommands() {
         if (!isBetweenCommands()) {
             return;
         }
         boolean delivering = responses.isDelivering(clients.now());
-        // a command that arrives after this look is lost: the end of the stream follows at once
+        // a command that arrives after this check is lost: the end of the stream follows immediately
         if (connection.readAvailable() || isClosed()) {
             return;
         }
@@ -241,8 +255,8 @@
     }
 
     /**
-     * Lets the last response arrive: a close while the client still sends would take back what it has not
-     * got.
+     * Closes after a delay, so that the last response is delivered: closing while the client is still sending
+     * would discard data that the client has not received.
      */
     private void linger() {
         connection.shutdownOutput();
@@ -257,7 +271,7 @@
             return;
         }
         state = ClientConnectionState.CLOSED;
-        connection.close(); // before what takes time: the caller has just looked for an unread command
+        connection.close(); // first, before slower work: the caller has just checked for an unread command
         clients.events.onClosed(reason);
         clients.rules.onClosed(reason, responses.awaitedResponses(), this);
         responses.close();
@@ -269,16 +283,17 @@
         return responses.isIdle() && commands.isBetweenCommands() && !state.discardsInput();
     }
 
-    /** Since when nothing has passed on the connection, Unix nanoseconds. */
+    /** Returns the time of the last activity on the connection, in Unix nanoseconds. */
     long quietSince() {
         return activity.quietSince();
     }
 
     /**
-     * Whether it stands between two commands; one that was just opened brings its first, which is not sent
-     * again. Not while its client may still be taking a long response: a reset drops what the system has not
-     * sent on yet (responses of up to 400 KB were cut off so on the day of four times the requests, some 14
-     * ms after their clients' time was over, and their requests lost).
+     * Returns whether the connection is idle between two commands. A connection that was just opened is not:
+     * its first command is on its way, and the client does not send it again. Nor is a connection whose
+     * client may still be receiving a long response: a reset drops what the operating system has not sent
+     * yet. With four times the usual load, responses of up to 400 KB were cut off so some 14 ms after their
+     * clients' timeouts, and their requests were lost.
      */
     private boolean isIdle() {
         long now = clients.now();
@@ -286,9 +301,9 @@
     }
 
     /**
-     * Closes it between two commands, unless one has just come. By a reset: one may still be on its way,
-     * which the client has to send again; an ordered end would tell it that the command was taken (lost in
-     * the first incident).
+     * Closes the connection if it is idle between two commands, unless a command has just arrived. It is
+     * closed by a reset, because a command may still be on its way, which the client then sends again; after
+     * an orderly close the client would assume that the command was received, and the command would be lost.
      */
     void closeIfIdle() {
         if (isIdle()) {
@@ -307,12 +322,12 @@
         return activity.hasResponded() ? EvictionPriority.IDLE : EvictionPriority.NEVER_USED;
     }
 
-    /** How overdue it is to give up its place, as {@link EvictionPriority} has it. */
+    /** Returns how overdue the connection is for eviction, as {@link EvictionPriority} defines it. */
     double overdue() {
         return evictionPriority().overdue(clients.now() - quietSince());
     }
 
-    /** Closes it by a reset, unless something has just come. */
+    /** Closes the connection by a reset, unless unread input has arrived. */
     void giveWay(CloseReason reason) {
         if (!connection.readAvailable()) {
             connection.reset();
@@ -320,14 +335,17 @@
         }
     }
 
-    /** Closes it where the client takes its responses too slowly for the memory that they hold. */
+    /** Closes the connection if the client reads its responses too slowly for the memory that they hold. */
     void closeIfSlow() {
         if (responses.isTooSlowUnderPressure(clients.now())) {
             close(CloseReason.TAKES_NO_ANSWERS);
         }
     }
 
-    /** To be called now and then: closes it if it takes no responses, sends half a command, or is idle. */
+    /**
+     * Closes the connection if the client reads no responses, has stalled within a command, or is idle.
+     * Called periodically.
+     */
     void tidy(boolean crowded) {
         long now = clients.now();
         responses.checkProgress(now);
@@ -340,7 +358,10 @@
         }
     }
 
-    /** The rest of a command has not come for long: it was never taken, but requests before it were. */
+    /**
+     * Ends an incomplete command whose rest is overdue. The command was never processed, but requests before
+     * it were and still get their responses.
+     */
     private void endUnfinished() {
         if (responses.isIdle()) {
             close(CloseReason.UNFINISHED_COMMAND);
--- a/proxy/src/main/java/spurroad/routing/ClientConnectionState.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnectionState.java
@@ -1,22 +1,22 @@
 package spurroad.routing;
 
 /**
- * What becomes of a client connection's input. OPEN and PAUSED alternate; REJECTING_INPUT is followed by
- * LINGERING or CLOSED, LINGERING by CLOSED only.
+ * States of a client connection, which decide how its input is handled. OPEN and PAUSED alternate;
+ * REJECTING_INPUT is followed by LINGERING or CLOSED, LINGERING by CLOSED only.
  */
 enum ClientConnectionState {
-    /** Commands are taken. */
+    /** Commands are read and processed. */
     OPEN,
-    /** Nothing is taken for a while, as the last command could not be used. */
+    /** No command is processed for a while, because the last one could not be used. */
     PAUSED,
-    /** Behind a fault nothing can be told apart: input is discarded, earlier responses are awaited. */
+    /** Commands can't be found after malformed input: input is discarded, earlier responses are awaited. */
     REJECTING_INPUT,
-    /** The last response has been written: input is discarded until it has had time to arrive. */
+    /** The last response was written: input is discarded until the response has had time to arrive. */
     LINGERING,
-    /** Closed by this side or the client. */
+    /** The connection was closed by this side or by the client. */
     CLOSED;
 
-    /** Whether input is read and discarded. */
+    /** Returns whether input is read and discarded. */
     boolean discardsInput() {
         return this == REJECTING_INPUT || this == LINGERING;
     }
--- a/proxy/src/main/java/spurroad/routing/ClientConnections.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnections.java
@@ -17,26 +17,31 @@
 import spurroad.transport.MemoryBudget;
 
 /**
- * All connections of clients, and what they share: memory budgets, the numbers of request classes and
- * tenants, admission. Closes idle connections, and those with the weakest claims where places are short. Used
- * on the event loop only, except where a method says otherwise.
+ * Holds all client connections and the state that they share: memory budgets, the numbers of request classes
+ * and tenants, and admission. Closes idle connections, and those with the lowest eviction priority when
+ * descriptors run short. Used on the event loop only, except where a method says otherwise.
  */
 public final class ClientConnections implements Listener.AcceptHandler {
-    /** What a request without a long value holds on its way, generously. */
+    /** Memory that a request without a long value holds while in flight, in bytes: a generous estimate. */
     static final int REQUEST_BYTES = 8192;
-    /** One part in so many of the memory is for requests under way. */
+    /** Divisor of the process's memory: the quotient is the budget for requests in flight. */
     private static final int REQUEST_MEMORY_SHARE = 8;
-    /** One part in so many of that memory is for input read ahead: few clients send so much. */
+    /** Divisor of the request memory: the quotient is the budget for read-ahead, which few clients need. */
     private static final int READ_AHEAD_SHARE = 4;
-    /** One part in so many of the heap; responses and buffers take more. */
+    /**
+     * Divisor of the heap: the quotient bounds the request budget; responses and buffers take more memory.
+     */
     private static final int HEAP_SHARE = 3;
-    /** Connections closed at a shortage, so that it is not one again at once. */
+    /** Number of connections closed when permits run out, so that they do not run out again immediately. */
     private static final int CLOSED_PER_SHORTAGE = 4;
-    /** One part in so many of the places is a crowd: as many open requests are rare. */
+    /**
+     * Divisor of the maximum number of connections: more than the quotient is crowded, as so many open
+     * requests are rare.
+     */
     private static final int CROWD_SHARE = 4;
-    /** Between looks at who is idle; some microseconds each. */
+    /** Interval between checks for idle connections; a check takes some microseconds. */
     private static final long TIDY_INTERVAL_NANOS = 100_000_000L;
-    /** A client that has sent nothing for so long sends seldom. */
+    /** A client that has sent nothing for this time sends rarely. */
     private static final long QUIET_NANOS = 1_000_000_000L;
     private static final long BYTES_PER_MIB = 1 << 20;
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -47,31 +52,33 @@
     final EventLog log;
     final LoadBalancerThread loadBalancer;
     final MemoryBudget requestMemory;
-    /** For long values that come in, besides. */
+    /** Additional budget for long values that clients upload. */
     final MemoryBudget uploadMemory;
-    /** For what clients send ahead of their responses beyond the first chunk, besides. */
+    /**
+     * Additional budget for input that clients send before their earlier responses, beyond the first chunk.
+     */
     final MemoryBudget readAheadMemory;
     final AdmissionController admission;
     final RuleMonitor rules;
     final ClientEventCounters events;
     final RequestIntake intake = new RequestIntake(this);
-    /** Requests whose final response has not gone out, by their ids: no two at a time may bear the same. */
+    /** Requests whose final response was not written yet, by request id; ids are unique among them. */
     final Map<String, ProxiedRequest> openRequests = new HashMap<>();
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private final OutcomeStatistics statistics;
     private final int maxConnections;
     private DeploymentSettings settings;
-    private List<OutcomeStatistics.OfClass> statisticsByClass = List.of(); // by number
-    private Map<String, Integer> requestClassNumbers; // by name
-    private Map<String, Integer> tenantNumbers; // by name
-    private volatile int count; // of connections, for other threads
+    private List<OutcomeStatistics.OfClass> statisticsByClass = List.of(); // indexed by class number
+    private Map<String, Integer> requestClassNumbers; // by class name
+    private Map<String, Integer> tenantNumbers; // by tenant name
+    private volatile int count; // number of connections, for other threads
     private volatile boolean handingOver;
     private volatile boolean ending;
     private volatile long configuredTimeoutNanos; // written on the loop
     private volatile long longestTimeoutMillis; // written on the loop
     private volatile long finalDeadlineNanos = Long.MAX_VALUE;
 
-    /** For so many places; registers nothing yet. */
+    /** Creates the shared state for at most the given number of connections; registers nothing yet. */
     public ClientConnections(ProxyConfiguration start, EventLoop loop, EventLog log,
                              LoadBalancerThread loadBalancer, int places) {
         this.loop = loop;
@@ -112,8 +119,9 @@
     }
 
     /**
-     * Puts other settings in force, between two commands: what is read from now on is numbered by them, and
-     * the load balancer hears of them between what was numbered before and after. From any thread.
+     * Applies other settings between two commands: commands read from then on are numbered by them, and the
+     * load balancer is notified after the commands numbered before and ahead of those numbered after. May be
+     * called from any thread.
      */
     public void deployed(DeploymentSettings next) {
         loop.execute(() -> {
@@ -129,22 +137,25 @@
         return loop.now();
     }
 
-    /** The number of the request class that a command names; -1 where there is none such. */
+    /** Returns the number of the request class that a command names; -1 if there is none. */
     int requestClass(MetaCommand command) {
         return requestClassNumbers.getOrDefault(command.figure("c"), -1);
     }
 
-    /** The number of the tenant that a command names; -1 where there is none such. */
+    /** Returns the number of the tenant that a command names; -1 if there is none. */
     int tenant(MetaCommand command) {
         return tenantNumbers.getOrDefault(command.figure("t"), -1);
     }
 
-    /** The counts of a request class, by its number. */
+    /** Returns the counts of a request class, by its number. */
     OutcomeStatistics.OfClass statistics(int requestClass) {
         return statisticsByClass.get(requestClass);
     }
 
-    /** Why a well-formed command can't be used here, as the response to it; null where it can. */
+    /**
+     * Returns the error response to a well-formed command that the settings do not allow; null if they allow
+     * it.
+     */
     String fault(MetaCommand command, int requestClass, int tenant) {
         if (requestClass < 0) {
             return "CLIENT_ERROR unknown class";
@@ -157,8 +168,8 @@
     }
 
     /**
-     * Until when a client's request can be worked on, Unix nanoseconds: what the client says, or less while
-     * this process ends.
+     * Returns the deadline of a request, in Unix nanoseconds: what the client specifies, or earlier while
+     * this process shuts down.
      */
     long deadlineNanos(long arrivedAtNanos, long timeoutMillis) {
         longestTimeoutMillis = Math.max(longestTimeoutMillis, timeoutMillis);
@@ -166,8 +177,8 @@
     }
 
     /**
-     * Reserves memory for a response; where that leaves too little, clients that take theirs too slowly are
-     * closed.
+     * Reserves memory for a response. If that overdraws the budget, clients that read their responses too
+     * slowly are closed.
      */
     void reserveForResponse(long bytes) {
         requestMemory.forceReserve(bytes);
@@ -177,23 +188,23 @@
         }
     }
 
-    /** Whether another process serves from now on: connections close once they are quiet. */
+    /** Returns whether another process has taken over: connections close once they are quiet. */
     boolean isHandingOver() {
         return handingOver;
     }
 
-    /** Whether connections close behind their responses. */
+    /** Returns whether connections close after their responses. */
     boolean isEnding() {
         return ending;
     }
 
-    /** A connection was closed, by either side. */
+    /** Removes a connection that was closed by either side. */
     void onClosed(ClientConnection connection) {
         connections.remove(connection);
         count = connections.size();
     }
 
-    // ---- places
+    // ---- descriptors
 
     @Override
     public void onAccepted(Connection connection, boolean guest) {
@@ -203,7 +214,7 @@
         accepted.open();
     }
 
-    /** Closes the connections with the weakest claims or, if there are none, some to endpoints. */
+    /** Closes the most overdue client connections or, if none is overdue, some connections to endpoints. */
     @Override
     public void onPermitsExhausted() {
         log.warn("no descriptor left for clients", "connections=" + connections.size());
@@ -218,9 +229,9 @@
     }
 
     /**
-     * Who says nothing is closed after a while, and idle ones too where many are connected: some clients ask
-     * once and keep the connection for good, and those who share their limit with them then had none left
-     * (first incident).
+     * Closes silent connections after a while, and idle ones earlier when many are connected. Some clients
+     * send one request and keep the connection open forever, which left no connections for the other clients
+     * that share a connection limit with them.
      */
     private void tidy() {
         boolean crowded = CROWD_SHARE * connections.size() > maxConnections;
@@ -231,11 +242,11 @@
         }
     }
 
-    // ---- the end of the process; from any thread
+    // ---- shutdown of the process; from any thread
 
     /**
-     * Others serve from now on: each connection closes soon after the response that it waits for, or once it
-     * is quiet.
+     * Notes that other processes have taken over: each connection closes soon after its pending response, or
+     * once it is quiet.
      */
     public void letGo() {
         handingOver = true;
@@ -243,8 +254,8 @@
     }
 
     /**
-     * Those who have asked nothing for so long that hardly a command crosses it are closed from now on,
-     * whether they never asked, sent half a command or had their responses.
+     * Starts closing connections that have been quiet for so long that a command is unlikely to cross the
+     * close, whether they never sent a command, sent part of one, or had their responses.
      */
     public void letGoQuiet() {
         loop.execute(this::closeQuiet);
@@ -259,28 +270,29 @@
         }
     }
 
-    /** Closes connections between two commands from now on; responses go out first. */
+    /** Starts closing connections between two commands; responses are written first. */
     public void end() {
         ending = true;
         loop.execute(() -> List.copyOf(connections).forEach(ClientConnection::closeIfIdle));
     }
 
-    /** All requests, taken or yet to come, are answered within this time from now, in nanoseconds. */
+    /** Ensures that all requests, current and future, are answered within this time from now. */
     public void allAnsweredWithin(long ns) {
         finalDeadlineNanos = now() + ns;
-        // what was taken before may wait longer than that
+        // requests received before may have later deadlines
         loop.execute(() -> loop.schedule(ns, loadBalancer::failAllRequests));
     }
 
     /**
-     * The longest that a client waits for a response, in nanoseconds: as the settings tell it, which whoever
-     * ends this process goes by too, whatever a single client says; as seen since the start where they don't.
+     * Returns the longest time that a client waits for a response, in nanoseconds. It is the configured
+     * timeout, which whoever ends this process also goes by, whatever a single client requests; or the
+     * longest timeout seen since the start if none is configured.
      */
     public long longestWaitNs() {
         return configuredTimeoutNanos > 0 ? configuredTimeoutNanos : longestTimeoutMillis * NANOS_PER_MILLI;
     }
 
-    /** Connections that are open; from any thread. */
+    /** Returns the number of open connections. May be called from any thread. */
     public int count() {
         return count;
     }
--- a/proxy/src/main/java/spurroad/routing/ClientEventCounters.java
+++ b/proxy/src/main/java/spurroad/routing/ClientEventCounters.java
@@ -5,11 +5,11 @@
 import spurroad.transport.EventLog;
 
 /**
- * Why clients' connections were closed and requests rejected before admission, since the last log line about
- * it. Used on the event loop only.
+ * Counts reasons why client connections were closed and requests were rejected before they reached the load
+ * balancer, since the last log line. Used on the event loop only.
  */
 final class ClientEventCounters {
-    private static final long LOG_INTERVAL_NANOS = 10_000_000_000L; // as for the line about work
+    private static final long LOG_INTERVAL_NANOS = 10_000_000_000L; // as in RequestCounters
 
     private final EventLog log;
     private final Map<CloseReason, Integer> closed = new EnumMap<>(CloseReason.class);
@@ -29,7 +29,7 @@
         rejected.merge(reason, 1, Integer::sum);
     }
 
-    /** To be called now and then: logs a line once enough time has passed. */
+    /** Logs the counts and resets them if the log interval has passed. Called periodically. */
     void logIfDue(long now) {
         if (now - loggedAtNanos < LOG_INTERVAL_NANOS) {
             return;
--- a/proxy/src/main/java/spurroad/routing/CloseReason.java
+++ b/proxy/src/main/java/spurroad/routing/CloseReason.java
@@ -1,25 +1,28 @@
 package spurroad.routing;
 
-/** Why a client's connection was closed by this side, or ended by the other. */
+/** Reasons why a client connection was closed by this side or by the client. Logged under their own names. */
 enum CloseReason {
-    /** The client ended or broke it. */
+    /** The client closed or reset the connection, or it failed. */
     CLIENT_ENDED(true),
-    /** It took its responses too slowly. */
+    /** The client read its responses too slowly. */
     TAKES_NO_ANSWERS(true),
-    /** An endpoint broke off a long value: only a reset tells the client. */
+    /** An endpoint broke off a long value in the middle: only a reset tells the client. */
     VALUE_BROKEN_OFF(false),
-    /** A command was never finished. */
+    /** The client did not finish a command in time. */
     UNFINISHED_COMMAND(false),
-    /** It sent too much behind a fault. */
+    /** The client sent too much input after a protocol error. */
     SENT_BEHIND_A_FAULT(false),
-    /** Its last response has gone out: after a fault, to a guest, or while this process ends. */
+    /**
+     * The last response was written: after a protocol error, to a guest, or while this process shuts down or
+     * hands over.
+     */
     AFTER_LAST_ANSWER(false),
-    /** It stood between two commands while this process ends, or for long. */
+    /** The connection was idle between two commands while this process shuts down, or for too long. */
     IDLE(false),
-    /** Its place was needed for another. */
+    /** The descriptor of the connection was needed for another connection. */
     PLACE_NEEDED(false);
 
-    /** Whether requests that wait are given up with it. */
+    /** Whether requests that await their responses are abandoned when the connection closes. */
     final boolean givesUpRequests;
 
     CloseReason(boolean givesUpRequests) {
--- a/proxy/src/main/java/spurroad/routing/CommandReader.java
+++ b/proxy/src/main/java/spurroad/routing/CommandReader.java
@@ -8,36 +8,42 @@
 import spurroad.transport.EventLoop;
 
 /**
- * Reads commands and uploads from a client's connection, as many as may wait for their responses; further
- * input waits with the client. Meanwhile {@link DisconnectDetector} looks for the client's disconnect. Used
- * on the event loop only.
+ * Reads commands and uploads from a client connection, up to the limit of pipelined commands; further input
+ * is left in the socket. Meanwhile {@link DisconnectDetector} checks for the client's disconnect. Used on the
+ * event loop only.
  */
 final class CommandReader implements DisconnectDetector.Owner {
-    /** The connection that the commands are for. */
+    /** Connection that receives the commands. */
     interface Owner {
-        /** Whether this side has closed the connection. */
+        /** Returns whether this side has closed the connection. */
         boolean isClosed();
 
-        /** Whether another command may be taken now. */
+        /** Returns whether another command may be processed now. */
         boolean canTakeCommand();
 
-        /** Whether input is to be read and discarded. */
+        /** Returns whether input is to be read and discarded. */
         boolean discardsInput();
 
-        /** Whether more input is discarded than is read, so that an end behind it would not be seen. */
+        /**
+         * Returns whether the limit of discarded input is exceeded, so that a disconnect after it would not
+         * be seen.
+         */
         boolean isFlooding();
 
-        /** The client has disconnected, or sends what will never be a command. */
+        /** Called when the client has disconnected, or sends input that can never become a command. */
         void onClosed();
 
-        /** A command is complete; the bytes reserved for its long value are the owner's from now on. */
+        /** Called for each complete command; the owner releases the bytes reserved for its long value. */
         void onCommand(MetaCommand command, long uploadBytes, long arrivedAtNanos);
 
-        /** An upload is malformed: what follows can't be told apart from it. */
+        /** Called when an upload is malformed, so that the input after it can't be parsed. */
         void onUploadFailed(String fault);
     }
 
-    /** Commands taken at once: a client that sends hundreds holds up nobody. */
+    /**
+     * Maximum commands processed in one turn, so that a client that sends hundreds does not delay other
+     * clients.
+     */
     private static final int MAX_COMMANDS_PER_TURN = 16;
     private static final long UPLOAD_RETRY_NANOS = 20_000_000L; // between attempts to reserve memory
 
@@ -62,7 +68,7 @@
 
     // ---- state
 
-    /** Whether no part of a command is there, and no upload is under way. */
+    /** Returns whether no input is buffered and no upload is under way. */
     boolean isBetweenCommands() {
         return buffer.isEmpty() && !upload.isActive();
     }
@@ -75,27 +81,27 @@
         return upload.isReceiving();
     }
 
-    /** Whether the client has disconnected: to be asked before an attempt for it begins. */
+    /** Returns whether the client has disconnected; called before an attempt for it begins. */
     boolean hasDisconnected() {
         return disconnects.hasDisconnected();
     }
 
-    /** Looks now whether the client is still connected. */
+    /** Checks now whether the client is still connected. */
     boolean isStillConnected() {
         return disconnects.checkConnected();
     }
 
-    /** Whether everything that arrived has been read, so that a disconnect behind it would be seen. */
+    /** Returns whether all input that arrived has been read, so that a disconnect after it would be seen. */
     boolean hasReadAll() {
         return disconnects.hasReadAll();
     }
 
-    /** Gives up the upload that is under way, if there is one. */
+    /** Aborts the upload under way, if there is one. */
     void abortUpload() {
         upload.abort();
     }
 
-    /** Gives back all memory: the connection is closed. */
+    /** Releases all memory after the connection was closed. */
     void close() {
         upload.abort();
         buffer.releaseAll();
@@ -125,12 +131,12 @@
 
     // ---- commands
 
-    /** Takes what was read from the connection. */
+    /** Processes bytes that were read from the connection. */
     void onRead(ByteBuffer bytes) {
         activity.onRead(loop.now());
         disconnects.onRead(bytes.remaining());
         if (upload.isActive()) {
-            // all of them: what follows may read on, into the same buffer
+            // all bytes at once: the processing that follows may read more into the same buffer
             onUploadBytes(bytes, connection.earliestArrivalNanos());
         } else if (!isClosed()) {
             buffer.append(bytes, connection.earliestArrivalNanos());
@@ -140,7 +146,7 @@
         }
     }
 
-    /** Takes the commands that are complete, as many as may wait for their responses. */
+    /** Processes the complete commands, up to the limit of pipelined commands. */
     void processCommands() {
         int taken = 0;
         while (owner.canTakeCommand() && !upload.isActive() && buffer.isWorthParsing()) {
@@ -164,7 +170,7 @@
         }
     }
 
-    /** The next command; null where it is not complete, or the connection was closed. */
+    /** Returns the next command; null if it is incomplete or the connection was closed. */
     private MetaCommand nextCommand() {
         try {
             MetaCommand command = buffer.nextCommand();
@@ -178,7 +184,7 @@
         }
     }
 
-    /** Reads on where another command can be taken; otherwise further input waits with the client. */
+    /** Enables reading if another command can be processed; otherwise further input is left in the socket. */
     private void readOrWait() {
         boolean takesCommands = owner.canTakeCommand() && !processingScheduled
             && !upload.isWaitingForMemory();
@@ -193,7 +199,7 @@
     private void setReading(boolean on) {
         connection.setReading(on);
         if (!on) {
-            disconnects.scheduleCheck(); // else a disconnect would not be seen, and its requests would go on
+            disconnects.scheduleCheck(); // otherwise a disconnect is not seen, and the requests continue
         }
     }
 
@@ -249,7 +255,7 @@
         if (rest.hasRemaining()) {
             buffer.append(rest, arrivedAtNanos);
         }
-        // the client may have disconnected long ago, while there was no memory
+        // the client may have disconnected while the upload waited for memory
         if (disconnects.checkConnected()) {
             owner.onCommand(command, reservedBytes, arrivedAtNanos);
             processCommands();
--- a/proxy/src/main/java/spurroad/routing/DisconnectDetector.java
+++ b/proxy/src/main/java/spurroad/routing/DisconnectDetector.java
@@ -4,32 +4,35 @@
 import spurroad.transport.EventLoop;
 
 /**
- * Finds out whether a client has disconnected, so that nothing is sent upstream for it. The event loop
- * reports a disconnect only where it reads from the connection, and behind all bytes sent before. Where the
- * loop does not read, has not read everything, or was held up, the detector reads ahead into the connection's
- * {@link ReadAheadBuffer} until it sees the end or there is nothing more. Used on the event loop only.
+ * Detects the disconnect of a client, so that nothing is sent upstream for it. The event loop reports a
+ * disconnect only while it reads from the connection, and after all bytes sent before it. If the loop does
+ * not read, has not read everything, or was held up, the detector reads ahead into the connection's {@link
+ * ReadAheadBuffer} until it finds the end of the stream or no more input. Used on the event loop only.
  */
 final class DisconnectDetector {
-    /** The connection that is watched. */
+    /** Connection that is checked. */
     interface Owner {
-        /** Whether this side has closed the connection. */
+        /** Returns whether this side has closed the connection. */
         boolean isClosed();
 
-        /** Whether more input is discarded than is read, so that an end behind it would not be seen. */
+        /**
+         * Returns whether the limit of discarded input is exceeded, so that a disconnect after it would not
+         * be seen.
+         */
         boolean isFlooding();
 
-        /** Whether what is read goes to the read-ahead buffer, or is discarded. */
+        /** Returns whether input goes to the read-ahead buffer or is discarded, as opposed to an upload. */
         boolean canReadAhead();
 
-        /** The client has disconnected. */
+        /** Called when the client has disconnected. */
         void onClosed();
 
-        /** Commands that were read ahead are to be processed soon. */
+        /** Schedules the processing of commands that were read ahead. */
         void scheduleProcessing();
     }
 
-    private static final long CHECK_INTERVAL_NANOS = 40_000_000L; // while the connection is not read from
-    /** An attempt may begin for a client that was connected so long ago. */
+    private static final long CHECK_INTERVAL_NANOS = 40_000_000L; // while reading is disabled
+    /** Maximum age of the last check before an attempt may begin for the client. */
     private static final long MAX_AGE_NANOS = 15_000_000L;
 
     private final Owner owner;
@@ -38,8 +41,8 @@
     private final EventLoop loop;
     private boolean checkScheduled;
     private boolean readingAhead;
-    private long checkedAtNanos; // when the end was last looked for behind everything that had arrived
-    private boolean mayHaveUnread; // the last reading was as long as it could be
+    private long checkedAtNanos; // time of the last check behind all input
+    private boolean mayHaveUnread; // the last read filled its buffer
 
     DisconnectDetector(Owner owner, Connection connection, ReadAheadBuffer buffer, EventLoop loop) {
         this.owner = owner;
@@ -48,19 +51,19 @@
         this.loop = loop;
     }
 
-    /** So many bytes have been read from the connection, by the loop or by this detector. */
+    /** Notes the number of bytes that the event loop, or this detector, has read from the connection. */
     void onRead(int bytes) {
         if (!readingAhead) {
             mayHaveUnread = bytes >= ReadAheadBuffer.CHUNK_BYTES;
         }
     }
 
-    /** Whether this detector is reading at this moment: commands are not to be processed meanwhile. */
+    /** Returns whether this detector is reading at this moment; commands must not be processed meanwhile. */
     boolean isReadingAhead() {
         return readingAhead;
     }
 
-    /** Checks again and again from now on, as long as the connection is not read from. */
+    /** Starts periodic checks, which go on as long as reading from the connection is disabled. */
     void scheduleCheck() {
         if (!checkScheduled) {
             checkScheduled = true;
@@ -75,10 +78,10 @@
         }
     }
 
-    /** Whether the client has disconnected; checks unless that has been known for a short time. */
+    /** Returns whether the client has disconnected; checks the connection unless the last check is recent. */
     boolean hasDisconnected() {
         if (owner.isFlooding()) {
-            return true; // unknown: its requests end with what they have
+            return true; // unknown: no further attempts begin for its requests
         }
         boolean loopReportsEnd = connection.isReading() && !mayHaveUnread;
         long reportedAt = loopReportsEnd ? loop.earliestArrivalNanos() : checkedAtNanos;
@@ -90,7 +93,10 @@
         return owner.isClosed();
     }
 
-    /** Looks for a disconnect behind everything that has arrived, reading ahead; false where it was found. */
+    /**
+     * Reads ahead to find a disconnect after all input that has arrived; returns false if the client has
+     * disconnected.
+     */
     boolean checkConnected() {
         boolean reading = connection.isReading();
         if (!owner.isClosed() && owner.canReadAhead()) {
@@ -117,7 +123,10 @@
         }
     }
 
-    /** Whether everything that arrived has been read, and no end: only then would one behind it be seen. */
+    /**
+     * Returns whether all input was read without an end of the stream: only then would a disconnect after it
+     * be seen.
+     */
     boolean hasReadAll() {
         if (mayHaveUnread) {
             checkConnected();
--- a/proxy/src/main/java/spurroad/routing/OutcomeStatistics.java
+++ b/proxy/src/main/java/spurroad/routing/OutcomeStatistics.java
@@ -4,23 +4,24 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 
 /**
- * Counts how requests ended, by request class, since the start of the process. Requests under way are not
- * counted but are the difference, so that all counts and it make up what was taken. A class that the settings
- * name no more keeps its counts. Written by the event loop only; any thread may read, without a lock.
+ * Counts how requests ended, by request class, since the start of the process. Requests in flight are not
+ * counted themselves: they are the difference between the received and the ended requests. A class that is
+ * removed from the settings keeps its counts. Written by the event loop only; any thread may read, without a
+ * lock.
  */
 public final class OutcomeStatistics {
     /** How a request ended. */
     enum End {
         SUCCEEDED,
-        /** Rejected. */
+        /** The request was rejected. */
         DECLINED,
-        /** Failed. */
+        /** The request failed. */
         ABORTED,
-        /** Its client disconnected before it had its response. */
+        /** The client disconnected before it had its response. */
         LEFT
     }
 
-    /** The counts of one class. */
+    /** Counts of one request class. */
     public static final class OfClass {
         private volatile long taken;
         private volatile long succeeded;
@@ -30,7 +31,7 @@
 
         private OfClass() {}
 
-        /** A request was taken; its end is to be counted once. */
+        /** Counts a received request; its end must be counted exactly once. */
         @SuppressWarnings("NonAtomicOperationOnVolatileField") // written by the loop only
         void onRequest() {
             taken++;
@@ -46,22 +47,25 @@
             }
         }
 
-        /** Requests that got what they asked for. */
+        /** Returns the number of requests that succeeded. */
         public long succeeded() {
             return succeeded;
         }
 
-        /** Requests that were rejected. */
+        /** Returns the number of requests that were rejected. */
         public long declined() {
             return declined;
         }
 
-        /** Requests that failed. */
+        /** Returns the number of requests that failed. */
         public long aborted() {
             return aborted;
         }
 
-        /** Never below zero: ends are read before what was taken. */
+        /**
+         * Returns the number of requests in flight; never negative, as the ended ones are read before the
+         * received ones.
+         */
         long outstanding() {
             long ended = succeeded + declined + aborted + left;
             return taken - ended;
@@ -71,28 +75,28 @@
     private final Map<String, OfClass> classes = new ConcurrentSkipListMap<>();
     private volatile long forwards;
 
-    /** The counts of a request class; they begin when it is first named. */
+    /** Returns the counts of a request class; counting begins when the class is first requested here. */
     OfClass of(String name) {
         return classes.computeIfAbsent(name, n -> new OfClass());
     }
 
-    /** An attempt was fully sent to a cache node or the origin. */
+    /** Counts an attempt that was fully sent to a cache node or the origin. */
     @SuppressWarnings("NonAtomicOperationOnVolatileField") // written by the loop only
     void onForwarded() {
         forwards++;
     }
 
-    /** The counts by the names of classes, sorted. */
+    /** Returns the counts by class name, sorted. */
     public Map<String, OfClass> byClass() {
         return classes;
     }
 
-    /** Attempts that were forwarded. */
+    /** Returns the number of attempts that were fully sent. */
     public long forwards() {
         return forwards;
     }
 
-    /** Requests that were taken and have not ended. */
+    /** Returns the number of requests that were received and have not ended. */
     public long outstanding() {
         return classes.values().stream().mapToLong(OfClass::outstanding).sum();
     }
--- a/proxy/src/main/java/spurroad/routing/ProxiedRequest.java
+++ b/proxy/src/main/java/spurroad/routing/ProxiedRequest.java
@@ -8,8 +8,8 @@
 import spurroad.protocol.MetaCommand;
 
 /**
- * One client request on its way through the proxy. It is created on the event loop when it is admitted; from
- * then on it is the load balancer thread's until it is finished. Times are Unix nanoseconds.
+ * Request of a client on its way through the proxy. It is created on the event loop when it is admitted;
+ * afterwards the load balancer's thread owns it until it is finished. Times are Unix nanoseconds.
  */
 final class ProxiedRequest {
     final ClientConnection client;
@@ -18,18 +18,18 @@
     final OutcomeStatistics.OfClass statistics;
     final TenantId tenant;
     final long acceptedAtNanos;
-    /** When its client stops waiting, or this process ends: no attempt is given more time. */
+    /** Time when the client stops waiting or this process ends; no attempt may take longer. */
     final long deadlineNanos;
 
-    // the event loop's
-    /** Whether nobody waits for it any more: attempts that were not sent yet are not begun. */
+    // accessed by the event loop only
+    /** Whether no response is awaited any more: attempts that were not sent yet are not started. */
     boolean clientLeft;
 
-    // the load balancer thread's
+    // accessed by the load balancer's thread only
     RequestId id;
     final List<UpstreamRequest> attempts = new ArrayList<>(2);
     int attemptsInFlight;
-    /** Whether its final response was decided, or none is awaited any more. */
+    /** Whether the final response was decided, or no response is awaited any more. */
     boolean finished;
 
     ProxiedRequest(ClientConnection client, MetaCommand command, RequestClassId requestClass,
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Whether nobody waits for it any more at this moment; checks its client's connection, if it has one. On
-     * the event loop.
+     * Returns whether no response is awaited any more; checks the client's connection now, if there is one.
+     * Called on the event loop only.
      */
     boolean isAbandoned() {
         return clientLeft || client != null && client.commands().hasDisconnected();
--- a/proxy/src/main/java/spurroad/routing/ReadAheadBuffer.java
+++ b/proxy/src/main/java/spurroad/routing/ReadAheadBuffer.java
@@ -7,14 +7,14 @@
 import spurroad.transport.MemoryBudget;
 
 /**
- * What a client has sent and was not parsed yet, with its arrival times. Each connection may keep one chunk;
- * further chunks, up to a limit, are reserved from a budget that all connections share. Used on the event
- * loop only.
+ * Buffers input of a client that was not parsed yet, with its arrival times. Each connection may hold one
+ * chunk; further chunks, up to a limit, are reserved from a budget that all connections share. Used on the
+ * event loop only.
  */
 final class ReadAheadBuffer {
-    /** Bytes kept without a reservation; as much as one reading of a connection brings at most. */
+    /** Bytes that need no reservation; equals the most that one read from a connection returns. */
     static final int CHUNK_BYTES = 64 * 1024;
-    /** Bytes kept where the budget allows: the client's disconnect may come behind them. */
+    /** Maximum bytes buffered if the budget allows; the client's disconnect may follow after them. */
     private static final int MAX_BYTES = 1024 * 1024;
 
     private final MemoryBudget budget;
@@ -37,15 +37,15 @@
         return unparsed.available() == 0;
     }
 
-    /** Whether enough has been appended since the last attempt to parse a command for another one. */
+    /** Returns whether enough input was appended since the last parse attempt to try again. */
     boolean isWorthParsing() {
         return unparsed.worthReading();
     }
 
     /**
-     * Parses the next command; null where it is not complete yet.
+     * Parses the next command; returns null if it is incomplete.
      *
-     * @throws IOException where what follows is no command and never will be
+     * @throws IOException if the input can never become a command
      */
     MetaCommand nextCommand() throws IOException {
         int before = unparsed.available();
@@ -56,23 +56,23 @@
         return command;
     }
 
-    /** When the last byte of the command parsed last arrived, Unix nanoseconds. */
+    /** Returns when the last byte of the most recently parsed command arrived, in Unix nanoseconds. */
     long commandArrivedAtNanos() {
         return commandArrivedAtNanos;
     }
 
-    /** When the first unparsed byte arrived, Unix nanoseconds; only where there is one. */
+    /** Returns when the first unparsed byte arrived, in Unix nanoseconds; requires unparsed bytes. */
     long earliestArrivalNanos() {
         return arrivals.earliest();
     }
 
-    /** Removes all unparsed bytes; only where there are some. */
+    /** Removes and returns all unparsed bytes; requires that there are some. */
     byte[] takeAll() {
         arrivals.take(unparsed.available());
         return unparsed.take(unparsed.available());
     }
 
-    /** How many bytes may be appended now; reserves another chunk where there is no capacity left. */
+    /** Returns how many bytes may be appended now; tries to reserve another chunk if no capacity is left. */
     int remainingCapacity() {
         releaseUnneeded();
         int used = unparsed.available();
@@ -84,7 +84,7 @@
         return capacity - used;
     }
 
-    /** Gives back the chunks that the unparsed bytes do not need any more. */
+    /** Releases the reserved chunks that the unparsed bytes no longer need. */
     void releaseUnneeded() {
         while (reservedBytes > 0 && unparsed.available() <= reservedBytes) {
             budget.release(CHUNK_BYTES);
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Gives back all chunks: the connection is closed. */
+    /** Releases all reserved chunks after the connection was closed. */
     void releaseAll() {
         budget.release(reservedBytes);
         reservedBytes = 0;
--- a/proxy/src/main/java/spurroad/routing/RejectionReason.java
+++ b/proxy/src/main/java/spurroad/routing/RejectionReason.java
@@ -1,13 +1,19 @@
 package spurroad.routing;
 
-/** Why a request was rejected before it reached the load balancer; nothing of it was sent. */
+/**
+ * Reasons why a request was rejected before it reached the load balancer, so that nothing of it was sent.
+ * Logged under their own names.
+ */
 enum RejectionReason {
-    /** There is no place for its connection. */
+    /** The client connection is a guest: it has no descriptor of its own. */
     NO_PLACE,
-    /** More input stands behind it than can be read ahead: its client's disconnect would not be seen. */
+    /**
+     * More input follows the request than can be read ahead, so that a disconnect of the client would not be
+     * seen.
+     */
     TOO_MUCH_AHEAD,
     /** The admission policy does not admit it at the current service level. */
     SERVICE_LEVEL,
-    /** Requests under way hold all the memory they may. */
+    /** The requests in flight hold all the memory that is budgeted for them. */
     NO_ROOM
 }
--- a/proxy/src/main/java/spurroad/routing/RequestCounters.java
+++ b/proxy/src/main/java/spurroad/routing/RequestCounters.java
@@ -6,13 +6,16 @@
 import spurroad.model.Outcome;
 
 /**
- * What became of requests and attempts since the last log line about it. Used by the load balancer's thread
- * only.
+ * Counts requests, their results and the outcomes of attempts since the last log line. Used by the load
+ * balancer's thread only.
  */
 final class RequestCounters {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    /** Short beside an incident, long beside reading it. */
+    /**
+     * Interval between log lines: short compared with an incident, long compared with the time to read a
+     * line.
+     */
     private static final long LOG_INTERVAL_NANOS = 10_000_000_000L;
     private final Map<Outcome, Integer> attempts = new EnumMap<>(Outcome.class);
     private int requests;
@@ -21,7 +24,7 @@
     private int failed;
     private int disconnected;
     private long sinceNanos;
-    private long stalledNanos; // in all, as of the last line
+    private long stalledNanos; // total since the start, as of the last log line
     private long rejectedByAdmission;
     private ServiceLevel level = ServiceLevel.FULL;
     private ServiceLevel worstLevel = ServiceLevel.FULL;
@@ -45,10 +48,10 @@
     }
 
     /**
-     * The admission controller measured again.
+     * Notes a new measurement of the admission controller.
      *
-     * @param admitted the fraction of requests that it admits from now on
-     * @param rejectedSince how many requests it has rejected since the last call
+     * @param admitted fraction of requests that it admits from now on
+     * @param rejectedSince number of requests that it has rejected since the last call
      */
     void onServiceLevel(ServiceLevel now, double admitted, long rejectedSince) {
         level = now;
@@ -62,13 +65,13 @@
     }
 
     /**
-     * Returns a line about what was counted, and counts from zero; null where the last one is too recent.
+     * Returns a log line about the counts and resets them; null if the last line is too recent.
      *
-     * @param stalledInAllNanos how long the process has been stalled since its start
+     * @param stalledInAllNanos how long the process has been stalled since its start, in total
      */
     String takeLineIfDue(long now, long stalledInAllNanos) {
         if (now - sinceNanos > 2 * LOG_INTERVAL_NANOS) {
-            sinceNanos = now; // it was quiet in between
+            sinceNanos = now; // no requests or attempts in the meantime
         }
         if (now - sinceNanos < LOG_INTERVAL_NANOS || requests + attempts.size() == 0) {
             return null;
--- a/proxy/src/main/java/spurroad/routing/RequestEvents.java
+++ b/proxy/src/main/java/spurroad/routing/RequestEvents.java
@@ -13,8 +13,9 @@
 import spurroad.transport.StallDetector;
 
 /**
- * Events in the life of a request: it arrives, its attempts end, its client disconnects. Each is recorded,
- * passed to {@link LoadBalancer}, and the decisions are carried out. Used by the load balancer's thread only.
+ * Handles the events in the life of a request: its arrival, the end of its attempts, and the disconnect of
+ * its client. Each event is recorded and passed to {@link LoadBalancer}, and the resulting decisions are
+ * executed. Used by the load balancer's thread only.
  */
 final class RequestEvents {
     private static final long NANOS_PER_MICRO = 1_000L;
@@ -28,7 +29,7 @@
     private final StallDetector stalls;
     private DeploymentSettings settings;
     private AdmissionController admission;
-    private long queueDelayNanos; // of the requests taken since the last report, together
+    private long queueDelayNanos; // total over the requests since the last report
     private int delayedRequests;
 
     RequestEvents(LoadBalancer balancer, DecisionExecutor executor, InFlightRequests requests,
@@ -44,17 +45,17 @@
         this.settings = settings;
     }
 
-    /** To be called before the thread starts. */
+    /** Sets the admission controller; must be called before the thread starts. */
     void setAdmissionController(AdmissionController controller) {
         admission = controller;
     }
 
-    /** Puts other settings in force for the requests that follow. */
+    /** Applies other settings to the requests that follow. */
     void configure(DeploymentSettings next) {
         settings = next;
     }
 
-    /** A client's request was admitted on the event loop. */
+    /** Handles a request that was admitted on the event loop. */
     void onRequest(ProxiedRequest request) {
         requests.add(request);
         counters.onRequest();
@@ -62,7 +63,7 @@
         queueDelayNanos += now - request.acceptedAtNanos;
         delayedRequests++;
         MetaCommand command = request.command;
-        // the response's way back counts too: it is to leave a tick before the client's time is over
+        // the response must be sent one tick before the client's deadline, to have time to reach the client
         long timeLeft = request.deadlineNanos - now - settings.deployment.clockTickNanos();
         balancer.onRequest(now, request.id, request.requestClass, request.tenant,
             EndpointList.cacheKey(command.key()), command.kind == MetaCommand.Kind.WRITE,
@@ -70,7 +71,9 @@
         executor.execute();
     }
 
-    /** Reports to the admission controller how long requests have waited for this thread, if any have. */
+    /**
+     * Reports to the admission controller how long requests have waited for this thread, if there were any.
+     */
     void reportQueueDelay() {
         if (delayedRequests > 0) {
             long nanos = queueDelayNanos;
@@ -80,7 +83,7 @@
         }
     }
 
-    /** The client of a request disconnected, perhaps after its final response was decided. */
+    /** Handles the disconnect of a request's client, which may follow the final response. */
     void onClientDisconnect(ProxiedRequest request) {
         if (!request.finished) {
             counters.onClientDisconnect();
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Fails all requests that have no final response: this process is about to be killed. */
+    /** Fails all requests that have no final response, because this process is about to be killed. */
     void failAll() {
         for (ProxiedRequest request : requests.snapshot()) {
             if (!request.finished) {
@@ -100,7 +103,7 @@
         }
     }
 
-    /** Finishes a request for which no response is awaited any more. */
+    /** Finishes a request whose response is no longer awaited. */
     private void abandon(ProxiedRequest request) {
         request.finished = true;
         outbox.add(() -> request.clientLeft = true);
@@ -110,7 +113,7 @@
         requests.removeIfDone(request);
     }
 
-    /** An attempt ended, or a load probe where it belongs to no request. */
+    /** Handles the end of an attempt, or of a load probe if the attempt belongs to no request. */
     void onAttemptEnd(UpstreamRequest attempt, UpstreamReply reply) {
         ProxiedRequest request = attempt.request;
         if (request == null) {
@@ -133,7 +136,7 @@
         requests.removeIfDone(request);
     }
 
-    /** A load probe was decided for an endpoint that is not listed any more. */
+    /** Reports the failure of a load probe that was decided for an endpoint that is no longer listed. */
     void onUnroutableProbe(EndpointId id) {
         onLoadProbeEnd(id, Outcome.NO_CONNECTION, LoadReport.NONE);
     }
--- a/proxy/src/main/java/spurroad/routing/RequestIntake.java
+++ b/proxy/src/main/java/spurroad/routing/RequestIntake.java
@@ -5,8 +5,9 @@
 import spurroad.protocol.MetaCommand;
 
 /**
- * Admits clients' requests, or rejects them before they take anything. Checks stand in the order of their
- * cost: most requests of a crowd get no further than the admission controller. Used on the event loop only.
+ * Admits requests of clients, or rejects them before they reserve any resource. The checks are ordered by
+ * cost: during a connection burst, most requests are rejected no later than by the admission controller. Used
+ * on the event loop only.
  */
 final class RequestIntake {
     private final ClientConnections clients;
@@ -16,11 +17,11 @@
     }
 
     /**
-     * Hands a request to the load balancer and returns null, or returns its response.
+     * Passes a request to the load balancer and returns null, or returns the response of a rejected request.
      *
-     * @param slot the place of its response
-     * @param requestClass its class, by number
-     * @param tenant its tenant, by number; -1 where it is unknown
+     * @param slot slot for its response
+     * @param requestClass number of its class
+     * @param tenant number of its tenant; -1 if it is unknown
      * @param arrivedAtNanos when its last byte arrived, Unix nanoseconds
      */
     byte[] admit(ClientConnection client, ResponseSlot slot, MetaCommand command, int requestClass,
@@ -55,7 +56,7 @@
         return null;
     }
 
-    /** Whether another request with the same id is under way, for a client that is still connected. */
+    /** Returns whether another request with the same id is in flight for a client that is still connected. */
     private boolean isIdInUse(ClientConnection client, MetaCommand command) {
         ProxiedRequest sameId = client.isGuest() ? null : clients.openRequests.get(command.id());
         return sameId != null && (sameId.client == client || sameId.client.commands().isStillConnected());
--- a/proxy/src/main/java/spurroad/routing/ResponseMessage.java
+++ b/proxy/src/main/java/spurroad/routing/ResponseMessage.java
@@ -1,10 +1,11 @@
 package spurroad.routing;
 
 /**
- * Message to the event loop: a request's final response. A record rather than a lambda, as it is made for
- * each request: the quick compiler makes a call into the machine of each lambda's birth.
+ * Message to the event loop with the final response of a request. It is a record rather than a lambda because
+ * one is created for each request: the C1 client compiler links each capturing lambda by a runtime call at
+ * its creation site.
  *
- * @param streamed the long value that follows the response; null where there is none
+ * @param streamed the long value that follows the response; null if there is none
  */
 record ResponseMessage(ProxiedRequest request, byte[] response, OutcomeStatistics.End end,
                        StreamedResponse streamed)
--- a/proxy/src/main/java/spurroad/routing/ResponseSlot.java
+++ b/proxy/src/main/java/spurroad/routing/ResponseSlot.java
@@ -1,26 +1,26 @@
 package spurroad.routing;
 
 /**
- * The place of one command's response in the order of a connection's responses, with the memory that is
- * reserved for it. Used on the event loop only.
+ * Slot for the response to one command in the response order of a connection, with the memory reserved for
+ * it. Used on the event loop only.
  */
 final class ResponseSlot {
-    /** The request, where the command was admitted as one. */
+    /** The request; null if the command was not admitted as one. */
     ProxiedRequest request;
-    /** The counts of the request's class, until its end is counted; null where the command is no request. */
+    /** Counts of the request's class; null once its end was counted, or if the command is not a request. */
     OutcomeStatistics.OfClass statistics;
     OutcomeStatistics.End end;
-    /** The response's bytes, without a long value; null while it is awaited. */
+    /** Bytes of the response without a long value; null while the response is awaited. */
     byte[] response;
-    /** The long value that follows the response; null where there is none, or once it has passed. */
+    /** Long value that follows the response; null if there is none, or once it was passed on completely. */
     StreamedResponse streamed;
-    /** Whether nothing follows: the connection is closed behind it. */
+    /** Whether this is the last response: the connection is closed after it. */
     boolean last;
     private long uploadBytes;
     private long requestBytes;
     private long responseBytes;
 
-    /** Notes memory that was reserved for an upload, for the request, or for the response. */
+    /** Records the memory that was reserved for an upload, in bytes. */
     void holdsUpload(long bytes) {
         uploadBytes = bytes;
     }
@@ -37,12 +37,12 @@
         return responseBytes;
     }
 
-    /** Whether a request waits here for its final response. */
+    /** Returns whether a request awaits its final response in this slot. */
     boolean isAwaitingResponse() {
         return request != null && response == null;
     }
 
-    /** Counts how the request ended; does nothing the second time, or where there is no request. */
+    /** Counts how the request ended; does nothing if that was counted before, or if there is no request. */
     void countEnd(OutcomeStatistics.End how) {
         if (statistics != null) {
             statistics.onEnd(how);
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Gives back the memory that is reserved. */
+    /** Releases the reserved memory. */
     void release(ClientConnections clients) {
         clients.requestMemory.release(requestBytes);
         clients.requestMemory.release(responseBytes);
--- a/proxy/src/main/java/spurroad/routing/ResponseWriter.java
+++ b/proxy/src/main/java/spurroad/routing/ResponseWriter.java
@@ -6,46 +6,48 @@
 import spurroad.transport.Connection;
 
 /**
- * Writes the responses of one client's connection in the order of its commands, and watches how the client
- * takes them. Used on the event loop only.
+ * Writes the responses of one client connection in the order of its commands, and monitors how fast the
+ * client reads them. Used on the event loop only.
  */
 final class ResponseWriter {
-    /** The connection whose responses these are. */
+    /** Connection that the responses are written to. */
     interface Owner {
-        /** Whether this side has closed the connection. */
+        /** Returns whether this side has closed the connection. */
         boolean isClosed();
 
-        /** The system has taken everything that was written. */
+        /** Called when the operating system has accepted everything that was written. */
         void onDrained();
 
-        /** The system has taken a response, at the given time, Unix nanoseconds. */
+        /**
+         * Called when the operating system has accepted a response, at the given time in Unix nanoseconds.
+         */
         void onResponseWritten(ResponseSlot slot, long nowNanos);
 
-        /** The rest of a long value will not come. */
+        /** Called when the rest of a long value will not arrive. */
         void onStreamBroken();
     }
 
-    /** A client that takes nothing so long is gone. */
+    /** A client that accepts no data for this time is treated as gone. */
     private static final long STALL_TIMEOUT_NANOS = 10_000_000_000L;
-    /** The same where memory for responses is short. */
+    /** Stall timeout while the memory for responses is overdrawn. */
     private static final long STALL_TIMEOUT_UNDER_PRESSURE_NANOS = 1_000_000_000L;
-    /** Bytes of a long value that wait for the client, at most. */
+    /** Maximum bytes of a long value that wait to be sent to the client. */
     private static final int STREAM_WINDOW_BYTES = 64 * 1024;
-    /** Send buffer for a long value, in bytes; the system takes twice that. */
+    /** Send buffer size for a long value, in bytes; the operating system allocates twice as much. */
     private static final int STREAM_SEND_BUFFER_BYTES = 128 * 1024;
-    /** For what the system holds of a streamed response to arrive, at 10 KB a second. */
+    /** Time for the buffered end of a streamed response to reach the client, at 10 KB per second. */
     private static final long STREAM_DELIVERY_NANOS = 30_000_000_000L;
-    /** A response that is no longer fits whole into the client's buffers. */
+    /** A response up to this size fits into the client's buffers completely. */
     private static final int LONG_RESPONSE_BYTES = 16 * 1024;
 
     private final Owner owner;
     private final ClientConnections clients;
     private final Connection connection;
     private final Deque<ResponseSlot> pending = new ArrayDeque<>();
-    private ResponseSlot writing; // not yet taken whole by the system
-    private long writingSinceNanos = Long.MAX_VALUE; // or since when the client has taken nothing of it
-    private long deliveringUntilNanos; // while a long response may still stand in the system's buffers
-    private long bytesAccepted; // as of the last check of progress
+    private ResponseSlot writing; // not yet completely accepted by the operating system
+    private long writingSinceNanos = Long.MAX_VALUE; // or the time since when the client has read nothing of it
+    private long deliveringUntilNanos; // a long response may be in the system's buffers until then
+    private long bytesAccepted; // as of the last progress check
 
     ResponseWriter(Owner owner, ClientConnections clients, Connection connection) {
         this.owner = owner;
@@ -56,29 +58,32 @@
     /** Appends a slot for the response to the next command. */
     ResponseSlot append() {
         if (isIdle()) {
-            deliveringUntilNanos = 0; // a client that sends the next command has taken what came before
+            deliveringUntilNanos = 0; // a client that sends its next command has read the previous responses
         }
         ResponseSlot slot = new ResponseSlot();
         pending.add(slot);
         return slot;
     }
 
-    /** How many responses are awaited or being written. */
+    /** Returns how many responses are awaited or being written. */
     int size() {
         return pending.size() + (writing == null ? 0 : 1);
     }
 
-    /** Whether no response is awaited or being written. */
+    /** Returns whether no response is awaited or being written. */
     boolean isIdle() {
         return pending.isEmpty() && writing == null;
     }
 
-    /** Whether the client may still be taking a long response that the system has taken. */
+    /**
+     * Returns whether the client may still be receiving a long response that the operating system has
+     * accepted.
+     */
     boolean isDelivering(long nowNanos) {
         return nowNanos <= deliveringUntilNanos;
     }
 
-    /** How many requests wait for their final responses. */
+    /** Returns how many requests await their final responses. */
     int awaitedResponses() {
         int awaited = 0;
         for (ResponseSlot slot : pending) {
@@ -87,7 +92,9 @@
         return awaited;
     }
 
-    /** Puts a request's final response in its slot. */
+    /**
+     * Puts the final response of a request into its slot; does nothing if the request has no slot any more.
+     */
     void respond(ProxiedRequest request, byte[] response, OutcomeStatistics.End end,
                  StreamedResponse streamed) {
         ResponseSlot slot = slotOf(request);
@@ -112,7 +119,7 @@
         return null;
     }
 
-    /** Writes the responses that are there, up to the first that is awaited. */
+    /** Writes the available responses, up to the first that is awaited. */
     void flush() {
         while (writing == null && !owner.isClosed() && !pending.isEmpty()
             && pending.peek().response != null) {
@@ -123,13 +130,13 @@
     private void writeNext() {
         writing = pending.poll();
         if (writing.request != null) {
-            // from before it goes out the id may come again
+            // the client may reuse the id as soon as it has the response
             clients.openRequests.remove(writing.request.command.id(), writing.request);
         }
         writingSinceNanos = clients.now();
         connection.write(writing.response);
         if (writing.streamed != null) {
-            // what stands in its buffers is lost by a reset, and nothing tells when it has gone
+            // a reset discards what is in the send buffer, and nothing reports when it has been sent
             connection.limitSendBuffer(STREAM_SEND_BUFFER_BYTES);
             writing.streamed.start(this);
         } else if (connection.isDrained()) {
@@ -137,7 +144,10 @@
         }
     }
 
-    /** The system has taken everything that was written; whether a response was finished by that. */
+    /**
+     * Handles that the operating system has accepted everything written; returns whether that completed a
+     * response.
+     */
     boolean onDrained() {
         if (writing == null) {
             return false;
@@ -168,26 +178,28 @@
 
     // ---- from a streamed response
 
-    /** Whether more of the value is wanted: the system has taken what was passed. */
+    /**
+     * Returns whether more of the value can be written: the operating system has accepted the previous part.
+     */
     boolean isReadyForMore() {
         return !owner.isClosed() && connection.isDrained();
     }
 
-    /** Passes a part of the value on. */
+    /** Writes a part of the value. */
     void writePart(ByteBuffer bytes) {
         connection.write(bytes);
     }
 
-    /** The value has passed whole; what follows it ends the response. */
+    /** Ends the response after the complete value, with the given bytes. */
     void finishStream(byte[] end) {
         writing.streamed = null;
         connection.write(end);
         if (connection.isDrained()) {
-            clients.loop.execute(owner::onDrained); // not at once: the endpoint's connection is still at work
+            clients.loop.execute(owner::onDrained); // deferred: the endpoint's connection is still processing its input
         }
     }
 
-    /** The rest of the value will not come. */
+    /** Handles that the rest of the value will not arrive. */
     void breakStream() {
         if (writing != null) {
             writing.countEnd(OutcomeStatistics.End.ABORTED);
@@ -195,9 +207,9 @@
         owner.onStreamBroken();
     }
 
-    // ---- how the client takes responses
+    // ---- progress of the client
 
-    /** Notes whether the client has taken anything since the last call. */
+    /** Records whether the client has read anything since the last call. */
     void checkProgress(long nowNanos) {
         if (connection.bytesAccepted() != bytesAccepted) {
             bytesAccepted = connection.bytesAccepted();
@@ -205,20 +217,23 @@
         }
     }
 
-    /** Whether the client has taken nothing of a response for too long. */
+    /** Returns whether the client has read nothing of a response for too long. */
     boolean isStalled(long nowNanos) {
         return nowNanos - STALL_TIMEOUT_NANOS > writingSinceNanos && !connection.isDrained();
     }
 
-    /** Whether the client takes a response too slowly for the memory that it holds. */
+    /**
+     * Returns whether the client reads a response too slowly for the memory that it holds; streamed responses
+     * are exempt.
+     */
     boolean isTooSlowUnderPressure(long nowNanos) {
         return nowNanos - STALL_TIMEOUT_UNDER_PRESSURE_NANOS > writingSinceNanos
             && (writing == null || writing.streamed == null);
     }
 
-    // ---- the end
+    // ---- closing
 
-    /** Gives all responses up: the connection is closed. */
+    /** Abandons all responses after the connection was closed. */
     void close() {
         for (ResponseSlot slot : pending) {
             if (slot.request != null) {
--- a/proxy/src/main/java/spurroad/routing/RuleMonitor.java
+++ b/proxy/src/main/java/spurroad/routing/RuleMonitor.java
@@ -4,20 +4,20 @@
 import spurroad.transport.EventLog;
 
 /**
- * Checks invariants at run time, right after something was done, by the state as it is then and not by the
- * decision that led there. A violation is a fault of the program: it is counted and logged with the request's
- * id. Used on the event loop; any thread may read the count.
+ * Checks invariants at run time, immediately after an action, against the state at that moment rather than
+ * the decision that led to the action. A violation is a bug of the proxy: it is counted and logged with the
+ * request's id. Used on the event loop; any thread may read the count.
  */
 final class RuleMonitor {
-    /** What must never happen. */
+    /** Violations that must never happen. Logged under their own names. */
     enum Rule {
-        /** An attempt went to an endpoint that accepts no requests. */
+        /** An attempt was sent to an endpoint that accepts no requests. */
         SENT_TO_CLOSED_NODE,
-        /** An attempt went out for a client that has disconnected. */
+        /** An attempt was sent for a client that has disconnected. */
         SENT_FOR_LEFT_CLIENT,
-        /** An attempt went out after its time, or told more than was left. */
+        /** An attempt was sent after the request's deadline, or told the endpoint more time than was left. */
         SENT_TOO_LATE,
-        /** A connection was closed over requests that wait. */
+        /** A connection was closed by the proxy while requests awaited their responses. */
         CLOSED_OVER_REQUESTS,
         /** A request got a second response. */
         ANSWERED_TWICE,
@@ -26,18 +26,18 @@
     }
 
     /**
-     * An attempt as it went out.
+     * State of an attempt when its first byte was sent. The component names are part of the logged subject.
      *
-     * @param id of its request
-     * @param toldMs the time left as it was told
-     * @param leftNs until the request is over; below 0 where it was before
+     * @param id id of its request
+     * @param toldMs time left as reported to the endpoint, in milliseconds
+     * @param leftNs nanoseconds until the request's deadline; negative after it
      */
     record Sent(String id, String node, boolean nodeTakesNew, boolean clientLeft, long toldMs, long leftNs) {}
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    /** Between reading the clock and writing. */
+    /** Tolerated delay between reading the clock and writing. */
     private static final long CLOCK_TOLERANCE_NANOS = 150_000_000L;
-    /** After the deadline; a later response is of no use. */
+    /** Grace period after the deadline; a later response is useless to the client. */
     private static final long RESPONSE_GRACE_NANOS = 500_000_000L;
 
     private final EventLog log;
@@ -47,12 +47,12 @@
         this.log = log;
     }
 
-    /** How many violations there were since the start of the process. */
+    /** Returns the number of violations since the start of the process. */
     long violations() {
         return violations.get();
     }
 
-    /** The first byte of an attempt has just gone out. */
+    /** Checks an attempt whose first byte was just sent. */
     void onSent(Sent attempt) {
         if (!attempt.nodeTakesNew) {
             report(Rule.SENT_TO_CLOSED_NODE, attempt);
@@ -66,14 +66,16 @@
         }
     }
 
-    /** A client's connection has been closed while so many requests had no response. */
+    /** Checks the close of a client connection, given the number of its requests without a response. */
     void onClosed(CloseReason reason, int unanswered, Object client) {
         if (unanswered > 0 && !reason.givesUpRequests) {
             report(Rule.CLOSED_OVER_REQUESTS, unanswered + " of " + client + ", " + reason);
         }
     }
 
-    /** A request gets its final response, so long after its deadline. */
+    /**
+     * Checks a final response, given whether the request had one before and how long its deadline has passed.
+     */
     void onResponse(String id, boolean again, long lateNs) {
         if (again) {
             report(Rule.ANSWERED_TWICE, id);
--- a/proxy/src/main/java/spurroad/routing/StreamedResponse.java
+++ b/proxy/src/main/java/spurroad/routing/StreamedResponse.java
@@ -5,9 +5,9 @@
 import spurroad.protocol.UpstreamReply;
 
 /**
- * A long value on its way from an endpoint's connection to a client's: what was read goes on at once, and no
- * more is read than the client takes. It ends once: complete, broken off by the endpoint, or abandoned by the
- * client. Used on the event loop only.
+ * Forwards a long value from an endpoint's connection to a client's connection: what was read is written
+ * immediately, and no more is read than the client accepts. It ends exactly once: complete, broken off by the
+ * endpoint, or abandoned by the client. Used on the event loop only.
  */
 final class StreamedResponse {
     private final EndpointConnection from;
@@ -22,19 +22,21 @@
         lineEnd = rest.lineEnd();
     }
 
-    /** How many bytes of the value are still to come from the endpoint. */
+    /** Returns how many bytes of the value are still expected from the endpoint. */
     long remaining() {
         return remaining;
     }
 
-    /** Whether a line end follows the value on the endpoint's connection. */
+    /** Returns whether a line end follows the value on the endpoint's connection. */
     boolean isFollowedByLineEnd() {
         return lineEnd;
     }
 
-    // ---- from the client's side
+    // ---- called by the client's connection
 
-    /** The client's turn has come: what was read goes on, and more is read. */
+    /**
+     * Starts writing once the responses before this one are written: forwards what was read, and reads more.
+     */
     void start(ResponseWriter next) {
         writer = next;
         if (ended) {
@@ -44,14 +46,14 @@
         }
     }
 
-    /** The client has taken all that was passed. */
+    /** Reads more after the operating system has accepted everything written to the client. */
     void onDrained() {
         if (!ended) {
             from.stream();
         }
     }
 
-    /** Nobody takes it: the client disconnected, or the request had its response. */
+    /** Abandons the value because the client disconnected or the request already has its response. */
     void abandon() {
         if (!ended) {
             ended = true;
@@ -59,9 +61,9 @@
         }
     }
 
-    // ---- from the endpoint's side
+    // ---- called by the endpoint's connection
 
-    /** Whether the client takes more now. */
+    /** Returns whether the client accepts more data now. */
     boolean isWanted() {
         return writer != null && !ended && writer.isReadyForMore();
     }
@@ -71,13 +73,13 @@
         writer.writePart(bytes);
     }
 
-    /** All of it has come, and its end is well-formed. */
+    /** Ends the response after the complete value was received with a well-formed end. */
     void onComplete() {
         ended = true;
         writer.finishStream(MetaResponse.lineEnd());
     }
 
-    /** The rest will not come: the client is to see that. */
+    /** Breaks the response off because the rest of the value will not arrive; the client must notice that. */
     void onBroken() {
         if (!ended) {
             ended = true;
--- a/proxy/src/main/java/spurroad/routing/UploadBuffer.java
+++ b/proxy/src/main/java/spurroad/routing/UploadBuffer.java
@@ -7,11 +7,11 @@
 import spurroad.protocol.ProtocolException;
 
 /**
- * The long value of a write as it is received, in pieces that are allocated as they are needed, and the line
- * end that follows it. Used on the event loop only.
+ * Buffers the long value of a write as it is received, in pieces that are allocated as needed, and checks the
+ * line end after it. Used on the event loop only.
  */
 final class UploadBuffer {
-    /** As much as one reading of a connection brings at most. */
+    /** Size of a piece; equals the most that one read from a connection returns. */
     private static final int PIECE_BYTES = 64 * 1024;
     private static final String LINE_END = "\r\n";
 
@@ -19,15 +19,15 @@
     private final List<byte[]> pieces = new ArrayList<>();
     private byte[] piece = {};
     private int positionInPiece;
-    private int remaining; // bytes of the value
-    private int lineEndBytes; // received
+    private int remaining; // bytes of the value still expected
+    private int lineEndBytes; // bytes of the line end received
 
     UploadBuffer(MetaCommand command) {
         this.command = command;
         remaining = command.length();
     }
 
-    /** Takes the bytes that belong to it; returns true once it is complete. */
+    /** Consumes the bytes that belong to the value; returns true once it is complete. */
     boolean take(ByteBuffer bytes) throws ProtocolException {
         while (remaining > 0 && bytes.hasRemaining()) {
             if (positionInPiece == piece.length) {
--- a/proxy/src/main/java/spurroad/routing/UploadReceiver.java
+++ b/proxy/src/main/java/spurroad/routing/UploadReceiver.java
@@ -6,8 +6,8 @@
 import spurroad.transport.MemoryBudget;
 
 /**
- * Receives the long value of a write, one at a time: it is read once there is memory for all of it, and until
- * then waits with the client. Used on the event loop only.
+ * Receives long values of writes, one at a time. A value is read once memory for all of it is reserved; until
+ * then it is left in the socket. Used on the event loop only.
  */
 final class UploadReceiver {
     private enum State {
@@ -23,7 +23,7 @@
         this.budget = budget;
     }
 
-    /** Begins to receive; false where there is no memory for it, so that this is to be called again. */
+    /** Starts receiving; returns false if memory is short, and is then to be called again later. */
     boolean tryBegin(UploadBuffer next) {
         buffer = next;
         boolean reserved = budget.tryReserve(next.command.length());
@@ -32,7 +32,7 @@
         return reserved;
     }
 
-    /** Whether a value is being received, or waits for memory. */
+    /** Returns whether a value is being received or waits for memory. */
     boolean isActive() {
         return state != State.NONE;
     }
@@ -45,17 +45,17 @@
         return state == State.RECEIVING;
     }
 
-    /** Takes what belongs to the value; true once it is complete. */
+    /** Consumes the bytes that belong to the value; returns true once it is complete. */
     boolean receive(ByteBuffer bytes) throws ProtocolException {
         return buffer.take(bytes);
     }
 
-    /** The command whose value is received. */
+    /** Returns the command whose value is being received. */
     MetaCommand command() {
         return buffer.command;
     }
 
-    /** Ends a complete upload; returns its reserved bytes, which are the caller's to release from now on. */
+    /** Ends a complete upload and returns its reserved bytes, which the caller must release. */
     long finish() {
         long bytes = reservedBytes;
         reservedBytes = 0;
@@ -64,12 +64,12 @@
         return bytes;
     }
 
-    /** Releases the bytes of a finished upload that nobody wants any more. */
+    /** Releases the memory of a finished upload that is no longer needed. */
     void release(long bytes) {
         budget.release(bytes);
     }
 
-    /** Gives up an incomplete upload and its memory; does nothing where there is none. */
+    /** Aborts an incomplete upload and releases its memory; does nothing if there is none. */
     void abort() {
         budget.release(finish());
     }
--- a/proxy/src/test/java/spurroad/routing/ArrivalTimesTest.java
+++ b/proxy/src/test/java/spurroad/routing/ArrivalTimesTest.java
@@ -9,22 +9,22 @@
 import org.testng.annotations.Test;
 
 public class ArrivalTimesTest {
-    private static final long LONG_AFTER = 10 * ArrivalTimes.MERGED_NANOS;
+    private static final long AFTER_MERGE_WINDOW_NANOS = 10 * ArrivalTimes.MERGED_NANOS;
 
     @Test
-    public void aCommandArrivesWithItsLastByte() {
+    public void returnsArrivalTimeOfLastByteTaken() {
         ArrivalTimes times = new ArrivalTimes();
         times.onRead(10, 0);
-        times.onRead(10, LONG_AFTER);
+        times.onRead(10, AFTER_MERGE_WINDOW_NANOS);
         assertEquals(times.take(10), 0);
-        assertEquals(times.earliest(), LONG_AFTER);
-        times.onRead(10, 2 * LONG_AFTER);
-        assertEquals(times.take(11), 2 * LONG_AFTER);
-        assertEquals(times.take(9), 2 * LONG_AFTER);
+        assertEquals(times.earliest(), AFTER_MERGE_WINDOW_NANOS);
+        times.onRead(10, 2 * AFTER_MERGE_WINDOW_NANOS);
+        assertEquals(times.take(11), 2 * AFTER_MERGE_WINDOW_NANOS);
+        assertEquals(times.take(9), 2 * AFTER_MERGE_WINDOW_NANOS);
     }
 
     @Test
-    public void whatComesByteByByteIsJoinedAndCountsFromTheEarliest() {
+    public void mergesSingleBytesIntoEarliestArrival() {
         ArrivalTimes times = new ArrivalTimes();
         for (int i = 0; i < 100; i++) {
             times.onRead(1, i);
@@ -32,26 +32,29 @@
         assertEquals(times.take(100), 0);
     }
 
-    /** Against a list of all bytes: never later than true, and earlier by less than what is joined. */
+    /**
+     * Compares with a list of all bytes: a time is never later than the true one, and earlier by less than
+     * the merge window.
+     */
     @Test
-    public void itIsNeverLaterThanTrue() {
+    public void isNeverLaterThanTrueArrivalTime() {
         Random random = new Random(7);
         ArrivalTimes times = new ArrivalTimes();
         List<Long> bytes = new ArrayList<>();
         long now = 0;
         for (int i = 0; i < 100_000; i++) {
             now += random.nextInt((int) ArrivalTimes.MERGED_NANOS);
-            int some = 1 + random.nextInt(20);
-            if (bytes.size() < some || random.nextBoolean()) {
-                times.onRead(some, now);
-                for (int b = 0; b < some; b++) {
+            int count = 1 + random.nextInt(20);
+            if (bytes.size() < count || random.nextBoolean()) {
+                times.onRead(count, now);
+                for (int b = 0; b < count; b++) {
                     bytes.add(now);
                 }
             } else {
-                long last = bytes.get(some - 1);
-                long told = times.take(some);
-                bytes.subList(0, some).clear();
-                assertTrue(told <= last && last - told < ArrivalTimes.MERGED_NANOS, told + " for " + last);
+                long last = bytes.get(count - 1);
+                long reported = times.take(count);
+                bytes.subList(0, count).clear();
+                assertTrue(reported <= last && last - reported < ArrivalTimes.MERGED_NANOS, reported + " for " + last);
             }
             while (bytes.size() > 1_000) {
                 times.take(500);
--- a/proxy/src/test/java/spurroad/routing/ClientActivityTest.java
+++ b/proxy/src/test/java/spurroad/routing/ClientActivityTest.java
@@ -7,65 +7,65 @@
 import org.testng.annotations.Test;
 
 public class ClientActivityTest {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     @Test
-    public void unusedConnectionIsIdleLaterThanOneThatHadItsResponse() {
+    public void isIdleLaterBeforeFirstResponseThanAfterResponse() {
         ClientActivity activity = new ClientActivity(false, 0);
-        assertFalse(activity.isIdle(250 * MS));
-        assertTrue(activity.isIdle(251 * MS));
-        activity.onResponseWritten(1000 * MS);
-        assertFalse(activity.isIdle(1050 * MS));
-        assertTrue(activity.isIdle(1051 * MS));
+        assertFalse(activity.isIdle(250 * NANOS_PER_MILLI));
+        assertTrue(activity.isIdle(251 * NANOS_PER_MILLI));
+        activity.onResponseWritten(1000 * NANOS_PER_MILLI);
+        assertFalse(activity.isIdle(1050 * NANOS_PER_MILLI));
+        assertTrue(activity.isIdle(1051 * NANOS_PER_MILLI));
     }
 
     @Test
-    public void idleTimeoutIsShorterInACrowd() {
+    public void shortensIdleTimeoutWhenCrowded() {
         ClientActivity activity = new ClientActivity(false, 0);
-        assertFalse(activity.isIdleTimeoutOver(1000 * MS, true));
-        assertTrue(activity.isIdleTimeoutOver(1001 * MS, true));
-        assertFalse(activity.isIdleTimeoutOver(2200 * MS, false));
-        assertTrue(activity.isIdleTimeoutOver(2201 * MS, false));
+        assertFalse(activity.isIdleTimeoutOver(1000 * NANOS_PER_MILLI, true));
+        assertTrue(activity.isIdleTimeoutOver(1001 * NANOS_PER_MILLI, true));
+        assertFalse(activity.isIdleTimeoutOver(2200 * NANOS_PER_MILLI, false));
+        assertTrue(activity.isIdleTimeoutOver(2201 * NANOS_PER_MILLI, false));
         activity.onResponseWritten(0);
-        assertFalse(activity.isIdleTimeoutOver(300 * MS, true));
-        assertTrue(activity.isIdleTimeoutOver(301 * MS, true));
-        assertFalse(activity.isIdleTimeoutOver(10_000 * MS, false));
-        assertTrue(activity.isIdleTimeoutOver(10_001 * MS, false));
+        assertFalse(activity.isIdleTimeoutOver(300 * NANOS_PER_MILLI, true));
+        assertTrue(activity.isIdleTimeoutOver(301 * NANOS_PER_MILLI, true));
+        assertFalse(activity.isIdleTimeoutOver(10_000 * NANOS_PER_MILLI, false));
+        assertTrue(activity.isIdleTimeoutOver(10_001 * NANOS_PER_MILLI, false));
     }
 
     @Test
-    public void partOfACommandIsStalledOnceNothingWasReadForLong() {
+    public void detectsStalledCommandWithoutRecentInput() {
         ClientActivity activity = new ClientActivity(false, 0);
-        activity.onRead(100 * MS);
-        assertFalse(activity.isCommandStalled(5000 * MS, false), "no part is there");
-        assertTrue(activity.isCommandStalled(2301 * MS, true), "an upload has stalled");
-        activity.onPartialCommand(100 * MS);
-        assertFalse(activity.isCommandStalled(2300 * MS, false));
-        assertTrue(activity.isCommandStalled(2301 * MS, false));
+        activity.onRead(100 * NANOS_PER_MILLI);
+        assertFalse(activity.isCommandStalled(5000 * NANOS_PER_MILLI, false), "no command is incomplete");
+        assertTrue(activity.isCommandStalled(2301 * NANOS_PER_MILLI, true), "the upload has stalled");
+        activity.onPartialCommand(100 * NANOS_PER_MILLI);
+        assertFalse(activity.isCommandStalled(2300 * NANOS_PER_MILLI, false));
+        assertTrue(activity.isCommandStalled(2301 * NANOS_PER_MILLI, false));
         activity.onNoPartialCommand();
-        assertFalse(activity.isCommandStalled(2301 * MS, false));
+        assertFalse(activity.isCommandStalled(2301 * NANOS_PER_MILLI, false));
     }
 
     @Test
-    public void guestsHaveLessTimeForACommand() {
+    public void stallsGuestCommandEarlier() {
         ClientActivity guest = new ClientActivity(true, 0);
         guest.onPartialCommand(0);
-        assertFalse(guest.isCommandStalled(1000 * MS, false));
-        assertTrue(guest.isCommandStalled(1001 * MS, false));
+        assertFalse(guest.isCommandStalled(1000 * NANOS_PER_MILLI, false));
+        assertTrue(guest.isCommandStalled(1001 * NANOS_PER_MILLI, false));
     }
 
     @Test
-    public void commandThatTricklesInHasAnEnd() {
+    public void limitsTotalTimeOfSlowCommand() {
         ClientActivity activity = new ClientActivity(false, 0);
         activity.onPartialCommand(0);
-        activity.onPartialCommand(10_000 * MS);
-        activity.onRead(20_000 * MS);
-        assertFalse(activity.isCommandStalled(20_000 * MS, false));
-        assertTrue(activity.isCommandStalled(20_001 * MS, false));
+        activity.onPartialCommand(10_000 * NANOS_PER_MILLI);
+        activity.onRead(20_000 * NANOS_PER_MILLI);
+        assertFalse(activity.isCommandStalled(20_000 * NANOS_PER_MILLI, false));
+        assertTrue(activity.isCommandStalled(20_001 * NANOS_PER_MILLI, false));
     }
 
     @Test
-    public void quietSinceWhatPassedLast() {
+    public void reportsTimeOfLastActivity() {
         ClientActivity activity = new ClientActivity(false, 1);
         assertEquals(activity.quietSince(), 1);
         activity.onRead(3);
--- a/proxy/src/test/java/spurroad/routing/ClientAnswersFormTest.java
+++ b/proxy/src/test/java/spurroad/routing/ClientAnswersFormTest.java
@@ -21,26 +21,29 @@
 import spurroad.transport.EventLog;
 import spurroad.transport.Threads;
 
-/** The lines that clients get, to the letter, from whole proxies. */
+/** Checks the exact response lines that clients get from complete proxies. */
 public class ClientAnswersFormTest {
     private static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String NOT_RUN = "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
     private static final String FAILED = "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n";
     private static final String SERVED = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
     private static final String NO_LOAD = "STAT inflight 0\r\nEND\r\n";
-    private static final String ONCE = "\"tracks\":[{\"name\":\"once\",\"effect\":\"fragile\","
+    private static final String ONCE_CLASS_SETTINGS = "\"tracks\":[{\"name\":\"once\",\"effect\":\"fragile\","
         + "\"sloTimeUs\":8000000,\"importance\":1},";
-    private static final int LONG_VALUE = 65_537;
+    private static final int LONG_VALUE_BYTES = 65_537;
     private static final int FEW_DESCRIPTORS = 70;
-    /** The places that those leave for clients, and some of those who are only told that there is none. */
-    private static final int MORE_THAN_PLACES = 24;
-    private static final int TOO_LONG_LINE = 2_050;
-    /** Longer than an unfinished command is waited for, shorter than a request may take. */
-    private static final long SLOW_ANSWER_MS = 3_000;
+    /**
+     * More than the client connections that those descriptors allow: includes some guests, which are only
+     * rejected.
+     */
+    private static final int MORE_THAN_CONNECTION_LIMIT = 24;
+    private static final int TOO_LONG_LINE_BYTES = 2_050;
+    /** Longer than the timeout for an incomplete command, shorter than the timeout of a request. */
+    private static final long SLOW_ANSWER_MILLIS = 3_000;
 
     private final List<AutoCloseable> open = new ArrayList<>();
     private Peer cacheNode;
-    /** One that says when to come again, and one that may not. */
+    /** One proxy that sends Retry-After, and one whose settings do not allow it. */
     private ProxyService proxy;
     private ProxyService proxyWithoutRetryAfter;
 
@@ -52,7 +55,7 @@
         String settings = ScriptedPeers.start(discovery.port, 256,
             ScriptedPeers.list(1, true, ScriptedPeers.target("s-1", "m1", cacheNode.port, "active", 0),
                 ScriptedPeers.target("s-o", "origin", origin.port, "active", 0)))
-            .replace("\"tracks\":[", ONCE);
+            .replace("\"tracks\":[", ONCE_CLASS_SETTINGS);
         proxy = service(settings);
         proxyWithoutRetryAfter = service(withoutRetryAfter(settings));
     }
@@ -80,7 +83,10 @@
         }
     }
 
-    /** A cache node that lacks every key but one, which takes it long, and is silent about another. */
+    /**
+     * Simulates a cache node that lacks all keys but one, which it returns slowly, and does not respond for
+     * another.
+     */
     private static String answerOfCacheNode(String message) {
         if (message.startsWith("stats")) {
             return NO_LOAD;
@@ -99,7 +105,7 @@
 
     private static void pause() {
         try {
-            Thread.sleep(SLOW_ANSWER_MS);
+            Thread.sleep(SLOW_ANSWER_MILLIS);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -107,7 +113,7 @@
 
     // ---- dialogues
 
-    /** What a client sends, and the lines that it gets. */
+    /** Input of a client, and the expected response lines. */
     @DataProvider
     Object[][] dialogues() {
         return new Object[][] {{"mn\r\n", List.of("MN")},
@@ -125,7 +131,7 @@
     }
 
     @Test(dataProvider = "dialogues")
-    public void aClientGetsItsLines(String sent, List<String> lines) throws IOException {
+    public void returnsExpectedLines(String sent, List<String> lines) throws IOException {
         try (Client client = new Client(proxy.port())) {
             client.say(sent);
             for (String line : lines) {
@@ -134,19 +140,22 @@
         }
     }
 
-    /** Faults after which nothing can be told apart: a line, then the connection ends. */
+    /**
+     * Malformed input whose end can't be found: the client gets one error line, then the connection is
+     * closed.
+     */
     @DataProvider
     Object[][] lastLines() {
-        return new Object[][] {{"x".repeat(TOO_LONG_LINE) + "\r\n", "CLIENT_ERROR line too long"},
+        return new Object[][] {{"x".repeat(TOO_LONG_LINE_BYTES) + "\r\n", "CLIENT_ERROR line too long"},
             {"ms a x O1 Pc=put,d=9000\r\n", "CLIENT_ERROR bad length"},
             {"ms a 1 O1 Pc=put,d=9000\r\nxyz", "CLIENT_ERROR bad data chunk"},
-            {"ms a " + LONG_VALUE + " O1 Pc=put,t=acme,d=9000,k=5\r\n" + "x".repeat(LONG_VALUE) + "yz",
+            {"ms a " + LONG_VALUE_BYTES + " O1 Pc=put,t=acme,d=9000,k=5\r\n" + "x".repeat(LONG_VALUE_BYTES) + "yz",
                 "CLIENT_ERROR bad data chunk"},
-            {"ms a " + LONG_VALUE + " O1 Pc=put,t=acme,k=5\r\n", "CLIENT_ERROR no time to wait"}};
+            {"ms a " + LONG_VALUE_BYTES + " O1 Pc=put,t=acme,k=5\r\n", "CLIENT_ERROR no time to wait"}};
     }
 
     @Test(dataProvider = "lastLines")
-    public void aConnectionEndsAfterALastLine(String sent, String line) throws IOException {
+    public void closesConnectionAfterMalformedInput(String sent, String line) throws IOException {
         try (Client client = new Client(proxy.port())) {
             client.say(sent);
             assertEquals(client.line(), line);
@@ -155,9 +164,9 @@
     }
 
     @Test
-    public void anIdInUseIsRefused() throws Exception {
+    public void rejectsRequestIdInUse() throws Exception {
         String request = "mg silent v O7 Pc=read,t=acme,d=2000\r\n";
-        // not the one that other tests ask: it may think ill of a silent node
+        // not the proxy of the other tests: it may eject a node that does not respond
         int port = proxyWithoutRetryAfter.port();
         try (Client first = new Client(port); Client second = new Client(port)) {
             first.say(request);
@@ -167,7 +176,7 @@
     }
 
     @Test
-    public void anUnfinishedCommandBehindARequestIsToldSo() throws IOException {
+    public void reportsIncompleteCommandAfterPendingRequest() throws IOException {
         try (Client client = new Client(proxy.port())) {
             client.say("mg slow v O8 Pc=read,t=acme,d=9000\r\nmg half v O9 Pc=re");
             assertEquals(client.line(), "VA 1 O8");
@@ -177,9 +186,9 @@
         }
     }
 
-    /** Nothing was sent that may have run; when to come again is told only where the settings allow it. */
+    /** The request was not executed; Retry-After is sent only if the settings allow it. */
     @Test
-    public void aRejectionSaysWhenToComeAgain() throws IOException {
+    public void sendsRetryAfterOnlyIfAllowed() throws IOException {
         String request = "ms busy 1 O1 Pc=put,t=acme,d=9000,k=5\r\nx\r\n";
         try (Client client = new Client(proxy.port());
             Client other = new Client(proxyWithoutRetryAfter.port())) {
@@ -189,15 +198,15 @@
         }
     }
 
-    /** One for whom there is no place is told when to come again, and its connection ends. */
+    /** A guest is told when to retry, and its connection is closed. */
     @Test
-    public void aClientWithoutAPlaceIsRejectedAndLetGo() throws Exception {
+    public void rejectsAndClosesGuest() throws Exception {
         ProxyService small = service(ScriptedPeers.start(1, FEW_DESCRIPTORS, ScriptedPeers.list(1, true)));
         List<Client> busy = new ArrayList<>();
-        for (int i = 0; i < MORE_THAN_PLACES; i++) {
+        for (int i = 0; i < MORE_THAN_CONNECTION_LIMIT; i++) {
             Client client = new Client(small.port());
             busy.add(client);
-            // the beginning of a command keeps its connection from being idle
+            // an incomplete command keeps the connection from being idle
             assertEquals(client.say("mn\r\nmg k").line(), "MN");
         }
         try (Client next = new Client(small.port())) {
@@ -210,9 +219,9 @@
         small.end();
     }
 
-    /** A process that ends answers what it has taken before it may be killed. */
+    /** A process that shuts down answers the requests in flight before it may be killed. */
     @Test
-    public void aRequestThatWaitsAtTheEndOfTheProcessFails() throws Exception {
+    public void failsPendingRequestAtShutdown() throws Exception {
         Peer node = opened(new Peer(message -> message.startsWith("stats") ? NO_LOAD : null));
         ProxyService ending = service(ScriptedPeers.start(1, 256,
             ScriptedPeers.list(1, true, ScriptedPeers.target("s-1", "m1", node.port, "active", 0))));
--- a/proxy/src/test/java/spurroad/routing/OutcomeStatisticsTest.java
+++ b/proxy/src/test/java/spurroad/routing/OutcomeStatisticsTest.java
@@ -9,32 +9,32 @@
 
 public class OutcomeStatisticsTest {
     /**
-     * Any order of ends, classes that appear, vanish and come back: ends and what is outstanding make up what
-     * was taken.
+     * Requests end in any order, and classes appear, vanish and come back: the ended and the outstanding
+     * requests always add up to the received ones.
      */
     @Test
-    public void endsAndWhatIsOutstandingMakeUpWhatWasTaken() {
+    public void endedAndOutstandingRequestsAddUpToReceived() {
         for (long seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            OutcomeStatistics results = new OutcomeStatistics();
+            OutcomeStatistics statistics = new OutcomeStatistics();
             List<OutcomeStatistics.OfClass> open = new ArrayList<>();
-            long taken = 0;
-            long left = 0;
+            long received = 0;
+            long disconnected = 0;
             for (int step = 0; step < 300; step++) {
                 if (open.isEmpty() || random.nextBoolean()) {
-                    OutcomeStatistics.OfClass counts = results.of("c" + random.nextInt(1 + step / 50));
+                    OutcomeStatistics.OfClass counts = statistics.of("c" + random.nextInt(1 + step / 50));
                     counts.onRequest();
                     open.add(counts);
-                    taken++;
+                    received++;
                 } else {
                     OutcomeStatistics.End end = OutcomeStatistics.End.values()[random.nextInt(4)];
                     open.remove(random.nextInt(open.size())).onEnd(end);
-                    left += end == OutcomeStatistics.End.LEFT ? 1 : 0;
+                    disconnected += end == OutcomeStatistics.End.LEFT ? 1 : 0;
                 }
-                long told = results.byClass().values().stream()
+                long counted = statistics.byClass().values().stream()
                     .mapToLong(c -> c.succeeded() + c.declined() + c.aborted()).sum();
-                assertEquals(results.outstanding(), open.size(), "seed " + seed);
-                assertEquals(told + left + results.outstanding(), taken, "seed " + seed);
+                assertEquals(statistics.outstanding(), open.size(), "seed " + seed);
+                assertEquals(counted + disconnected + statistics.outstanding(), received, "seed " + seed);
             }
         }
     }
--- a/proxy/src/test/java/spurroad/routing/ReadAheadBufferTest.java
+++ b/proxy/src/test/java/spurroad/routing/ReadAheadBufferTest.java
@@ -10,8 +10,8 @@
 import spurroad.transport.MemoryBudget;
 
 public class ReadAheadBufferTest {
-    private static final int CHUNK = ReadAheadBuffer.CHUNK_BYTES;
-    private static final long LATER = 10 * ArrivalTimes.MERGED_NANOS;
+    private static final int CHUNK_BYTES = ReadAheadBuffer.CHUNK_BYTES;
+    private static final long AFTER_MERGE_WINDOW_NANOS = 10 * ArrivalTimes.MERGED_NANOS;
 
     private static ByteBuffer bytes(int count) {
         return ByteBuffer.wrap("a".repeat(count).getBytes());
@@ -25,21 +25,21 @@
     public void firstChunkNeedsNoReservation() {
         MemoryBudget budget = new MemoryBudget(0);
         ReadAheadBuffer buffer = new ReadAheadBuffer(budget);
-        assertEquals(buffer.remainingCapacity(), CHUNK);
-        buffer.append(bytes(CHUNK), 0);
+        assertEquals(buffer.remainingCapacity(), CHUNK_BYTES);
+        buffer.append(bytes(CHUNK_BYTES), 0);
         assertEquals(buffer.remainingCapacity(), 0);
     }
 
     @Test
-    public void furtherChunksAreReservedAndReleasedOnceUnneeded() {
-        MemoryBudget budget = new MemoryBudget(2 * CHUNK);
+    public void reservesFurtherChunksAndReleasesUnneeded() {
+        MemoryBudget budget = new MemoryBudget(2 * CHUNK_BYTES);
         ReadAheadBuffer buffer = new ReadAheadBuffer(budget);
-        buffer.append(bytes(CHUNK), 0);
-        assertEquals(buffer.remainingCapacity(), CHUNK);
-        buffer.append(bytes(CHUNK), 0);
-        assertEquals(buffer.remainingCapacity(), CHUNK);
+        buffer.append(bytes(CHUNK_BYTES), 0);
+        assertEquals(buffer.remainingCapacity(), CHUNK_BYTES);
+        buffer.append(bytes(CHUNK_BYTES), 0);
+        assertEquals(buffer.remainingCapacity(), CHUNK_BYTES);
         assertEquals(budget.usedFraction(), 1.0);
-        buffer.append(bytes(CHUNK), 0);
+        buffer.append(bytes(CHUNK_BYTES), 0);
         assertEquals(buffer.remainingCapacity(), 0, "the budget is used up");
         buffer.takeAll();
         buffer.releaseUnneeded();
@@ -48,10 +48,10 @@
     }
 
     @Test
-    public void closingReleasesEverything() {
-        MemoryBudget budget = new MemoryBudget(4 * CHUNK);
+    public void releasesAllChunksOnClose() {
+        MemoryBudget budget = new MemoryBudget(4 * CHUNK_BYTES);
         ReadAheadBuffer buffer = new ReadAheadBuffer(budget);
-        buffer.append(bytes(CHUNK), 0);
+        buffer.append(bytes(CHUNK_BYTES), 0);
         buffer.remainingCapacity();
         buffer.releaseAll();
         buffer.releaseAll();
@@ -59,13 +59,13 @@
     }
 
     @Test
-    public void commandArrivesWithItsLastByte() throws IOException {
+    public void reportsArrivalOfLastCommandByte() throws IOException {
         ReadAheadBuffer buffer = new ReadAheadBuffer(new MemoryBudget(0));
         buffer.append(text("mn"), 0);
         assertNull(buffer.nextCommand());
-        buffer.append(text("\r\nmn\r\n"), LATER);
+        buffer.append(text("\r\nmn\r\n"), AFTER_MERGE_WINDOW_NANOS);
         assertTrue(buffer.nextCommand() != null);
-        assertEquals(buffer.commandArrivedAtNanos(), LATER);
-        assertEquals(buffer.earliestArrivalNanos(), LATER);
+        assertEquals(buffer.commandArrivedAtNanos(), AFTER_MERGE_WINDOW_NANOS);
+        assertEquals(buffer.earliestArrivalNanos(), AFTER_MERGE_WINDOW_NANOS);
     }
 }
--- a/proxy/src/test/java/spurroad/routing/RejectionFormTest.java
+++ b/proxy/src/test/java/spurroad/routing/RejectionFormTest.java
@@ -12,7 +12,7 @@
 import spurroad.transport.EventLoop;
 import spurroad.transport.MemoryBudget;
 
-/** The line that a request gets which is turned away before anything of it is sent. */
+/** Checks the response line of a request that is rejected before anything of it is sent. */
 public class RejectionFormTest {
     private static final String SETTINGS = ScriptedPeers.start(1, 256, ScriptedPeers.list(1, true));
     private static final String SHORT_OBJECTIVE = SETTINGS.replace("\"sloTimeUs\":8000000",
@@ -20,7 +20,7 @@
     private static final String NO_RETRY_AFTER = SETTINGS.replace("\"retryAfter\":true",
         "\"retryAfter\":false");
 
-    /** Half of the shortest objective, as far as the settings allow it. */
+    /** Retry-After is half of the shortest latency objective, if the settings allow it. */
     @DataProvider
     Object[][] rejections() {
         return new Object[][] {{SETTINGS, "SERVER_ERROR busy 2000\r\n"},
@@ -28,21 +28,21 @@
     }
 
     @Test(dataProvider = "rejections")
-    public void aRequestWithoutAPlaceIsToldWhenToComeAgain(String settings, String answer) {
-        assertEquals(text(gate(settings).busyResponse()), answer);
+    public void sendsRetryAfterWhenProxyIsBusy(String settings, String response) {
+        assertEquals(text(admissionController(settings).busyResponse()), response);
     }
 
     @Test
-    public void aRequestThatIsNotAdmittedIsToldWhenToComeAgain() {
-        assertEquals(text(gate(SETTINGS).rejection()), "SERVER_ERROR busy 2000\r\n");
-        assertEquals(text(gate(NO_RETRY_AFTER).rejection()), "SERVER_ERROR busy\r\n");
+    public void sendsRetryAfterWhenRequestIsNotAdmitted() {
+        assertEquals(text(admissionController(SETTINGS).rejection()), "SERVER_ERROR busy 2000\r\n");
+        assertEquals(text(admissionController(NO_RETRY_AFTER).rejection()), "SERVER_ERROR busy\r\n");
     }
 
-    private static String text(byte[] answer) {
-        return new String(answer, StandardCharsets.ISO_8859_1);
+    private static String text(byte[] response) {
+        return new String(response, StandardCharsets.ISO_8859_1);
     }
 
-    private static AdmissionController gate(String settings) {
+    private static AdmissionController admissionController(String settings) {
         EventLog log = new EventLog();
         return new AdmissionController(new ProxyConfiguration(settings), new EventLoop(log, new Clock()), log,
             new MemoryBudget(1), null);
--- a/proxy/src/test/java/spurroad/routing/RuleMonitorTest.java
+++ b/proxy/src/test/java/spurroad/routing/RuleMonitorTest.java
@@ -8,18 +8,18 @@
 import spurroad.transport.EventLog;
 
 public class RuleMonitorTest {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private static Consumer<RuleMonitor> sent(boolean takesNew, boolean left, long toldMs, long leftMs) {
-        return m -> m.onSent(new RuleMonitor.Sent("ab", "node", takesNew, left, toldMs, leftMs * MS));
+    private static Consumer<RuleMonitor> sent(boolean acceptsRequests, boolean clientLeft, long reportedMillis, long remainingMillis) {
+        return monitor -> monitor.onSent(new RuleMonitor.Sent("ab", "node", acceptsRequests, clientLeft, reportedMillis, remainingMillis * NANOS_PER_MILLI));
     }
 
     private static Consumer<RuleMonitor> closed(CloseReason reason, int unanswered) {
-        return m -> m.onClosed(reason, unanswered, "client");
+        return monitor -> monitor.onClosed(reason, unanswered, "client");
     }
 
-    private static Consumer<RuleMonitor> answered(boolean again, long lateMs) {
-        return m -> m.onResponse("ab", again, lateMs * MS);
+    private static Consumer<RuleMonitor> answered(boolean duplicate, long lateMillis) {
+        return monitor -> monitor.onResponse("ab", duplicate, lateMillis * NANOS_PER_MILLI);
     }
 
     @DataProvider
@@ -36,9 +36,9 @@
     }
 
     @Test(dataProvider = "cases")
-    public void whatMustNeverHappenIsCounted(Consumer<RuleMonitor> done, long violations) {
+    public void countsRuleViolations(Consumer<RuleMonitor> action, long violations) {
         RuleMonitor monitor = new RuleMonitor(new EventLog());
-        done.accept(monitor);
+        action.accept(monitor);
         assertEquals(monitor.violations(), violations);
     }
 }
--- a/proxy/src/test/java/spurroad/routing/SlowClientTest.java
+++ b/proxy/src/test/java/spurroad/routing/SlowClientTest.java
@@ -21,10 +21,13 @@
 import spurroad.transport.EventLoop;
 import spurroad.transport.Threads;
 
-/** A client that takes no responses is closed by the very response for which memory lacks. */
+/**
+ * Guards against a failure while a client that reads no responses is closed by the very response whose memory
+ * overdraws the budget.
+ */
 public class SlowClientTest {
-    private static final int MORE_THAN_A_PIPE_HOLDS = 1 << 20;
-    private static final long SLOW_MILLIS = 1_300; // longer than a client may take nothing at such a time
+    private static final int MORE_THAN_PIPE_CAPACITY_BYTES = 1 << 20;
+    private static final long SLOW_MILLIS = 1_300; // longer than the stall timeout under memory pressure
 
     private final EventLog log = new EventLog();
     private final Clock clock = new Clock();
@@ -80,7 +83,7 @@
             }
             Thread.sleep(5);
         }
-        throw new AssertionError("no request " + id);
+        throw new AssertionError("no request in flight with id " + id);
     }
 
     private boolean answer(ProxiedRequest request, int bytes) throws Exception {
@@ -91,25 +94,25 @@
     }
 
     @Test
-    public void isClosedByAResponseThatFindsNoMemory() throws Exception {
+    public void closesSlowClientWhenResponseOverdrawsMemory() throws Exception {
         Pipe commands = accept(Pipe.open());
         for (String id : new String[] {"1", "2", "3"}) {
             send(commands, id);
         }
         ProxiedRequest third = request("3");
-        answer(request("1"), MORE_THAN_A_PIPE_HOLDS);
+        answer(request("1"), MORE_THAN_PIPE_CAPACITY_BYTES);
         Thread.sleep(SLOW_MILLIS);
         ProxiedRequest second = request("2");
-        long all = Integer.MAX_VALUE;
+        long reservedBytes = Integer.MAX_VALUE;
         onLoop(() -> {
-            clients.requestMemory.forceReserve(all);
+            clients.requestMemory.forceReserve(reservedBytes);
             return true;
         });
-        assertTrue(answer(second, 1), "without an exception");
+        assertTrue(answer(second, 1), "the response is handled without an exception");
         assertEquals(clients.count(), 0);
-        assertTrue(third.clientLeft, "its request is given up");
+        assertTrue(third.clientLeft, "the third request is abandoned");
         onLoop(() -> {
-            clients.requestMemory.release(all);
+            clients.requestMemory.release(reservedBytes);
             return true;
         });
         assertEquals(clients.requestMemory.usedFraction(), 0.0);
--- a/proxy/src/test/java/spurroad/routing/UploadReceiverTest.java
+++ b/proxy/src/test/java/spurroad/routing/UploadReceiverTest.java
@@ -15,16 +15,16 @@
 import spurroad.transport.MemoryBudget;
 
 public class UploadReceiverTest {
-    private static final int LENGTH = 1 << 20;
+    private static final int LENGTH_BYTES = 1 << 20;
 
-    private final MemoryBudget budget = new MemoryBudget(LENGTH);
+    private final MemoryBudget budget = new MemoryBudget(LENGTH_BYTES);
     private UploadBuffer value;
     private UploadReceiver upload;
 
     @BeforeMethod
     public void begin() throws IOException {
         ByteSource source = new ByteSource();
-        source.feed(ByteBuffer.wrap(("ms k " + LENGTH + " O1 Pc=write,d=480\r\n").getBytes()));
+        source.feed(ByteBuffer.wrap(("ms k " + LENGTH_BYTES + " O1 Pc=write,d=480\r\n").getBytes()));
         MetaCommand command = source.message(MetaCommand::read);
         assertTrue(command.isLong());
         value = new UploadBuffer(command);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void waitsForMemoryAndBeginsOnceThereIsSome() {
+    public void beginsOnceMemoryIsAvailable() {
         budget.forceReserve(1);
         assertFalse(upload.tryBegin(value));
         assertTrue(upload.isActive() && upload.isWaitingForMemory() && !upload.isReceiving());
@@ -45,14 +45,14 @@
     }
 
     @Test
-    public void memoryOfFinishedUploadIsTheCallersToRelease() throws IOException {
+    public void leavesReleaseOfFinishedUploadToCaller() throws IOException {
         upload.tryBegin(value);
-        assertFalse(upload.receive(ByteBuffer.allocate(LENGTH)));
+        assertFalse(upload.receive(ByteBuffer.allocate(LENGTH_BYTES)));
         ByteBuffer rest = ByteBuffer.wrap("\r\nmn\r\n".getBytes());
         assertTrue(upload.receive(rest));
-        assertEquals(rest.remaining(), 4, "what follows is left");
+        assertEquals(rest.remaining(), 4, "the bytes after the value are left");
         long reserved = upload.finish();
-        assertEquals(reserved, LENGTH);
+        assertEquals(reserved, LENGTH_BYTES);
         upload.abort();
         assertEquals(budget.usedFraction(), 1.0);
         upload.release(reserved);
@@ -60,9 +60,9 @@
     }
 
     @Test
-    public void valueOfAnotherLengthIsAFault() {
+    public void rejectsValueLongerThanAnnounced() {
         upload.tryBegin(value);
-        ByteBuffer tooLong = ByteBuffer.allocate(LENGTH + 1);
+        ByteBuffer tooLong = ByteBuffer.allocate(LENGTH_BYTES + 1);
         assertThrows(ProtocolException.class, () -> upload.receive(tooLong));
         upload.abort();
         assertEquals(budget.usedFraction(), 0.0);
