--- a/proxy/src/main/java/spurroad/program/GracefulShutdown.java
+++ b/proxy/src/main/java/spurroad/program/GracefulShutdown.java
@@ -59,7 +59,7 @@
         acceptance.open(); // clients who wait in the accept queue get their responses too
         long startedAt = System.nanoTime();
         long untilKilledNanos = untilKilledNanos();
-        clients.allAnsweredWithin(untilKilledNanos);
+        clients.failUnansweredAfter(untilKilledNanos);
         if (hotRestart != null) {
             hotRestart.startShutdown();
         }
@@ -75,7 +75,7 @@
      * clients wait, whatever a single client asks for.
      */
     private long untilKilledNanos() {
-        return Math.min(MAX_CLIENT_WAIT_NANOS, clients.longestWaitNs()) + KILL_GRACE_NANOS;
+        return Math.min(MAX_CLIENT_WAIT_NANOS, clients.longestTimeoutNanos()) + KILL_GRACE_NANOS;
     }
 
     private void keepAccepting(long startedAt) throws InterruptedException {
@@ -88,9 +88,9 @@
     private boolean closeListener() throws InterruptedException {
         if (isSuccessorServing()) {
             listener.stopAccepting();
-            clients.letGo();
+            clients.startHandover();
         } else {
-            clients.letGoQuiet();
+            clients.startClosingQuietConnections();
         }
         return listener.closeWhenQuiet(LISTENER_CLOSE_MILLIS);
     }
--- a/proxy/src/main/java/spurroad/program/ProxyMetrics.java
+++ b/proxy/src/main/java/spurroad/program/ProxyMetrics.java
@@ -37,7 +37,7 @@
             .flatMap(entry -> ofClass(entry.getKey(), entry.getValue())).toList();
     }
 
-    private static Stream<Metric> ofClass(String requestClass, OutcomeStatistics.OfClass counts) {
+    private static Stream<Metric> ofClass(String requestClass, OutcomeStatistics.ClassCounts counts) {
         return Stream.of(outcome(requestClass, "succeeded", counts.succeeded()),
             outcome(requestClass, "declined", counts.declined()),
             outcome(requestClass, "aborted", counts.aborted()));
--- a/proxy/src/main/java/spurroad/program/SettingsReload.java
+++ b/proxy/src/main/java/spurroad/program/SettingsReload.java
@@ -56,7 +56,7 @@
         }
         log.info("settings reloaded",
             "discovery=" + next.discoveryAddress + " classes=" + next.settings.requestClassNames);
-        clients.deployed(next.settings);
+        clients.applySettings(next.settings);
         current = next;
     }
 
--- a/proxy/src/main/java/spurroad/routing/AdmissionController.java
+++ b/proxy/src/main/java/spurroad/routing/AdmissionController.java
@@ -22,12 +22,12 @@
      * Fraction of the shortest latency objective that is the queue delay limit: the endpoints get most of the
      * objective.
      */
-    private static final double QUEUE_DELAY_SHARE = 0.25;
+    private static final double QUEUE_DELAY_OBJECTIVE_FRACTION = 0.25;
     /**
      * Fraction of the shortest latency objective that is sent as Retry-After; the load balancer uses the
      * same.
      */
-    private static final double RETRY_AFTER_SHARE = 0.5;
+    private static final double RETRY_AFTER_OBJECTIVE_FRACTION = 0.5;
     /**
      * Number of intervals over which CPU usage is averaged: the platform enforces its CPU limit over some 100
      * ms.
@@ -50,12 +50,12 @@
     private final CpuClock cpuClock = new CpuClock();
     private final long[] cpuUsedNanos = new long[CPU_WINDOW_INTERVALS];
     private final long[] cpuReadAtNanos = new long[CPU_WINDOW_INTERVALS];
-    private final byte[][] rejections = new byte[MAX_CACHED_RESPONSES][]; // indexed by Retry-After in milliseconds
+    private final byte[][] cachedRejections = new byte[MAX_CACHED_RESPONSES][]; // by Retry-After in ms
     private byte[] busyResponse;
-    private int cpuReadings;
+    private int cpuReadingCount;
     private long queueDelayNanos; // total over the requests since the last interval
     private long delayedRequests;
-    private long rejected; // since the last interval
+    private long rejectedCount; // since the last interval
 
     AdmissionController(ProxyConfiguration start, EventLoop loop, EventLog log, MemoryBudget requestMemory,
                         LoadBalancerThread loadBalancer) {
@@ -71,14 +71,15 @@
 
     /** Applies the settings of another deployment to the requests that follow. */
     void configure(Deployment deployment) {
-        long objective = deployment.shortestLatencyObjectiveNanos(DEFAULT_LATENCY_OBJECTIVE_NANOS);
-        long retryAfter = (long) (RETRY_AFTER_SHARE * objective);
+        long objectiveNanos = deployment.shortestLatencyObjectiveNanos(DEFAULT_LATENCY_OBJECTIVE_NANOS);
+        long retryAfterNanos = (long) (RETRY_AFTER_OBJECTIVE_FRACTION * objectiveNanos);
         busyResponse = MetaResponse.rejected(
-            Math.min(deployment.maxRetryAfterNanos(), retryAfter) / NANOS_PER_MILLI);
+            Math.min(deployment.maxRetryAfterNanos(), retryAfterNanos) / NANOS_PER_MILLI);
         policy.configure(
             deployment.requestClasses().stream().mapToDouble(RequestClass::priorityWeight).toArray(),
             deployment.tenantQuotasPerSecond().stream().mapToDouble(Double::doubleValue).toArray(),
-            (long) (QUEUE_DELAY_SHARE * objective), retryAfter, deployment.maxRetryAfterNanos());
+            (long) (QUEUE_DELAY_OBJECTIVE_FRACTION * objectiveNanos), retryAfterNanos,
+            deployment.maxRetryAfterNanos());
     }
 
     /**
@@ -95,7 +96,7 @@
      */
     boolean admits(int requestClass, int tenant) {
         boolean admitted = policy.admits(requestClass, tenant);
-        rejected += admitted ? 0 : 1;
+        rejectedCount += admitted ? 0 : 1;
         return admitted;
     }
 
@@ -103,10 +104,11 @@
      * Returns the response to a request that is not admitted. The array is shared and must not be modified.
      */
     byte[] rejection() {
-        int millis = (int) Math.min(MAX_CACHED_RESPONSES - 1, policy.retryAfterNanos() / NANOS_PER_MILLI);
-        byte[] response = rejections[millis];
+        int retryAfterMillis = (int) Math.min(MAX_CACHED_RESPONSES - 1,
+            policy.retryAfterNanos() / NANOS_PER_MILLI);
+        byte[] response = cachedRejections[retryAfterMillis];
         if (response == null) {
-            response = rejections[millis] = MetaResponse.rejected(millis);
+            response = cachedRejections[retryAfterMillis] = MetaResponse.rejected(retryAfterMillis);
         }
         return response;
     }
@@ -124,17 +126,17 @@
         ResourceUsage usage = new ResourceUsage(cpuFraction(now),
             delayedRequests == 0 ? 0 : queueDelayNanos / delayedRequests, requestMemory.usedFraction());
         queueDelayNanos = delayedRequests = 0;
-        ServiceLevel before = policy.level();
+        ServiceLevel previousLevel = policy.level();
         if (policy.onInterval(now, usage, loadBalancer.isAnyEndpointWarmingUp(now))) {
-            logLevel(before, usage);
+            logLevel(previousLevel, usage);
         }
-        loadBalancer.onServiceLevel(policy.level(), policy.admittedFraction(), rejected);
-        rejected = 0;
+        loadBalancer.onServiceLevel(policy.level(), policy.admittedFraction(), rejectedCount);
+        rejectedCount = 0;
         loop.schedule(AdmissionPolicy.INTERVAL_NANOS, this::onInterval);
     }
 
-    private void logLevel(ServiceLevel before, ResourceUsage usage) {
-        log.info("service level changed", "level=" + policy.level() + " previous=" + before
+    private void logLevel(ServiceLevel previousLevel, ResourceUsage usage) {
+        log.info("service level changed", "level=" + policy.level() + " previous=" + previousLevel
             + " demandPercent=" + Math.round(100 * policy.pressure())
             + " cpuPercent=" + Math.round(100 * usage.cpuFraction())
             + " queueingMillis=" + usage.queueDelayNanos() / NANOS_PER_MILLI
@@ -146,13 +148,13 @@
      * unknown.
      */
     private double cpuFraction(long now) {
-        int i = cpuReadings++ % CPU_WINDOW_INTERVALS;
+        int slot = cpuReadingCount++ % CPU_WINDOW_INTERVALS;
         long used = cpuClock.usedNanos();
-        long usedBefore = cpuUsedNanos[i];
-        long readBefore = cpuReadAtNanos[i];
-        cpuUsedNanos[i] = used;
-        cpuReadAtNanos[i] = now;
-        boolean unknown = cpuReadings <= CPU_WINDOW_INTERVALS || used < usedBefore;
+        long usedBefore = cpuUsedNanos[slot];
+        long readBefore = cpuReadAtNanos[slot];
+        cpuUsedNanos[slot] = used;
+        cpuReadAtNanos[slot] = now;
+        boolean unknown = cpuReadingCount <= CPU_WINDOW_INTERVALS || used < usedBefore;
         return unknown ? Double.NaN : (used - usedBefore) / (cores * (now - readBefore));
     }
 }
--- a/proxy/src/main/java/spurroad/routing/ArrivalTimes.java
+++ b/proxy/src/main/java/spurroad/routing/ArrivalTimes.java
@@ -13,7 +13,7 @@
      * Arrivals within this time are merged into the earliest, so that a peer that sends byte by byte uses
      * little memory.
      */
-    static final long MERGED_NANOS = 5_000_000L;
+    static final long MERGE_WINDOW_NANOS = 5_000_000L;
 
     /** Bytes that arrived together, with the time of arrival. */
     private static final class Arrival {
@@ -31,7 +31,7 @@
     /** Adds bytes that were read, which arrived at the given time or possibly later. */
     void onRead(int bytes, long atNanos) {
         Arrival last = arrivals.peekLast();
-        if (last != null && atNanos - last.atNanos < MERGED_NANOS) {
+        if (last != null && atNanos - last.atNanos < MERGE_WINDOW_NANOS) {
             last.bytes += bytes;
         } else if (bytes > 0) {
             arrivals.add(new Arrival(atNanos, bytes));
--- a/proxy/src/main/java/spurroad/routing/ClientActivity.java
+++ b/proxy/src/main/java/spurroad/routing/ClientActivity.java
@@ -15,44 +15,44 @@
      */
     private static final long COMMAND_STALL_NANOS = 2_200_000_000L;
     private static final long GUEST_COMMAND_STALL_NANOS = 1_000_000_000L;
-    private static final long MAX_COMMAND_NANOS = 20_000_000_000L; // total time for a command without a long value
+    private static final long MAX_COMMAND_NANOS = 20_000_000_000L; // for commands without a long value
 
-    // idle timeouts after a response and before the first one; the crowded ones apply while many are connected
+    // idle timeouts after a response and before the first; crowded: while many clients are connected
     private static final long IDLE_TIMEOUT_NANOS = 10_000_000_000L;
-    private static final long UNUSED_TIMEOUT_NANOS = 2_200_000_000L;
+    private static final long FIRST_COMMAND_TIMEOUT_NANOS = 2_200_000_000L;
     private static final long CROWDED_IDLE_TIMEOUT_NANOS = 300_000_000L;
-    private static final long CROWDED_UNUSED_TIMEOUT_NANOS = 1_000_000_000L;
+    private static final long CROWDED_FIRST_COMMAND_TIMEOUT_NANOS = 1_000_000_000L;
 
     private final boolean guest;
     private boolean responded; // whether the client has had a response
-    private long respondedAt; // time of the last response, or of the opening before the first
-    private long readAt;
-    private long partialSince = Long.MAX_VALUE; // MAX_VALUE if no command is incomplete
+    private long respondedAtNanos; // time of the last response, or of the opening before the first
+    private long readAtNanos;
+    private long partialSinceNanos = Long.MAX_VALUE; // MAX_VALUE if no command is incomplete
 
-    ClientActivity(boolean guest, long openedAt) {
+    ClientActivity(boolean guest, long openedAtNanos) {
         this.guest = guest;
-        respondedAt = openedAt;
+        respondedAtNanos = openedAtNanos;
     }
 
     /** Notes that data was read from the client, or that the client could not send until now. */
     void onRead(long now) {
-        readAt = now;
+        readAtNanos = now;
     }
 
     /** Notes that the operating system has accepted a response. */
     void onResponseWritten(long now) {
-        respondedAt = now;
+        respondedAtNanos = now;
         responded = true;
     }
 
     /** Notes that an incomplete command is buffered; keeps the time of the first call for this command. */
     void onPartialCommand(long now) {
-        partialSince = Math.min(partialSince, now);
+        partialSinceNanos = Math.min(partialSinceNanos, now);
     }
 
     /** Notes that no incomplete command is awaited. */
     void onNoPartialCommand() {
-        partialSince = Long.MAX_VALUE;
+        partialSinceNanos = Long.MAX_VALUE;
     }
 
     /** Returns whether the client has had a response. */
@@ -61,8 +61,8 @@
     }
 
     /** Returns the time of the last read or response, or of the opening. */
-    long quietSince() {
-        return Math.max(respondedAt, readAt);
+    long lastActivityNanos() {
+        return Math.max(respondedAtNanos, readAtNanos);
     }
 
     /**
@@ -70,25 +70,26 @@
      * response.
      */
     boolean isIdle(long now) {
-        return now - respondedAt > (responded ? IDLE_AFTER_RESPONSE_NANOS : IDLE_BEFORE_FIRST_COMMAND_NANOS);
+        return now - respondedAtNanos
+            > (responded ? IDLE_AFTER_RESPONSE_NANOS : IDLE_BEFORE_FIRST_COMMAND_NANOS);
     }
 
     /** Returns whether the connection has been idle for so long that it should be closed. */
-    boolean isIdleTimeoutOver(long now, boolean crowded) {
-        return now - respondedAt > idleTimeoutNanos(crowded);
+    boolean isIdleTimeoutExpired(long now, boolean crowded) {
+        return now - respondedAtNanos > idleTimeoutNanos(crowded);
     }
 
     private long idleTimeoutNanos(boolean crowded) {
         if (crowded) {
-            return responded ? CROWDED_IDLE_TIMEOUT_NANOS : CROWDED_UNUSED_TIMEOUT_NANOS;
+            return responded ? CROWDED_IDLE_TIMEOUT_NANOS : CROWDED_FIRST_COMMAND_TIMEOUT_NANOS;
         }
-        return responded ? IDLE_TIMEOUT_NANOS : UNUSED_TIMEOUT_NANOS;
+        return responded ? IDLE_TIMEOUT_NANOS : FIRST_COMMAND_TIMEOUT_NANOS;
     }
 
     /** Returns whether a command is incomplete, or an upload under way, and the rest is overdue. */
     boolean isCommandStalled(long now, boolean receivingUpload) {
-        boolean partial = partialSince != Long.MAX_VALUE || receivingUpload;
+        boolean partial = partialSinceNanos != Long.MAX_VALUE || receivingUpload;
         long timeout = guest ? GUEST_COMMAND_STALL_NANOS : COMMAND_STALL_NANOS;
-        return partial && now - timeout > readAt || now - MAX_COMMAND_NANOS > partialSince;
+        return partial && now - timeout > readAtNanos || now - MAX_COMMAND_NANOS > partialSinceNanos;
     }
 }
--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -28,7 +28,7 @@
      * Pause after an invalid command, so that a client that repeats invalid commands costs other clients
      * nothing.
      */
-    private static final long FAULT_PAUSE_NANOS = 100_000_000L;
+    private static final long ERROR_PAUSE_NANOS = 100_000_000L;
 
     private final ClientConnections clients;
     private final Connection connection;
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public boolean isFlooding() {
+    public boolean exceedsDiscardLimit() {
         return state.discardsInput() && discardedBytes > MAX_DISCARDED_BYTES;
     }
 
@@ -129,9 +129,9 @@
     @Override
     public void onCommand(MetaCommand command, long uploadBytes, long arrivedAtNanos) {
         ResponseSlot slot = responses.append();
-        slot.holdsUpload(uploadBytes);
+        slot.setUploadBytes(uploadBytes);
         slot.response = switch (command.kind) {
-            case FAULT -> command.lost ? rejectInput(slot, command.fault) : pause(command.fault);
+            case FAULT -> command.lost ? rejectInput(slot, command.fault) : pauseAfterError(command.fault);
             case READY -> MetaResponse.ready();
             default -> onRequest(slot, command, arrivedAtNanos);
         };
@@ -151,10 +151,10 @@
     }
 
     /** Returns the response to an unusable command, and processes no other command for a while. */
-    private byte[] pause(String fault) {
+    private byte[] pauseAfterError(String fault) {
         state = ClientConnectionState.PAUSED;
-        clients.loop.schedule(FAULT_PAUSE_NANOS, this::onPauseEnd);
-        return unusable(fault);
+        clients.loop.schedule(ERROR_PAUSE_NANOS, this::resumeAfterPause);
+        return rejectCommand(fault);
     }
 
     /**
@@ -164,11 +164,11 @@
     private byte[] rejectInput(ResponseSlot slot, String fault) {
         slot.last = true;
         state = ClientConnectionState.REJECTING_INPUT;
-        clients.loop.schedule(FAULT_PAUSE_NANOS, this::onPauseEnd);
-        return unusable(fault);
+        clients.loop.schedule(ERROR_PAUSE_NANOS, this::resumeAfterPause);
+        return rejectCommand(fault);
     }
 
-    private void onPauseEnd() {
+    private void resumeAfterPause() {
         if (state == ClientConnectionState.PAUSED) {
             state = ClientConnectionState.OPEN;
         }
@@ -176,7 +176,7 @@
     }
 
     /** Logs an unusable command and returns the response to it. */
-    byte[] unusable(String fault) {
+    byte[] rejectCommand(String fault) {
         clients.log.warn("command rejected", this + " reason=" + fault);
         return MetaResponse.text(fault);
     }
@@ -184,8 +184,8 @@
     private byte[] onRequest(ResponseSlot slot, MetaCommand command, long arrivedAtNanos) {
         int requestClass = clients.requestClass(command);
         int tenant = clients.tenant(command);
-        String fault = clients.fault(command, requestClass, tenant);
-        return fault != null ? pause(fault)
+        String fault = clients.commandError(command, requestClass, tenant);
+        return fault != null ? pauseAfterError(fault)
             : clients.intake.admit(this, slot, command, requestClass, tenant, arrivedAtNanos);
     }
 
@@ -217,12 +217,12 @@
         activity.onResponseWritten(nowNanos);
         if (slot.last) {
             linger();
-        } else if (guest || clients.isEnding()) {
+        } else if (guest || clients.isShuttingDown()) {
             closeBetweenCommands();
         } else if (clients.isHandingOver()) {
-            // delayed: the next command of a client that sends one right after a response would cross the close
+            // delayed, as a client that sends its next command on each response would cross the close
             clients.loop.schedule(NEXT_COMMAND_NANOS, () -> {
-                if (!isClosed() && quietSince() <= clients.now() - NEXT_COMMAND_NANOS) {
+                if (!isClosed() && lastActivityNanos() <= clients.now() - NEXT_COMMAND_NANOS) {
                     closeBetweenCommands();
                 }
             });
@@ -284,8 +284,8 @@
     }
 
     /** Returns the time of the last activity on the connection, in Unix nanoseconds. */
-    long quietSince() {
-        return activity.quietSince();
+    long lastActivityNanos() {
+        return activity.lastActivityNanos();
     }
 
     /**
@@ -307,7 +307,7 @@
      */
     void closeIfIdle() {
         if (isIdle()) {
-            giveWay(CloseReason.IDLE);
+            resetUnlessInputPending(CloseReason.IDLE);
         }
     }
 
@@ -324,11 +324,11 @@
 
     /** Returns how overdue the connection is for eviction, as {@link EvictionPriority} defines it. */
     double overdue() {
-        return evictionPriority().overdue(clients.now() - quietSince());
+        return evictionPriority().overdue(clients.now() - lastActivityNanos());
     }
 
     /** Closes the connection by a reset, unless unread input has arrived. */
-    void giveWay(CloseReason reason) {
+    void resetUnlessInputPending(CloseReason reason) {
         if (!connection.readAvailable()) {
             connection.reset();
             close(reason);
@@ -346,14 +346,14 @@
      * Closes the connection if the client reads no responses, has stalled within a command, or is idle.
      * Called periodically.
      */
-    void tidy(boolean crowded) {
+    void closeIfInactive(boolean crowded) {
         long now = clients.now();
         responses.checkProgress(now);
         if (activity.isCommandStalled(now, commands.isReceivingUpload())) {
-            endUnfinished();
+            endIncompleteCommand();
         } else if (responses.isStalled(now)) {
             close(CloseReason.TAKES_NO_ANSWERS);
-        } else if (activity.isIdleTimeoutOver(now, crowded)) {
+        } else if (activity.isIdleTimeoutExpired(now, crowded)) {
             closeIfIdle();
         }
     }
@@ -362,7 +362,7 @@
      * Ends an incomplete command whose rest is overdue. The command was never processed, but requests before
      * it were and still get their responses.
      */
-    private void endUnfinished() {
+    private void endIncompleteCommand() {
         if (responses.isIdle()) {
             close(CloseReason.UNFINISHED_COMMAND);
         } else {
--- a/proxy/src/main/java/spurroad/routing/ClientConnections.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnections.java
@@ -23,26 +23,26 @@
  */
 public final class ClientConnections implements Listener.AcceptHandler {
     /** Memory that a request without a long value holds while in flight, in bytes: a generous estimate. */
-    static final int REQUEST_BYTES = 8192;
+    static final int REQUEST_MEMORY_BYTES = 8192;
     /** Divisor of the process's memory: the quotient is the budget for requests in flight. */
-    private static final int REQUEST_MEMORY_SHARE = 8;
+    private static final int REQUEST_MEMORY_DIVISOR = 8;
     /** Divisor of the request memory: the quotient is the budget for read-ahead, which few clients need. */
-    private static final int READ_AHEAD_SHARE = 4;
+    private static final int READ_AHEAD_DIVISOR = 4;
     /**
      * Divisor of the heap: the quotient bounds the request budget; responses and buffers take more memory.
      */
-    private static final int HEAP_SHARE = 3;
+    private static final int HEAP_DIVISOR = 3;
     /** Number of connections closed when permits run out, so that they do not run out again immediately. */
-    private static final int CLOSED_PER_SHORTAGE = 4;
+    private static final int CLOSED_PER_PERMIT_SHORTAGE = 4;
     /**
      * Divisor of the maximum number of connections: more than the quotient is crowded, as so many open
      * requests are rare.
      */
-    private static final int CROWD_SHARE = 4;
+    private static final int CROWDED_DIVISOR = 4;
     /** Interval between checks for idle connections; a check takes some microseconds. */
-    private static final long TIDY_INTERVAL_NANOS = 100_000_000L;
+    private static final long INACTIVITY_CHECK_INTERVAL_NANOS = 100_000_000L;
     /** A client that has sent nothing for this time sends rarely. */
-    private static final long QUIET_NANOS = 1_000_000_000L;
+    private static final long QUIET_AFTER_NANOS = 1_000_000_000L;
     private static final long BYTES_PER_MIB = 1 << 20;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -68,49 +68,49 @@
     private final OutcomeStatistics statistics;
     private final int maxConnections;
     private DeploymentSettings settings;
-    private List<OutcomeStatistics.OfClass> statisticsByClass = List.of(); // indexed by class number
+    private List<OutcomeStatistics.ClassCounts> statisticsByClass = List.of(); // indexed by class number
     private Map<String, Integer> requestClassNumbers; // by class name
     private Map<String, Integer> tenantNumbers; // by tenant name
     private volatile int count; // number of connections, for other threads
     private volatile boolean handingOver;
-    private volatile boolean ending;
+    private volatile boolean shuttingDown;
     private volatile long configuredTimeoutNanos; // written on the loop
     private volatile long longestTimeoutMillis; // written on the loop
     private volatile long finalDeadlineNanos = Long.MAX_VALUE;
 
     /** Creates the shared state for at most the given number of connections; registers nothing yet. */
     public ClientConnections(ProxyConfiguration start, EventLoop loop, EventLog log,
-                             LoadBalancerThread loadBalancer, int places) {
+                             LoadBalancerThread loadBalancer, int connectionLimit) {
         this.loop = loop;
         this.log = log;
         this.loadBalancer = loadBalancer;
-        maxConnections = places;
+        maxConnections = connectionLimit;
         statistics = loadBalancer.results();
         rules = loadBalancer.rules();
         events = new ClientEventCounters(log, loop.now());
         configure(start.settings);
-        long memory = Math.min(start.memoryMb * BYTES_PER_MIB / REQUEST_MEMORY_SHARE,
-            Runtime.getRuntime().maxMemory() / HEAP_SHARE);
+        long memory = Math.min(start.memoryMb * BYTES_PER_MIB / REQUEST_MEMORY_DIVISOR,
+            Runtime.getRuntime().maxMemory() / HEAP_DIVISOR);
         requestMemory = new MemoryBudget(
-            Math.min(memory, (long) start.settings.maxOpenRequests * REQUEST_BYTES));
+            Math.min(memory, (long) start.settings.maxOpenRequests * REQUEST_MEMORY_BYTES));
         uploadMemory = new MemoryBudget(Math.max(MetaCommand.MOST_VALUE, memory / 2));
-        readAheadMemory = new MemoryBudget(memory / READ_AHEAD_SHARE);
+        readAheadMemory = new MemoryBudget(memory / READ_AHEAD_DIVISOR);
         admission = new AdmissionController(start, loop, log, requestMemory, loadBalancer);
         loadBalancer.setAdmissionController(admission);
-        loop.execute(this::tidy);
+        loop.execute(this::closeInactive);
     }
 
     // ---- settings
 
     private void configure(DeploymentSettings next) {
         settings = next;
-        requestClassNumbers = numbered(next.requestClassNames);
-        tenantNumbers = numbered(next.tenantNames);
-        statisticsByClass = next.requestClassNames.stream().map(statistics::of).toList();
+        requestClassNumbers = numbersByName(next.requestClassNames);
+        tenantNumbers = numbersByName(next.tenantNames);
+        statisticsByClass = next.requestClassNames.stream().map(statistics::ofClass).toList();
         configuredTimeoutNanos = next.longestTimeoutNanos;
     }
 
-    private static Map<String, Integer> numbered(List<String> names) {
+    private static Map<String, Integer> numbersByName(List<String> names) {
         Map<String, Integer> numbers = new HashMap<>();
         for (int i = 0; i < names.size(); i++) {
             numbers.putIfAbsent(names.get(i), i);
@@ -123,7 +123,7 @@
      * load balancer is notified after the commands numbered before and ahead of those numbered after. May be
      * called from any thread.
      */
-    public void deployed(DeploymentSettings next) {
+    public void applySettings(DeploymentSettings next) {
         loop.execute(() -> {
             configure(next);
             admission.configure(next.deployment);
@@ -148,7 +148,7 @@
     }
 
     /** Returns the counts of a request class, by its number. */
-    OutcomeStatistics.OfClass statistics(int requestClass) {
+    OutcomeStatistics.ClassCounts statistics(int requestClass) {
         return statisticsByClass.get(requestClass);
     }
 
@@ -156,7 +156,7 @@
      * Returns the error response to a well-formed command that the settings do not allow; null if they allow
      * it.
      */
-    String fault(MetaCommand command, int requestClass, int tenant) {
+    String commandError(MetaCommand command, int requestClass, int tenant) {
         if (requestClass < 0) {
             return "CLIENT_ERROR unknown class";
         }
@@ -194,8 +194,8 @@
     }
 
     /** Returns whether connections close after their responses. */
-    boolean isEnding() {
-        return ending;
+    boolean isShuttingDown() {
+        return shuttingDown;
     }
 
     /** Removes a connection that was closed by either side. */
@@ -220,9 +220,11 @@
         log.warn("no descriptor left for clients", "connections=" + connections.size());
         List<Candidate> candidates = connections.stream().map(c -> new Candidate(c, c.overdue()))
             .filter(candidate -> candidate.overdue >= 1)
-            .sorted(Comparator.comparingDouble(Candidate::overdue).reversed()).limit(CLOSED_PER_SHORTAGE)
+            .sorted(Comparator.comparingDouble(Candidate::overdue).reversed())
+            .limit(CLOSED_PER_PERMIT_SHORTAGE)
             .toList();
-        candidates.forEach(candidate -> candidate.connection.giveWay(CloseReason.PLACE_NEEDED));
+        candidates
+            .forEach(candidate -> candidate.connection.resetUnlessInputPending(CloseReason.PLACE_NEEDED));
         if (candidates.isEmpty()) {
             loadBalancer.placesNeeded();
         }
@@ -233,12 +235,12 @@
      * send one request and keep the connection open forever, which left no connections for the other clients
      * that share a connection limit with them.
      */
-    private void tidy() {
-        boolean crowded = CROWD_SHARE * connections.size() > maxConnections;
-        List.copyOf(connections).forEach(connection -> connection.tidy(crowded));
+    private void closeInactive() {
+        boolean crowded = CROWDED_DIVISOR * connections.size() > maxConnections;
+        List.copyOf(connections).forEach(connection -> connection.closeIfInactive(crowded));
         events.logIfDue(now());
-        if (!ending || !connections.isEmpty()) {
-            loop.schedule(TIDY_INTERVAL_NANOS, this::tidy);
+        if (!shuttingDown || !connections.isEmpty()) {
+            loop.schedule(INACTIVITY_CHECK_INTERVAL_NANOS, this::closeInactive);
         }
     }
 
@@ -248,39 +250,40 @@
      * Notes that other processes have taken over: each connection closes soon after its pending response, or
      * once it is quiet.
      */
-    public void letGo() {
+    public void startHandover() {
         handingOver = true;
-        letGoQuiet();
+        startClosingQuietConnections();
     }
 
     /**
      * Starts closing connections that have been quiet for so long that a command is unlikely to cross the
      * close, whether they never sent a command, sent part of one, or had their responses.
      */
-    public void letGoQuiet() {
-        loop.execute(this::closeQuiet);
+    public void startClosingQuietConnections() {
+        loop.execute(this::closeQuietConnections);
     }
 
-    private void closeQuiet() {
+    private void closeQuietConnections() {
         List.copyOf(connections).stream()
-            .filter(connection -> now() - connection.quietSince() > QUIET_NANOS && connection.overdue() >= 1)
-            .forEach(connection -> connection.giveWay(CloseReason.IDLE));
+            .filter(connection -> now() - connection.lastActivityNanos() > QUIET_AFTER_NANOS
+                && connection.overdue() >= 1)
+            .forEach(connection -> connection.resetUnlessInputPending(CloseReason.IDLE));
         if (!connections.isEmpty()) {
-            loop.schedule(TIDY_INTERVAL_NANOS, this::closeQuiet);
+            loop.schedule(INACTIVITY_CHECK_INTERVAL_NANOS, this::closeQuietConnections);
         }
     }
 
     /** Starts closing connections between two commands; responses are written first. */
     public void end() {
-        ending = true;
+        shuttingDown = true;
         loop.execute(() -> List.copyOf(connections).forEach(ClientConnection::closeIfIdle));
     }
 
     /** Ensures that all requests, current and future, are answered within this time from now. */
-    public void allAnsweredWithin(long ns) {
-        finalDeadlineNanos = now() + ns;
+    public void failUnansweredAfter(long timeoutNanos) {
+        finalDeadlineNanos = now() + timeoutNanos;
         // requests received before may have later deadlines
-        loop.execute(() -> loop.schedule(ns, loadBalancer::failAllRequests));
+        loop.execute(() -> loop.schedule(timeoutNanos, loadBalancer::failAllRequests));
     }
 
     /**
@@ -288,7 +291,7 @@
      * timeout, which whoever ends this process also goes by, whatever a single client requests; or the
      * longest timeout seen since the start if none is configured.
      */
-    public long longestWaitNs() {
+    public long longestTimeoutNanos() {
         return configuredTimeoutNanos > 0 ? configuredTimeoutNanos : longestTimeoutMillis * NANOS_PER_MILLI;
     }
 
--- a/proxy/src/main/java/spurroad/routing/CommandReader.java
+++ b/proxy/src/main/java/spurroad/routing/CommandReader.java
@@ -28,7 +28,7 @@
          * Returns whether the limit of discarded input is exceeded, so that a disconnect after it would not
          * be seen.
          */
-        boolean isFlooding();
+        boolean exceedsDiscardLimit();
 
         /** Called when the client has disconnected, or sends input that can never become a command. */
         void onClosed();
@@ -115,8 +115,8 @@
     }
 
     @Override
-    public boolean isFlooding() {
-        return owner.isFlooding();
+    public boolean exceedsDiscardLimit() {
+        return owner.exceedsDiscardLimit();
     }
 
     @Override
--- a/proxy/src/main/java/spurroad/routing/DisconnectDetector.java
+++ b/proxy/src/main/java/spurroad/routing/DisconnectDetector.java
@@ -6,8 +6,8 @@
 /**
  * Detects the disconnect of a client, so that nothing is sent upstream for it. The event loop reports a
  * disconnect only while it reads from the connection, and after all bytes sent before it. If the loop does
- * not read, has not read everything, or was held up, the detector reads ahead into the connection's {@link
- * ReadAheadBuffer} until it finds the end of the stream or no more input. Used on the event loop only.
+ * not read, has not read everything, or was held up, the detector reads ahead into the connection's
+ * {@link ReadAheadBuffer} until it finds the end of the stream or no more input. Used on the event loop only.
  */
 final class DisconnectDetector {
     /** Connection that is checked. */
@@ -19,7 +19,7 @@
          * Returns whether the limit of discarded input is exceeded, so that a disconnect after it would not
          * be seen.
          */
-        boolean isFlooding();
+        boolean exceedsDiscardLimit();
 
         /** Returns whether input goes to the read-ahead buffer or is discarded, as opposed to an upload. */
         boolean canReadAhead();
@@ -42,7 +42,7 @@
     private boolean checkScheduled;
     private boolean readingAhead;
     private long checkedAtNanos; // time of the last check behind all input
-    private boolean mayHaveUnread; // the last read filled its buffer
+    private boolean mayHaveUnreadInput; // the last read filled its buffer
 
     DisconnectDetector(Owner owner, Connection connection, ReadAheadBuffer buffer, EventLoop loop) {
         this.owner = owner;
@@ -54,7 +54,7 @@
     /** Notes the number of bytes that the event loop, or this detector, has read from the connection. */
     void onRead(int bytes) {
         if (!readingAhead) {
-            mayHaveUnread = bytes >= ReadAheadBuffer.CHUNK_BYTES;
+            mayHaveUnreadInput = bytes >= ReadAheadBuffer.CHUNK_BYTES;
         }
     }
 
@@ -80,14 +80,14 @@
 
     /** Returns whether the client has disconnected; checks the connection unless the last check is recent. */
     boolean hasDisconnected() {
-        if (owner.isFlooding()) {
+        if (owner.exceedsDiscardLimit()) {
             return true; // unknown: no further attempts begin for its requests
         }
-        boolean loopReportsEnd = connection.isReading() && !mayHaveUnread;
-        long reportedAt = loopReportsEnd ? loop.earliestArrivalNanos() : checkedAtNanos;
-        if (isGone()) {
+        boolean loopReportsEnd = connection.isReading() && !mayHaveUnreadInput;
+        long reportedAtNanos = loopReportsEnd ? loop.earliestArrivalNanos() : checkedAtNanos;
+        if (isConnectionClosed()) {
             owner.onClosed();
-        } else if (loop.now() - Math.max(reportedAt, checkedAtNanos) > MAX_AGE_NANOS) {
+        } else if (loop.now() - Math.max(reportedAtNanos, checkedAtNanos) > MAX_AGE_NANOS) {
             checkConnected();
         }
         return owner.isClosed();
@@ -102,7 +102,7 @@
         if (!owner.isClosed() && owner.canReadAhead()) {
             checkedAtNanos = loop.now();
             readAhead();
-            if (isGone()) {
+            if (isConnectionClosed()) {
                 owner.onClosed();
             } else if (reading && !buffer.isEmpty()) {
                 owner.scheduleProcessing();
@@ -113,13 +113,13 @@
 
     private void readAhead() {
         readingAhead = true;
-        while (buffer.remainingCapacity() > 0 && !owner.isFlooding()
-            && connection.readAvailable(buffer.remainingCapacity()) && !isGone()) {
+        while (buffer.remainingCapacity() > 0 && !owner.exceedsDiscardLimit()
+            && connection.readAvailable(buffer.remainingCapacity()) && !isConnectionClosed()) {
             continue;
         }
         readingAhead = false;
-        if (!isGone()) {
-            mayHaveUnread = buffer.remainingCapacity() == 0;
+        if (!isConnectionClosed()) {
+            mayHaveUnreadInput = buffer.remainingCapacity() == 0;
         }
     }
 
@@ -128,13 +128,13 @@
      * be seen.
      */
     boolean hasReadAll() {
-        if (mayHaveUnread) {
+        if (mayHaveUnreadInput) {
             checkConnected();
         }
-        return !mayHaveUnread && !owner.isClosed();
+        return !mayHaveUnreadInput && !owner.isClosed();
     }
 
-    private boolean isGone() {
+    private boolean isConnectionClosed() {
         return owner.isClosed() || connection.isClosed();
     }
 }
--- a/proxy/src/main/java/spurroad/routing/EndpointConnectionPool.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointConnectionPool.java
@@ -266,7 +266,7 @@
     void onFirstByteSent(UpstreamRequest attempt, long timeLeftMillis) {
         if (!attempt.isLoadProbe()) {
             environment.rules.onSent(new RuleMonitor.Sent(attempt.command().id(), name, acceptsRequests(),
-                attempt.request.clientLeft, timeLeftMillis, attempt.request.deadlineNanos - now()));
+                attempt.request.clientDisconnected, timeLeftMillis, attempt.request.deadlineNanos - now()));
         }
     }
 
--- a/proxy/src/main/java/spurroad/routing/LoadBalancerThread.java
+++ b/proxy/src/main/java/spurroad/routing/LoadBalancerThread.java
@@ -172,7 +172,7 @@
     /** The client of a request disconnected; what has not gone out for it does not begin any more. */
     void onClientDisconnect(ProxiedRequest request) {
         // at once: what has been decided meanwhile, or waits for a connection, is not begun
-        request.clientLeft = true;
+        request.clientDisconnected = true;
         fromLoop.add(new BalancerMessage.ClientDisconnected(requestEvents, request));
     }
 
--- a/proxy/src/main/java/spurroad/routing/OutcomeStatistics.java
+++ b/proxy/src/main/java/spurroad/routing/OutcomeStatistics.java
@@ -18,23 +18,23 @@
         /** The request failed. */
         ABORTED,
         /** The client disconnected before it had its response. */
-        LEFT
+        DISCONNECTED
     }
 
     /** Counts of one request class. */
-    public static final class OfClass {
-        private volatile long taken;
+    public static final class ClassCounts {
+        private volatile long received;
         private volatile long succeeded;
         private volatile long declined;
         private volatile long aborted;
-        private volatile long left;
+        private volatile long disconnected;
 
-        private OfClass() {}
+        private ClassCounts() {}
 
         /** Counts a received request; its end must be counted exactly once. */
         @SuppressWarnings("NonAtomicOperationOnVolatileField") // written by the loop only
         void onRequest() {
-            taken++;
+            received++;
         }
 
         @SuppressWarnings("NonAtomicOperationOnVolatileField")
@@ -43,7 +43,7 @@
                 case SUCCEEDED -> succeeded++;
                 case DECLINED -> declined++;
                 case ABORTED -> aborted++;
-                default -> left++;
+                default -> disconnected++;
             }
         }
 
@@ -67,17 +67,17 @@
          * received ones.
          */
         long outstanding() {
-            long ended = succeeded + declined + aborted + left;
-            return taken - ended;
+            long ended = succeeded + declined + aborted + disconnected;
+            return received - ended;
         }
     }
 
-    private final Map<String, OfClass> classes = new ConcurrentSkipListMap<>();
+    private final Map<String, ClassCounts> classes = new ConcurrentSkipListMap<>();
     private volatile long forwards;
 
     /** Returns the counts of a request class; counting begins when the class is first requested here. */
-    OfClass of(String name) {
-        return classes.computeIfAbsent(name, n -> new OfClass());
+    ClassCounts ofClass(String name) {
+        return classes.computeIfAbsent(name, key -> new ClassCounts());
     }
 
     /** Counts an attempt that was fully sent to a cache node or the origin. */
@@ -87,7 +87,7 @@
     }
 
     /** Returns the counts by class name, sorted. */
-    public Map<String, OfClass> byClass() {
+    public Map<String, ClassCounts> byClass() {
         return classes;
     }
 
@@ -98,6 +98,6 @@
 
     /** Returns the number of requests that were received and have not ended. */
     public long outstanding() {
-        return classes.values().stream().mapToLong(OfClass::outstanding).sum();
+        return classes.values().stream().mapToLong(ClassCounts::outstanding).sum();
     }
 }
--- a/proxy/src/main/java/spurroad/routing/ProxiedRequest.java
+++ b/proxy/src/main/java/spurroad/routing/ProxiedRequest.java
@@ -15,7 +15,7 @@
     final ClientConnection client;
     final MetaCommand command;
     final RequestClassId requestClass;
-    final OutcomeStatistics.OfClass statistics;
+    final OutcomeStatistics.ClassCounts statistics;
     final TenantId tenant;
     final long acceptedAtNanos;
     /** Time when the client stops waiting or this process ends; no attempt may take longer. */
@@ -23,7 +23,7 @@
 
     // accessed by the event loop only
     /** Whether no response is awaited any more: attempts that were not sent yet are not started. */
-    boolean clientLeft;
+    boolean clientDisconnected;
 
     // accessed by the load balancer's thread only
     RequestId id;
@@ -33,7 +33,7 @@
     boolean finished;
 
     ProxiedRequest(ClientConnection client, MetaCommand command, RequestClassId requestClass,
-                   OutcomeStatistics.OfClass statistics, TenantId tenant, long acceptedAtNanos,
+                   OutcomeStatistics.ClassCounts statistics, TenantId tenant, long acceptedAtNanos,
                    long deadlineNanos) {
         this.client = client;
         this.command = command;
@@ -49,6 +49,6 @@
      * Called on the event loop only.
      */
     boolean isAbandoned() {
-        return clientLeft || client != null && client.commands().hasDisconnected();
+        return clientDisconnected || client != null && client.commands().hasDisconnected();
     }
 }
--- a/proxy/src/main/java/spurroad/routing/RequestCounters.java
+++ b/proxy/src/main/java/spurroad/routing/RequestCounters.java
@@ -23,8 +23,8 @@
     private int rejected;
     private int failed;
     private int disconnected;
-    private long sinceNanos;
-    private long stalledNanos; // total since the start, as of the last log line
+    private long periodStartNanos;
+    private long stalledNanosAtLastLine; // total since the start, as of the last log line
     private long rejectedByAdmission;
     private ServiceLevel level = ServiceLevel.FULL;
     private ServiceLevel worstLevel = ServiceLevel.FULL;
@@ -38,9 +38,9 @@
         succeeded++;
     }
 
-    void onResponse(boolean reject) {
-        rejected += reject ? 1 : 0;
-        failed += reject ? 0 : 1;
+    void onResponse(boolean isRejection) {
+        rejected += isRejection ? 1 : 0;
+        failed += isRejection ? 0 : 1;
     }
 
     void onClientDisconnect() {
@@ -51,13 +51,13 @@
      * Notes a new measurement of the admission controller.
      *
      * @param admitted fraction of requests that it admits from now on
-     * @param rejectedSince number of requests that it has rejected since the last call
+     * @param newlyRejected number of requests that it has rejected since the last call
      */
-    void onServiceLevel(ServiceLevel now, double admitted, long rejectedSince) {
-        level = now;
-        worstLevel = now.atLeast(worstLevel) ? now : worstLevel;
+    void onServiceLevel(ServiceLevel newLevel, double admitted, long newlyRejected) {
+        level = newLevel;
+        worstLevel = newLevel.atLeast(worstLevel) ? newLevel : worstLevel;
         admittedFraction = admitted;
-        rejectedByAdmission += rejectedSince;
+        rejectedByAdmission += newlyRejected;
     }
 
     void onAttemptEnd(Outcome outcome) {
@@ -67,19 +67,19 @@
     /**
      * Returns a log line about the counts and resets them; null if the last line is too recent.
      *
-     * @param stalledInAllNanos how long the process has been stalled since its start, in total
+     * @param totalStalledNanos how long the process has been stalled since its start, in total
      */
-    String takeLineIfDue(long now, long stalledInAllNanos) {
-        if (now - sinceNanos > 2 * LOG_INTERVAL_NANOS) {
-            sinceNanos = now; // no requests or attempts in the meantime
+    String takeLineIfDue(long now, long totalStalledNanos) {
+        if (now - periodStartNanos > 2 * LOG_INTERVAL_NANOS) {
+            periodStartNanos = now; // no requests or attempts in the meantime
         }
-        if (now - sinceNanos < LOG_INTERVAL_NANOS || requests + attempts.size() == 0) {
+        if (now - periodStartNanos < LOG_INTERVAL_NANOS || requests + attempts.size() == 0) {
             return null;
         }
-        String line = line(now - sinceNanos, stalledInAllNanos - stalledNanos);
+        String line = line(now - periodStartNanos, totalStalledNanos - stalledNanosAtLastLine);
         reset();
-        stalledNanos = stalledInAllNanos;
-        sinceNanos = now;
+        stalledNanosAtLastLine = totalStalledNanos;
+        periodStartNanos = now;
         return line;
     }
 
--- a/proxy/src/main/java/spurroad/routing/RequestEvents.java
+++ b/proxy/src/main/java/spurroad/routing/RequestEvents.java
@@ -106,7 +106,7 @@
     /** Finishes a request whose response is no longer awaited. */
     private void abandon(ProxiedRequest request) {
         request.finished = true;
-        outbox.add(() -> request.clientLeft = true);
+        outbox.add(() -> request.clientDisconnected = true);
         request.attempts.forEach(attempt -> outbox.add(() -> attempt.pool.withdraw(attempt)));
         balancer.onClientDisconnect(clock.now(), request.id, executor.cleared());
         executor.execute();
--- a/proxy/src/main/java/spurroad/routing/RequestIntake.java
+++ b/proxy/src/main/java/spurroad/routing/RequestIntake.java
@@ -27,7 +27,7 @@
     byte[] admit(ClientConnection client, ResponseSlot slot, MetaCommand command, int requestClass,
                  int tenant, long arrivedAtNanos) {
         if (isIdInUse(client, command)) {
-            return client.unusable("CLIENT_ERROR request id in use");
+            return client.rejectCommand("CLIENT_ERROR request id in use");
         }
         slot.statistics = clients.statistics(requestClass);
         slot.statistics.onRequest();
@@ -42,12 +42,12 @@
         if (!clients.admission.admits(requestClass, tenant)) {
             return reject(RejectionReason.SERVICE_LEVEL, clients.admission.rejection());
         }
-        long bytes = ClientConnections.REQUEST_BYTES + command.value.length;
+        long bytes = ClientConnections.REQUEST_MEMORY_BYTES + command.value.length;
         if (!clients.requestMemory.tryReserve(bytes)) {
             clients.log.warn("memory budget exhausted, request rejected", client);
             return reject(RejectionReason.NO_ROOM, clients.admission.busyResponse());
         }
-        slot.holdsRequest(bytes);
+        slot.setRequestBytes(bytes);
         slot.request = new ProxiedRequest(client, command, new RequestClassId(requestClass), slot.statistics,
             new TenantId(tenant), clients.loop.earliestArrivalNanos(),
             clients.deadlineNanos(arrivedAtNanos, command.timeoutMillis()));
--- a/proxy/src/main/java/spurroad/routing/ResponseSlot.java
+++ b/proxy/src/main/java/spurroad/routing/ResponseSlot.java
@@ -8,7 +8,7 @@
     /** The request; null if the command was not admitted as one. */
     ProxiedRequest request;
     /** Counts of the request's class; null once its end was counted, or if the command is not a request. */
-    OutcomeStatistics.OfClass statistics;
+    OutcomeStatistics.ClassCounts statistics;
     OutcomeStatistics.End end;
     /** Bytes of the response without a long value; null while the response is awaited. */
     byte[] response;
@@ -21,15 +21,15 @@
     private long responseBytes;
 
     /** Records the memory that was reserved for an upload, in bytes. */
-    void holdsUpload(long bytes) {
+    void setUploadBytes(long bytes) {
         uploadBytes = bytes;
     }
 
-    void holdsRequest(long bytes) {
+    void setRequestBytes(long bytes) {
         requestBytes = bytes;
     }
 
-    void holdsResponse(long bytes) {
+    void setResponseBytes(long bytes) {
         responseBytes = bytes;
     }
 
@@ -43,9 +43,9 @@
     }
 
     /** Counts how the request ended; does nothing if that was counted before, or if there is no request. */
-    void countEnd(OutcomeStatistics.End how) {
+    void countEnd(OutcomeStatistics.End finalEnd) {
         if (statistics != null) {
-            statistics.onEnd(how);
+            statistics.onEnd(finalEnd);
             statistics = null;
         }
     }
--- a/proxy/src/main/java/spurroad/routing/ResponseWriter.java
+++ b/proxy/src/main/java/spurroad/routing/ResponseWriter.java
@@ -45,7 +45,7 @@
     private final Connection connection;
     private final Deque<ResponseSlot> pending = new ArrayDeque<>();
     private ResponseSlot writing; // not yet completely accepted by the operating system
-    private long writingSinceNanos = Long.MAX_VALUE; // or the time since when the client has read nothing of it
+    private long writingSinceNanos = Long.MAX_VALUE; // or the time of the client's last progress
     private long deliveringUntilNanos; // a long response may be in the system's buffers until then
     private long bytesAccepted; // as of the last progress check
 
@@ -106,7 +106,7 @@
         slot.response = response;
         slot.end = end;
         slot.streamed = streamed;
-        slot.holdsResponse(response.length + (streamed == null ? 0 : STREAM_WINDOW_BYTES));
+        slot.setResponseBytes(response.length + (streamed == null ? 0 : STREAM_WINDOW_BYTES));
         clients.reserveForResponse(slot.responseBytes());
     }
 
@@ -195,7 +195,7 @@
         writing.streamed = null;
         connection.write(end);
         if (connection.isDrained()) {
-            clients.loop.execute(owner::onDrained); // deferred: the endpoint's connection is still processing its input
+            clients.loop.execute(owner::onDrained); // deferred: the endpoint is still being read
         }
     }
 
@@ -252,7 +252,7 @@
     }
 
     private void abandon(ResponseSlot slot) {
-        slot.countEnd(OutcomeStatistics.End.LEFT);
+        slot.countEnd(OutcomeStatistics.End.DISCONNECTED);
         if (slot.streamed != null) {
             slot.streamed.abandon();
         }
--- a/proxy/src/main/java/spurroad/routing/RuleMonitor.java
+++ b/proxy/src/main/java/spurroad/routing/RuleMonitor.java
@@ -76,17 +76,17 @@
     /**
      * Checks a final response, given whether the request had one before and how long its deadline has passed.
      */
-    void onResponse(String id, boolean again, long lateNs) {
-        if (again) {
+    void onResponse(String id, boolean duplicate, long lateNanos) {
+        if (duplicate) {
             report(Rule.ANSWERED_TWICE, id);
         }
-        if (lateNs > RESPONSE_GRACE_NANOS) {
-            report(Rule.ANSWERED_TOO_LATE, id + ", " + lateNs / NANOS_PER_MILLI + " ms after its time");
+        if (lateNanos > RESPONSE_GRACE_NANOS) {
+            report(Rule.ANSWERED_TOO_LATE, id + ", " + lateNanos / NANOS_PER_MILLI + " ms after its time");
         }
     }
 
-    private void report(Rule rule, Object about) {
+    private void report(Rule rule, Object subject) {
         violations.incrementAndGet();
-        log.warn("rule violated", "rule=" + rule + " subject=" + about);
+        log.warn("rule violated", "rule=" + rule + " subject=" + subject);
     }
 }
--- a/proxy/src/main/java/spurroad/routing/StreamedResponse.java
+++ b/proxy/src/main/java/spurroad/routing/StreamedResponse.java
@@ -10,16 +10,16 @@
  * endpoint, or abandoned by the client. Used on the event loop only.
  */
 final class StreamedResponse {
-    private final EndpointConnection from;
-    private final boolean lineEnd;
+    private final EndpointConnection endpointConnection;
+    private final boolean followedByLineEnd;
     private long remaining;
     private ResponseWriter writer;
     private boolean ended;
 
-    StreamedResponse(EndpointConnection from, UpstreamReply.StreamedBody rest) {
-        this.from = from;
+    StreamedResponse(EndpointConnection endpointConnection, UpstreamReply.StreamedBody rest) {
+        this.endpointConnection = endpointConnection;
         remaining = rest.bytes();
-        lineEnd = rest.lineEnd();
+        followedByLineEnd = rest.lineEnd();
     }
 
     /** Returns how many bytes of the value are still expected from the endpoint. */
@@ -29,7 +29,7 @@
 
     /** Returns whether a line end follows the value on the endpoint's connection. */
     boolean isFollowedByLineEnd() {
-        return lineEnd;
+        return followedByLineEnd;
     }
 
     // ---- called by the client's connection
@@ -37,19 +37,19 @@
     /**
      * Starts writing once the responses before this one are written: forwards what was read, and reads more.
      */
-    void start(ResponseWriter next) {
-        writer = next;
+    void start(ResponseWriter responseWriter) {
+        writer = responseWriter;
         if (ended) {
-            next.breakStream();
+            responseWriter.breakStream();
         } else {
-            from.stream();
+            endpointConnection.stream();
         }
     }
 
     /** Reads more after the operating system has accepted everything written to the client. */
     void onDrained() {
         if (!ended) {
-            from.stream();
+            endpointConnection.stream();
         }
     }
 
@@ -57,7 +57,7 @@
     void abandon() {
         if (!ended) {
             ended = true;
-            from.abandonStream();
+            endpointConnection.abandonStream();
         }
     }
 
--- a/proxy/src/test/java/spurroad/routing/ArrivalTimesTest.java
+++ b/proxy/src/test/java/spurroad/routing/ArrivalTimesTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 
 public class ArrivalTimesTest {
-    private static final long AFTER_MERGE_WINDOW_NANOS = 10 * ArrivalTimes.MERGED_NANOS;
+    private static final long AFTER_MERGE_WINDOW_NANOS = 10 * ArrivalTimes.MERGE_WINDOW_NANOS;
 
     @Test
     public void returnsArrivalTimeOfLastByteTaken() {
@@ -43,7 +43,7 @@
         List<Long> bytes = new ArrayList<>();
         long now = 0;
         for (int i = 0; i < 100_000; i++) {
-            now += random.nextInt((int) ArrivalTimes.MERGED_NANOS);
+            now += random.nextInt((int) ArrivalTimes.MERGE_WINDOW_NANOS);
             int count = 1 + random.nextInt(20);
             if (bytes.size() < count || random.nextBoolean()) {
                 times.onRead(count, now);
@@ -54,7 +54,8 @@
                 long last = bytes.get(count - 1);
                 long reported = times.take(count);
                 bytes.subList(0, count).clear();
-                assertTrue(reported <= last && last - reported < ArrivalTimes.MERGED_NANOS, reported + " for " + last);
+                assertTrue(reported <= last && last - reported < ArrivalTimes.MERGE_WINDOW_NANOS,
+                    reported + " for " + last);
             }
             while (bytes.size() > 1_000) {
                 times.take(500);
--- a/proxy/src/test/java/spurroad/routing/ClientActivityTest.java
+++ b/proxy/src/test/java/spurroad/routing/ClientActivityTest.java
@@ -22,15 +22,15 @@
     @Test
     public void shortensIdleTimeoutWhenCrowded() {
         ClientActivity activity = new ClientActivity(false, 0);
-        assertFalse(activity.isIdleTimeoutOver(1000 * NANOS_PER_MILLI, true));
-        assertTrue(activity.isIdleTimeoutOver(1001 * NANOS_PER_MILLI, true));
-        assertFalse(activity.isIdleTimeoutOver(2200 * NANOS_PER_MILLI, false));
-        assertTrue(activity.isIdleTimeoutOver(2201 * NANOS_PER_MILLI, false));
+        assertFalse(activity.isIdleTimeoutExpired(1000 * NANOS_PER_MILLI, true));
+        assertTrue(activity.isIdleTimeoutExpired(1001 * NANOS_PER_MILLI, true));
+        assertFalse(activity.isIdleTimeoutExpired(2200 * NANOS_PER_MILLI, false));
+        assertTrue(activity.isIdleTimeoutExpired(2201 * NANOS_PER_MILLI, false));
         activity.onResponseWritten(0);
-        assertFalse(activity.isIdleTimeoutOver(300 * NANOS_PER_MILLI, true));
-        assertTrue(activity.isIdleTimeoutOver(301 * NANOS_PER_MILLI, true));
-        assertFalse(activity.isIdleTimeoutOver(10_000 * NANOS_PER_MILLI, false));
-        assertTrue(activity.isIdleTimeoutOver(10_001 * NANOS_PER_MILLI, false));
+        assertFalse(activity.isIdleTimeoutExpired(300 * NANOS_PER_MILLI, true));
+        assertTrue(activity.isIdleTimeoutExpired(301 * NANOS_PER_MILLI, true));
+        assertFalse(activity.isIdleTimeoutExpired(10_000 * NANOS_PER_MILLI, false));
+        assertTrue(activity.isIdleTimeoutExpired(10_001 * NANOS_PER_MILLI, false));
     }
 
     @Test
@@ -67,10 +67,10 @@
     @Test
     public void reportsTimeOfLastActivity() {
         ClientActivity activity = new ClientActivity(false, 1);
-        assertEquals(activity.quietSince(), 1);
+        assertEquals(activity.lastActivityNanos(), 1);
         activity.onRead(3);
         activity.onResponseWritten(2);
-        assertEquals(activity.quietSince(), 3);
+        assertEquals(activity.lastActivityNanos(), 3);
         assertTrue(activity.hasResponded());
     }
 }
--- a/proxy/src/test/java/spurroad/routing/ClientAnswersFormTest.java
+++ b/proxy/src/test/java/spurroad/routing/ClientAnswersFormTest.java
@@ -149,7 +149,8 @@
         return new Object[][] {{"x".repeat(TOO_LONG_LINE_BYTES) + "\r\n", "CLIENT_ERROR line too long"},
             {"ms a x O1 Pc=put,d=9000\r\n", "CLIENT_ERROR bad length"},
             {"ms a 1 O1 Pc=put,d=9000\r\nxyz", "CLIENT_ERROR bad data chunk"},
-            {"ms a " + LONG_VALUE_BYTES + " O1 Pc=put,t=acme,d=9000,k=5\r\n" + "x".repeat(LONG_VALUE_BYTES) + "yz",
+            {"ms a " + LONG_VALUE_BYTES + " O1 Pc=put,t=acme,d=9000,k=5\r\n" + "x".repeat(LONG_VALUE_BYTES)
+                + "yz",
                 "CLIENT_ERROR bad data chunk"},
             {"ms a " + LONG_VALUE_BYTES + " O1 Pc=put,t=acme,k=5\r\n", "CLIENT_ERROR no time to wait"}};
     }
--- a/proxy/src/test/java/spurroad/routing/EndpointConnectionPoolTest.java
+++ b/proxy/src/test/java/spurroad/routing/EndpointConnectionPoolTest.java
@@ -300,7 +300,7 @@
 
         private void reach(EndpointConnectionPool node, UpstreamRequest e, ScriptedPeers.Peer peer,
                            ScriptedPeers.Peer other) {
-            e.request.clientLeft = this == CLIENT_LEFT || this == LEFT_AND_CALLED_OFF;
+            e.request.clientDisconnected = this == CLIENT_LEFT || this == LEFT_AND_CALLED_OFF;
             switch (this) {
                 case DRAINS -> node.onListed(member(peer.port, 0, EndpointPhase.DRAINING), false);
                 case GONE -> node.onRemoved();
--- a/proxy/src/test/java/spurroad/routing/OutcomeStatisticsTest.java
+++ b/proxy/src/test/java/spurroad/routing/OutcomeStatisticsTest.java
@@ -17,19 +17,20 @@
         for (long seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
             OutcomeStatistics statistics = new OutcomeStatistics();
-            List<OutcomeStatistics.OfClass> open = new ArrayList<>();
+            List<OutcomeStatistics.ClassCounts> open = new ArrayList<>();
             long received = 0;
             long disconnected = 0;
             for (int step = 0; step < 300; step++) {
                 if (open.isEmpty() || random.nextBoolean()) {
-                    OutcomeStatistics.OfClass counts = statistics.of("c" + random.nextInt(1 + step / 50));
+                    OutcomeStatistics.ClassCounts counts = statistics
+                        .ofClass("c" + random.nextInt(1 + step / 50));
                     counts.onRequest();
                     open.add(counts);
                     received++;
                 } else {
                     OutcomeStatistics.End end = OutcomeStatistics.End.values()[random.nextInt(4)];
                     open.remove(random.nextInt(open.size())).onEnd(end);
-                    disconnected += end == OutcomeStatistics.End.LEFT ? 1 : 0;
+                    disconnected += end == OutcomeStatistics.End.DISCONNECTED ? 1 : 0;
                 }
                 long counted = statistics.byClass().values().stream()
                     .mapToLong(c -> c.succeeded() + c.declined() + c.aborted()).sum();
--- a/proxy/src/test/java/spurroad/routing/ReadAheadBufferTest.java
+++ b/proxy/src/test/java/spurroad/routing/ReadAheadBufferTest.java
@@ -11,7 +11,7 @@
 
 public class ReadAheadBufferTest {
     private static final int CHUNK_BYTES = ReadAheadBuffer.CHUNK_BYTES;
-    private static final long AFTER_MERGE_WINDOW_NANOS = 10 * ArrivalTimes.MERGED_NANOS;
+    private static final long AFTER_MERGE_WINDOW_NANOS = 10 * ArrivalTimes.MERGE_WINDOW_NANOS;
 
     private static ByteBuffer bytes(int count) {
         return ByteBuffer.wrap("a".repeat(count).getBytes());
--- a/proxy/src/test/java/spurroad/routing/RuleMonitorTest.java
+++ b/proxy/src/test/java/spurroad/routing/RuleMonitorTest.java
@@ -10,8 +10,10 @@
 public class RuleMonitorTest {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private static Consumer<RuleMonitor> sent(boolean acceptsRequests, boolean clientLeft, long reportedMillis, long remainingMillis) {
-        return monitor -> monitor.onSent(new RuleMonitor.Sent("ab", "node", acceptsRequests, clientLeft, reportedMillis, remainingMillis * NANOS_PER_MILLI));
+    private static Consumer<RuleMonitor> sent(boolean acceptsRequests, boolean clientLeft,
+                                              long reportedMillis, long remainingMillis) {
+        return monitor -> monitor.onSent(new RuleMonitor.Sent("ab", "node", acceptsRequests, clientLeft,
+            reportedMillis, remainingMillis * NANOS_PER_MILLI));
     }
 
     private static Consumer<RuleMonitor> closed(CloseReason reason, int unanswered) {
--- a/proxy/src/test/java/spurroad/routing/SlowClientTest.java
+++ b/proxy/src/test/java/spurroad/routing/SlowClientTest.java
@@ -110,7 +110,7 @@
         });
         assertTrue(answer(second, 1), "the response is handled without an exception");
         assertEquals(clients.count(), 0);
-        assertTrue(third.clientLeft, "the third request is abandoned");
+        assertTrue(third.clientDisconnected, "the third request is abandoned");
         onLoop(() -> {
             clients.requestMemory.release(reservedBytes);
             return true;
