--- a/proxy/src/main/java/spurroad/routing/AdmissionController.java
+++ b/proxy/src/main/java/spurroad/routing/AdmissionController.java
@@ -29,7 +29,7 @@
      */
     private static final double RETRY_AFTER_OBJECTIVE_FRACTION = 0.5;
     /**
-     * Number of intervals over which CPU usage is averaged: the platform enforces its CPU limit over some 100
+     * Number of intervals over which CPU usage is averaged: the platform averages its CPU limit over some 100
      * ms.
      */
     private static final int CPU_WINDOW_INTERVALS = 2;
@@ -149,12 +149,13 @@
      */
     private double cpuFraction(long now) {
         int slot = cpuReadingCount++ % CPU_WINDOW_INTERVALS;
-        long used = cpuClock.usedNanos();
-        long usedBefore = cpuUsedNanos[slot];
-        long readBefore = cpuReadAtNanos[slot];
-        cpuUsedNanos[slot] = used;
+        long usedNanos = cpuClock.usedNanos();
+        long previousUsedNanos = cpuUsedNanos[slot];
+        long previousReadAtNanos = cpuReadAtNanos[slot];
+        cpuUsedNanos[slot] = usedNanos;
         cpuReadAtNanos[slot] = now;
-        boolean unknown = cpuReadingCount <= CPU_WINDOW_INTERVALS || used < usedBefore;
-        return unknown ? Double.NaN : (used - usedBefore) / (cores * (now - readBefore));
+        boolean isUnknown = cpuReadingCount <= CPU_WINDOW_INTERVALS || usedNanos < previousUsedNanos;
+        return isUnknown ? Double.NaN
+            : (usedNanos - previousUsedNanos) / (cores * (now - previousReadAtNanos));
     }
 }
--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -131,7 +131,8 @@
         ResponseSlot slot = responses.append();
         slot.setUploadBytes(uploadBytes);
         slot.response = switch (command.kind) {
-            case FAULT -> command.lost ? rejectInput(slot, command.fault) : pauseAfterError(command.fault);
+            case FAULT ->
+                command.lost ? rejectMalformedInput(slot, command.fault) : pauseAfterError(command.fault);
             case READY -> MetaResponse.ready();
             default -> onRequest(slot, command, arrivedAtNanos);
         };
@@ -140,13 +141,13 @@
 
     @Override
     public void onUploadFailed(String fault) {
-        respondLast(fault);
+        sendLastResponse(fault);
     }
 
     /** Sends an error as the last response, as the end of the malformed input can't be found. */
-    private void respondLast(String fault) {
+    private void sendLastResponse(String fault) {
         ResponseSlot slot = responses.append();
-        slot.response = rejectInput(slot, fault);
+        slot.response = rejectMalformedInput(slot, fault);
         responses.flush();
     }
 
@@ -161,7 +162,7 @@
      * Returns the last response of the connection: no command can be found in the input after malformed
      * input.
      */
-    private byte[] rejectInput(ResponseSlot slot, String fault) {
+    private byte[] rejectMalformedInput(ResponseSlot slot, String fault) {
         slot.last = true;
         state = ClientConnectionState.REJECTING_INPUT;
         clients.loop.schedule(ERROR_PAUSE_NANOS, this::resumeAfterPause);
@@ -368,7 +369,7 @@
         } else {
             activity.onNoPartialCommand();
             commands.abortUpload();
-            respondLast("CLIENT_ERROR command not finished in time");
+            sendLastResponse("CLIENT_ERROR command not finished in time");
         }
     }
 }
--- a/proxy/src/main/java/spurroad/routing/ClientConnections.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnections.java
@@ -18,8 +18,8 @@
 
 /**
  * Holds all client connections and the state that they share: memory budgets, the numbers of request classes
- * and tenants, and admission. Closes idle connections, and those with the lowest eviction priority when
- * descriptors run short. Used on the event loop only, except where a method says otherwise.
+ * and tenants, and admission. Closes idle connections, and the most overdue ones when descriptors run short.
+ * Used on the event loop only, except where a method says otherwise.
  */
 public final class ClientConnections implements Listener.AcceptHandler {
     /** Memory that a request without a long value holds while in flight, in bytes: a generous estimate. */
@@ -287,9 +287,9 @@
     }
 
     /**
-     * Returns the longest time that a client waits for a response, in nanoseconds. It is the configured
-     * timeout, which whoever ends this process also goes by, whatever a single client requests; or the
-     * longest timeout seen since the start if none is configured.
+     * Returns the longest time that a client waits for a response, in nanoseconds. This is the configured
+     * timeout, on which the process manager that ends this process relies too, whatever timeout a single
+     * client requests. If none is configured, it is the longest timeout seen since the start.
      */
     public long longestTimeoutNanos() {
         return configuredTimeoutNanos > 0 ? configuredTimeoutNanos : longestTimeoutMillis * NANOS_PER_MILLI;
--- a/proxy/src/main/java/spurroad/routing/CloseReason.java
+++ b/proxy/src/main/java/spurroad/routing/CloseReason.java
@@ -2,7 +2,10 @@
 
 /** Reasons why a client connection was closed by this side or by the client. Logged under their own names. */
 enum CloseReason {
-    /** The client closed or reset the connection, or it failed. */
+    /**
+     * The client closed or reset the connection, the connection failed, or the input can never become a
+     * command.
+     */
     CLIENT_ENDED(true),
     /** The client read its responses too slowly. */
     TAKES_NO_ANSWERS(true),
--- a/proxy/src/main/java/spurroad/routing/UploadBuffer.java
+++ b/proxy/src/main/java/spurroad/routing/UploadBuffer.java
@@ -19,35 +19,35 @@
     private final List<byte[]> pieces = new ArrayList<>();
     private byte[] piece = {};
     private int positionInPiece;
-    private int remaining; // bytes of the value still expected
-    private int lineEndBytes; // bytes of the line end received
+    private int remainingBytes; // bytes of the value still expected
+    private int lineEndBytesReceived; // bytes of the line end received
 
     UploadBuffer(MetaCommand command) {
         this.command = command;
-        remaining = command.length();
+        remainingBytes = command.length();
     }
 
     /** Consumes the bytes that belong to the value; returns true once it is complete. */
     boolean take(ByteBuffer bytes) throws ProtocolException {
-        while (remaining > 0 && bytes.hasRemaining()) {
+        while (remainingBytes > 0 && bytes.hasRemaining()) {
             if (positionInPiece == piece.length) {
-                piece = new byte[Math.min(remaining, PIECE_BYTES)];
+                piece = new byte[Math.min(remainingBytes, PIECE_BYTES)];
                 pieces.add(piece);
                 positionInPiece = 0;
             }
             int length = Math.min(bytes.remaining(), piece.length - positionInPiece);
             bytes.get(piece, positionInPiece, length);
             positionInPiece += length;
-            remaining -= length;
+            remainingBytes -= length;
         }
-        while (remaining == 0 && lineEndBytes < LINE_END.length() && bytes.hasRemaining()) {
-            if (bytes.get() != LINE_END.charAt(lineEndBytes++)) {
+        while (remainingBytes == 0 && lineEndBytesReceived < LINE_END.length() && bytes.hasRemaining()) {
+            if (bytes.get() != LINE_END.charAt(lineEndBytesReceived++)) {
                 throw new ProtocolException("CLIENT_ERROR bad data chunk");
             }
         }
-        if (lineEndBytes == LINE_END.length()) {
+        if (lineEndBytesReceived == LINE_END.length()) {
             command.pieces(pieces);
         }
-        return lineEndBytes == LINE_END.length();
+        return lineEndBytesReceived == LINE_END.length();
     }
 }
--- a/proxy/src/test/java/spurroad/routing/ClientAnswersFormTest.java
+++ b/proxy/src/test/java/spurroad/routing/ClientAnswersFormTest.java
@@ -39,9 +39,9 @@
     private static final int MORE_THAN_CONNECTION_LIMIT = 24;
     private static final int TOO_LONG_LINE_BYTES = 2_050;
     /** Longer than the timeout for an incomplete command, shorter than the timeout of a request. */
-    private static final long SLOW_ANSWER_MILLIS = 3_000;
+    private static final long SLOW_RESPONSE_MILLIS = 3_000;
 
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private Peer cacheNode;
     /** One proxy that sends Retry-After, and one whose settings do not allow it. */
     private ProxyService proxy;
@@ -49,9 +49,9 @@
 
     @BeforeClass
     public void start() throws Exception {
-        cacheNode = opened(new Peer(ClientAnswersFormTest::answerOfCacheNode));
-        Peer origin = opened(new Peer(ClientAnswersFormTest::answerOfOrigin));
-        Peer discovery = opened(new Peer(message -> WATCH));
+        cacheNode = closeAfterTests(new Peer(ClientAnswersFormTest::cacheNodeResponse));
+        Peer origin = closeAfterTests(new Peer(ClientAnswersFormTest::originResponse));
+        Peer discovery = closeAfterTests(new Peer(message -> WATCH));
         String settings = ScriptedPeers.start(discovery.port, 256,
             ScriptedPeers.list(1, true, ScriptedPeers.target("s-1", "m1", cacheNode.port, "active", 0),
                 ScriptedPeers.target("s-o", "origin", origin.port, "active", 0)))
@@ -60,8 +60,8 @@
         proxyWithoutRetryAfter = service(withoutRetryAfter(settings));
     }
 
-    private <T extends AutoCloseable> T opened(T resource) {
-        open.add(resource);
+    private <T extends AutoCloseable> T closeAfterTests(T resource) {
+        resources.add(resource);
         return resource;
     }
 
@@ -78,7 +78,7 @@
     public void end() throws Exception {
         proxy.end();
         proxyWithoutRetryAfter.end();
-        for (AutoCloseable resource : open) {
+        for (AutoCloseable resource : resources) {
             resource.close();
         }
     }
@@ -87,7 +87,7 @@
      * Simulates a cache node that lacks all keys but one, which it returns slowly, and does not respond for
      * another.
      */
-    private static String answerOfCacheNode(String message) {
+    private static String cacheNodeResponse(String message) {
         if (message.startsWith("stats")) {
             return NO_LOAD;
         }
@@ -99,13 +99,13 @@
         return message.startsWith("mg silent ") ? null : "EN O" + id + "\r\n";
     }
 
-    private static String answerOfOrigin(String message) {
+    private static String originResponse(String message) {
         return message.contains(" /failed ") ? FAILED : message.contains(" /busy ") ? NOT_RUN : SERVED;
     }
 
     private static void pause() {
         try {
-            Thread.sleep(SLOW_ANSWER_MILLIS);
+            Thread.sleep(SLOW_RESPONSE_MILLIS);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -145,7 +145,7 @@
      * closed.
      */
     @DataProvider
-    Object[][] lastLines() {
+    Object[][] malformedInputs() {
         return new Object[][] {{"x".repeat(TOO_LONG_LINE_BYTES) + "\r\n", "CLIENT_ERROR line too long"},
             {"ms a x O1 Pc=put,d=9000\r\n", "CLIENT_ERROR bad length"},
             {"ms a 1 O1 Pc=put,d=9000\r\nxyz", "CLIENT_ERROR bad data chunk"},
@@ -155,7 +155,7 @@
             {"ms a " + LONG_VALUE_BYTES + " O1 Pc=put,t=acme,k=5\r\n", "CLIENT_ERROR no time to wait"}};
     }
 
-    @Test(dataProvider = "lastLines")
+    @Test(dataProvider = "malformedInputs")
     public void closesConnectionAfterMalformedInput(String sent, String line) throws IOException {
         try (Client client = new Client(proxy.port())) {
             client.say(sent);
@@ -223,7 +223,7 @@
     /** A process that shuts down answers the requests in flight before it may be killed. */
     @Test
     public void failsPendingRequestAtShutdown() throws Exception {
-        Peer node = opened(new Peer(message -> message.startsWith("stats") ? NO_LOAD : null));
+        Peer node = closeAfterTests(new Peer(message -> message.startsWith("stats") ? NO_LOAD : null));
         ProxyService ending = service(ScriptedPeers.start(1, 256,
             ScriptedPeers.list(1, true, ScriptedPeers.target("s-1", "m1", node.port, "active", 0))));
         try (Client client = new Client(ending.port())) {
