--- a/proxy/src/main/java/spurroad/routing/ClientConnections.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnections.java
@@ -17,27 +17,32 @@
 import spurroad.transport.MemoryBudget;
 
 /**
- * All connections of clients, and what they share: memory budgets, the numbers of request classes and
- * tenants, admission. Closes idle connections, and those with the weakest claims where places are short. Used
- * on the event loop only, except where a method says otherwise.
+ * Holds all client connections and the state that they share: memory budgets, the numbers of request classes
+ * and tenants, and admission. Closes idle connections, and the most overdue ones when descriptors run short.
+ * Used on the event loop only, except where a method says otherwise.
  */
 public final class ClientConnections implements Listener.AcceptHandler {
-    /** What a request without a long value holds on its way, generously. */
-    static final int REQUEST_BYTES = 8192;
-    /** One part in so many of the memory is for requests under way. */
-    private static final int REQUEST_MEMORY_SHARE = 8;
-    /** One part in so many of that memory is for input read ahead: few clients send so much. */
-    private static final int READ_AHEAD_SHARE = 4;
-    /** One part in so many of the heap; responses and buffers take more. */
-    private static final int HEAP_SHARE = 3;
-    /** Connections closed at a shortage, so that it is not one again at once. */
-    private static final int CLOSED_PER_SHORTAGE = 4;
-    /** One part in so many of the places is a crowd: as many open requests are rare. */
-    private static final int CROWD_SHARE = 4;
-    /** Between looks at who is idle; some microseconds each. */
-    private static final long TIDY_INTERVAL_NANOS = 100_000_000L;
-    /** A client that has sent nothing for so long sends seldom. */
-    private static final long QUIET_NANOS = 1_000_000_000L;
+    /** Memory that a request without a long value holds while in flight, in bytes: a generous estimate. */
+    static final int REQUEST_MEMORY_BYTES = 8192;
+    /** Divisor of the process's memory: the quotient is the budget for requests in flight. */
+    private static final int REQUEST_MEMORY_DIVISOR = 8;
+    /** Divisor of the request memory: the quotient is the budget for read-ahead, which few clients need. */
+    private static final int READ_AHEAD_DIVISOR = 4;
+    /**
+     * Divisor of the heap: the quotient bounds the request budget; responses and buffers take more memory.
+     */
+    private static final int HEAP_DIVISOR = 3;
+    /** Number of connections closed when permits run out, so that they do not run out again immediately. */
+    private static final int CLOSED_PER_PERMIT_SHORTAGE = 4;
+    /**
+     * Divisor of the maximum number of connections: more than the quotient is crowded, as so many open
+     * requests are rare.
+     */
+    private static final int CROWDED_DIVISOR = 4;
+    /** Interval between checks for idle connections; a check takes some microseconds. */
+    private static final long INACTIVITY_CHECK_INTERVAL_NANOS = 100_000_000L;
+    /** A client that has sent nothing for this time sends rarely. */
+    private static final long QUIET_AFTER_NANOS = 1_000_000_000L;
     private static final long BYTES_PER_MIB = 1 << 20;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -47,63 +52,65 @@
     final EventLog log;
     final LoadBalancerThread loadBalancer;
     final MemoryBudget requestMemory;
-    /** For long values that come in, besides. */
+    /** Additional budget for long values that clients upload. */
     final MemoryBudget uploadMemory;
-    /** For what clients send ahead of their responses beyond the first chunk, besides. */
+    /**
+     * Additional budget for input that clients send before their earlier responses, beyond the first chunk.
+     */
     final MemoryBudget readAheadMemory;
     final AdmissionController admission;
     final RuleMonitor rules;
     final ClientEventCounters events;
     final RequestIntake intake = new RequestIntake(this);
-    /** Requests whose final response has not gone out, by their ids: no two at a time may bear the same. */
+    /** Requests whose final response was not written yet, by request id; ids are unique among them. */
     final Map<String, ProxiedRequest> openRequests = new HashMap<>();
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private final OutcomeStatistics statistics;
     private final int maxConnections;
     private DeploymentSettings settings;
-    private List<OutcomeStatistics.OfClass> statisticsByClass = List.of(); // by number
-    private Map<String, Integer> requestClassNumbers; // by name
-    private Map<String, Integer> tenantNumbers; // by name
-    private volatile int count; // of connections, for other threads
+    private List<OutcomeStatistics.ClassCounts> statisticsByClass = List.of(); // indexed by class number
+    private Map<String, Integer> requestClassNumbers; // by class name
+    private Map<String, Integer> tenantNumbers; // by tenant name
+    private volatile int count; // number of connections, for other threads
     private volatile boolean handingOver;
-    private volatile boolean ending;
+    private volatile boolean shuttingDown;
     private volatile long configuredTimeoutNanos; // written on the loop
     private volatile long longestTimeoutMillis; // written on the loop
     private volatile long finalDeadlineNanos = Long.MAX_VALUE;
 
-    /** For so many places; registers nothing yet. */
+    /** Creates the shared state for at most the given number of connections; registers nothing yet. */
     public ClientConnections(ProxyConfiguration start, EventLoop loop, EventLog log,
-                             LoadBalancerThread loadBalancer, int places) {
+                             LoadBalancerThread loadBalancer, int connectionLimit) {
         this.loop = loop;
         this.log = log;
         this.loadBalancer = loadBalancer;
-        maxConnections = places;
+        maxConnections = connectionLimit;
         statistics = loadBalancer.results();
         rules = loadBalancer.rules();
         events = new ClientEventCounters(log, loop.now());
         configure(start.settings);
-        long memory = Math.min(start.memoryMb * BYTES_PER_MIB / REQUEST_MEMORY_SHARE,
-            Runtime.getRuntime().maxMemory() / HEAP_SHARE);
+        long memory = Math.min(start.memoryMb * BYTES_PER_MIB / REQUEST_MEMORY_DIVISOR,
+            Runtime.getRuntime().maxMemory() / HEAP_DIVISOR);
         requestMemory = new MemoryBudget(
-            Math.min(memory, (long) start.settings.maxOpenRequests * REQUEST_BYTES));
+            Math.min(memory, (long) start.settings.maxOpenRequests * REQUEST_MEMORY_BYTES));
         uploadMemory = new MemoryBudget(Math.max(MetaCommand.MAX_VALUE_BYTES, memory / 2));
-        readAheadMemory = new MemoryBudget(memory / READ_AHEAD_SHARE);
+        readAheadMemory = new MemoryBudget(memory / READ_AHEAD_DIVISOR);
         admission = new AdmissionController(start, loop, log, requestMemory, loadBalancer);
         loadBalancer.setAdmissionController(admission);
-        loop.execute(this::tidy);
+        loop.execute(this::closeInactive);
     }
 
     // ---- settings
 
     private void configure(DeploymentSettings next) {
         settings = next;
-        requestClassNumbers = numbered(next.requestClassNames);
-        tenantNumbers = numbered(next.tenantNames);
-        statisticsByClass = next.requestClassNames.stream().map(statistics::of).toList();
+        requestClassNumbers = numbersByName(next.requestClassNames);
+        tenantNumbers = numbersByName(next.tenantNames);
+        statisticsByClass = next.requestClassNames.stream().map(statistics::ofClass).toList();
         configuredTimeoutNanos = next.maxRequestTimeoutNanos;
     }
 
-    private static Map<String, Integer> numbered(List<String> names) {
+    private static Map<String, Integer> numbersByName(List<String> names) {
         Map<String, Integer> numbers = new HashMap<>();
         for (int i = 0; i < names.size(); i++) {
             numbers.putIfAbsent(names.get(i), i);
@@ -112,10 +119,11 @@
     }
 
     /**
-     * Puts other settings in force, between two commands: what is read from now on is numbered by them, and
-     * the load balancer hears of them between what was numbered before and after. From any thread.
+     * Applies other settings between two commands: commands read from then on are numbered by them, and the
+     * load balancer is notified after the commands numbered before and ahead of those numbered after. May be
+     * called from any thread.
      */
-    public void deployed(DeploymentSettings next) {
+    public void applySettings(DeploymentSettings next) {
         loop.execute(() -> {
             configure(next);
             admission.configure(next.deployment);
@@ -129,23 +137,26 @@
         return loop.now();
     }
 
-    /** The number of the request class that a command names; -1 where there is none such. */
+    /** Returns the number of the request class that a command names; -1 if there is none. */
     int requestClass(MetaCommand command) {
         return requestClassNumbers.getOrDefault(command.attribute("c"), -1);
     }
 
-    /** The number of the tenant that a command names; -1 where there is none such. */
+    /** Returns the number of the tenant that a command names; -1 if there is none. */
     int tenant(MetaCommand command) {
         return tenantNumbers.getOrDefault(command.attribute("t"), -1);
     }
 
-    /** The counts of a request class, by its number. */
-    OutcomeStatistics.OfClass statistics(int requestClass) {
+    /** Returns the counts of a request class, by its number. */
+    OutcomeStatistics.ClassCounts statistics(int requestClass) {
         return statisticsByClass.get(requestClass);
     }
 
-    /** Why a well-formed command can't be used here, as the response to it; null where it can. */
-    String fault(MetaCommand command, int requestClass, int tenant) {
+    /**
+     * Returns the error response to a well-formed command that the settings do not allow; null if they allow
+     * it.
+     */
+    String commandError(MetaCommand command, int requestClass, int tenant) {
         if (requestClass < 0) {
             return "CLIENT_ERROR unknown class";
         }
@@ -153,13 +164,12 @@
             return "CLIENT_ERROR unknown tenant";
         }
         Effect effect = settings.deployment.requestClasses().get(requestClass).effect();
-        return effect == Effect.DEDUPLICATED && !command.hasAttribute("k") ? "CLIENT_ERROR no idempotency key"
-            : null;
+        return effect == Effect.DEDUPLICATED && !command.hasAttribute("k") ? "CLIENT_ERROR no idempotency key" : null;
     }
 
     /**
-     * Until when a client's request can be worked on, Unix nanoseconds: what the client says, or less while
-     * this process ends.
+     * Returns the deadline of a request, in Unix nanoseconds: what the client specifies, or earlier while
+     * this process shuts down.
      */
     long deadlineNanos(long arrivedAtNanos, long timeoutMillis) {
         longestTimeoutMillis = Math.max(longestTimeoutMillis, timeoutMillis);
@@ -167,8 +177,8 @@
     }
 
     /**
-     * Reserves memory for a response; where that leaves too little, clients that take theirs too slowly are
-     * closed.
+     * Reserves memory for a response. If that overdraws the budget, clients that read their responses too
+     * slowly are closed.
      */
     void reserveForResponse(long bytes) {
         requestMemory.forceReserve(bytes);
@@ -178,23 +188,23 @@
         }
     }
 
-    /** Whether another process serves from now on: connections close once they are quiet. */
+    /** Returns whether another process has taken over: connections close once they are quiet. */
     boolean isHandingOver() {
         return handingOver;
     }
 
-    /** Whether connections close behind their responses. */
-    boolean isEnding() {
-        return ending;
+    /** Returns whether connections close after their responses. */
+    boolean isShuttingDown() {
+        return shuttingDown;
     }
 
-    /** A connection was closed, by either side. */
+    /** Removes a connection that was closed by either side. */
     void onClosed(ClientConnection connection) {
         connections.remove(connection);
         count = connections.size();
     }
 
-    // ---- places
+    // ---- descriptors
 
     @Override
     public void onAccepted(Connection connection, boolean guest) {
@@ -204,84 +214,88 @@
         accepted.open();
     }
 
-    /** Closes the connections with the weakest claims or, if there are none, some to endpoints. */
+    /** Closes the most overdue client connections or, if none is overdue, some connections to endpoints. */
     @Override
     public void onPermitsExhausted() {
         log.warn("no descriptor left for clients", "connections=" + connections.size());
         List<Candidate> candidates = connections.stream().map(c -> new Candidate(c, c.overdue()))
             .filter(candidate -> candidate.overdue >= 1)
-            .sorted(Comparator.comparingDouble(Candidate::overdue).reversed()).limit(CLOSED_PER_SHORTAGE)
+            .sorted(Comparator.comparingDouble(Candidate::overdue).reversed())
+            .limit(CLOSED_PER_PERMIT_SHORTAGE)
             .toList();
-        candidates.forEach(candidate -> candidate.connection.giveWay(CloseReason.PLACE_NEEDED));
+        candidates
+            .forEach(candidate -> candidate.connection.resetUnlessInputPending(CloseReason.PLACE_NEEDED));
         if (candidates.isEmpty()) {
             loadBalancer.placesNeeded();
         }
     }
 
     /**
-     * Who says nothing is closed after a while, and idle ones too where many are connected: some clients ask
-     * once and keep the connection for good, and those who share their limit with them then had none left
-     * (first incident).
+     * Closes silent connections after a while, and idle ones earlier when many are connected. Some clients
+     * send one request and keep the connection open forever, which left no connections for the other clients
+     * that share a connection limit with them.
      */
-    private void tidy() {
-        boolean crowded = CROWD_SHARE * connections.size() > maxConnections;
-        List.copyOf(connections).forEach(connection -> connection.tidy(crowded));
+    private void closeInactive() {
+        boolean crowded = CROWDED_DIVISOR * connections.size() > maxConnections;
+        List.copyOf(connections).forEach(connection -> connection.closeIfInactive(crowded));
         events.logIfDue(now());
-        if (!ending || !connections.isEmpty()) {
-            loop.schedule(TIDY_INTERVAL_NANOS, this::tidy);
+        if (!shuttingDown || !connections.isEmpty()) {
+            loop.schedule(INACTIVITY_CHECK_INTERVAL_NANOS, this::closeInactive);
         }
     }
 
-    // ---- the end of the process; from any thread
+    // ---- shutdown of the process; from any thread
 
     /**
-     * Others serve from now on: each connection closes soon after the response that it waits for, or once it
-     * is quiet.
+     * Notes that other processes have taken over: each connection closes soon after its pending response, or
+     * once it is quiet.
      */
-    public void letGo() {
+    public void startHandover() {
         handingOver = true;
-        letGoQuiet();
+        startClosingQuietConnections();
     }
 
     /**
-     * Those who have asked nothing for so long that hardly a command crosses it are closed from now on,
-     * whether they never asked, sent half a command or had their responses.
+     * Starts closing connections that have been quiet for so long that a command is unlikely to cross the
+     * close, whether they never sent a command, sent part of one, or had their responses.
      */
-    public void letGoQuiet() {
-        loop.execute(this::closeQuiet);
+    public void startClosingQuietConnections() {
+        loop.execute(this::closeQuietConnections);
     }
 
-    private void closeQuiet() {
+    private void closeQuietConnections() {
         List.copyOf(connections).stream()
-            .filter(connection -> now() - connection.quietSince() > QUIET_NANOS && connection.overdue() >= 1)
-            .forEach(connection -> connection.giveWay(CloseReason.IDLE));
+            .filter(connection -> now() - connection.lastActivityNanos() > QUIET_AFTER_NANOS
+                && connection.overdue() >= 1)
+            .forEach(connection -> connection.resetUnlessInputPending(CloseReason.IDLE));
         if (!connections.isEmpty()) {
-            loop.schedule(TIDY_INTERVAL_NANOS, this::closeQuiet);
+            loop.schedule(INACTIVITY_CHECK_INTERVAL_NANOS, this::closeQuietConnections);
         }
     }
 
-    /** Closes connections between two commands from now on; responses go out first. */
+    /** Starts closing connections between two commands; responses are written first. */
     public void end() {
-        ending = true;
+        shuttingDown = true;
         loop.execute(() -> List.copyOf(connections).forEach(ClientConnection::closeIfIdle));
     }
 
-    /** All requests, taken or yet to come, are answered within this time from now, in nanoseconds. */
-    public void allAnsweredWithin(long ns) {
-        finalDeadlineNanos = now() + ns;
-        // what was taken before may wait longer than that
-        loop.execute(() -> loop.schedule(ns, loadBalancer::failAllRequests));
+    /** Ensures that all requests, current and future, are answered within this time from now. */
+    public void failUnansweredAfter(long timeoutNanos) {
+        finalDeadlineNanos = now() + timeoutNanos;
+        // requests received before may have later deadlines
+        loop.execute(() -> loop.schedule(timeoutNanos, loadBalancer::failAllRequests));
     }
 
     /**
-     * The longest that a client waits for a response, in nanoseconds: as the settings tell it, which whoever
-     * ends this process goes by too, whatever a single client says; as seen since the start where they don't.
+     * Returns the longest time that a client waits for a response, in nanoseconds. This is the configured
+     * timeout, on which the process manager that ends this process relies too, whatever timeout a single
+     * client requests. If none is configured, it is the longest timeout seen since the start.
      */
-    public long longestWaitNs() {
+    public long longestTimeoutNanos() {
         return configuredTimeoutNanos > 0 ? configuredTimeoutNanos : longestTimeoutMillis * NANOS_PER_MILLI;
     }
 
-    /** Connections that are open; from any thread. */
+    /** Returns the number of open connections. May be called from any thread. */
     public int count() {
         return count;
     }
--- a/proxy/src/main/java/spurroad/routing/OutcomeStatistics.java
+++ b/proxy/src/main/java/spurroad/routing/OutcomeStatistics.java
@@ -4,36 +4,37 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 
 /**
- * Counts how requests ended, by request class, since the start of the process. Requests under way are not
- * counted but are the difference, so that all counts and it make up what was taken. A class that the settings
- * name no more keeps its counts. Written by the event loop only; any thread may read, without a lock.
+ * Counts how requests ended, by request class, since the start of the process. Requests in flight are not
+ * counted themselves: they are the difference between the received and the ended requests. A class that is
+ * removed from the settings keeps its counts. Written by the event loop only; any thread may read, without a
+ * lock.
  */
 public final class OutcomeStatistics {
     /** How a request ended. */
     enum End {
         SUCCEEDED,
-        /** Rejected. */
+        /** The request was rejected. */
         DECLINED,
-        /** Failed. */
+        /** The request failed. */
         ABORTED,
-        /** Its client disconnected before it had its response. */
-        LEFT
+        /** The client disconnected before it had its response. */
+        DISCONNECTED
     }
 
-    /** The counts of one class. */
-    public static final class OfClass {
-        private volatile long taken;
+    /** Counts of one request class. */
+    public static final class ClassCounts {
+        private volatile long received;
         private volatile long succeeded;
         private volatile long declined;
         private volatile long aborted;
-        private volatile long left;
+        private volatile long disconnected;
 
-        private OfClass() {}
+        private ClassCounts() {}
 
-        /** A request was taken; its end is to be counted once. */
+        /** Counts a received request; its end must be counted exactly once. */
         @SuppressWarnings("NonAtomicOperationOnVolatileField") // written by the loop only
         void onRequest() {
-            taken++;
+            received++;
         }
 
         @SuppressWarnings("NonAtomicOperationOnVolatileField")
@@ -42,58 +43,61 @@
                 case SUCCEEDED -> succeeded++;
                 case DECLINED -> declined++;
                 case ABORTED -> aborted++;
-                default -> left++;
+                default -> disconnected++;
             }
         }
 
-        /** Requests that got what they asked for. */
+        /** Returns the number of requests that succeeded. */
         public long succeeded() {
             return succeeded;
         }
 
-        /** Requests that were rejected. */
+        /** Returns the number of requests that were rejected. */
         public long declined() {
             return declined;
         }
 
-        /** Requests that failed. */
+        /** Returns the number of requests that failed. */
         public long aborted() {
             return aborted;
         }
 
-        /** Never below zero: ends are read before what was taken. */
+        /**
+         * Returns the number of requests in flight; never negative, as the ended ones are read before the
+         * received ones.
+         */
         long outstanding() {
-            long ended = succeeded + declined + aborted + left;
-            return taken - ended;
+            long ended = succeeded + declined + aborted + disconnected;
+            return received - ended;
         }
     }
 
-    private final Map<String, OfClass> classes = new ConcurrentSkipListMap<>();
+    private final Map<String, ClassCounts> classes = new ConcurrentSkipListMap<>();
     private volatile long forwards;
 
-    /** The counts of a request class; they begin when it is first named. */
-    OfClass of(String name) {
-        return classes.computeIfAbsent(name, n -> new OfClass());
+    /** Returns the counts of a request class; counting begins when the class is first requested here. */
+    ClassCounts ofClass(String name) {
+        return classes.computeIfAbsent(name, key -> new ClassCounts());
     }
 
-    /** An attempt was fully sent to a cache node or the origin. */
+    /** Counts an attempt that was fully sent to a cache node or the origin. */
     @SuppressWarnings("NonAtomicOperationOnVolatileField") // written by the loop only
     void onForwarded() {
         forwards++;
     }
 
-    /** The counts by the names of classes, sorted. */
-    public Map<String, OfClass> byClass() {
+    /** Returns the counts by class name, sorted. */
+    public Map<String, ClassCounts> byClass() {
         return classes;
     }
 
-    /** Attempts that were forwarded. */
+    /** Returns the number of attempts that were fully sent. */
     public long forwards() {
         return forwards;
     }
 
-    /** Requests that were taken and have not ended. */
+    /** Returns the number of requests that were received and have not ended. */
     public long outstanding() {
-        return classes.values().stream().mapToLong(OfClass::outstanding).sum();
+        return classes.values().stream().mapToLong(ClassCounts::outstanding).sum();
     }
 }
--- a/proxy/src/main/java/spurroad/routing/RequestCounters.java
+++ b/proxy/src/main/java/spurroad/routing/RequestCounters.java
@@ -6,13 +6,16 @@
 import spurroad.model.Outcome;
 
 /**
- * What became of requests and attempts since the last log line about it. Used by the load balancer's thread
- * only.
+ * Counts requests, their results and the outcomes of attempts since the last log line. Used by the load
+ * balancer's thread only.
  */
 final class RequestCounters {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    /** Short beside an incident, long beside reading it. */
+    /**
+     * Interval between log lines: short compared with an incident, long compared with the time to read a
+     * line.
+     */
     private static final long LOG_INTERVAL_NANOS = 10_000_000_000L;
     private final Map<Outcome, Integer> attempts = new EnumMap<>(Outcome.class);
     private int requests;
@@ -20,8 +23,8 @@
     private int rejected;
     private int failed;
     private int disconnected;
-    private long sinceNanos;
-    private long stalledNanos; // in all, as of the last line
+    private long periodStartNanos;
+    private long stalledNanosAtLastLine; // total since the start, as of the last log line
     private long rejectedByAdmission;
     private ServiceLevel level = ServiceLevel.FULL;
     private ServiceLevel worstLevel = ServiceLevel.FULL;
@@ -35,9 +38,9 @@
         succeeded++;
     }
 
-    void onResponse(boolean reject) {
-        rejected += reject ? 1 : 0;
-        failed += reject ? 0 : 1;
+    void onResponse(boolean isRejection) {
+        rejected += isRejection ? 1 : 0;
+        failed += isRejection ? 0 : 1;
     }
 
     void onClientDisconnect() {
@@ -45,16 +48,16 @@
     }
 
     /**
-     * The admission controller measured again.
+     * Notes a new measurement of the admission controller.
      *
-     * @param admitted the fraction of requests that it admits from now on
-     * @param rejectedSince how many requests it has rejected since the last call
+     * @param admitted fraction of requests that it admits from now on
+     * @param newlyRejected number of requests that it has rejected since the last call
      */
-    void onServiceLevel(ServiceLevel now, double admitted, long rejectedSince) {
-        level = now;
-        worstLevel = now.atLeast(worstLevel) ? now : worstLevel;
+    void onServiceLevel(ServiceLevel newLevel, double admitted, long newlyRejected) {
+        level = newLevel;
+        worstLevel = newLevel.atLeast(worstLevel) ? newLevel : worstLevel;
         admittedFraction = admitted;
-        rejectedByAdmission += rejectedSince;
+        rejectedByAdmission += newlyRejected;
     }
 
     void onAttemptEnd(Outcome outcome) {
@@ -62,21 +65,21 @@
     }
 
     /**
-     * Returns a line about what was counted, and counts from zero; null where the last one is too recent.
+     * Returns a log line about the counts and resets them; null if the last line is too recent.
      *
-     * @param stalledInAllNanos how long the process has been stalled since its start
+     * @param totalStalledNanos how long the process has been stalled since its start, in total
      */
-    String takeLineIfDue(long now, long stalledInAllNanos) {
-        if (now - sinceNanos > 2 * LOG_INTERVAL_NANOS) {
-            sinceNanos = now; // it was quiet in between
+    String takeLineIfDue(long now, long totalStalledNanos) {
+        if (now - periodStartNanos > 2 * LOG_INTERVAL_NANOS) {
+            periodStartNanos = now; // no requests or attempts in the meantime
         }
-        if (now - sinceNanos < LOG_INTERVAL_NANOS || requests + attempts.size() == 0) {
+        if (now - periodStartNanos < LOG_INTERVAL_NANOS || requests + attempts.size() == 0) {
             return null;
         }
-        String line = line(now - sinceNanos, stalledInAllNanos - stalledNanos);
+        String line = line(now - periodStartNanos, totalStalledNanos - stalledNanosAtLastLine);
         reset();
-        stalledNanos = stalledInAllNanos;
-        sinceNanos = now;
+        stalledNanosAtLastLine = totalStalledNanos;
+        periodStartNanos = now;
         return line;
     }
 
