--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -132,7 +132,8 @@
         slot.setUploadBytes(uploadBytes);
         slot.response = switch (command.kind) {
             case INVALID ->
-                command.unrecoverable ? rejectMalformedInput(slot, command.errorResponse) : pauseAfterError(command.errorResponse);
+                command.unrecoverable ? rejectMalformedInput(slot, command.errorResponse)
+                    : pauseAfterError(command.errorResponse);
             case READY -> MetaResponse.ready();
             default -> onRequest(slot, command, arrivedAtNanos);
         };
--- a/proxy/src/main/java/spurroad/routing/ClientConnections.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnections.java
@@ -164,7 +164,8 @@
             return "CLIENT_ERROR unknown tenant";
         }
         Effect effect = settings.deployment.requestClasses().get(requestClass).effect();
-        return effect == Effect.DEDUPLICATED && !command.hasAttribute("k") ? "CLIENT_ERROR no idempotency key" : null;
+        return effect == Effect.DEDUPLICATED && !command.hasAttribute("k") ? "CLIENT_ERROR no idempotency key"
+            : null;
     }
 
     /**
