--- a/proxy/src/main/java/spurroad/routing/BalancerMessage.java
+++ b/proxy/src/main/java/spurroad/routing/BalancerMessage.java
@@ -10,8 +10,8 @@
 import spurroad.protocol.UpstreamReply;
 
 /**
- * A message to the load balancer's thread, which runs it. Messages are records rather than lambdas also for
- * speed: the quick compiler makes a call into the machine of each lambda's birth.
+ * A message that the load balancer's thread runs. Messages are records rather than lambdas because the C1
+ * compiler calls into the virtual machine at each site that creates a capturing lambda, which is slow.
  */
 sealed interface BalancerMessage extends Runnable {
     /** A client's request was admitted. */
@@ -41,7 +41,7 @@
         }
     }
 
-    /** All requests that wait are to fail now. */
+    /** Fails all pending requests. */
     record FailAllRequests(RequestEvents events) implements BalancerMessage {
         @Override
         public void run() {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** A load probe was decided for an endpoint that is not listed any more. */
+    /** The load balancer decided on a load probe for an endpoint that is no longer listed. */
     record ProbeUnroutable(RequestEvents events, EndpointId endpoint) implements BalancerMessage {
         @Override
         public void run() {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** An update came from another proxy; {@code waiting} counts those that were not yet taken. */
+    /** Another proxy sent an update; {@code waiting} counts the updates that were not yet processed. */
     record PeerUpdateReceived(ControlEvents events, PeerUpdate update,
                               AtomicInteger waiting)
         implements
@@ -69,7 +69,7 @@
         }
     }
 
-    /** A list came from discovery. */
+    /** Discovery sent an endpoint list. */
     record EndpointListReceived(ControlEvents events, EndpointList list,
                                 long previousContactNanos)
         implements
@@ -80,7 +80,7 @@
         }
     }
 
-    /** A call to discovery failed, or its subscription ended. */
+    /** A call to discovery failed, or a watch ended. */
     record DiscoveryFailed(ControlEvents events) implements BalancerMessage {
         @Override
         public void run() {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** The admission controller measured again. */
+    /** The admission controller has new measurements. */
     record ServiceLevelMeasured(ControlEvents events, ServiceLevel level, double admittedFraction,
                                 long rejected)
         implements
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Other settings are in force. */
+    /** New settings take effect. */
     record DeploymentChanged(ControlEvents events, DeploymentSettings settings) implements BalancerMessage {
         @Override
         public void run() {
@@ -107,7 +107,7 @@
         }
     }
 
-    /** An operator drains a cache node, or puts it back in use. */
+    /** An operator drains a cache node, or returns it to use. */
     record AdminDrainRequested(ControlEvents events, EndpointId endpoint, boolean drained, boolean vouched,
                                Consumer<Boolean> done)
         implements
@@ -118,7 +118,7 @@
         }
     }
 
-    /** Descriptors are short: each pool is to close so many idle connections. */
+    /** Closes the given number of idle connections in each pool, because descriptors are short. */
     record CloseIdlePerPool(EndpointRegistry endpoints, int connections) implements BalancerMessage {
         @Override
         public void run() {
@@ -126,7 +126,7 @@
         }
     }
 
-    /** About so many idle connections are to be closed in all. */
+    /** Closes about the given number of idle connections, summed over all pools. */
     record CloseIdle(EndpointRegistry endpoints, int connections) implements BalancerMessage {
         @Override
         public void run() {
@@ -134,7 +134,7 @@
         }
     }
 
-    /** The thread is to end. */
+    /** Ends the thread. */
     record Shutdown(LoadBalancerThread thread) implements BalancerMessage {
         @Override
         public void run() {
--- a/proxy/src/main/java/spurroad/routing/ControlEvents.java
+++ b/proxy/src/main/java/spurroad/routing/ControlEvents.java
@@ -14,9 +14,9 @@
 import spurroad.transport.EventLog;
 
 /**
- * Events that belong to no single request: endpoint lists, peer updates, service levels, other settings and
- * operators' calls. Each is recorded, passed to {@link LoadBalancer}, and the decisions are carried out. Used
- * by the load balancer's thread only.
+ * Handles events that belong to no single request: endpoint lists, peer updates, service levels, changed
+ * settings and operators' calls. Records each event, passes it to {@link LoadBalancer} and carries out the
+ * decisions. Used by the load balancer's thread only.
  */
 final class ControlEvents {
     private final LoadBalancer balancer;
@@ -43,48 +43,48 @@
         this.log = log;
     }
 
-    /** The time has come that the load balancer asked to be woken at. */
+    /** Handles the timer event at the time for which the load balancer asked. */
     void onTimer() {
         balancer.onTimer(clock.now(), executor.cleared());
         executor.execute();
     }
 
-    /** Another proxy sent an update. */
+    /** Handles an update from another proxy. */
     void onPeerUpdate(PeerUpdate update) {
         balancer.onPeerUpdate(clock.now(), update, executor.cleared());
         executor.execute();
     }
 
-    /** A list came from discovery, which was last heard before it at the given time. */
+    /** Handles an endpoint list; discovery's previous line arrived at the given time, Unix nanoseconds. */
     void onEndpointUpdate(EndpointList list, long previousContactNanos) {
         List<Endpoint> listed = endpoints.update(list, previousContactNanos, clock.now());
         balancer.onEndpointUpdate(clock.now(), listed, list.isComplete(), executor.cleared());
         executor.execute();
     }
 
-    /** A call to discovery failed, or its subscription ended. */
+    /** Handles a failed call to discovery, or the end of a watch. */
     void onDiscoveryFailure() {
         balancer.onDiscoveryFailure(clock.now(), executor.cleared());
         executor.execute();
     }
 
-    /** The admission controller measured again: the level, the admitted part, and rejections since. */
+    /** Handles new measurements of the admission controller; rejections count since the last call. */
     void onServiceLevel(ServiceLevel level, double admittedFraction, long rejected) {
         counters.onServiceLevel(level, admittedFraction, rejected);
         balancer.conserveResources(level.atLeast(ServiceLevel.NO_RETRIES));
     }
 
-    /** Other settings are in force; the place among the proxies of the fleet is that of the start. */
+    /** Applies new settings; the position of this proxy in the fleet stays as at the start. */
     void onDeploymentChange(DeploymentSettings next) {
         requestEvents.configure(next);
         endpoints.configure(next);
         executor.configure(next);
-        // place in the fleet counts from a new start on: the socket and number of this process stay
+        // a new position in the fleet needs a restart: this process keeps its socket and its number
         balancer.onDeploymentChange(clock.now(), next.deployment.withFleet(fleet), executor.cleared());
         executor.execute();
     }
 
-    /** An operator drains a cache node or puts it back; see {@link LoadBalancerThread#setAdminDrain}. */
+    /** Drains a cache node or returns it to use; see {@link LoadBalancerThread#setAdminDrain}. */
     void onAdminDrain(EndpointId id, boolean drained, boolean vouched, Consumer<Boolean> done) {
         boolean known = vouched || endpoints.wasListedAsCacheNode(id);
         if (known) {
--- a/proxy/src/main/java/spurroad/routing/DecisionExecutor.java
+++ b/proxy/src/main/java/spurroad/routing/DecisionExecutor.java
@@ -12,13 +12,13 @@
 import spurroad.transport.StallDetector;
 
 /**
- * Carries out what {@link LoadBalancer} decides: each event is passed to the load balancer with
- * {@link #cleared()}, and {@link #execute()} follows. What concerns connections goes to the event loop
- * through the outbox. Used by the load balancer's thread only, except where a method says otherwise.
+ * Carries out the decisions of {@link LoadBalancer}. The caller passes {@link #cleared()} to the load
+ * balancer with each event and calls {@link #execute()} afterwards. Work on connections goes to the event
+ * loop through the outbox. Used by the load balancer's thread only, unless a method says otherwise.
  */
 final class DecisionExecutor {
-    // Messages of each request are records: the quick compiler makes a call into the machine of each
-    // lambda's birth.
+    // Messages that each request needs are records: the C1 compiler calls into the virtual machine at each
+    // site that creates a capturing lambda, which is slow.
     private record StartAttempt(UpstreamRequest attempt) implements Runnable {
         @Override
         public void run() {
@@ -34,7 +34,7 @@
     }
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final int LOAD_PROBE_CONNECT_TIMEOUTS = 2; // time for a load probe, in connect timeouts
+    private static final int LOAD_PROBE_CONNECT_TIMEOUTS = 2; // timeout of a load probe, in connect timeouts
 
     private final Decisions decisions = new Decisions();
     private final LoadBalancer balancer;
@@ -54,7 +54,7 @@
     private volatile AdminStatus adminStatus = AdminStatus.NONE;
 
     /**
-     * Creates an executor that has decided nothing yet.
+     * Creates an executor without pending decisions.
      *
      * @param unroutableProbe called for a load probe whose endpoint is no longer listed
      */
@@ -75,38 +75,38 @@
         statusLog = new EndpointStatusLog(id -> String.valueOf(endpoints.pool(id)), log::info);
     }
 
-    /** To be called before the thread starts. */
+    /** Sets the poller; must be called before the thread starts. */
     void setDiscoveryPoller(LoadBalancerThread.DiscoveryPoller poller) {
         discoveryPoller = poller;
     }
 
-    /** To be called before the thread starts, where proxies exchange updates. */
+    /** Sets the exchange of peer updates, if enabled; must be called before the thread starts. */
     void setPeerGossip(PeerGossip gossip) {
         peerGossip = gossip;
     }
 
-    /** Puts other settings in force for the decisions that follow. */
+    /** Applies new settings to the decisions that follow. */
     void configure(DeploymentSettings next) {
         settings = next;
     }
 
-    /** When the load balancer wants its timer event, Unix nanoseconds. */
+    /** Returns the time of the load balancer's next timer event, Unix nanoseconds. */
     long wakeAtNanos() {
         return wakeAtNanos;
     }
 
-    /** The endpoints' administrative status, less than a second after it has changed; from any thread. */
+    /** Returns the endpoints' administrative status, at most a second old. May be called by any thread. */
     AdminStatus adminStatus() {
         return adminStatus;
     }
 
-    /** The one decisions object, emptied for the next event. */
+    /** Returns the reused decisions object, cleared for the next event. */
     Decisions cleared() {
         decisions.clear();
         return decisions;
     }
 
-    /** Carries out what was decided since {@link #cleared()}. */
+    /** Carries out the decisions made since {@link #cleared()}. */
     void execute() {
         wakeAtNanos = decisions.wakeAtNanos;
         long now = clock.now();
@@ -146,7 +146,7 @@
     private void startAttempt(Decisions.StartAttempt start, long now) {
         ProxiedRequest request = requests.get(start.request());
         long clockTick = settings.deployment.clockTickNanos();
-        // the load balancer counted from when it began to decide, some time ago
+        // the load balancer measured the timeout from the start of its decision, which took some time
         long deadline = Math.min(now + start.timeoutNanos(), request.deadlineNanos - clockTick);
         UpstreamRequest attempt = new UpstreamRequest(request, request.attempts.size(),
             endpoints.pool(start.endpoint()), deadline, start.sendDeadlineNanos() - clockTick,
@@ -178,7 +178,7 @@
     private void startLoadProbe(EndpointId id, long now) {
         EndpointConnectionPool pool = endpoints.pool(id);
         if (pool == null) {
-            unroutableProbe.accept(id); // removed since the load balancer last heard of it
+            unroutableProbe.accept(id); // removed since the last update that the load balancer received
             return;
         }
         UpstreamRequest probe = new UpstreamRequest(null, 0, pool,
--- a/proxy/src/main/java/spurroad/routing/DiscoveryTiming.java
+++ b/proxy/src/main/java/spurroad/routing/DiscoveryTiming.java
@@ -3,36 +3,37 @@
 import java.util.Random;
 
 /**
- * How long calls to discovery, and the pauses between them, may take. The bound to keep: a change is known
- * {@link #DETECTION_NANOS} after discovery had it and could be reached, whatever became of the calls before,
- * and a change behind a watch that falls silent the same time after that. A call takes
- * {@link #callTimeoutNanos()} at most before another begins, so the pauses before a call are bounded by the
- * rest. All are drawn from a range, as many proxies lose discovery at the same moment. All times are
- * durations.
+ * Computes the timeouts of calls to discovery and the pauses between them. A change must be received within
+ * {@link #DETECTION_NANOS} of the moment at which discovery has it and is reachable, whatever happened to
+ * earlier calls. If a watch stalls, the same bound holds from the start of the stall. The next call starts at
+ * most {@link #callTimeoutNanos()} after an unanswered one, so the pause before a call may take the rest of
+ * the bound. Pauses and line timeouts are randomized, because many proxies lose discovery at the same moment.
+ * All times are durations.
  */
 final class DiscoveryTiming {
-    /** From when a change could be read to when it has to be known. */
+    /** Maximum time from when a change can be read from discovery to its receipt. */
     static final long DETECTION_NANOS = 6_000_000_000L;
-    /** Until the first line; discovery may let a call wait for 3 s. */
+    /** Time until the first line of a response; discovery may delay a response by 3 s. */
     private static final long CALL_TIMEOUT_NANOS = 3_100_000_000L;
-    /** The same where lists are pushed: their agent is close. */
+    /** Call timeout for pushed lists, whose agent is close to the proxy. */
     private static final long PUSHED_CALL_TIMEOUT_NANOS = 2_000_000_000L;
-    /** Mean; half as much again and a call are under 6 s. */
+    /** The longest pause, 1.5 times the mean, and a call together take less than 6 s. */
     private static final long MAX_MEAN_PAUSE_NANOS = 1_900_000_000L;
     private static final long PUSHED_MEAN_PAUSE_NANOS = 100_000_000L;
-    /** Of the poll interval that the settings give: the call takes some of it. */
+    /** Mean pause as a fraction of the configured poll interval: the call takes part of the interval. */
     private static final double PAUSE_SHARE = 0.4;
-    /** Of the same; after a call that failed it counts four times. */
+    /** Call timeout in configured poll intervals; a failed call must be followed by another within four. */
     private static final double CALL_SHARE = 2;
     /**
-     * A watch says something every 2 s: a heartbeat and a third, as a call too many costs little. By 7 s
-     * drains that followed upon a silence were learned of too late (all watches silent at once).
+     * Minimum time without a line after which a watch counts as stalled: 1.3 heartbeats, which arrive every 2
+     * s. An unnecessary call is cheap, whereas with a timeout of 7 s drains that followed a stall of all
+     * watches were received too late.
      */
     private static final long SILENCE_NANOS = 2_600_000_000L;
     private static final long SILENCE_SPREAD_NANOS = 800_000_000L;
-    /** From a silent watch's last line to the end of the call that follows: 1.5 s are left to answer. */
+    /** Time from a stalled watch's last line to the next call's timeout; leaves 1.5 s for another call. */
     private static final long SECOND_CALL_END_NANOS = 4_500_000_000L;
-    private static final long CONNECT_TIMEOUT_NANOS = 2_000_000_000L; // a lost packet is sent again after 1 s
+    private static final long CONNECT_TIMEOUT_NANOS = 2_000_000_000L; // a lost SYN is retransmitted after 1 s
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final Random random;
@@ -42,8 +43,8 @@
     /**
      * Creates the timing for one proxy.
      *
-     * @param pushed whether lists are pushed, by an agent that serves this proxy alone
-     * @param pollWithinNanos for how long a list may be held to without a call
+     * @param pushed whether an agent that serves this proxy alone pushes the lists
+     * @param pollWithinNanos poll interval: how long a list may be used without another call
      */
     DiscoveryTiming(boolean pushed, long pollWithinNanos, Random random) {
         this.random = random;
@@ -53,27 +54,27 @@
             (long) (CALL_SHARE * pollWithinNanos));
     }
 
-    /** From a call that failed, or a watch that ended, to the next call at the latest. */
+    /** Returns a random pause, the maximum time from a failed call or the end of a watch to the next call. */
     long pauseNanos() {
         return (long) ((0.5 + random.nextDouble()) * meanPauseNanos);
     }
 
-    /** From the beginning of a call to its first line, before another call is begun beside it. */
+    /** Returns the time to wait for a call's first line before another call starts in parallel. */
     long callTimeoutNanos() {
         return callTimeoutNanos;
     }
 
-    /** How long a connection may take to come up. */
+    /** Returns the connect timeout. */
     int connectTimeoutMillis() {
         return (int) (Math.min(CONNECT_TIMEOUT_NANOS, callTimeoutNanos) / NANOS_PER_MILLI);
     }
 
-    /** From a watch's line to when it counts as silent. */
+    /** Returns the random time without a line after which a watch counts as stalled. */
     long silenceNanos() {
         return SILENCE_NANOS + (long) (random.nextDouble() * SILENCE_SPREAD_NANOS);
     }
 
-    /** The same as {@link #callTimeoutNanos()} for the call that follows upon a silence of so long. */
+    /** Returns the timeout of the call that follows a watch's stall of the given duration. */
     long callTimeoutAfterSilenceNanos(long silenceNanos) {
         return Math.min(callTimeoutNanos, SECOND_CALL_END_NANOS - silenceNanos);
     }
--- a/proxy/src/main/java/spurroad/routing/EndpointConnection.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointConnection.java
@@ -13,14 +13,15 @@
 import spurroad.transport.EventLoop;
 
 /**
- * One connection to an endpoint, with one attempt at a time: it connects, sends requests and parses replies.
- * Its {@link EndpointConnectionPool} owns it and may close it at any time. Used on the event loop only.
+ * A connection to an endpoint that carries one attempt at a time: it connects, sends requests and parses
+ * replies. Its {@link EndpointConnectionPool} owns it and may close it at any time. Used on the event loop
+ * only.
  */
 final class EndpointConnection implements Connection.Handler {
-    private static final String UNEXPECTED_REPLY = "an answer to nothing";
-    /** Inside a reply: one that was given whole arrives sooner. */
+    private static final String UNEXPECTED_REPLY = "reply received without a fully sent request";
+    /** Maximum pause within a reply; the rest of a reply that was sent in full arrives sooner. */
     private static final long REPLY_STALL_NANOS = 300_000_000L;
-    /** Inside a long value that is being read. */
+    /** Maximum pause within a long value while the connection is being read. */
     private static final long STREAM_STALL_NANOS = 2_500_000_000L;
     private static final byte[] LINE_END = MetaResponse.lineEnd();
 
@@ -28,15 +29,15 @@
     private final UpstreamProtocol protocol;
     private final ByteSource input = new ByteSource();
     private final ByteSource.Parser<UpstreamReply> parser = this::parseReply;
-    /** Which incarnation of the endpoint it leads to. */
+    /** The incarnation of the endpoint to which the connection was opened. */
     final int incarnation;
     private Connection connection;
     private EventLoop.Timer timeout; // for the connect, or for the rest of a reply
     private long readAtNanos;
-    private StreamedResponse streamed; // while a long value is on its way to a client
+    private StreamedResponse streamed; // non-null while a long value is passed to a client
     private boolean reusableAfterStream;
-    // the pool's
-    /** The attempt that it carries now; null while idle. */
+    // the fields below are maintained by the pool
+    /** The current attempt; null while idle. */
     UpstreamRequest attempt;
     boolean closed;
     long idleSinceNanos;
@@ -49,7 +50,7 @@
         attempt = first;
     }
 
-    /** Begins to connect; the attempt is sent once the connection is up. */
+    /** Starts to connect; the attempt is sent once the connection is established. */
     void connect(InetSocketAddress address, long timeoutNanos) {
         try {
             connection = pool.openSocket();
@@ -77,7 +78,7 @@
         }
     }
 
-    /** Sends an attempt. */
+    /** Writes the request of an attempt, or a load probe. */
     void write(UpstreamRequest next) {
         next.firstByteSent = true;
         long timeLeftMillis = next.timeLeftMillis(pool.now());
@@ -113,7 +114,7 @@
         }
     }
 
-    /** Passes on what belongs to the long value, without a copy. */
+    /** Forwards received bytes of the long value without copying them. */
     private void streamDirectly(ByteBuffer bytes) {
         int length = (int) Math.min(bytes.remaining(), streamed.remaining());
         ByteBuffer part = bytes.duplicate().limit(bytes.position() + length);
@@ -124,7 +125,7 @@
         }
     }
 
-    /** Passes on what has been read of the long value while the client takes it, then reads on. */
+    /** Forwards buffered bytes of the long value while the client accepts them, then resumes reading. */
     void stream() {
         while (!closed && streamed != null && streamed.remaining() > 0 && input.available() > 0
             && streamed.isWanted()) {
@@ -142,7 +143,7 @@
         }
     }
 
-    /** The value has passed; its end is checked before the client is given one. */
+    /** Checks the end of a fully forwarded value before the client's response is completed. */
     private void finishStream() {
         connection.setReading(true);
         if (streamed.isFollowedByLineEnd()) {
@@ -151,7 +152,7 @@
                 return;
             }
             if (!Arrays.equals(input.take(LINE_END.length), LINE_END)) {
-                pool.onMalformedReply("no line end after a value");
+                pool.onMalformedReply("expected CR LF after a value");
                 breakOff();
                 return;
             }
@@ -170,7 +171,7 @@
         }
     }
 
-    /** Nobody takes the value: this connection is of no further use. */
+    /** Closes the connection because no client reads its value any more. */
     void abandonStream() {
         streamed = null;
         close();
@@ -205,7 +206,7 @@
 
     private void beginStream(UpstreamReply reply) {
         reusableAfterStream = reply.reusable();
-        connection.setReading(false); // until the client's turn has come
+        connection.setReading(false); // until earlier responses to the client are written
         streamed = new StreamedResponse(this, reply.streamedBody());
         attempt.streamedResponse = streamed;
         pool.onStreamedReply(this, attempt, reply);
@@ -218,7 +219,7 @@
         return protocol.reply(from, attempt.command());
     }
 
-    /** A reply has begun: an endpoint that sends its beginning sends the rest soon. */
+    /** Schedules the timeout for the rest of a partly received reply. */
     private void watchRest() {
         timeout.cancel();
         timeout = pool.loop().schedule(readAtNanos + REPLY_STALL_NANOS - pool.now(), this::breakOff);
@@ -227,9 +228,9 @@
     // ---- the end
 
     /**
-     * The connection ended or broke. A reply that lasts as long as its connection is complete with an orderly
-     * end, and with that alone: an origin's replies without a length were cut off by resets and passed on as
-     * complete (split and zone, lost).
+     * Handles the end or the loss of the connection. A reply that is delimited by the end of its connection
+     * is complete only if the stream ended in order: otherwise an origin's reply without a length that a
+     * reset cuts off would be forwarded as complete.
      */
     @Override
     public void onClosed() {
@@ -250,15 +251,15 @@
         }
     }
 
-    /** Whether the connection broke, though this may not have been reported yet. */
+    /** Returns whether the connection was lost, even if the loss was not reported yet. */
     boolean isBroken() {
         return connection.isClosed();
     }
 
     /**
-     * Whether nothing has come since the last reply, no end either; reads what the loop has not reported. An
-     * idle connection may be closed at any time, or get a second reply, and what is written to it then is
-     * lost.
+     * Returns whether neither bytes nor the end of the stream arrived after the last reply, and closes the
+     * connection otherwise. Reads input that the event loop has not reported yet. An endpoint may close an
+     * idle connection or send a second reply at any time, and a request written after that is lost.
      */
     boolean isClean() {
         if (connection.readAvailable()) {
@@ -267,7 +268,7 @@
         return !closed;
     }
 
-    /** Closes the connection so that its attempt, if it has one, ends by the loss. */
+    /** Closes the connection and reports its loss, which ends its attempt, if any. */
     private void breakOff() {
         timeout.cancel();
         connection.close();
@@ -275,7 +276,7 @@
         breakStream();
     }
 
-    /** Closes the connection where nothing that it still brings counts. */
+    /** Closes the connection and ignores all further input. */
     void close() {
         closed = true;
         timeout.cancel();
--- a/proxy/src/main/java/spurroad/routing/EndpointConnectionPool.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointConnectionPool.java
@@ -14,27 +14,27 @@
 import spurroad.transport.EventLoop;
 
 /**
- * The connections to one endpoint, a cache node or the origin: it carries out attempts and ends each of them
- * exactly once. A connection carries one attempt at a time and is kept idle between two. Used on the event
- * loop only.
+ * A pool of connections to one endpoint, a cache node or the origin. It executes attempts and ends each
+ * attempt exactly once. A connection carries one attempt at a time and is kept idle between attempts. Used on
+ * the event loop only.
  */
 final class EndpointConnectionPool {
     /**
-     * What all pools share.
+     * The settings and services that all pools share.
      *
-     * @param connectTimeoutNanos for a connection to be up, and for an attempt to wait for a descriptor
-     * @param idleTimeoutNanos after which an endpoint closes an idle connection
-     * @param reuseDelayNanos how long a connection rests after a reply, so that a surplus one would be seen
-     * @param requestIdleClose has all pools close an idle connection, as descriptors are short
-     * @param listener hears how each attempt ends
-     * @param onForwarded called for each request that has gone out in full
+     * @param connectTimeoutNanos maximum time to connect, and to wait for a descriptor
+     * @param idleTimeoutNanos time after which an endpoint closes an idle connection
+     * @param reuseDelayNanos pause in the use of a connection after a reply, to notice a surplus reply
+     * @param requestIdleClose asks all pools to close an idle connection when descriptors are short
+     * @param listener is notified of the end of each attempt
+     * @param onForwarded called for each request that was sent in full
      */
     record Environment(EventLoop loop, EventLog log, RuleMonitor rules, DescriptorBudget descriptors,
                        long connectTimeoutNanos, long idleTimeoutNanos, long reuseDelayNanos,
                        SocketFactory socketFactory, Runnable requestIdleClose, AttemptListener listener,
                        Runnable onForwarded) {}
 
-    /** Between attempts to acquire a descriptor: idle connections close within that. */
+    /** Pause between attempts to acquire a descriptor; idle connections close within that time. */
     private static final long DESCRIPTOR_RETRY_NANOS = 10_000_000L;
 
     private record Timeout(EndpointConnectionPool pool, UpstreamRequest attempt) implements Runnable {
@@ -50,7 +50,7 @@
     private String name;
     private UpstreamProtocol protocol;
     private ListedEndpoint endpoint;
-    private int incarnation; // counts addresses and starts of the endpoint
+    private int incarnation; // incremented with each new address or start of the endpoint
     private boolean removed;
     private boolean administrativelyDrained;
 
@@ -86,9 +86,9 @@
         return environment.loop;
     }
 
-    // ---- from the load balancer's thread, run on the loop
+    // ---- called by messages of the load balancer's thread, on the event loop
 
-    /** Discovery lists the endpoint again: a new address or a new start makes its connections useless. */
+    /** Updates the listed endpoint; a new address or start time invalidates its connections. */
     void onListed(ListedEndpoint next, boolean origin) {
         boolean replaced = !next.address().equals(endpoint.address())
             || next.endpoint().startedAtNanos() != endpoint.endpoint().startedAtNanos();
@@ -99,13 +99,13 @@
         }
     }
 
-    /** Discovery lists the endpoint no more; attempts under way end undisturbed. */
+    /** Handles the endpoint's removal from the list; attempts in flight may still complete. */
     void onRemoved() {
         removed = true;
         closeIdle();
     }
 
-    /** Operators drain the endpoint, or put it back: while drained, no attempt begins to be sent. */
+    /** Sets whether operators drain the endpoint; while it is drained, no attempt starts to be sent. */
     void setAdministrativelyDrained(boolean drained) {
         administrativelyDrained = drained;
         if (drained) {
@@ -118,20 +118,20 @@
         idle.closeAll();
     }
 
-    /** Where descriptors are short: closes the connections that have been idle the longest. */
+    /** Closes the longest idle connections, when descriptors are short. */
     void closeLongestIdle(int atMost) {
         idle.closeLongestIdle(atMost);
     }
 
-    /** Begins an attempt. */
+    /** Starts an attempt. */
     void start(UpstreamRequest attempt) {
         attempt.startedAtNanos = now();
-        attempt.incarnation = incarnation; // a later decision comes later
+        attempt.incarnation = incarnation; // attempts and list updates arrive in the order of decisions
         scheduleTimeout(attempt, Math.min(attempt.sendDeadlineNanos, attempt.deadlineNanos));
         dispatch(attempt);
     }
 
-    /** Cancels an attempt; the endpoint may go on with it if it was fully sent, else it never ran. */
+    /** Cancels an attempt. The endpoint may still execute a fully sent one; any other never runs. */
     void cancel(UpstreamRequest attempt) {
         if (!attempt.ended) {
             closeConnection(attempt);
@@ -147,9 +147,9 @@
     }
 
     /**
-     * Nobody waits for the attempt any more: what has gone out in part is not finished, whatever the
-     * deployment says of cancels, as it has never run. What waits for a connection ends when that is up, and
-     * leaves it to others.
+     * Withdraws an attempt whose response is no longer needed. A partly sent attempt is cancelled whether or
+     * not the deployment allows cancels, as it has never run. An attempt that waits for a connection ends
+     * once that is established, and leaves the connection to other attempts.
      */
     void withdraw(UpstreamRequest attempt) {
         if (attempt.firstByteSent && !attempt.fullySent) {
@@ -160,15 +160,16 @@
     // ---- sending
 
     /**
-     * How an attempt ends whose first byte is about to go out and must not; null where it may. Checked there
-     * and nowhere else: what forbids it may have come between the decision and a descriptor or a connection.
+     * Returns the outcome of an attempt that must not be sent, or null if it may be sent. It is checked only
+     * right before the first byte, because an obstacle may arise between the decision and the moment at which
+     * a descriptor or a connection becomes available.
      */
     Outcome sendObstacle(UpstreamRequest attempt) {
         if (attempt.isAbandoned() || now() >= attempt.sendDeadlineNanos || attempt.isOverdue(now())) {
-            // nobody waits for it, or its time to go out is over: the endpoint is not to blame
+            // abandoned, or past its send deadline: not a fault of the endpoint
             return Outcome.NOT_SENT;
         }
-        // a probe of a draining endpoint is no request, and its failure would speak against the endpoint
+        // a draining endpoint still answers load probes, and a failed probe would count against it
         boolean accepted = acceptsRequests() || attempt.isLoadProbe() && !removed && !administrativelyDrained;
         return accepted && attempt.incarnation == incarnation ? null : Outcome.NO_CONNECTION;
     }
@@ -205,14 +206,14 @@
 
     private void waitForDescriptor(UpstreamRequest attempt) {
         if (!idle.isEmpty()) {
-            // one that rests is ready sooner than a descriptor that others would have to give up
+            // a connection in its reuse delay is available sooner than a descriptor that others must release
             environment.loop.schedule(idle.nanosUntilRested(), () -> dispatch(attempt));
         } else if (now() - attempt.startedAtNanos < environment.connectTimeoutNanos) {
             environment.log.warn("no descriptor left for endpoints", "endpoint=" + name);
             environment.requestIdleClose.run();
             environment.loop.schedule(DESCRIPTOR_RETRY_NANOS, () -> dispatch(attempt));
         } else {
-            // this process's own shortage: the endpoint is not to blame, and no other has a descriptor
+            // the process lacks descriptors: not a fault of the endpoint, and other endpoints get none either
             end(attempt, withoutReply(Outcome.NOT_SENT));
         }
     }
@@ -228,10 +229,10 @@
             return;
         }
         if (attempt.fullySent && now() < attempt.deadlineNanos) {
-            scheduleTimeout(attempt, attempt.deadlineNanos); // sent in time, its reply may still come
+            scheduleTimeout(attempt, attempt.deadlineNanos); // sent in time, its reply may still arrive
             return;
         }
-        // late for its last byte alone: the endpoint is not to blame
+        // only the send deadline passed: not a fault of the endpoint
         boolean sendTimeout = now() < attempt.deadlineNanos;
         closeConnection(attempt);
         Outcome notSent = sendTimeout ? Outcome.NOT_SENT : Outcome.NO_CONNECTION;
@@ -260,9 +261,9 @@
         return new UpstreamReply(outcome, CacheStatus.NONE, LoadReport.NONE, null, false);
     }
 
-    // ---- from the connections
+    // ---- called by the connections
 
-    /** The first byte of an attempt has gone out, which told the endpoint of so much time. */
+    /** Handles the first sent byte of an attempt whose message states the given time left. */
     void onFirstByteSent(UpstreamRequest attempt, long timeLeftMillis) {
         if (!attempt.isLoadProbe()) {
             environment.rules.onSent(new RuleMonitor.Sent(attempt.command().id(), name, acceptsRequests(),
@@ -270,7 +271,7 @@
         }
     }
 
-    /** The last byte of an attempt has gone out. */
+    /** Handles the last sent byte of an attempt. */
     void onFullySent(UpstreamRequest attempt) {
         if (!attempt.fullySent && !attempt.isLoadProbe()) {
             environment.onForwarded.run();
@@ -278,7 +279,7 @@
         attempt.fullySent = true;
     }
 
-    /** An attempt has its reply in full. */
+    /** Handles the complete reply to an attempt. */
     void onReply(EndpointConnection connection, UpstreamRequest attempt, UpstreamReply reply) {
         if (connection.closed) {
             return;
@@ -289,7 +290,8 @@
     }
 
     /**
-     * A reply with a long value has begun: the attempt has ended, its connection stays with the client's.
+     * Handles the start of a reply with a long value: the attempt ends, and its connection stays in use for
+     * the client's response.
      */
     void onStreamedReply(EndpointConnection connection, UpstreamRequest attempt, UpstreamReply reply) {
         if (!connection.closed) {
@@ -298,7 +300,7 @@
         }
     }
 
-    /** A connection is up and its attempt may not be sent: the connection is left to the next one. */
+    /** Handles an established connection whose attempt must not be sent: the next attempt may use it. */
     void onNotSent(EndpointConnection connection, UpstreamRequest attempt, Outcome obstacle) {
         connection.attempt = null;
         attempt.connection = null;
@@ -306,7 +308,7 @@
         end(attempt, withoutReply(obstacle));
     }
 
-    /** A connection carries nothing any more: it is kept idle, or closed. */
+    /** Keeps a connection without an attempt idle if it may be reused, or else closes it. */
     void release(EndpointConnection connection, boolean reusable) {
         if (reusable && acceptsRequests() && connection.incarnation == incarnation) {
             idle.add(connection);
@@ -315,7 +317,7 @@
         }
     }
 
-    /** A connection ended or broke, or could not be opened. */
+    /** Handles a connection that ended, was lost or could not be opened. */
     void onConnectionLost(EndpointConnection connection) {
         idle.remove(connection);
         UpstreamRequest attempt = connection.attempt;
@@ -331,14 +333,14 @@
             environment.descriptors::releaseFromEndpoint);
     }
 
-    /** Not even a socket is to be had for a connection. */
+    /** Logs the failure to open a socket and releases its descriptor. */
     void onNoSocket(IOException failure) {
         environment.log.warn("socket to endpoint not opened",
             "endpoint=" + name + " error=" + failure.getMessage());
         environment.descriptors.releaseFromEndpoint();
     }
 
-    /** A reply of the endpoint is malformed. */
+    /** Logs a malformed reply of the endpoint. */
     void onMalformedReply(String fault) {
         environment.log.warn("invalid response", "endpoint=" + name + " reason=" + fault);
     }
--- a/proxy/src/main/java/spurroad/routing/EndpointRegistry.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointRegistry.java
@@ -14,12 +14,12 @@
 import spurroad.protocol.EndpointList.ListedEndpoint;
 
 /**
- * The endpoints that discovery lists, each with its connection pool, and which of them are administratively
- * drained. Pools belong to the event loop: the registry creates them and tells them of changes through the
- * outbox. Used by the load balancer's thread only, except where a method says otherwise.
+ * Holds the endpoints that discovery lists, each with its connection pool, and the set of administratively
+ * drained endpoints. Pools belong to the event loop: the registry creates them and sends them changes through
+ * the outbox. Used by the load balancer's thread only, unless a method says otherwise.
  */
 final class EndpointRegistry {
-    /** Remembered endpoint ids, removed ones too: operators may name those of a year of releases. */
+    /** Remembered endpoint ids, including removed ones: operators may name those of a year of releases. */
     private static final int MAX_REMEMBERED_ENDPOINTS = 8192;
 
     private final EndpointConnectionPool.Environment poolEnvironment;
@@ -39,26 +39,26 @@
         this.settings = settings;
     }
 
-    /** Puts other settings in force for the lists that follow. */
+    /** Applies new settings to the lists that follow. */
     void configure(DeploymentSettings next) {
         settings = next;
     }
 
-    /** The pool of a listed endpoint; null where the endpoint is not listed. */
+    /** Returns the pool of an endpoint, or null if the endpoint is not listed. */
     EndpointConnectionPool pool(EndpointId id) {
         return pools.get(id);
     }
 
     /**
-     * Takes over a list from discovery: adds, updates and removes pools.
+     * Applies a list from discovery: adds, updates and removes pools.
      *
-     * @param previousContactNanos when discovery was last heard before this list, Unix nanoseconds;
-     *     {@link EndpointStartTimes#NEVER} where it was not
-     * @return the listed endpoints, with start times in this process's own time
+     * @param previousContactNanos when discovery's line before this list arrived, Unix nanoseconds;
+     *     {@link EndpointStartTimes#NEVER} if there was none
+     * @return the listed endpoints, with start times by this process's clock
      */
     List<Endpoint> update(EndpointList list, long previousContactNanos, long nowNanos) {
         List<ListedEndpoint> listed = list.endpoints().stream()
-            .map(e -> inOwnTime(e, previousContactNanos, nowNanos)).toList();
+            .map(entry -> inOwnTime(entry, previousContactNanos, nowNanos)).toList();
         Set<EndpointId> present = new HashSet<>();
         for (ListedEndpoint endpoint : listed) {
             remember(endpoint);
@@ -83,7 +83,7 @@
 
     private void remember(ListedEndpoint listed) {
         EndpointId id = listed.endpoint().id();
-        listedAsCacheNode.remove(id); // inserted anew, as the endpoint listed last is forgotten last
+        listedAsCacheNode.remove(id); // inserted again, so that the endpoint listed last is evicted last
         listedAsCacheNode.put(id, !isOrigin(listed));
         if (listedAsCacheNode.size() > MAX_REMEMBERED_ENDPOINTS) {
             listedAsCacheNode.remove(listedAsCacheNode.keySet().iterator().next());
@@ -123,12 +123,12 @@
         }
     }
 
-    /** Whether an endpoint with this id has been listed as a cache node; some years of ids are remembered. */
+    /** Returns whether an endpoint was last listed as a cache node; some years of ids are remembered. */
     boolean wasListedAsCacheNode(EndpointId id) {
         return Boolean.TRUE.equals(listedAsCacheNode.get(id));
     }
 
-    /** Records that operators drain an endpoint, or put it back in use, also for when it is listed later. */
+    /** Records that operators drain an endpoint or return it to use, even if it is not listed yet. */
     void recordAdminDrain(EndpointId id, boolean drained) {
         if (drained) {
             administrativelyDrained.add(id);
@@ -137,17 +137,17 @@
         }
     }
 
-    /** Whether a listed endpoint is still in its slow start; from any thread. */
+    /** Returns whether a listed endpoint is still in its slow start. May be called by any thread. */
     boolean isAnyEndpointWarmingUp(long nowNanos) {
         return nowNanos < slowStartEndsAtNanos;
     }
 
-    /** Has each pool close so many of its connections that have been idle the longest. */
+    /** Closes the given number of the longest idle connections in each pool. */
     void closeIdlePerPool(int connections) {
         pools.values().forEach(pool -> outbox.add(() -> pool.closeLongestIdle(connections)));
     }
 
-    /** Has about so many idle connections closed, spread over the pools. */
+    /** Closes about the given number of idle connections, spread over the pools. */
     void closeIdle(int connections) {
         closeIdlePerPool((connections + pools.size() - 1) / Math.max(1, pools.size()));
     }
--- a/proxy/src/main/java/spurroad/routing/EndpointStartTimes.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointStartTimes.java
@@ -6,21 +6,21 @@
 import spurroad.model.EndpointId;
 
 /**
- * Translates the start times of listed endpoints to this process's own time. A list tells the time of day at
- * which an endpoint started, as some machine's clock had it; such a clock may be stepped by seconds or by an
- * hour. A start that was not listed before cannot lie before the last moment at which discovery still told of
- * the state without it, nor after the moment at which it was listed.
+ * Translates the start times of listed endpoints to this process's clock. A list states the time of day at
+ * which an endpoint started, by the clock of another machine, which may be stepped by seconds or by an hour.
+ * A start that was not listed before cannot be earlier than the last line from discovery that still described
+ * the state without it, nor later than the moment at which it was listed.
  *
- * <p>Decisions compare the times as ids of incarnations, so a start keeps its time once it was translated.
+ * <p>Decisions use the start times as ids of incarnations, so a start keeps its time once it was translated.
  * Used by one thread only.
  */
 final class EndpointStartTimes {
-    /** Discovery was never heard before: any start may lie as far back as it is listed. */
+    /** No line from discovery arrived before: a start may be as early as it is listed. */
     static final long NEVER = Long.MIN_VALUE;
 
     private record Start(long listedNanos, long ownNanos) {}
 
-    /** Endpoints, removed ones too: one that returns is no new start. */
+    /** Endpoints, including removed ones: an endpoint that is listed again has not started again. */
     private static final int MAX_REMEMBERED = 8_192;
 
     private final Map<EndpointId, Start> starts = new LinkedHashMap<>() {
@@ -33,16 +33,16 @@
     };
 
     /**
-     * Returns the endpoint with its start in this process's time.
+     * Returns the endpoint with its start time by this process's clock.
      *
-     * @param previousContactNanos when discovery was last heard before this list, Unix nanoseconds;
-     *     {@link #NEVER} where it was not
+     * @param previousContactNanos when discovery's line before this list arrived, Unix nanoseconds;
+     *     {@link #NEVER} if there was none
      */
     Endpoint inOwnTime(Endpoint listed, long previousContactNanos, long nowNanos) {
         long listedNanos = listed.startedAtNanos();
         if (listedNanos == 0) {
             starts.remove(listed.id());
-            return listed; // long ago, by any clock
+            return listed; // started long ago, by any clock
         }
         Start known = starts.get(listed.id());
         if (known == null || known.listedNanos != listedNanos) {
--- a/proxy/src/main/java/spurroad/routing/EndpointStatusLog.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointStatusLog.java
@@ -10,14 +10,14 @@
 import spurroad.model.EndpointId;
 
 /**
- * Logs which endpoints are ejected or on trial and what each waits for, whenever that has changed. An
- * endpoint that waits for what never comes would otherwise be missed by nobody. Used by the load balancer's
- * thread only.
+ * Logs which endpoints are ejected or on trial, and the event that each awaits, whenever this changes.
+ * Without these lines, nobody would notice an endpoint that awaits an event that never occurs. Used by the
+ * load balancer's thread only.
  */
 final class EndpointStatusLog {
-    // an endpoint's progress after an ejection is no event of its own
+    // the load balancer reports no event when an ejected endpoint makes progress
     private static final long RENEWAL_INTERVAL_NANOS = 1_000_000_000L;
-    private static final int MAX_LOGGED_ENDPOINTS = 8; // of each kind, in one line
+    private static final int MAX_LOGGED_ENDPOINTS = 8; // for each awaited event, in one line
 
     private final Function<EndpointId, String> names;
     private final BiConsumer<String, String> log;
@@ -26,10 +26,10 @@
     private long statusNanos;
 
     /**
-     * Creates a log of a status without any endpoint.
+     * Creates a log whose last status has no restricted endpoints.
      *
-     * @param names gives what staff know an endpoint by
-     * @param log takes a line's fixed phrase and its fields
+     * @param names returns the name by which operators know an endpoint
+     * @param log writes a line from its fixed event phrase and its fields
      */
     EndpointStatusLog(Function<EndpointId, String> names, BiConsumer<String, String> log) {
         this.names = names;
@@ -37,12 +37,12 @@
         lastFields = fields(AdminStatus.NONE);
     }
 
-    /** Whether the status is to be asked for again, as endpoints that were ejected may have made progress. */
+    /** Returns whether to fetch the status again because ejected endpoints may have made progress. */
     boolean isRenewalDue(long now) {
         return anyEjected && now - statusNanos >= RENEWAL_INTERVAL_NANOS;
     }
 
-    /** Logs a status that differs from the last one. */
+    /** Logs a status if it differs from the previous one. */
     void onStatus(AdminStatus status, long now) {
         statusNanos = now;
         anyEjected = status.awaiting(AwaitedEvent.RETURN_BY_OPERATOR) < status.restricted().size();
--- a/proxy/src/main/java/spurroad/routing/EndpointWatch.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointWatch.java
@@ -15,14 +15,15 @@
 import spurroad.transport.Threads;
 
 /**
- * Watches the endpoint list at discovery: keeps its revision and one watch. There are two watches while
- * discovery moves, a watch has fallen silent or a call has no answer: the older one is kept beside the next
- * call, as what it waits for may come at any moment. Where lists are pushed, their agent is close and serves
- * this proxy alone: there the list is watched from the start and polled again soon. Elsewhere it is watched
- * when the load balancer asks for it. Used on the event loop, except where a method says otherwise.
+ * Watches discovery's endpoint list: tracks its revision and keeps one watch open. Two watches are open while
+ * discovery's address changes, a watch has stalled or a call is unanswered: the older watch stays open beside
+ * the next call, because its next line may arrive at any moment. If lists are pushed, an agent that is close
+ * and serves this proxy alone provides them: the list is watched from the start and polled again soon.
+ * Otherwise the list is watched once the load balancer asks for it. Used on the event loop, unless a method
+ * says otherwise.
  */
 public final class EndpointWatch implements LoadBalancerThread.DiscoveryPoller {
-    /** Longer than any timer: no thread outlives its socket for long. */
+    /** Longer than any timer; bounds the time for which a thread outlives its socket. */
     private static final int SOCKET_TIMEOUT_MILLIS = 10_000;
     private static final int OK = 200;
     private static final Runnable NOTHING = () -> {};
@@ -36,14 +37,14 @@
     private final DiscoveryTiming timing;
     private InetSocketAddress discovery;
     private long revision;
-    private long lastContactNanos = EndpointStartTimes.NEVER; // the last line, be it of no change
+    private long lastContactNanos = EndpointStartTimes.NEVER; // last line, even one without a change
     private Watch current;
     private Watch previous;
     private Runnable onFirstList = NOTHING;
     private EventLoop.Timer nextPoll = () -> {};
     private boolean closed;
 
-    /** Calls nobody until it is polled. */
+    /** Creates a watch that makes no call until it is polled. */
     public EndpointWatch(ProxyConfiguration start, Threads threads, EventLoop loop, EventLog log,
                          LoadBalancerThread loadBalancer) {
         this.threads = threads;
@@ -57,18 +58,18 @@
         timing = new DiscoveryTiming(pushed, start.settings.pollWithinNanos, new Random(start.seed));
     }
 
-    /** Whether lists are pushed: what there is to know counts from the first moment of a process on. */
+    /** Returns whether lists are pushed, so that a process must know the current list from its start. */
     public boolean pushed() {
         return pushed;
     }
 
-    /** Begins to watch; runs the callback, on the loop, once the first list has come. From any thread. */
+    /** Starts to watch; runs the callback on the loop after the first list. May be called by any thread. */
     public void begin(Runnable heard) {
         loop.execute(() -> onFirstList = heard);
         poll();
     }
 
-    /** Begins to watch unless there is a watch. From any thread. */
+    /** Starts to watch unless a watch is open. May be called by any thread. */
     @Override
     public void poll() {
         loop.execute(() -> {
@@ -79,8 +80,8 @@
     }
 
     /**
-     * Discovery has another address from now on; the watch that there is goes on until the new one has
-     * spoken. From any thread.
+     * Switches to a new address of discovery; the current watch stays open until the new one has received a
+     * line. May be called by any thread.
      */
     public void moved(InetSocketAddress to) {
         loop.execute(() -> {
@@ -96,14 +97,14 @@
         });
     }
 
-    /** Opens a watch beside the current one, which is kept until the new one has spoken. */
+    /** Opens a watch beside the current one, which stays open until the new one has received a line. */
     private void openBesideCurrent(long timeoutNanos) {
         closePrevious();
         previous = current;
         open(timeoutNanos);
     }
 
-    /** Ends the watches, and opens none any more. On the event loop. */
+    /** Closes the watches and prevents new ones. Must be called on the event loop. */
     public void close() {
         closed = true;
         closePrevious();
@@ -112,7 +113,7 @@
         }
     }
 
-    /** Opens a watch whose first line is to come within the time. */
+    /** Opens a watch whose first line must arrive within the given time. */
     private void open(long timeoutNanos) {
         nextPoll.cancel();
         if (closed) {
@@ -123,7 +124,7 @@
         watch.expectLine(timeoutNanos);
         try {
             threads.start("endpoint watch", watch);
-        } catch (OutOfMemoryError e) { // the system has no thread for now: as a call that failed
+        } catch (OutOfMemoryError e) { // no thread can be started at present: handled as a failed call
             loop.execute(() -> onEnd(watch, e.getMessage()));
         }
     }
@@ -135,10 +136,10 @@
         }
     }
 
-    /** A watch has received a line; the list is null where the line says that nothing has changed. */
+    /** Handles a line that a watch received; the list is null if the line reports no change. */
     private void onLine(Watch watch, EndpointList list) {
         if (watch != current && watch != previous) {
-            return; // a later watch has told more
+            return; // superseded by a later watch, which has newer lines
         }
         if (watch == previous && !watch.hasSpoken && watch.address.equals(discovery)) {
             makeCurrent(watch);
@@ -165,7 +166,8 @@
     }
 
     /**
-     * A call that had no answer in time has got it after all: the one that was begun beside it is not needed.
+     * Makes a watch current whose first line arrived after its timeout, and closes the call that was started
+     * beside it.
      */
     private void makeCurrent(Watch late) {
         nextPoll.cancel();
@@ -176,25 +178,25 @@
         previous = null;
     }
 
-    /** A watch has received no whole line for too long, whatever has trickled in. */
+    /** Handles a watch that received no complete line in time, even if it received part of one. */
     private void onSilence(Watch watch) {
         watch.silent = true;
         if (watch != current) {
             watch.close();
-            onEnd(watch, "nothing came"); // not left to its thread, which may notice later
+            onEnd(watch, "no line received in time"); // its thread may notice the close later
             return;
         }
         log.warn(watch.hasSpoken ? "discovery watch silent, polling again"
             : "discovery poll unanswered, polling again", "revision=" + revision);
         if (!watch.hasSpoken && previous != null && !previous.silent) {
-            watch.close(); // the watch at the previous address is the better one to keep
+            watch.close(); // the watch at the previous address still works: keep that one
             open(timing.callTimeoutNanos());
             return;
         }
         openBesideCurrent(
             watch.hasSpoken ? timing.callTimeoutAfterSilenceNanos(watch.timeoutNanos)
                 : timing.callTimeoutNanos());
-        watch.expectLine(timing.callTimeoutNanos()); // beside the call, in case it is only late
+        watch.expectLine(timing.callTimeoutNanos()); // kept beside the call in case its line is only late
     }
 
     private void onEnd(Watch watch, String why) {
@@ -204,7 +206,7 @@
         } else if (watch == current) {
             current = null;
             log.warn("discovery failed, backing off", "reason=" + why);
-            // the load balancer's backoff does not know the poll interval of the settings
+            // the load balancer's backoff ignores the configured poll interval
             nextPoll.cancel();
             nextPoll = loop.schedule(timing.pauseNanos(), this::poll);
             if (!pushed) {
@@ -213,15 +215,15 @@
         }
     }
 
-    /** One call to discovery, on a thread of its own, which owns its socket; that may be closed earlier. */
+    /** A call to discovery on a thread of its own, which owns the socket; other threads may close it. */
     private final class Watch implements Runnable {
         private final Socket socket = new Socket();
         private final InetSocketAddress address;
         private final long sinceRevision;
-        // the loop's
-        private boolean hasSpoken; // while it was the current one
+        // the fields below are used on the event loop only
+        private boolean hasSpoken; // while this watch was the current one
         private boolean silent;
-        private long timeoutNanos; // from its last line, or its beginning, until it counts as silent
+        private long timeoutNanos; // from the last line, or from the start, until the watch counts as stalled
         private EventLoop.Timer silenceTimer = () -> {};
 
         private Watch(InetSocketAddress address, long sinceRevision) {
@@ -229,7 +231,7 @@
             this.sinceRevision = sinceRevision;
         }
 
-        /** The next line is to come within the time. */
+        /** Sets the time within which the next line must arrive. */
         private void expectLine(long withinNanos) {
             silenceTimer.cancel();
             timeoutNanos = withinNanos;
@@ -240,7 +242,7 @@
 
         @Override
         public void run() {
-            String end = "it ended";
+            String end = "end of stream";
             try {
                 readLines(call());
             } catch (IOException e) {
@@ -252,7 +254,7 @@
             loop.execute(() -> onEnd(this, why));
         }
 
-        /** Calls discovery; returns the body of its response. */
+        /** Calls discovery and returns the body of its response. */
         private ByteSource call() throws IOException {
             socket.connect(address, timing.connectTimeoutMillis());
             socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
@@ -264,7 +266,7 @@
             if (head.status() != OK) {
                 throw new ProtocolException("answered " + head.status());
             }
-            // the first line comes after a heartbeat where nothing has changed
+            // if nothing has changed, the first line is a heartbeat
             loop.execute(() -> expectLine(timing.silenceNanos()));
             return Http.stream(response, head);
         }
@@ -276,12 +278,12 @@
             }
         }
 
-        /** From any thread. */
+        /** Closes the socket. May be called by any thread. */
         private void close() {
             try {
                 socket.close();
             } catch (IOException e) {
-                // it is closed all the same
+                // the socket counts as closed even after a failed close
             }
         }
     }
--- a/proxy/src/main/java/spurroad/routing/IdleConnections.java
+++ b/proxy/src/main/java/spurroad/routing/IdleConnections.java
@@ -6,24 +6,24 @@
 import spurroad.transport.EventLoop;
 
 /**
- * The idle connections of one pool. One is reused once what may follow its last reply has had time to arrive,
- * and closed before its endpoint would close it. Used on the event loop only.
+ * The idle connections of one pool. A connection is reused only after a delay in which input that follows its
+ * last reply can arrive, and it is closed before its endpoint would close it. Used on the event loop only.
  */
 final class IdleConnections {
-    /** Of the time until the endpoint closes an idle connection: no request crosses that close. */
+    /** Fraction of the endpoint's idle timeout; the rest ensures that no request crosses with the close. */
     private static final double KEEP_ALIVE_FRACTION = 0.8;
 
     private final EventLoop loop;
     private final long keepAliveNanos;
     private final long reuseDelayNanos;
-    private final Deque<EndpointConnection> connections = new ArrayDeque<>(); // used last at the end
+    private final Deque<EndpointConnection> connections = new ArrayDeque<>(); // least recently used first
     private boolean expiryScheduled;
 
     /**
      * Creates an empty set.
      *
-     * @param idleTimeoutNanos after which the endpoint closes an idle connection
-     * @param reuseDelayNanos how long a connection rests after a reply
+     * @param idleTimeoutNanos time after which the endpoint closes an idle connection
+     * @param reuseDelayNanos how long a connection stays unused after a reply
      */
     IdleConnections(EventLoop loop, long idleTimeoutNanos, long reuseDelayNanos) {
         this.loop = loop;
@@ -35,21 +35,21 @@
         return connections.isEmpty();
     }
 
-    /** Adds a connection that carries nothing from now on. */
+    /** Adds a connection that has become idle. */
     void add(EndpointConnection connection) {
         connection.idleSinceNanos = loop.now();
         connections.addLast(connection);
         scheduleExpiry();
     }
 
-    /** Forgets a connection that was lost. */
+    /** Removes a lost connection. */
     void remove(EndpointConnection connection) {
         connections.remove(connection);
     }
 
     /**
-     * Takes the connection used last, but not before what may follow its last reply has had time to arrive
-     * and close it; null where there is none.
+     * Removes and returns the most recently used connection whose reuse delay has passed, or null if there is
+     * none. In that delay, input that follows the last reply arrives and closes the connection.
      */
     EndpointConnection take() {
         closeExpired();
@@ -66,19 +66,19 @@
         return null;
     }
 
-    /** How long until the connection that has been idle the longest has rested; only where there is one. */
+    /** Returns the time until the longest idle connection may be reused; must not be called when empty. */
     long nanosUntilRested() {
         return connections.peekFirst().idleSinceNanos + reuseDelayNanos - loop.now();
     }
 
-    /** Closes all of them. */
+    /** Closes all idle connections. */
     void closeAll() {
         while (!connections.isEmpty()) {
             connections.poll().close();
         }
     }
 
-    /** Closes those that have been idle the longest. */
+    /** Closes at most the given number of connections, longest idle first. */
     void closeLongestIdle(int atMost) {
         for (int i = 0; i < atMost && !connections.isEmpty(); i++) {
             connections.poll().close();
@@ -92,7 +92,7 @@
         }
     }
 
-    /** One timer at a time, however many connections come and go. */
+    /** Schedules the next expiry; only one timer is active at a time. */
     private void scheduleExpiry() {
         if (!connections.isEmpty() && !expiryScheduled) {
             expiryScheduled = true;
--- a/proxy/src/main/java/spurroad/routing/LoadBalancerThread.java
+++ b/proxy/src/main/java/spurroad/routing/LoadBalancerThread.java
@@ -22,29 +22,29 @@
 import spurroad.transport.Threads;
 
 /**
- * The one thread that calls {@link LoadBalancer}, and its inbox: the methods here post messages, which the
- * thread runs in order. {@link RequestEvents} and {@link ControlEvents} pass the events on to the load
- * balancer, {@link DecisionExecutor} carries out the decisions, and {@link LoopOutbox} hands their results to
- * the event loop. {@link InFlightRequests} and {@link EndpointRegistry} hold the state, which is this
- * thread's own.
+ * The only thread that calls {@link LoadBalancer}, with its inbox: the methods of this class post messages,
+ * which the thread runs in order. {@link RequestEvents} and {@link ControlEvents} pass the events to the load
+ * balancer, {@link DecisionExecutor} carries out the decisions, and {@link LoopOutbox} sends the resulting
+ * messages to the event loop. {@link InFlightRequests} and {@link EndpointRegistry} hold the state, which
+ * belongs to this thread.
  */
 public final class LoadBalancerThread implements Runnable {
-    /** Asked to follow the endpoint list when the load balancer wants it. */
+    /** Polls discovery when the load balancer decides to. */
     public interface DiscoveryPoller {
-        /** Asks discovery for the list, and follows its changes. */
+        /** Requests the endpoint list from discovery and watches its changes. */
         void poll();
     }
 
-    /** Messages run before their results are handed over: no more than a millisecond's work. */
+    /** Number of messages run between flushes of the outbox: at most a millisecond of work. */
     private static final int MESSAGES_PER_FLUSH = 32;
-    /** Messages; a dozen for each request that there is room for. */
+    /** In messages: about a dozen for each request that a process can hold. */
     private static final int MAILBOX_CAPACITY = 1 << 16;
-    private static final int MAX_WAITING_PEER_UPDATES = 4096; // further ones are lost
-    private static final long LOG_FLUSH_MILLIS = 200; // for the last lines to be written
-    private static final int FAILURE_EXIT_CODE = 70; // EX_SOFTWARE: a fault of the program itself
+    private static final int MAX_WAITING_PEER_UPDATES = 4096; // further updates are dropped
+    private static final long LOG_FLUSH_MILLIS = 200; // time to write the last lines
+    private static final int FAILURE_EXIT_CODE = 70; // EX_SOFTWARE of sysexits: an internal error
 
     private final Mailbox mailbox = new Mailbox(MAILBOX_CAPACITY);
-    /** {@link BalancerMessage}s posted together at the end of an iteration of the event loop; the loop's. */
+    /** {@link BalancerMessage}s to post at the end of the loop's iteration; used on the event loop only. */
     private final List<Runnable> fromLoop = new ArrayList<>();
     private final AtomicInteger waitingPeerUpdates = new AtomicInteger();
     private final OutcomeStatistics statistics = new OutcomeStatistics();
@@ -61,9 +61,9 @@
     private boolean shutdown;
 
     /**
-     * Creates the load balancer and its inbox; nothing runs yet.
+     * Creates the load balancer and its inbox without starting the thread.
      *
-     * @param reuseDelayNanos how long a connection to an endpoint rests between two attempts
+     * @param reuseDelayNanos how long a connection to an endpoint stays unused between two attempts
      */
     public LoadBalancerThread(ProxyConfiguration start, Threads threads, EventLoop loop, EventLog log,
                               Clock clock,
@@ -92,17 +92,17 @@
         loop.onIterationEnd(this::postFromLoop);
     }
 
-    /** To be called before the thread starts. */
+    /** Sets the poller; must be called before the thread starts. */
     public void setDiscoveryPoller(DiscoveryPoller poller) {
         executor.setDiscoveryPoller(poller);
     }
 
-    /** To be called before the thread starts, where proxies exchange updates. */
+    /** Sets the exchange of peer updates, if enabled; must be called before the thread starts. */
     public void setPeerGossip(PeerGossip gossip) {
         executor.setPeerGossip(gossip);
     }
 
-    /** To be called before the thread starts. */
+    /** Sets the admission controller; must be called before the thread starts. */
     void setAdmissionController(AdmissionController controller) {
         requestEvents.setAdmissionController(controller);
     }
@@ -138,25 +138,25 @@
         }
     }
 
-    /** Hands the results of what ran since the last flush to the event loop, in one batch. */
+    /** Sends the messages added since the last flush to the event loop in one batch. */
     private void flush() {
         requestEvents.reportQueueDelay();
         outbox.flush();
     }
 
-    /** Ends the thread once all messages before are done; nothing may be posted to it any more. */
+    /** Ends the thread after all messages posted so far; no message may be posted afterwards. */
     public void shutdown() {
         mailbox.post(new BalancerMessage.Shutdown(this));
     }
 
-    /** On the thread itself. */
+    /** Ends the thread's loop; called on the thread itself. */
     void onShutdown() {
         shutdown = true;
     }
 
-    // ---- from the event loop
+    // ---- called on the event loop
 
-    /** Posts what an iteration of the event loop has brought, all at once. */
+    /** Posts the messages of an iteration of the event loop in one batch. */
     private void postFromLoop() {
         if (!fromLoop.isEmpty()) {
             mailbox.post(fromLoop);
@@ -164,19 +164,19 @@
         }
     }
 
-    /** A client's request was admitted. */
+    /** Reports an admitted request. */
     void onRequest(ProxiedRequest request) {
         fromLoop.add(new BalancerMessage.RequestArrived(requestEvents, request));
     }
 
-    /** The client of a request disconnected; what has not gone out for it does not begin any more. */
+    /** Reports that the client of a request disconnected; attempts that were not sent yet do not start. */
     void onClientDisconnect(ProxiedRequest request) {
-        // at once: what has been decided meanwhile, or waits for a connection, is not begun
+        // set at once, so that attempts already decided or waiting for a connection do not start
         request.clientLeft = true;
         fromLoop.add(new BalancerMessage.ClientDisconnected(requestEvents, request));
     }
 
-    /** Fails all requests that have no response: this process is about to be killed. */
+    /** Fails all requests without a response because this process is about to be killed. */
     void failAllRequests() {
         fromLoop.add(new BalancerMessage.FailAllRequests(requestEvents));
     }
@@ -185,29 +185,31 @@
         fromLoop.add(new BalancerMessage.AttemptEnded(requestEvents, attempt, reply));
     }
 
-    /** The service level, the fraction of requests that is admitted, and rejections since the last call. */
+    /** Reports the service level, the admitted fraction of requests, and rejections since the last call. */
     void onServiceLevel(ServiceLevel level, double admittedFraction, long rejected) {
         fromLoop.add(
             new BalancerMessage.ServiceLevelMeasured(controlEvents, level, admittedFraction, rejected));
     }
 
-    /** Other settings: all requests before have been taken under the former ones. */
+    /** Applies new settings; all requests reported before were admitted under the previous settings. */
     void onDeploymentChange(DeploymentSettings next) {
         fromLoop.add(new BalancerMessage.DeploymentChanged(controlEvents, next));
     }
 
-    /** Checks what is done; the loop's. */
+    /** Returns the monitor of rule violations, which is used on the event loop only. */
     RuleMonitor rules() {
         return rules;
     }
 
-    // ---- from other threads
+    // ---- called by any thread
 
     private void onUnroutableProbe(EndpointId endpoint) {
         mailbox.post(new BalancerMessage.ProbeUnroutable(requestEvents, endpoint));
     }
 
-    /** An update from another proxy. A flood of them fills no mailbox: updates may be lost. */
+    /**
+     * Reports an update from another proxy; surplus updates are dropped so that they can't fill the mailbox.
+     */
     void onPeerUpdate(PeerUpdate update) {
         if (waitingPeerUpdates.incrementAndGet() > MAX_WAITING_PEER_UPDATES) {
             waitingPeerUpdates.decrementAndGet();
@@ -216,64 +218,65 @@
         mailbox.post(new BalancerMessage.PeerUpdateReceived(controlEvents, update, waitingPeerUpdates));
     }
 
-    /** Descriptors are short: the pools are to close idle connections. */
+    /** Closes an idle connection in each pool because descriptors are short. */
     void placesNeeded() {
         mailbox.post(new BalancerMessage.CloseIdlePerPool(endpoints, 1));
     }
 
-    /** Has about so many idle connections to nodes closed. */
+    /** Closes about the given number of idle connections to endpoints. */
     public void closeIdleConnections(int connections) {
         mailbox.post(new BalancerMessage.CloseIdle(endpoints, connections));
     }
 
-    /** The list that this process was started with, of unknown age. */
+    /** Reports the list of unknown age with which this process was started. */
     public void onEndpointUpdate(EndpointList known) {
         onEndpointUpdate(known, EndpointStartTimes.NEVER);
     }
 
     /**
-     * A list came from discovery.
+     * Reports an endpoint list from discovery.
      *
-     * @param previousContactNanos when discovery was last heard before this list, Unix nanoseconds
+     * @param previousContactNanos when discovery's line before this list arrived, Unix nanoseconds
      */
     void onEndpointUpdate(EndpointList list, long previousContactNanos) {
         mailbox.post(new BalancerMessage.EndpointListReceived(controlEvents, list, previousContactNanos));
     }
 
-    /** A call to discovery failed, or its subscription ended. */
+    /** Reports a failed call to discovery, or the end of a watch. */
     public void onDiscoveryFailure() {
         mailbox.post(new BalancerMessage.DiscoveryFailed(controlEvents));
     }
 
     /**
-     * Drains a cache node by an operator's order, or puts it back in use. Tells, on the loop, whether such a
-     * cache node has been listed; by then nothing new begins at a drained one: not what waits for a
-     * connection to it either.
+     * Drains a cache node on an operator's request, or returns it to use. The callback runs on the event loop
+     * and receives whether the cache node is known. By then, no attempt starts at a drained cache node, not
+     * even one that waits for a connection to it.
      *
-     * @param vouched whether it is so even if it was never listed here: another process has heard of it
+     * @param vouched whether another process knows the cache node, so that it counts as known even if this
+     *     process never had it listed
      */
     public void setAdminDrain(EndpointId id, boolean drained, boolean vouched, Consumer<Boolean> done) {
         mailbox.post(new BalancerMessage.AdminDrainRequested(controlEvents, id, drained, vouched, done));
     }
 
-    // ---- to be read from any thread
+    // ---- readable from any thread
 
-    /** How requests ended. */
+    /** Returns the statistics of the outcomes of requests. */
     public OutcomeStatistics results() {
         return statistics;
     }
 
-    /** How often a rule was broken since the start of the process, as far as is checked. */
+    /** Returns the number of rule violations detected since the start of the process. */
     public long ruleViolations() {
         return rules.violations();
     }
 
-    /** The endpoints' administrative status, less than a second after it has changed. */
+    /** Returns the endpoints' administrative status, at most a second old. */
     public AdminStatus adminStatus() {
         return executor.adminStatus();
     }
 
-    /** Whether a listed endpoint is still in its slow start. */
+    /** Returns whether a listed endpoint is still in its slow start. */
     boolean isAnyEndpointWarmingUp(long nowNanos) {
         return endpoints.isAnyEndpointWarmingUp(nowNanos);
     }
--- a/proxy/src/main/java/spurroad/routing/LoopOutbox.java
+++ b/proxy/src/main/java/spurroad/routing/LoopOutbox.java
@@ -5,11 +5,11 @@
 import spurroad.transport.EventLoop;
 
 /**
- * Messages from the load balancer's thread to the event loop, in order. They are gathered and handed over in
- * one batch, so that the loop is woken once for many. Used by the load balancer's thread only.
+ * Collects messages from the load balancer's thread to the event loop, in order, and sends them in batches,
+ * so that the loop is woken once for many messages. Used by the load balancer's thread only.
  */
 final class LoopOutbox {
-    /** A record rather than a lambda: the quick compiler makes each call into a lambda's machine costly. */
+    /** A record, because C1 creates a capturing lambda by a slow call into the virtual machine. */
     private record Batch(List<Runnable> messages) implements Runnable {
         @Override
         public void run() {
@@ -26,12 +26,12 @@
         this.loop = loop;
     }
 
-    /** Adds a message that the loop runs after the next {@link #flush}. */
+    /** Adds a message, which the loop runs after the next {@link #flush}. */
     void add(Runnable message) {
         messages.add(message);
     }
 
-    /** Hands over all messages added since the last flush. */
+    /** Sends all messages added since the last flush. */
     void flush() {
         if (!messages.isEmpty()) {
             List<Runnable> batch = messages;
--- a/proxy/src/main/java/spurroad/routing/PeerGossip.java
+++ b/proxy/src/main/java/spurroad/routing/PeerGossip.java
@@ -9,11 +9,11 @@
 import spurroad.transport.PeerDatagrams;
 import spurroad.transport.Threads;
 
-/** Exchanges updates with the other proxies of the deployment, as datagrams. */
+/** Exchanges peer updates with the other proxies of the deployment in datagrams. */
 public final class PeerGossip {
     private final PeerDatagrams datagrams;
 
-    /** Receives updates from now on, on a thread of its own. */
+    /** Opens the socket and starts a thread that receives updates. */
     public PeerGossip(List<InetSocketAddress> proxies, int own, Threads threads, EventLog log,
                       LoadBalancerThread loadBalancer) {
         datagrams = new PeerDatagrams(proxies, own, log, bytes -> {
@@ -26,7 +26,7 @@
         threads.start("peer updates", datagrams);
     }
 
-    /** Sends an update to its recipient, or to all proxies. On the event loop. */
+    /** Sends an update to its recipient, or to all peers. Must be called on the event loop. */
     void send(Decisions.SendPeerUpdate message) {
         byte[] bytes = PeerUpdateCodec.write(message.update());
         if (message.recipient() == Decisions.ALL_PEERS) {
--- a/proxy/src/main/java/spurroad/routing/SocketFactory.java
+++ b/proxy/src/main/java/spurroad/routing/SocketFactory.java
@@ -8,9 +8,9 @@
 /** Creates sockets to endpoints. */
 public interface SocketFactory {
     /**
-     * Creates a socket that is still to be connected, or a connection to a peer in memory.
+     * Creates an unconnected socket, or a connection to an in-memory peer.
      *
-     * @param placeBack gives its descriptor back; called once it is closed
+     * @param placeBack releases the descriptor; called once the connection is closed
      */
     Connection socket(EventLoop loop, Runnable placeBack) throws IOException;
 
--- a/proxy/src/main/java/spurroad/routing/UpstreamProtocol.java
+++ b/proxy/src/main/java/spurroad/routing/UpstreamProtocol.java
@@ -7,23 +7,23 @@
 import spurroad.protocol.MetaResponse;
 import spurroad.protocol.UpstreamReply;
 
-/** An endpoint's protocol: one message out, one reply back. */
+/** Encodes requests to an endpoint and parses its replies; each message has one reply. */
 interface UpstreamProtocol {
     /**
-     * The message for a request, without a long value.
+     * Returns the message for a request, without its long value if it has one.
      *
      * @param command the request; null for a load probe
-     * @param timeLeftMillis how long its reply is waited for
+     * @param timeLeftMillis how long the proxy waits for the reply
      */
     byte[] message(MetaCommand command, long timeLeftMillis);
 
-    /** What follows a long value that was sent after the message. */
+    /** Returns the bytes that follow a long value, which is sent after the message. */
     byte[] afterValue();
 
-    /** Parses the reply to such a message. */
+    /** Parses the reply to a message; the command is null for a load probe. */
     UpstreamReply reply(ByteSource in, MetaCommand command) throws IOException;
 
-    /** Cache nodes: the meta commands. */
+    /** The meta commands of cache nodes. */
     UpstreamProtocol CACHE = new UpstreamProtocol() {
         @Override
         public byte[] message(MetaCommand command, long timeLeftMillis) {
@@ -41,7 +41,7 @@
         }
     };
 
-    /** The origin: HTTP/1.1. */
+    /** Returns the HTTP/1.1 protocol of the origin with the given authority. */
     static UpstreamProtocol origin(String host) {
         return new UpstreamProtocol() {
             @Override
--- a/proxy/src/main/java/spurroad/routing/UpstreamRequest.java
+++ b/proxy/src/main/java/spurroad/routing/UpstreamRequest.java
@@ -4,8 +4,8 @@
 import spurroad.transport.EventLoop;
 
 /**
- * One attempt to have a request served by an endpoint, or a load probe where there is no request. It is
- * created on the load balancer's thread; from then on it is used on the event loop, where the endpoint's
+ * An attempt to serve a request at an endpoint, or a load probe, which has no request. It is created on the
+ * load balancer's thread and used on the event loop afterwards, where the endpoint's
  * {@link EndpointConnectionPool} ends it exactly once. Times are Unix nanoseconds.
  */
 final class UpstreamRequest {
@@ -13,31 +13,31 @@
 
     /** The request; null for a load probe. */
     final ProxiedRequest request;
-    /** The number of this attempt among those of its request, from 0. */
+    /** The index of this attempt among the attempts of its request, from 0. */
     final int number;
     final EndpointConnectionPool pool;
-    /** By when its reply has to be there. */
+    /** The time by which the reply must have arrived. */
     final long deadlineNanos;
     /**
-     * By when its last byte has to go out, if at all: later a retry would no longer be recognized as one
-     * where it would run.
+     * The time by which the last byte must be sent, or else the attempt must not be sent: an endpoint would
+     * no longer recognize a later retry as one.
      */
     final long sendDeadlineNanos;
-    /** How long this process had been stalled in all when the attempt was decided. */
+    /** The total time for which this process had been stalled when the attempt was decided on. */
     final long stalledNanos;
 
-    // the pool's
-    /** Whether its first byte has gone out. */
+    // the fields below are maintained by the pool
+    /** Whether the first byte was sent. */
     boolean firstByteSent;
-    /** Whether its last byte may have gone out. */
+    /** Whether the last byte may have been sent. */
     boolean fullySent;
     EndpointConnection connection;
     EventLoop.Timer timeout;
     long startedAtNanos;
-    /** Which incarnation of the endpoint it was decided for. */
+    /** The incarnation of the endpoint for which the attempt was decided on. */
     int incarnation;
     boolean ended;
-    /** The long value of its reply; null where it has none. */
+    /** The long value of the reply, or null if the reply has none. */
     StreamedResponse streamedResponse;
 
     UpstreamRequest(ProxiedRequest request, int number, EndpointConnectionPool pool, long deadlineNanos,
@@ -55,20 +55,19 @@
     }
 
     /**
-     * What the endpoint is told of the time left, in milliseconds: no more than is left for the request at
-     * the moment in which its first byte goes out, and at least one, as an endpoint takes none for a request
-     * that is over.
+     * Returns the time left that is sent to the endpoint, in milliseconds: no more than the request has left
+     * when its first byte is sent, and at least 1, because an endpoint treats 0 as an expired request.
      */
     long timeLeftMillis(long now) {
         return Math.max(1, (deadlineNanos - now) / NANOS_PER_MILLI);
     }
 
-    /** Whether its time is over, so that there is nothing left to tell an endpoint; never so for a probe. */
+    /** Returns whether the deadline of a request has passed; always false for a load probe. */
     boolean isOverdue(long now) {
         return !isLoadProbe() && now >= deadlineNanos;
     }
 
-    /** Whether nobody waits for it any more; never so for a probe. */
+    /** Returns whether no client waits for the response any more; always false for a load probe. */
     boolean isAbandoned() {
         return !isLoadProbe() && request.isAbandoned();
     }
@@ -78,7 +77,7 @@
         return isLoadProbe() ? "load probe" : "request=" + request.command.id() + " attempt=" + (number + 1);
     }
 
-    /** The request's command; null for a load probe. */
+    /** Returns the request's command, or null for a load probe. */
     MetaCommand command() {
         return isLoadProbe() ? null : request.command;
     }
