--- a/proxy/src/main/java/spurroad/program/ProxyMetrics.java
+++ b/proxy/src/main/java/spurroad/program/ProxyMetrics.java
@@ -15,7 +15,7 @@
     private ProxyMetrics() {}
 
     static StatsdExport export(LoadBalancerThread loadBalancer, SettingsReload reload, Clock clock) {
-        OutcomeStatistics outcomes = loadBalancer.results();
+        OutcomeStatistics outcomes = loadBalancer.outcomeStatistics();
         return new StatsdExport().metrics(() -> byRequestClass(outcomes))
             .counter("forwards", outcomes::forwards)
             .gauge("outstanding", outcomes::outstanding)
--- a/proxy/src/main/java/spurroad/program/ProxyService.java
+++ b/proxy/src/main/java/spurroad/program/ProxyService.java
@@ -131,9 +131,9 @@
      * process on, and nothing is accepted before the first has come or its time is over.
      */
     private void startAccepting(EndpointWatch endpointWatch, StartBudget budget) {
-        if (endpointWatch.pushed()) {
+        if (endpointWatch.isPushed()) {
             loop.execute(() -> loop.schedule(budget.firstListNanos(), acceptance::open));
-            endpointWatch.begin(acceptance::open);
+            endpointWatch.startWatching(acceptance::open);
         } else {
             acceptance.open();
         }
--- a/proxy/src/main/java/spurroad/program/SettingsReload.java
+++ b/proxy/src/main/java/spurroad/program/SettingsReload.java
@@ -52,7 +52,7 @@
             log.info("changed settings need a restart", "keys=[" + String.join(", ", restartOnly) + "]");
         }
         if (!next.discoveryAddress.equals(current.discoveryAddress)) {
-            endpointWatch.moved(next.discoveryAddress);
+            endpointWatch.onDiscoveryMoved(next.discoveryAddress);
         }
         log.info("settings reloaded",
             "discovery=" + next.discoveryAddress + " classes=" + next.settings.requestClassNames);
--- a/proxy/src/main/java/spurroad/routing/BalancerMessage.java
+++ b/proxy/src/main/java/spurroad/routing/BalancerMessage.java
@@ -57,14 +57,16 @@
         }
     }
 
-    /** Another proxy sent an update; {@code waiting} counts the updates that were not yet processed. */
+    /**
+     * Another proxy sent an update; {@code pendingUpdates} counts the updates that were not yet processed.
+     */
     record PeerUpdateReceived(ControlEvents events, PeerUpdate update,
-                              AtomicInteger waiting)
+                              AtomicInteger pendingUpdates)
         implements
             BalancerMessage {
         @Override
         public void run() {
-            waiting.decrementAndGet();
+            pendingUpdates.decrementAndGet();
             events.onPeerUpdate(update);
         }
     }
@@ -108,29 +110,30 @@
     }
 
     /** An operator drains a cache node, or returns it to use. */
-    record AdminDrainRequested(ControlEvents events, EndpointId endpoint, boolean drained, boolean vouched,
-                               Consumer<Boolean> done)
+    record AdminDrainRequested(ControlEvents events, EndpointId endpoint, boolean drained,
+                               boolean knownToOtherProcess,
+                               Consumer<Boolean> onResult)
         implements
             BalancerMessage {
         @Override
         public void run() {
-            events.onAdminDrain(endpoint, drained, vouched, done);
+            events.onAdminDrain(endpoint, drained, knownToOtherProcess, onResult);
         }
     }
 
     /** Closes the given number of idle connections in each pool, because descriptors are short. */
-    record CloseIdlePerPool(EndpointRegistry endpoints, int connections) implements BalancerMessage {
+    record CloseIdlePerPool(EndpointRegistry endpoints, int count) implements BalancerMessage {
         @Override
         public void run() {
-            endpoints.closeIdlePerPool(connections);
+            endpoints.closeIdlePerPool(count);
         }
     }
 
     /** Closes about the given number of idle connections, summed over all pools. */
-    record CloseIdle(EndpointRegistry endpoints, int connections) implements BalancerMessage {
+    record CloseIdle(EndpointRegistry endpoints, int count) implements BalancerMessage {
         @Override
         public void run() {
-            endpoints.closeIdle(connections);
+            endpoints.closeIdle(count);
         }
     }
 
--- a/proxy/src/main/java/spurroad/routing/ClientConnections.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnections.java
@@ -78,7 +78,7 @@
         this.log = log;
         this.loadBalancer = loadBalancer;
         maxConnections = places;
-        statistics = loadBalancer.results();
+        statistics = loadBalancer.outcomeStatistics();
         rules = loadBalancer.rules();
         events = new ClientEventCounters(log, loop.now());
         configure(start.settings);
@@ -213,7 +213,7 @@
             .toList();
         candidates.forEach(candidate -> candidate.connection.giveWay(CloseReason.PLACE_NEEDED));
         if (candidates.isEmpty()) {
-            loadBalancer.placesNeeded();
+            loadBalancer.onDescriptorShortage();
         }
     }
 
--- a/proxy/src/main/java/spurroad/routing/ControlEvents.java
+++ b/proxy/src/main/java/spurroad/routing/ControlEvents.java
@@ -85,12 +85,13 @@
     }
 
     /** Drains a cache node or returns it to use; see {@link LoadBalancerThread#setAdminDrain}. */
-    void onAdminDrain(EndpointId id, boolean drained, boolean vouched, Consumer<Boolean> done) {
-        boolean known = vouched || endpoints.wasListedAsCacheNode(id);
+    void onAdminDrain(EndpointId id, boolean drained, boolean knownToOtherProcess,
+                      Consumer<Boolean> onResult) {
+        boolean known = knownToOtherProcess || endpoints.wasListedAsCacheNode(id);
         if (known) {
             applyAdminDrain(id, drained);
         }
-        outbox.add(() -> done.accept(known));
+        outbox.add(() -> onResult.accept(known));
     }
 
     private void applyAdminDrain(EndpointId id, boolean drained) {
--- a/proxy/src/main/java/spurroad/routing/EndpointConnection.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointConnection.java
@@ -34,7 +34,7 @@
     private Connection connection;
     private EventLoop.Timer timeout; // for the connect, or for the rest of a reply
     private long readAtNanos;
-    private StreamedResponse streamed; // non-null while a long value is passed to a client
+    private StreamedResponse streamedResponse; // non-null while a long value is passed to a client
     private boolean reusableAfterStream;
     // the fields below are maintained by the pool
     /** The current attempt; null while idle. */
@@ -55,11 +55,11 @@
         try {
             connection = pool.openSocket();
         } catch (IOException failure) {
-            pool.onNoSocket(failure);
+            pool.onSocketFailure(failure);
             pool.onConnectionLost(this);
             return;
         }
-        timeout = pool.loop().schedule(timeoutNanos, this::breakOff);
+        timeout = pool.loop().schedule(timeoutNanos, this::abort);
         connection.connect(address, this);
     }
 
@@ -79,17 +79,17 @@
     }
 
     /** Writes the request of an attempt, or a load probe. */
-    void write(UpstreamRequest next) {
-        next.firstByteSent = true;
-        long timeLeftMillis = next.timeLeftMillis(pool.now());
-        connection.write(protocol.message(next.command(), timeLeftMillis));
-        pool.onFirstByteSent(next, timeLeftMillis);
-        if (!next.isLoadProbe() && next.command().isLong()) {
-            next.command().pieces().forEach(connection::write);
+    void write(UpstreamRequest request) {
+        request.firstByteSent = true;
+        long timeLeftMillis = request.timeLeftMillis(pool.now());
+        connection.write(protocol.message(request.command(), timeLeftMillis));
+        pool.onFirstByteSent(request, timeLeftMillis);
+        if (!request.isLoadProbe() && request.command().isLong()) {
+            request.command().pieces().forEach(connection::write);
             connection.write(protocol.afterValue());
         }
         if (connection.isDrained() && !connection.isClosed()) {
-            pool.onFullySent(next);
+            pool.onFullySent(request);
         }
     }
 
@@ -105,7 +105,8 @@
     @Override
     public void onRead(ByteBuffer bytes) {
         readAtNanos = pool.now();
-        if (streamed != null && input.available() == 0 && streamed.remaining() > 0 && streamed.isWanted()) {
+        if (streamedResponse != null && input.available() == 0 && streamedResponse.remaining() > 0
+            && streamedResponse.isWanted()) {
             streamDirectly(bytes);
         }
         if (bytes.hasRemaining() && !closed) {
@@ -116,10 +117,10 @@
 
     /** Forwards received bytes of the long value without copying them. */
     private void streamDirectly(ByteBuffer bytes) {
-        int length = (int) Math.min(bytes.remaining(), streamed.remaining());
+        int length = (int) Math.min(bytes.remaining(), streamedResponse.remaining());
         ByteBuffer part = bytes.duplicate().limit(bytes.position() + length);
         bytes.position(bytes.position() + length);
-        streamed.onPart(part);
+        streamedResponse.onPart(part);
         if (!closed) {
             stream();
         }
@@ -127,58 +128,59 @@
 
     /** Forwards buffered bytes of the long value while the client accepts them, then resumes reading. */
     void stream() {
-        while (!closed && streamed != null && streamed.remaining() > 0 && input.available() > 0
-            && streamed.isWanted()) {
-            streamed.onPart(ByteBuffer.wrap(input.take(streamed.remaining())));
+        while (!closed && streamedResponse != null && streamedResponse.remaining() > 0
+            && input.available() > 0
+            && streamedResponse.isWanted()) {
+            streamedResponse.onPart(ByteBuffer.wrap(input.take(streamedResponse.remaining())));
         }
-        if (closed || streamed == null) {
+        if (closed || streamedResponse == null) {
             return;
         }
-        if (streamed.remaining() == 0) {
+        if (streamedResponse.remaining() == 0) {
             finishStream();
         } else {
-            boolean wanted = streamed.isWanted();
+            boolean wanted = streamedResponse.isWanted();
             connection.setReading(wanted);
-            watchStream(wanted);
+            updateStreamTimeout(wanted);
         }
     }
 
     /** Checks the end of a fully forwarded value before the client's response is completed. */
     private void finishStream() {
         connection.setReading(true);
-        if (streamed.isFollowedByLineEnd()) {
+        if (streamedResponse.isFollowedByLineEnd()) {
             if (input.available() < LINE_END.length) {
-                watchStream(true);
+                updateStreamTimeout(true);
                 return;
             }
             if (!Arrays.equals(input.take(LINE_END.length), LINE_END)) {
                 pool.onMalformedReply("expected CR LF after a value");
-                breakOff();
+                abort();
                 return;
             }
         }
-        StreamedResponse complete = streamed;
-        streamed = null;
+        StreamedResponse complete = streamedResponse;
+        streamedResponse = null;
         timeout.cancel();
         complete.onComplete();
         pool.release(this, reusableAfterStream && input.available() == 0);
     }
 
-    private void watchStream(boolean reading) {
+    private void updateStreamTimeout(boolean reading) {
         timeout.cancel();
         if (reading) {
-            timeout = pool.loop().schedule(STREAM_STALL_NANOS, this::breakOff);
+            timeout = pool.loop().schedule(STREAM_STALL_NANOS, this::abort);
         }
     }
 
     /** Closes the connection because no client reads its value any more. */
     void abandonStream() {
-        streamed = null;
+        streamedResponse = null;
         close();
     }
 
     private void parseReplies() {
-        if (streamed != null) {
+        if (streamedResponse != null) {
             stream();
             return;
         }
@@ -186,7 +188,7 @@
             try {
                 UpstreamReply reply = input.message(parser);
                 if (reply == null) {
-                    watchRest();
+                    scheduleReplyTimeout();
                     return;
                 }
                 timeout.cancel();
@@ -199,7 +201,7 @@
                 if (failure instanceof ProtocolException) {
                     pool.onMalformedReply(failure.getMessage());
                 }
-                breakOff();
+                abort();
             }
         }
     }
@@ -207,22 +209,22 @@
     private void beginStream(UpstreamReply reply) {
         reusableAfterStream = reply.reusable();
         connection.setReading(false); // until earlier responses to the client are written
-        streamed = new StreamedResponse(this, reply.streamedBody());
-        attempt.streamedResponse = streamed;
+        streamedResponse = new StreamedResponse(this, reply.streamedBody());
+        attempt.streamedResponse = streamedResponse;
         pool.onStreamedReply(this, attempt, reply);
     }
 
-    private UpstreamReply parseReply(ByteSource from) throws IOException {
+    private UpstreamReply parseReply(ByteSource source) throws IOException {
         if (attempt == null || !attempt.fullySent) {
             throw new ProtocolException(UNEXPECTED_REPLY);
         }
-        return protocol.reply(from, attempt.command());
+        return protocol.reply(source, attempt.command());
     }
 
     /** Schedules the timeout for the rest of a partly received reply. */
-    private void watchRest() {
+    private void scheduleReplyTimeout() {
         timeout.cancel();
-        timeout = pool.loop().schedule(readAtNanos + REPLY_STALL_NANOS - pool.now(), this::breakOff);
+        timeout = pool.loop().schedule(readAtNanos + REPLY_STALL_NANOS - pool.now(), this::abort);
     }
 
     // ---- the end
@@ -240,13 +242,13 @@
         }
         timeout.cancel();
         pool.onConnectionLost(this);
-        breakStream();
+        failStream();
     }
 
-    private void breakStream() {
-        if (streamed != null) {
-            StreamedResponse broken = streamed;
-            streamed = null;
+    private void failStream() {
+        if (streamedResponse != null) {
+            StreamedResponse broken = streamedResponse;
+            streamedResponse = null;
             broken.onBroken();
         }
     }
@@ -261,7 +263,7 @@
      * connection otherwise. Reads input that the event loop has not reported yet. An endpoint may close an
      * idle connection or send a second reply at any time, and a request written after that is lost.
      */
-    boolean isClean() {
+    boolean hasNoUnexpectedInput() {
         if (connection.readAvailable()) {
             close();
         }
@@ -269,11 +271,11 @@
     }
 
     /** Closes the connection and reports its loss, which ends its attempt, if any. */
-    private void breakOff() {
+    private void abort() {
         timeout.cancel();
         connection.close();
         pool.onConnectionLost(this);
-        breakStream();
+        failStream();
     }
 
     /** Closes the connection and ignores all further input. */
@@ -281,6 +283,6 @@
         closed = true;
         timeout.cancel();
         connection.close();
-        breakStream();
+        failStream();
     }
 }
--- a/proxy/src/main/java/spurroad/routing/EndpointConnectionPool.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointConnectionPool.java
@@ -119,8 +119,8 @@
     }
 
     /** Closes the longest idle connections, when descriptors are short. */
-    void closeLongestIdle(int atMost) {
-        idle.closeLongestIdle(atMost);
+    void closeLongestIdle(int maxCount) {
+        idle.closeLongestIdle(maxCount);
     }
 
     /** Starts an attempt. */
@@ -207,7 +207,7 @@
     private void waitForDescriptor(UpstreamRequest attempt) {
         if (!idle.isEmpty()) {
             // a connection in its reuse delay is available sooner than a descriptor that others must release
-            environment.loop.schedule(idle.nanosUntilRested(), () -> dispatch(attempt));
+            environment.loop.schedule(idle.nanosUntilReusable(), () -> dispatch(attempt));
         } else if (now() - attempt.startedAtNanos < environment.connectTimeoutNanos) {
             environment.log.warn("no descriptor left for endpoints", "endpoint=" + name);
             environment.requestIdleClose.run();
@@ -334,7 +334,7 @@
     }
 
     /** Logs the failure to open a socket and releases its descriptor. */
-    void onNoSocket(IOException failure) {
+    void onSocketFailure(IOException failure) {
         environment.log.warn("socket to endpoint not opened",
             "endpoint=" + name + " error=" + failure.getMessage());
         environment.descriptors.releaseFromEndpoint();
--- a/proxy/src/main/java/spurroad/routing/EndpointRegistry.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointRegistry.java
@@ -58,14 +58,14 @@
      */
     List<Endpoint> update(EndpointList list, long previousContactNanos, long nowNanos) {
         List<ListedEndpoint> listed = list.endpoints().stream()
-            .map(entry -> inOwnTime(entry, previousContactNanos, nowNanos)).toList();
+            .map(entry -> toLocalTime(entry, previousContactNanos, nowNanos)).toList();
         Set<EndpointId> present = new HashSet<>();
         for (ListedEndpoint endpoint : listed) {
             remember(endpoint);
             if (endpoint.endpoint().phase() == EndpointPhase.REMOVED) {
                 remove(endpoint.endpoint().id());
             } else {
-                noteSlowStart(endpoint.endpoint());
+                updateSlowStartEnd(endpoint.endpoint());
                 present.add(endpoint.endpoint().id());
                 addOrUpdate(endpoint);
             }
@@ -76,8 +76,8 @@
         return listed.stream().map(ListedEndpoint::endpoint).toList();
     }
 
-    private ListedEndpoint inOwnTime(ListedEndpoint listed, long previousContactNanos, long nowNanos) {
-        return new ListedEndpoint(startTimes.inOwnTime(listed.endpoint(), previousContactNanos, nowNanos),
+    private ListedEndpoint toLocalTime(ListedEndpoint listed, long previousContactNanos, long nowNanos) {
+        return new ListedEndpoint(startTimes.toLocalTime(listed.endpoint(), previousContactNanos, nowNanos),
             listed.address());
     }
 
@@ -94,7 +94,7 @@
         return listed.endpoint().kind().equals(settings.deployment.originKind());
     }
 
-    private void noteSlowStart(Endpoint endpoint) {
+    private void updateSlowStartEnd(Endpoint endpoint) {
         if (endpoint.startedAtNanos() > 0) {
             slowStartEndsAtNanos = Math.max(slowStartEndsAtNanos,
                 endpoint.startedAtNanos() + settings.deployment.slowStartNanos());
@@ -143,12 +143,12 @@
     }
 
     /** Closes the given number of the longest idle connections in each pool. */
-    void closeIdlePerPool(int connections) {
-        pools.values().forEach(pool -> outbox.add(() -> pool.closeLongestIdle(connections)));
+    void closeIdlePerPool(int count) {
+        pools.values().forEach(pool -> outbox.add(() -> pool.closeLongestIdle(count)));
     }
 
     /** Closes about the given number of idle connections, spread over the pools. */
-    void closeIdle(int connections) {
-        closeIdlePerPool((connections + pools.size() - 1) / Math.max(1, pools.size()));
+    void closeIdle(int count) {
+        closeIdlePerPool((count + pools.size() - 1) / Math.max(1, pools.size()));
     }
 }
--- a/proxy/src/main/java/spurroad/routing/EndpointStartTimes.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointStartTimes.java
@@ -18,7 +18,7 @@
     /** No line from discovery arrived before: a start may be as early as it is listed. */
     static final long NEVER = Long.MIN_VALUE;
 
-    private record Start(long listedNanos, long ownNanos) {}
+    private record Start(long listedNanos, long localNanos) {}
 
     /** Endpoints, including removed ones: an endpoint that is listed again has not started again. */
     private static final int MAX_REMEMBERED = 8_192;
@@ -38,17 +38,18 @@
      * @param previousContactNanos when discovery's line before this list arrived, Unix nanoseconds;
      *     {@link #NEVER} if there was none
      */
-    Endpoint inOwnTime(Endpoint listed, long previousContactNanos, long nowNanos) {
+    Endpoint toLocalTime(Endpoint listed, long previousContactNanos, long nowNanos) {
         long listedNanos = listed.startedAtNanos();
         if (listedNanos == 0) {
             starts.remove(listed.id());
             return listed; // started long ago, by any clock
         }
-        Start known = starts.get(listed.id());
-        if (known == null || known.listedNanos != listedNanos) {
-            known = new Start(listedNanos, Math.min(nowNanos, Math.max(previousContactNanos, listedNanos)));
-            starts.put(listed.id(), known);
+        Start translated = starts.get(listed.id());
+        if (translated == null || translated.listedNanos != listedNanos) {
+            translated = new Start(listedNanos,
+                Math.min(nowNanos, Math.max(previousContactNanos, listedNanos)));
+            starts.put(listed.id(), translated);
         }
-        return listed.withStartTime(known.ownNanos);
+        return listed.withStartTime(translated.localNanos);
     }
 }
--- a/proxy/src/main/java/spurroad/routing/EndpointStatusLog.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointStatusLog.java
@@ -60,11 +60,11 @@
     }
 
     private String describe(AdminStatus status, AwaitedEvent event) {
-        List<RestrictedEndpoint> found = status.restricted().stream()
+        List<RestrictedEndpoint> matching = status.restricted().stream()
             .filter(endpoint -> endpoint.awaits() == event).toList();
-        String logged = found.stream().limit(MAX_LOGGED_ENDPOINTS)
+        String logged = matching.stream().limit(MAX_LOGGED_ENDPOINTS)
             .map(endpoint -> names.apply(endpoint.id())).collect(Collectors.joining(", "));
-        int left = found.size() - MAX_LOGGED_ENDPOINTS;
-        return "[" + logged + (left > 0 ? ", and " + left + " more" : "") + "]";
+        int omitted = matching.size() - MAX_LOGGED_ENDPOINTS;
+        return "[" + logged + (omitted > 0 ? ", and " + omitted + " more" : "") + "]";
     }
 }
--- a/proxy/src/main/java/spurroad/routing/EndpointWatch.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointWatch.java
@@ -26,7 +26,7 @@
     /** Longer than any timer; bounds the time for which a thread outlives its socket. */
     private static final int SOCKET_TIMEOUT_MILLIS = 10_000;
     private static final int OK = 200;
-    private static final Runnable NOTHING = () -> {};
+    private static final Runnable NO_ACTION = () -> {};
 
     private final EndpointList.EndpointNames names;
     private final Threads threads;
@@ -40,32 +40,33 @@
     private long lastContactNanos = EndpointStartTimes.NEVER; // last line, even one without a change
     private Watch current;
     private Watch previous;
-    private Runnable onFirstList = NOTHING;
+    private Runnable onFirstList = NO_ACTION;
     private EventLoop.Timer nextPoll = () -> {};
     private boolean closed;
 
     /** Creates a watch that makes no call until it is polled. */
-    public EndpointWatch(ProxyConfiguration start, Threads threads, EventLoop loop, EventLog log,
+    public EndpointWatch(ProxyConfiguration configuration, Threads threads, EventLoop loop, EventLog log,
                          LoadBalancerThread loadBalancer) {
         this.threads = threads;
         this.loop = loop;
         this.log = log;
         this.loadBalancer = loadBalancer;
-        discovery = start.discoveryAddress;
-        names = start.settings.endpointNames;
-        revision = start.initialEndpoints.revision();
-        pushed = !start.settings.deployment.pollsDiscovery();
-        timing = new DiscoveryTiming(pushed, start.settings.pollWithinNanos, new Random(start.seed));
+        discovery = configuration.discoveryAddress;
+        names = configuration.settings.endpointNames;
+        revision = configuration.initialEndpoints.revision();
+        pushed = !configuration.settings.deployment.pollsDiscovery();
+        timing = new DiscoveryTiming(pushed, configuration.settings.pollWithinNanos,
+            new Random(configuration.seed));
     }
 
     /** Returns whether lists are pushed, so that a process must know the current list from its start. */
-    public boolean pushed() {
+    public boolean isPushed() {
         return pushed;
     }
 
     /** Starts to watch; runs the callback on the loop after the first list. May be called by any thread. */
-    public void begin(Runnable heard) {
-        loop.execute(() -> onFirstList = heard);
+    public void startWatching(Runnable callback) {
+        loop.execute(() -> onFirstList = callback);
         poll();
     }
 
@@ -83,10 +84,10 @@
      * Switches to a new address of discovery; the current watch stays open until the new one has received a
      * line. May be called by any thread.
      */
-    public void moved(InetSocketAddress to) {
+    public void onDiscoveryMoved(InetSocketAddress newAddress) {
         loop.execute(() -> {
-            discovery = to;
-            if (current != null && current.hasSpoken) {
+            discovery = newAddress;
+            if (current != null && current.hasReceivedLine) {
                 openBesideCurrent(timing.callTimeoutNanos());
                 return;
             }
@@ -141,15 +142,15 @@
         if (watch != current && watch != previous) {
             return; // superseded by a later watch, which has newer lines
         }
-        if (watch == previous && !watch.hasSpoken && watch.address.equals(discovery)) {
+        if (watch == previous && !watch.hasReceivedLine && watch.address.equals(discovery)) {
             makeCurrent(watch);
         }
         if (watch == current) {
-            watch.hasSpoken = true;
+            watch.hasReceivedLine = true;
             closePrevious();
         }
-        watch.silent = false;
-        watch.expectLine(timing.silenceNanos());
+        watch.stalled = false;
+        watch.expectLine(timing.stallTimeoutNanos());
         if (list != null) {
             onList(list);
         }
@@ -162,50 +163,50 @@
             + " complete=" + list.isComplete());
         loadBalancer.onEndpointUpdate(list, lastContactNanos);
         onFirstList.run();
-        onFirstList = NOTHING;
+        onFirstList = NO_ACTION;
     }
 
     /**
      * Makes a watch current whose first line arrived after its timeout, and closes the call that was started
      * beside it.
      */
-    private void makeCurrent(Watch late) {
+    private void makeCurrent(Watch answered) {
         nextPoll.cancel();
         if (current != null) {
             current.close();
         }
-        current = late;
+        current = answered;
         previous = null;
     }
 
     /** Handles a watch that received no complete line in time, even if it received part of one. */
-    private void onSilence(Watch watch) {
-        watch.silent = true;
+    private void onStall(Watch watch) {
+        watch.stalled = true;
         if (watch != current) {
             watch.close();
             onEnd(watch, "no line received in time"); // its thread may notice the close later
             return;
         }
-        log.warn(watch.hasSpoken ? "discovery watch silent, polling again"
+        log.warn(watch.hasReceivedLine ? "discovery watch silent, polling again"
             : "discovery poll unanswered, polling again", "revision=" + revision);
-        if (!watch.hasSpoken && previous != null && !previous.silent) {
+        if (!watch.hasReceivedLine && previous != null && !previous.stalled) {
             watch.close(); // the watch at the previous address still works: keep that one
             open(timing.callTimeoutNanos());
             return;
         }
         openBesideCurrent(
-            watch.hasSpoken ? timing.callTimeoutAfterSilenceNanos(watch.timeoutNanos)
+            watch.hasReceivedLine ? timing.callTimeoutAfterStallNanos(watch.timeoutNanos)
                 : timing.callTimeoutNanos());
         watch.expectLine(timing.callTimeoutNanos()); // kept beside the call in case its line is only late
     }
 
-    private void onEnd(Watch watch, String why) {
-        watch.silenceTimer.cancel();
+    private void onEnd(Watch watch, String reason) {
+        watch.stallTimer.cancel();
         if (watch == previous) {
             previous = null;
         } else if (watch == current) {
             current = null;
-            log.warn("discovery failed, backing off", "reason=" + why);
+            log.warn("discovery failed, backing off", "reason=" + reason);
             // the load balancer's backoff ignores the configured poll interval
             nextPoll.cancel();
             nextPoll = loop.schedule(timing.pauseNanos(), this::poll);
@@ -221,10 +222,10 @@
         private final InetSocketAddress address;
         private final long sinceRevision;
         // the fields below are used on the event loop only
-        private boolean hasSpoken; // while this watch was the current one
-        private boolean silent;
+        private boolean hasReceivedLine; // while this watch was the current one
+        private boolean stalled;
         private long timeoutNanos; // from the last line, or from the start, until the watch counts as stalled
-        private EventLoop.Timer silenceTimer = () -> {};
+        private EventLoop.Timer stallTimer = () -> {};
 
         private Watch(InetSocketAddress address, long sinceRevision) {
             this.address = address;
@@ -233,10 +234,10 @@
 
         /** Sets the time within which the next line must arrive. */
         private void expectLine(long withinNanos) {
-            silenceTimer.cancel();
+            stallTimer.cancel();
             timeoutNanos = withinNanos;
             if (this == current || this == previous) {
-                silenceTimer = loop.schedule(withinNanos, () -> onSilence(this));
+                stallTimer = loop.schedule(withinNanos, () -> onStall(this));
             }
         }
 
@@ -250,8 +251,8 @@
             } finally {
                 close();
             }
-            String why = end;
-            loop.execute(() -> onEnd(this, why));
+            String reason = end;
+            loop.execute(() -> onEnd(this, reason));
         }
 
         /** Calls discovery and returns the body of its response. */
@@ -267,7 +268,7 @@
                 throw new ProtocolException("answered " + head.status());
             }
             // if nothing has changed, the first line is a heartbeat
-            loop.execute(() -> expectLine(timing.silenceNanos()));
+            loop.execute(() -> expectLine(timing.stallTimeoutNanos()));
             return Http.stream(response, head);
         }
 
--- a/proxy/src/main/java/spurroad/routing/IdleConnections.java
+++ b/proxy/src/main/java/spurroad/routing/IdleConnections.java
@@ -53,12 +53,12 @@
      */
     EndpointConnection take() {
         closeExpired();
-        long restedSince = loop.now() - reuseDelayNanos;
+        long latestIdleSinceNanos = loop.now() - reuseDelayNanos;
         for (Iterator<EndpointConnection> i = connections.descendingIterator(); i.hasNext();) {
             EndpointConnection candidate = i.next();
-            if (candidate.isBroken() || candidate.idleSinceNanos <= restedSince) {
+            if (candidate.isBroken() || candidate.idleSinceNanos <= latestIdleSinceNanos) {
                 i.remove();
-                if (candidate.isClean()) {
+                if (candidate.hasNoUnexpectedInput()) {
                     return candidate;
                 }
             }
@@ -67,7 +67,7 @@
     }
 
     /** Returns the time until the longest idle connection may be reused; must not be called when empty. */
-    long nanosUntilRested() {
+    long nanosUntilReusable() {
         return connections.peekFirst().idleSinceNanos + reuseDelayNanos - loop.now();
     }
 
@@ -79,8 +79,8 @@
     }
 
     /** Closes at most the given number of connections, longest idle first. */
-    void closeLongestIdle(int atMost) {
-        for (int i = 0; i < atMost && !connections.isEmpty(); i++) {
+    void closeLongestIdle(int maxCount) {
+        for (int i = 0; i < maxCount && !connections.isEmpty(); i++) {
             connections.poll().close();
         }
     }
--- a/proxy/src/main/java/spurroad/routing/LoadBalancerThread.java
+++ b/proxy/src/main/java/spurroad/routing/LoadBalancerThread.java
@@ -39,14 +39,14 @@
     private static final int MESSAGES_PER_FLUSH = 32;
     /** In messages: about a dozen for each request that a process can hold. */
     private static final int MAILBOX_CAPACITY = 1 << 16;
-    private static final int MAX_WAITING_PEER_UPDATES = 4096; // further updates are dropped
+    private static final int MAX_PENDING_PEER_UPDATES = 4096; // further updates are dropped
     private static final long LOG_FLUSH_MILLIS = 200; // time to write the last lines
     private static final int FAILURE_EXIT_CODE = 70; // EX_SOFTWARE of sysexits: an internal error
 
     private final Mailbox mailbox = new Mailbox(MAILBOX_CAPACITY);
     /** {@link BalancerMessage}s to post at the end of the loop's iteration; used on the event loop only. */
     private final List<Runnable> fromLoop = new ArrayList<>();
-    private final AtomicInteger waitingPeerUpdates = new AtomicInteger();
+    private final AtomicInteger pendingPeerUpdates = new AtomicInteger();
     private final OutcomeStatistics statistics = new OutcomeStatistics();
     private final StallDetector stalls = new StallDetector();
     private final Threads threads;
@@ -65,7 +65,7 @@
      *
      * @param reuseDelayNanos how long a connection to an endpoint stays unused between two attempts
      */
-    public LoadBalancerThread(ProxyConfiguration start, Threads threads, EventLoop loop, EventLog log,
+    public LoadBalancerThread(ProxyConfiguration configuration, Threads threads, EventLoop loop, EventLog log,
                               Clock clock,
                               DescriptorBudget descriptors,
                               SocketFactory socketFactory, long reuseDelayNanos) {
@@ -74,14 +74,14 @@
         this.log = log;
         rules = new RuleMonitor(log);
         outbox = new LoopOutbox(loop);
-        DeploymentSettings settings = start.settings;
-        LoadBalancer balancer = new LoadBalancer(settings.deployment, start.seed);
+        DeploymentSettings settings = configuration.settings;
+        LoadBalancer balancer = new LoadBalancer(settings.deployment, configuration.seed);
         InFlightRequests requests = new InFlightRequests();
         RequestCounters counters = new RequestCounters();
         endpoints = new EndpointRegistry(
             new EndpointConnectionPool.Environment(loop, log, rules, descriptors,
                 settings.connectTimeoutNanos, settings.deployment.idleTimeoutNanos(), reuseDelayNanos,
-                socketFactory, this::placesNeeded, this::onAttemptEnd, statistics::onForwarded),
+                socketFactory, this::onDescriptorShortage, this::onAttemptEnd, statistics::onForwarded),
             outbox, settings);
         executor = new DecisionExecutor(balancer, endpoints, requests, counters, outbox, clock, log, stalls,
             this::onUnroutableProbe, settings);
@@ -129,10 +129,10 @@
     }
 
     private void runMessages(List<Runnable> messages) {
-        int done = 0;
+        int processed = 0;
         for (Runnable message : messages) {
             message.run();
-            if (++done % MESSAGES_PER_FLUSH == 0) {
+            if (++processed % MESSAGES_PER_FLUSH == 0) {
                 flush();
             }
         }
@@ -211,26 +211,26 @@
      * Reports an update from another proxy; surplus updates are dropped so that they can't fill the mailbox.
      */
     void onPeerUpdate(PeerUpdate update) {
-        if (waitingPeerUpdates.incrementAndGet() > MAX_WAITING_PEER_UPDATES) {
-            waitingPeerUpdates.decrementAndGet();
+        if (pendingPeerUpdates.incrementAndGet() > MAX_PENDING_PEER_UPDATES) {
+            pendingPeerUpdates.decrementAndGet();
             return;
         }
-        mailbox.post(new BalancerMessage.PeerUpdateReceived(controlEvents, update, waitingPeerUpdates));
+        mailbox.post(new BalancerMessage.PeerUpdateReceived(controlEvents, update, pendingPeerUpdates));
     }
 
     /** Closes an idle connection in each pool because descriptors are short. */
-    void placesNeeded() {
+    void onDescriptorShortage() {
         mailbox.post(new BalancerMessage.CloseIdlePerPool(endpoints, 1));
     }
 
     /** Closes about the given number of idle connections to endpoints. */
-    public void closeIdleConnections(int connections) {
-        mailbox.post(new BalancerMessage.CloseIdle(endpoints, connections));
+    public void closeIdleConnections(int count) {
+        mailbox.post(new BalancerMessage.CloseIdle(endpoints, count));
     }
 
     /** Reports the list of unknown age with which this process was started. */
-    public void onEndpointUpdate(EndpointList known) {
-        onEndpointUpdate(known, EndpointStartTimes.NEVER);
+    public void onEndpointUpdate(EndpointList initial) {
+        onEndpointUpdate(initial, EndpointStartTimes.NEVER);
     }
 
     /**
@@ -252,17 +252,19 @@
      * and receives whether the cache node is known. By then, no attempt starts at a drained cache node, not
      * even one that waits for a connection to it.
      *
-     * @param vouched whether another process knows the cache node, so that it counts as known even if this
-     *     process never had it listed
+     * @param knownToOtherProcess whether another process knows the cache node, so that it counts as known
+     *     even if this process never had it listed
      */
-    public void setAdminDrain(EndpointId id, boolean drained, boolean vouched, Consumer<Boolean> done) {
-        mailbox.post(new BalancerMessage.AdminDrainRequested(controlEvents, id, drained, vouched, done));
+    public void setAdminDrain(EndpointId id, boolean drained, boolean knownToOtherProcess,
+                              Consumer<Boolean> onResult) {
+        mailbox.post(new BalancerMessage.AdminDrainRequested(controlEvents, id, drained, knownToOtherProcess,
+            onResult));
     }
 
     // ---- readable from any thread
 
     /** Returns the statistics of the outcomes of requests. */
-    public OutcomeStatistics results() {
+    public OutcomeStatistics outcomeStatistics() {
         return statistics;
     }
 
--- a/proxy/src/main/java/spurroad/routing/PeerGossip.java
+++ b/proxy/src/main/java/spurroad/routing/PeerGossip.java
@@ -14,9 +14,9 @@
     private final PeerDatagrams datagrams;
 
     /** Opens the socket and starts a thread that receives updates. */
-    public PeerGossip(List<InetSocketAddress> proxies, int own, Threads threads, EventLog log,
+    public PeerGossip(List<InetSocketAddress> proxies, int ownIndex, Threads threads, EventLog log,
                       LoadBalancerThread loadBalancer) {
-        datagrams = new PeerDatagrams(proxies, own, log, bytes -> {
+        datagrams = new PeerDatagrams(proxies, ownIndex, log, bytes -> {
             try {
                 loadBalancer.onPeerUpdate(PeerUpdateCodec.read(bytes));
             } catch (ProtocolException e) {
--- a/proxy/src/main/java/spurroad/routing/RequestEvents.java
+++ b/proxy/src/main/java/spurroad/routing/RequestEvents.java
@@ -127,8 +127,8 @@
         } else if (attempt.streamedResponse != null) {
             outbox.add(attempt.streamedResponse::abandon);
         }
-        balancer.onAttemptEnd(clock.now(), request.id, attempt.number, reply.outcome(), reply.load(),
-            request.finished, stalls.totalNanos() - attempt.stalledNanos, executor.cleared());
+        balancer.onAttemptEnd(clock.now(), request.id, attempt.index, reply.outcome(), reply.load(),
+            request.finished, stalls.totalNanos() - attempt.stalledNanosAtDecision, executor.cleared());
         executor.execute();
         requests.removeIfDone(request);
     }
--- a/proxy/src/main/java/spurroad/routing/SocketFactory.java
+++ b/proxy/src/main/java/spurroad/routing/SocketFactory.java
@@ -10,13 +10,13 @@
     /**
      * Creates an unconnected socket, or a connection to an in-memory peer.
      *
-     * @param placeBack releases the descriptor; called once the connection is closed
+     * @param onClose releases the descriptor; called once the connection is closed
      */
-    Connection socket(EventLoop loop, Runnable placeBack) throws IOException;
+    Connection socket(EventLoop loop, Runnable onClose) throws IOException;
 
     /** Creates TCP sockets. */
-    SocketFactory TCP = (loop, placeBack) -> {
+    SocketFactory TCP = (loop, onClose) -> {
         SocketChannel socket = SocketChannel.open();
-        return new Connection(loop, socket, socket, placeBack);
+        return new Connection(loop, socket, socket, onClose);
     };
 }
--- a/proxy/src/main/java/spurroad/routing/UpstreamRequest.java
+++ b/proxy/src/main/java/spurroad/routing/UpstreamRequest.java
@@ -14,7 +14,7 @@
     /** The request; null for a load probe. */
     final ProxiedRequest request;
     /** The index of this attempt among the attempts of its request, from 0. */
-    final int number;
+    final int index;
     final EndpointConnectionPool pool;
     /** The time by which the reply must have arrived. */
     final long deadlineNanos;
@@ -24,7 +24,7 @@
      */
     final long sendDeadlineNanos;
     /** The total time for which this process had been stalled when the attempt was decided on. */
-    final long stalledNanos;
+    final long stalledNanosAtDecision;
 
     // the fields below are maintained by the pool
     /** Whether the first byte was sent. */
@@ -40,14 +40,14 @@
     /** The long value of the reply, or null if the reply has none. */
     StreamedResponse streamedResponse;
 
-    UpstreamRequest(ProxiedRequest request, int number, EndpointConnectionPool pool, long deadlineNanos,
-                    long sendDeadlineNanos, long stalledNanos) {
+    UpstreamRequest(ProxiedRequest request, int index, EndpointConnectionPool pool, long deadlineNanos,
+                    long sendDeadlineNanos, long stalledNanosAtDecision) {
         this.request = request;
-        this.number = number;
+        this.index = index;
         this.pool = pool;
         this.deadlineNanos = deadlineNanos;
         this.sendDeadlineNanos = sendDeadlineNanos;
-        this.stalledNanos = stalledNanos;
+        this.stalledNanosAtDecision = stalledNanosAtDecision;
     }
 
     boolean isLoadProbe() {
@@ -74,7 +74,7 @@
 
     @Override
     public String toString() {
-        return isLoadProbe() ? "load probe" : "request=" + request.command.id() + " attempt=" + (number + 1);
+        return isLoadProbe() ? "load probe" : "request=" + request.command.id() + " attempt=" + (index + 1);
     }
 
     /** Returns the request's command, or null for a load probe. */
--- a/proxy/src/test/java/spurroad/routing/DiscoveryMovesTest.java
+++ b/proxy/src/test/java/spurroad/routing/DiscoveryMovesTest.java
@@ -58,7 +58,7 @@
             assertTrue(former.toldAt() > 0);
             next.begin();
             long movedAt = System.nanoTime();
-            list.moved(new InetSocketAddress(InetAddress.getLoopbackAddress(), next.port));
+            list.onDiscoveryMoved(new InetSocketAddress(InetAddress.getLoopbackAddress(), next.port));
             long tookMs = (next.toldAt() - movedAt) / MS;
             assertTrue(tookMs >= 0 && tookMs < MOST_MS, "known " + tookMs + " ms after the reload");
         } finally {
--- a/proxy/src/test/java/spurroad/routing/DiscoveryTimingTest.java
+++ b/proxy/src/test/java/spurroad/routing/DiscoveryTimingTest.java
@@ -24,14 +24,14 @@
     public void aCallAfterTheLongestWaitIsAnsweredBeforeTheChangeCounts(boolean pushed, int askWithinMs) {
         DiscoveryTiming timing = new DiscoveryTiming(pushed, askWithinMs * MS, new Random(1));
         for (int i = 0; i < DRAWS; i++) {
-            long silent = timing.silenceNanos();
+            long silent = timing.stallTimeoutNanos();
             assertTrue(timing.pauseNanos() + timing.callTimeoutNanos() <= DiscoveryTiming.DETECTION_NANOS);
             assertTrue(
                 timing.connectTimeoutMillis() * MS + timing.pauseNanos()
                     <= DiscoveryTiming.DETECTION_NANOS - 1000 * MS,
                 "1 s is left");
             assertTrue(
-                silent + timing.callTimeoutAfterSilenceNanos(silent)
+                silent + timing.callTimeoutAfterStallNanos(silent)
                     <= DiscoveryTiming.DETECTION_NANOS - 1500 * MS,
                 "1.5 s are left");
         }
--- a/proxy/src/test/java/spurroad/routing/EndpointStartTimesTest.java
+++ b/proxy/src/test/java/spurroad/routing/EndpointStartTimesTest.java
@@ -31,8 +31,9 @@
     @Test(dataProvider = "starts")
     public void aStartLiesBetweenTheLastWordWithoutItAndNow(long toldNs, long heardBeforeNs, long ownNs) {
         EndpointStartTimes starts = new EndpointStartTimes();
-        assertEquals(starts.inOwnTime(entry(toldNs), heardBeforeNs, NOW), entry(ownNs));
-        assertEquals(starts.inOwnTime(entry(toldNs), NOW, 2 * NOW), entry(ownNs), "told again");
-        assertEquals(starts.inOwnTime(entry(toldNs + 1), NOW, 2 * NOW).startedAtNanos() >= NOW, true, "anew");
+        assertEquals(starts.toLocalTime(entry(toldNs), heardBeforeNs, NOW), entry(ownNs));
+        assertEquals(starts.toLocalTime(entry(toldNs), NOW, 2 * NOW), entry(ownNs), "told again");
+        assertEquals(starts.toLocalTime(entry(toldNs + 1), NOW, 2 * NOW).startedAtNanos() >= NOW, true,
+            "anew");
     }
 }
