--- a/proxy/src/test/java/spurroad/routing/DiscoveryMovesTest.java
+++ b/proxy/src/test/java/spurroad/routing/DiscoveryMovesTest.java
@@ -16,17 +16,17 @@
 import spurroad.transport.Threads;
 
 /**
- * A reload that moves discovery, followed by a change at once: what only the new address tells is known in
- * time.
+ * Tests that the list at a new address of discovery is received in time after a settings reload, even if the
+ * new address is unavailable at first.
  */
 public class DiscoveryMovesTest {
-    private static final long MS = 1_000_000L;
-    private static final long RETURNS_AFTER_MS = 700;
-    private static final long MOST_MS = 4000; // from then on what comes after a reload counts as told
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long RETURN_DELAY_MILLIS = 700;
+    private static final long MAX_UPDATE_MILLIS = 4000; // maximum time from the reload to the new list
 
     /**
-     * Whether lists are pushed, and how the new address is away at first; all but where it hangs it is soon
-     * there.
+     * Returns whether lists are pushed, and how the new address is unavailable at first. It becomes available
+     * soon in all cases; calls that hang stay unanswered.
      */
     @DataProvider
     Object[][] moves() {
@@ -38,29 +38,31 @@
     }
 
     @Test(dataProvider = "moves")
-    public void whatTheNewAddressTellsIsKnownInTime(boolean pushed, Away away) throws Exception {
+    public void receivesListFromNewAddressInTime(boolean pushed, Away away) throws Exception {
         EventLog log = new EventLog();
         Clock clock = new Clock();
         Threads threads = new Threads(log);
         EventLoop loop = new EventLoop(log, clock);
-        try (ScriptedDiscovery former = new ScriptedDiscovery(Away.NEVER, 0);
-            ScriptedDiscovery next = new ScriptedDiscovery(away, RETURNS_AFTER_MS)) {
-            former.begin();
-            String text = ScriptedPeers.start(former.port, 256, ScriptedPeers.list(0, true));
-            ProxyConfiguration start = new ProxyConfiguration(
+        try (ScriptedDiscovery previousDiscovery = new ScriptedDiscovery(Away.NEVER, 0);
+            ScriptedDiscovery newDiscovery = new ScriptedDiscovery(away, RETURN_DELAY_MILLIS)) {
+            previousDiscovery.begin();
+            String text = ScriptedPeers.start(previousDiscovery.port, 256, ScriptedPeers.list(0, true));
+            ProxyConfiguration configuration = new ProxyConfiguration(
                 pushed ? text.replace("on_request", "pushed") : text);
-            LoadBalancerThread decider = new LoadBalancerThread(start, threads, loop, log, clock,
+            LoadBalancerThread loadBalancer = new LoadBalancerThread(configuration, threads, loop, log, clock,
                 new DescriptorBudget(64), SocketFactory.TCP,
-                MS);
-            EndpointWatch list = new EndpointWatch(start, threads, loop, log, decider);
+                NANOS_PER_MILLI);
+            EndpointWatch watch = new EndpointWatch(configuration, threads, loop, log, loadBalancer);
             threads.start("loop", loop);
-            list.poll();
-            assertTrue(former.toldAt() > 0);
-            next.begin();
-            long movedAt = System.nanoTime();
-            list.onDiscoveryMoved(new InetSocketAddress(InetAddress.getLoopbackAddress(), next.port));
-            long tookMs = (next.toldAt() - movedAt) / MS;
-            assertTrue(tookMs >= 0 && tookMs < MOST_MS, "known " + tookMs + " ms after the reload");
+            watch.poll();
+            assertTrue(previousDiscovery.listSentAtNanos() > 0);
+            newDiscovery.begin();
+            long movedAtNanos = System.nanoTime();
+            watch
+                .onDiscoveryMoved(new InetSocketAddress(InetAddress.getLoopbackAddress(), newDiscovery.port));
+            long elapsedMillis = (newDiscovery.listSentAtNanos() - movedAtNanos) / NANOS_PER_MILLI;
+            assertTrue(elapsedMillis >= 0 && elapsedMillis < MAX_UPDATE_MILLIS,
+                "list sent " + elapsedMillis + " ms after the reload");
         } finally {
             loop.shutdown();
         }
--- a/proxy/src/test/java/spurroad/routing/DiscoveryReturnsTest.java
+++ b/proxy/src/test/java/spurroad/routing/DiscoveryReturnsTest.java
@@ -22,21 +22,21 @@
 import spurroad.transport.Threads;
 
 /**
- * Discovery is away in every way there is, and returns: on real connections, how long it takes until the list
- * is known. Each play has a discovery of its own; all are played at the same time.
+ * Measures on real connections how long it takes to receive the list after discovery was unavailable in each
+ * of several ways and recovered. Each run has its own discovery; all runs take place at the same time.
  */
 public class DiscoveryReturnsTest {
-    private static final long MS = 1_000_000L;
-    private static final long MOST_MS = 6000; // from then on a change counts as told
-    private static final int PLAYS = 3; // of each case; discovery returns at another moment in each
-    private static final long AWAY_MS = 7000;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long MAX_DETECTION_MILLIS = 6000; // maximum time from the recovery to the list
+    private static final int RUNS_PER_CASE = 3; // discovery recovers at a different time in each run
+    private static final long OUTAGE_MILLIS = 7000;
 
-    /** What the settings say of discovery. */
+    /** The settings of discovery. */
     private enum Settings {
-        ASK_DEFAULT("\"on_request\"", ""),
-        ASK_10_S("\"on_request\"", "\"obligations\":{\"askWithinUs\":10000000},"),
-        ASK_2_S("\"on_request\"", "\"obligations\":{\"askWithinUs\":2000000},"),
-        ASK_HALF_S("\"on_request\"", "\"obligations\":{\"askWithinUs\":500000},"),
+        DEFAULT_POLL_INTERVAL("\"on_request\"", ""),
+        POLL_INTERVAL_10_S("\"on_request\"", "\"obligations\":{\"askWithinUs\":10000000},"),
+        POLL_INTERVAL_2_S("\"on_request\"", "\"obligations\":{\"askWithinUs\":2000000},"),
+        POLL_INTERVAL_500_MS("\"on_request\"", "\"obligations\":{\"askWithinUs\":500000},"),
         PUSHED("\"pushed\"", "");
 
         private final String mode;
@@ -53,43 +53,44 @@
         }
     }
 
-    private static final EnumSet<Away> AWAY = EnumSet.complementOf(EnumSet.of(Away.NEVER));
+    private static final EnumSet<Away> OUTAGES = EnumSet.complementOf(EnumSet.of(Away.NEVER));
 
-    private final Map<Settings, Map<Away, List<ScriptedDiscovery>>> plays = new EnumMap<>(Settings.class);
+    private final Map<Settings, Map<Away, List<ScriptedDiscovery>>> runs = new EnumMap<>(Settings.class);
     private EventLoop loop;
 
     @BeforeClass
-    public void play() throws Exception {
+    public void startRuns() throws Exception {
         EventLog log = new EventLog();
         Clock clock = new Clock();
         Threads threads = new Threads(log);
         loop = new EventLoop(log, clock);
         for (Settings settings : Settings.values()) {
-            plays.put(settings, new EnumMap<>(Away.class));
-            for (Away away : AWAY) {
-                List<ScriptedDiscovery> same = new ArrayList<>();
-                for (int i = 0; i < PLAYS; i++) {
-                    ScriptedDiscovery discovery = new ScriptedDiscovery(away, AWAY_MS + i * 610L);
-                    same.add(discovery);
+            runs.put(settings, new EnumMap<>(Away.class));
+            for (Away away : OUTAGES) {
+                List<ScriptedDiscovery> discoveries = new ArrayList<>();
+                for (int i = 0; i < RUNS_PER_CASE; i++) {
+                    ScriptedDiscovery discovery = new ScriptedDiscovery(away, OUTAGE_MILLIS + i * 610L);
+                    discoveries.add(discovery);
                     discovery.begin();
                     ProxyConfiguration start = settings.start(discovery.port);
-                    LoadBalancerThread decider = new LoadBalancerThread(start, threads, loop, log, clock,
+                    LoadBalancerThread loadBalancer = new LoadBalancerThread(start, threads, loop, log, clock,
                         new DescriptorBudget(64),
-                        SocketFactory.TCP, MS);
-                    new EndpointWatch(start, threads, loop, log, decider).poll(); // by itself: no module asks
+                        SocketFactory.TCP, NANOS_PER_MILLI);
+                    // the only external poll
+                    new EndpointWatch(start, threads, loop, log, loadBalancer).poll();
                 }
-                plays.get(settings).put(away, same);
+                runs.get(settings).put(away, discoveries);
             }
         }
-        threads.start("loop", loop); // it has to know of all that have work in each turn
+        threads.start("loop", loop); // after all iteration-end callbacks are registered
     }
 
     @AfterClass
     public void close() throws IOException {
         loop.shutdown();
-        for (Map<Away, List<ScriptedDiscovery>> ofSettings : plays.values()) {
-            for (List<ScriptedDiscovery> same : ofSettings.values()) {
-                for (ScriptedDiscovery discovery : same) {
+        for (Map<Away, List<ScriptedDiscovery>> runsOfSettings : runs.values()) {
+            for (List<ScriptedDiscovery> discoveries : runsOfSettings.values()) {
+                for (ScriptedDiscovery discovery : discoveries) {
                     discovery.close();
                 }
             }
@@ -100,22 +101,23 @@
     Object[][] cases() {
         List<Object[]> cases = new ArrayList<>();
         for (Settings settings : Settings.values()) {
-            for (Away away : AWAY) {
+            for (Away away : OUTAGES) {
                 cases.add(new Object[] {settings, away});
             }
         }
         return cases.toArray(Object[][]::new);
     }
 
-    /** What discovery has is known before it counts as told. */
+    /** The list of a recovered discovery is received within the bound. */
     @Test(dataProvider = "cases")
-    public void whatDiscoveryHasIsKnownBeforeItCountsAsTold(Settings settings, Away away) throws Exception {
-        long longest = 0;
-        for (ScriptedDiscovery discovery : plays.get(settings).get(away)) {
-            longest = Math.max(longest, discovery.tookMs());
+    public void receivesListWithinDetectionBoundAfterOutage(Settings settings, Away away) throws Exception {
+        long longestMillis = 0;
+        for (ScriptedDiscovery discovery : runs.get(settings).get(away)) {
+            longestMillis = Math.max(longestMillis, discovery.detectionMillis());
         }
         System.out.println(
-            "list known after its return, " + settings + ", " + away + ": " + longest + " ms at most");
-        assertTrue(longest < MOST_MS, longest + " ms");
+            "list sent after discovery recovered, " + settings + ", " + away + ": " + longestMillis
+                + " ms at most");
+        assertTrue(longestMillis < MAX_DETECTION_MILLIS, longestMillis + " ms");
     }
 }
--- a/proxy/src/test/java/spurroad/routing/DiscoveryTimingTest.java
+++ b/proxy/src/test/java/spurroad/routing/DiscoveryTimingTest.java
@@ -6,12 +6,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The times between calls to discovery, whatever the settings give for asking. */
+/** Tests the times between calls to discovery for a range of configured poll intervals. */
 public class DiscoveryTimingTest {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int DRAWS = 10_000;
 
-    /** Whether lists are pushed, and the time for asking in ms. */
+    /** Returns whether lists are pushed, and the poll interval in milliseconds. */
     @DataProvider
     Object[][] settings() {
         return new Object[][] {{false, 200}, {false, 500}, {false, 1000}, {false, 2900}, {false, 4000},
@@ -19,50 +19,55 @@
             {false, 20_000}, {false, 3_600_000}, {true, 20_000}, {true, 500}};
     }
 
-    /** A wait and a call that is answered at its last moment are over before a change counts as told. */
+    /** The longest pause and a call answered right before its timeout fit into the detection bound. */
     @Test(dataProvider = "settings")
-    public void aCallAfterTheLongestWaitIsAnsweredBeforeTheChangeCounts(boolean pushed, int askWithinMs) {
-        DiscoveryTiming timing = new DiscoveryTiming(pushed, askWithinMs * MS, new Random(1));
+    public void callAfterLongestPauseEndsWithinDetectionBound(boolean pushed, int pollIntervalMillis) {
+        DiscoveryTiming timing = new DiscoveryTiming(pushed, pollIntervalMillis * NANOS_PER_MILLI,
+            new Random(1));
         for (int i = 0; i < DRAWS; i++) {
-            long silent = timing.stallTimeoutNanos();
+            long stallNanos = timing.stallTimeoutNanos();
             assertTrue(timing.pauseNanos() + timing.callTimeoutNanos() <= DiscoveryTiming.DETECTION_NANOS);
             assertTrue(
-                timing.connectTimeoutMillis() * MS + timing.pauseNanos()
-                    <= DiscoveryTiming.DETECTION_NANOS - 1000 * MS,
+                timing.connectTimeoutMillis() * NANOS_PER_MILLI + timing.pauseNanos()
+                    <= DiscoveryTiming.DETECTION_NANOS - 1000 * NANOS_PER_MILLI,
                 "1 s is left");
             assertTrue(
-                silent + timing.callTimeoutAfterStallNanos(silent)
-                    <= DiscoveryTiming.DETECTION_NANOS - 1500 * MS,
+                stallNanos + timing.callTimeoutAfterStallNanos(stallNanos)
+                    <= DiscoveryTiming.DETECTION_NANOS - 1500 * NANOS_PER_MILLI,
                 "1.5 s are left");
         }
     }
 
-    /** A call that failed counts four times the time for asking; by then the next has begun. */
+    /** The next call starts within one poll interval of an answered call, and within four of a failed one. */
     @Test(dataProvider = "settings")
-    public void aCallBeginsBeforeTheTimeForAskingOfAFailedOneIsOver(boolean pushed, int askWithinMs) {
-        DiscoveryTiming timing = new DiscoveryTiming(pushed, askWithinMs * MS, new Random(2));
+    public void nextCallStartsWithinAllowedPollIntervals(boolean pushed, int pollIntervalMillis) {
+        DiscoveryTiming timing = new DiscoveryTiming(pushed, pollIntervalMillis * NANOS_PER_MILLI,
+            new Random(2));
         for (int i = 0; i < DRAWS; i++) {
-            assertTrue(timing.pauseNanos() <= askWithinMs * MS, "after a call that was answered");
-            assertTrue(timing.callTimeoutNanos() + timing.pauseNanos() <= 4 * askWithinMs * MS,
-                "after one without an answer");
+            assertTrue(timing.pauseNanos() <= pollIntervalMillis * NANOS_PER_MILLI,
+                "longest pause after an answered call");
+            assertTrue(
+                timing.callTimeoutNanos() + timing.pauseNanos() <= 4 * pollIntervalMillis * NANOS_PER_MILLI,
+                "timeout and pause of a failed call");
         }
     }
 
-    /** Seven in ten proxies lose discovery at the same moment, and find it again at the same moment. */
+    /** The seven in ten proxies that lose discovery at the same moment call it at different times later. */
     @Test
-    public void proxiesThatComeBackAtOnceAreSpreadOut() {
-        int[] calls = new int[6]; // in each half second after its return
+    public void callsAfterSimultaneousOutageAreSpreadOut() {
+        int[] calls = new int[6]; // in each half second after the recovery
         for (int proxy = 0; proxy < 700; proxy++) {
-            DiscoveryTiming timing = new DiscoveryTiming(false, 10_000 * MS, new Random(proxy));
-            long away = 8000 * MS;
-            long next = 0;
-            while (next < away) {
-                next += timing.pauseNanos();
+            DiscoveryTiming timing = new DiscoveryTiming(false, 10_000 * NANOS_PER_MILLI, new Random(proxy));
+            long outageNanos = 8000 * NANOS_PER_MILLI;
+            long nextCallNanos = 0;
+            while (nextCallNanos < outageNanos) {
+                nextCallNanos += timing.pauseNanos();
             }
-            calls[(int) ((next - away) / (500 * MS))]++;
+            calls[(int) ((nextCallNanos - outageNanos) / (500 * NANOS_PER_MILLI))]++;
         }
-        for (int half = 0; half < calls.length; half++) {
-            assertTrue(calls[half] < 0.35 * 700, calls[half] + " of 700 in half second " + half);
+        for (int halfSecond = 0; halfSecond < calls.length; halfSecond++) {
+            assertTrue(calls[halfSecond] < 0.35 * 700,
+                calls[halfSecond] + " of 700 in half second " + halfSecond);
         }
     }
 }
--- a/proxy/src/test/java/spurroad/routing/EndpointConnectionPoolTest.java
+++ b/proxy/src/test/java/spurroad/routing/EndpointConnectionPoolTest.java
@@ -41,8 +41,8 @@
 import spurroad.transport.Threads;
 
 public class EndpointConnectionPoolTest {
-    private static final long LONG_NS = 20_000 * 1_000_000L;
-    private static final long SHORT_NS = 200 * 1_000_000L;
+    private static final long LONG_TIMEOUT_NANOS = 20_000 * 1_000_000L;
+    private static final long SHORT_TIMEOUT_NANOS = 200 * 1_000_000L;
     private final EventLog log = new EventLog();
     private final Clock clock = new Clock();
     private final EventLoop loop = new EventLoop(log, clock);
@@ -59,56 +59,58 @@
         loop.shutdown();
     }
 
-    private EndpointConnectionPool node(int port, boolean origin, DescriptorBudget descriptors) {
-        return node(port, origin, descriptors, 0);
+    private EndpointConnectionPool pool(int port, boolean origin, DescriptorBudget descriptors) {
+        return pool(port, origin, descriptors, 0);
     }
 
-    private EndpointConnectionPool node(int port, boolean origin, DescriptorBudget descriptors, long restNs) {
+    private EndpointConnectionPool pool(int port, boolean origin, DescriptorBudget descriptors,
+                                        long reuseDelayNanos) {
         return new EndpointConnectionPool(
-            new EndpointConnectionPool.Environment(loop, log, new RuleMonitor(log), descriptors, SHORT_NS,
-                LONG_NS,
-                restNs, SocketFactory.TCP,
-                () -> {}, (e, reply) -> ended.add(reply), forwarded::incrementAndGet),
-            member(port, 0), origin);
+            new EndpointConnectionPool.Environment(loop, log, new RuleMonitor(log), descriptors,
+                SHORT_TIMEOUT_NANOS,
+                LONG_TIMEOUT_NANOS,
+                reuseDelayNanos, SocketFactory.TCP,
+                () -> {}, (attempt, reply) -> ended.add(reply), forwarded::incrementAndGet),
+            listed(port, 0), origin);
     }
 
-    private static ListedEndpoint member(int port, long started) {
-        return member(port, started, EndpointPhase.READY);
+    private static ListedEndpoint listed(int port, long started) {
+        return listed(port, started, EndpointPhase.READY);
     }
 
-    private static ListedEndpoint member(int port, long started, EndpointPhase phase) {
+    private static ListedEndpoint listed(int port, long started, EndpointPhase phase) {
         return new ListedEndpoint(
             new Endpoint(new EndpointId(1), new EndpointKindId(0), new ZoneId(0), new CellId(0), started, 1,
                 phase),
             new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
-    private UpstreamRequest begin(EndpointConnectionPool node, long allowNs) throws IOException {
-        UpstreamRequest e = request(node, allowNs);
-        loop.execute(() -> node.start(e));
-        return e;
+    private UpstreamRequest begin(EndpointConnectionPool pool, long timeoutNanos) throws IOException {
+        UpstreamRequest attempt = request(pool, timeoutNanos);
+        loop.execute(() -> pool.start(attempt));
+        return attempt;
     }
 
-    private UpstreamRequest request(EndpointConnectionPool node, long allowNs) throws IOException {
-        return request(node, allowNs, Long.MAX_VALUE);
+    private UpstreamRequest request(EndpointConnectionPool pool, long timeoutNanos) throws IOException {
+        return request(pool, timeoutNanos, Long.MAX_VALUE);
     }
 
-    private UpstreamRequest request(EndpointConnectionPool node, long allowNs, long sentBy)
+    private UpstreamRequest request(EndpointConnectionPool pool, long timeoutNanos, long sendDeadlineNanos)
         throws IOException {
         MetaCommand command = MetaCommand.read(new ByteSource(new ByteArrayInputStream(
             "mg k v O1 Pc=read,d=480\r\n".getBytes())));
-        ProxiedRequest query = new ProxiedRequest(null, command, new RequestClassId(0), null, null, 0, 0);
-        return new UpstreamRequest(query, 0, node, clock.now() + allowNs, sentBy, 0);
+        ProxiedRequest request = new ProxiedRequest(null, command, new RequestClassId(0), null, null, 0, 0);
+        return new UpstreamRequest(request, 0, pool, clock.now() + timeoutNanos, sendDeadlineNanos, 0);
     }
 
     private Outcome outcome() throws InterruptedException {
         UpstreamReply reply = ended.poll(20, TimeUnit.SECONDS);
-        assertNotNull(reply, "a request that never ended");
+        assertNotNull(reply, "the attempt did not end within 20 s");
         return reply.outcome();
     }
 
     @DataProvider
-    Object[][] ends() {
+    Object[][] replies() {
         String head = "HTTP/1.1 ";
         return new Object[][] {{false, "VA 1 O1\r\na\r\n", Outcome.SUCCEEDED},
             {false, "EN O1\r\n", Outcome.CACHE_MISS},
@@ -126,12 +128,12 @@
             {true, "EN O1\r\n", Outcome.CONNECTION_LOST}};
     }
 
-    @Test(dataProvider = "ends")
-    public void whatComesBackDecidesTheOutcome(boolean origin, String answer, Outcome outcome)
+    @Test(dataProvider = "replies")
+    public void replyDeterminesOutcome(boolean origin, String reply, Outcome outcome)
         throws Exception {
-        try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> answer)) {
-            begin(node(peer.port, origin, new DescriptorBudget(100)),
-                outcome == Outcome.TIMED_OUT ? SHORT_NS : LONG_NS);
+        try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> reply)) {
+            begin(pool(peer.port, origin, new DescriptorBudget(100)),
+                outcome == Outcome.TIMED_OUT ? SHORT_TIMEOUT_NANOS : LONG_TIMEOUT_NANOS);
             assertEquals(outcome(), outcome);
             assertTrue(peer.await(origin ? "GET /k" : "mg k v O1 Pc=read,d=").length() > 5);
             if (outcome == Outcome.TIMED_OUT || outcome == Outcome.CONNECTION_LOST) {
@@ -141,7 +143,7 @@
     }
 
     @DataProvider
-    Object[][] endings() {
+    Object[][] streamEnds() {
         String head = "HTTP/1.1 200 OK\r\n";
         return new Object[][] {{head + "\r\nhalf", false, Outcome.SUCCEEDED},
             {head + "\r\nhalf", true, Outcome.CONNECTION_LOST},
@@ -153,13 +155,17 @@
             {head + "\r\n" + "half".repeat(10_000), true, Outcome.CONNECTION_LOST}};
     }
 
-    /** A reset is no end: half of a value was passed on as all of it, where answers have no length. */
-    @Test(dataProvider = "endings")
-    public void anAnswerWithoutALengthIsWholeOnlyWithAnEndInOrder(String says, boolean reset, Outcome outcome)
+    /**
+     * Guards against a truncated value that is forwarded as complete: a reset is not the end of a response
+     * that has no length.
+     */
+    @Test(dataProvider = "streamEnds")
+    public void replyWithoutLengthIsCompleteOnlyAfterOrderlyEnd(String response, boolean reset,
+                                                                Outcome outcome)
         throws Exception {
-        try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> says)) {
-            begin(node(peer.port, true, new DescriptorBudget(100)), LONG_NS);
-            peer.say(""); // behind its answer
+        try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> response)) {
+            begin(pool(peer.port, true, new DescriptorBudget(100)), LONG_TIMEOUT_NANOS);
+            peer.say(""); // waits until the reply was written
             if (reset) {
                 peer.reset();
             } else {
@@ -170,38 +176,38 @@
     }
 
     @Test
-    public void noConnectionProvesThatNothingRan() throws Exception {
-        int free;
+    public void attemptWithoutConnectionEndsWithoutBeingSent() throws Exception {
+        int closedPort;
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            free = s.getLocalPort();
+            closedPort = s.getLocalPort();
         }
-        begin(node(free, false, new DescriptorBudget(100)), LONG_NS);
+        begin(pool(closedPort, false, new DescriptorBudget(100)), LONG_TIMEOUT_NANOS);
         assertEquals(outcome(), Outcome.NO_CONNECTION, "refused");
         try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> null)) {
             DescriptorBudget descriptors = new DescriptorBudget(2 + 8 + 2);
-            EndpointConnectionPool node = node(peer.port, false, descriptors);
-            begin(node, LONG_NS);
+            EndpointConnectionPool pool = pool(peer.port, false, descriptors);
+            begin(pool, LONG_TIMEOUT_NANOS);
             peer.await("mg");
-            begin(node, LONG_NS);
-            assertEquals(outcome(), Outcome.NOT_SENT, "no descriptor is left");
+            begin(pool, LONG_TIMEOUT_NANOS);
+            assertEquals(outcome(), Outcome.NOT_SENT, "no descriptor left");
         }
     }
 
     @Test
-    public void aCancelClosesItsConnectionAndEndsItOnce() throws Exception {
+    public void cancelClosesConnectionAndEndsAttemptOnce() throws Exception {
         try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> null)) {
             DescriptorBudget descriptors = new DescriptorBudget(100);
-            EndpointConnectionPool node = node(peer.port, false, descriptors);
+            EndpointConnectionPool pool = pool(peer.port, false, descriptors);
             int before = descriptors.availableForEndpoints();
-            UpstreamRequest e = begin(node, LONG_NS);
+            UpstreamRequest attempt = begin(pool, LONG_TIMEOUT_NANOS);
             peer.await("mg");
-            loop.execute(() -> node.cancel(e));
-            loop.execute(() -> node.cancel(e));
+            loop.execute(() -> pool.cancel(attempt));
+            loop.execute(() -> pool.cancel(attempt));
             assertEquals(outcome(), Outcome.CANCELLED);
             assertEquals(peer.await("closed"), "closed");
-            UpstreamRequest next = begin(node, LONG_NS);
+            UpstreamRequest next = begin(pool, LONG_TIMEOUT_NANOS);
             peer.await("mg");
-            loop.execute(() -> node.cancel(next));
+            loop.execute(() -> pool.cancel(next));
             assertEquals(outcome(), Outcome.CANCELLED);
             peer.await("closed");
             while (descriptors.availableForEndpoints() < before) {
@@ -212,31 +218,31 @@
     }
 
     @Test
-    public void aSecondAnswerEndsNothingTwiceAndItsConnectionIsGivenUp() throws Exception {
+    public void secondReplyEndsNoOtherAttemptAndClosesConnection() throws Exception {
         try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> "EN O1\r\nEN O1\r\n")) {
-            EndpointConnectionPool node = node(peer.port, false, new DescriptorBudget(100));
-            begin(node, LONG_NS);
+            EndpointConnectionPool pool = pool(peer.port, false, new DescriptorBudget(100));
+            begin(pool, LONG_TIMEOUT_NANOS);
             assertEquals(outcome(), Outcome.CACHE_MISS);
             assertEquals(peer.await("closed"), "closed");
             assertTrue(ended.isEmpty());
-            begin(node, LONG_NS);
+            begin(pool, LONG_TIMEOUT_NANOS);
             assertEquals(outcome(), Outcome.CACHE_MISS);
             assertEquals(peer.connections.get(), 2);
         }
     }
 
     /**
-     * Bad nodes, first score: a second answer of the origin, which names no id, was passed on for the next
-     * query.
+     * Guards against a second response of the origin, which carries no request id, being forwarded as the
+     * response to the next request.
      */
     @Test
-    public void anAnswerWithMoreBehindItCountsAndItsConnectionServesNoOther() throws Exception {
+    public void replyWithSurplusBytesCountsAndItsConnectionIsNotReused() throws Exception {
         String once = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na";
         for (String more : List.of(once, "noise")) {
             try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> once + more)) {
-                EndpointConnectionPool node = node(peer.port, true, new DescriptorBudget(100));
+                EndpointConnectionPool pool = pool(peer.port, true, new DescriptorBudget(100));
                 for (int i = 1; i <= 3; i++) {
-                    begin(node, LONG_NS);
+                    begin(pool, LONG_TIMEOUT_NANOS);
                     assertEquals(outcome(), Outcome.SUCCEEDED);
                     assertEquals(peer.connections.get(), i);
                 }
@@ -245,14 +251,15 @@
     }
 
     @Test
-    public void aConnectionRestsBetweenTwoSoThatWhatComesLateIsNobodys() throws Exception {
+    public void lateSecondReplyIsNotMatchedToNextAttempt() throws Exception {
         try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(
             message -> "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na")) {
-            EndpointConnectionPool node = node(peer.port, true, new DescriptorBudget(100), LONG_NS);
-            begin(node, LONG_NS);
+            EndpointConnectionPool pool = pool(peer.port, true, new DescriptorBudget(100),
+                LONG_TIMEOUT_NANOS);
+            begin(pool, LONG_TIMEOUT_NANOS);
             assertEquals(outcome(), Outcome.SUCCEEDED);
             peer.say("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb");
-            begin(node, LONG_NS);
+            begin(pool, LONG_TIMEOUT_NANOS);
             assertEquals(new String(ended.poll(20, TimeUnit.SECONDS).response()), "VA 1 O1\r\na\r\n");
             assertEquals(peer.await("closed"), "closed");
             assertEquals(peer.connections.get(), 2);
@@ -260,225 +267,229 @@
     }
 
     @Test
-    public void aConnectionIsUsedAgainUntilTheNodeIsAnother() throws Exception {
-        Function<String, String> answer = message -> "EN O1\r\n";
-        try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(answer);
-            ScriptedPeers.Peer moved = new ScriptedPeers.Peer(answer)) {
-            EndpointConnectionPool node = node(peer.port, false, new DescriptorBudget(100));
+    public void connectionIsReusedUntilEndpointChanges() throws Exception {
+        Function<String, String> reply = message -> "EN O1\r\n";
+        try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(reply);
+            ScriptedPeers.Peer moved = new ScriptedPeers.Peer(reply)) {
+            EndpointConnectionPool pool = pool(peer.port, false, new DescriptorBudget(100));
             for (int i = 0; i < 3; i++) {
-                begin(node, LONG_NS);
+                begin(pool, LONG_TIMEOUT_NANOS);
                 assertEquals(outcome(), Outcome.CACHE_MISS);
             }
             assertEquals(peer.connections.get(), 1);
-            loop.execute(() -> node.onListed(member(peer.port, 5), false));
-            assertEquals(peer.await("closed"), "closed", "a new start");
-            begin(node, LONG_NS);
+            loop.execute(() -> pool.onListed(listed(peer.port, 5), false));
+            assertEquals(peer.await("closed"), "closed", "new start time");
+            begin(pool, LONG_TIMEOUT_NANOS);
             assertEquals(outcome(), Outcome.CACHE_MISS);
             assertEquals(peer.connections.get(), 2);
-            loop.execute(() -> node.onListed(member(moved.port, 5), false));
-            begin(node, LONG_NS);
+            loop.execute(() -> pool.onListed(listed(moved.port, 5), false));
+            begin(pool, LONG_TIMEOUT_NANOS);
             assertEquals(outcome(), Outcome.CACHE_MISS);
-            assertEquals(moved.connections.get(), 1, "a new address");
-            loop.execute(node::onRemoved);
+            assertEquals(moved.connections.get(), 1, "new address");
+            loop.execute(pool::onRemoved);
             assertEquals(moved.await("closed"), "closed");
         }
     }
 
-    // ---- narrow moments: news between a decision and its first byte
+    // ---- events between the decision on an attempt and its first byte
 
-    /** What may come between the two; the node's peer is to hear nothing of the request then. */
-    private enum News {
-        DRAINS(Outcome.NO_CONNECTION), GONE(Outcome.NO_CONNECTION), OUT_BY_HAND(Outcome.NO_CONNECTION),
-        STARTED_ANEW(Outcome.NO_CONNECTION), MOVED(Outcome.NO_CONNECTION), CLIENT_LEFT(Outcome.NOT_SENT),
-        CALLED_OFF(Outcome.NO_CONNECTION), LEFT_AND_CALLED_OFF(Outcome.NOT_SENT);
+    /** An event after the decision; the endpoint must not receive the request afterwards. */
+    private enum Event {
+        DRAINING(Outcome.NO_CONNECTION), REMOVED(Outcome.NO_CONNECTION),
+        ADMINISTRATIVELY_DRAINED(Outcome.NO_CONNECTION),
+        RESTARTED(Outcome.NO_CONNECTION), MOVED(Outcome.NO_CONNECTION), CLIENT_DISCONNECTED(Outcome.NOT_SENT),
+        CANCELLED(Outcome.NO_CONNECTION), DISCONNECTED_AND_CANCELLED(Outcome.NOT_SENT);
 
         private final Outcome end;
 
-        News(Outcome end) {
+        Event(Outcome end) {
             this.end = end;
         }
 
-        private void reach(EndpointConnectionPool node, UpstreamRequest e, ScriptedPeers.Peer peer,
+        private void apply(EndpointConnectionPool pool, UpstreamRequest attempt, ScriptedPeers.Peer peer,
                            ScriptedPeers.Peer other) {
-            e.request.clientLeft = this == CLIENT_LEFT || this == LEFT_AND_CALLED_OFF;
+            attempt.request.clientLeft = this == CLIENT_DISCONNECTED || this == DISCONNECTED_AND_CANCELLED;
             switch (this) {
-                case DRAINS -> node.onListed(member(peer.port, 0, EndpointPhase.DRAINING), false);
-                case GONE -> node.onRemoved();
-                case OUT_BY_HAND -> node.setAdministrativelyDrained(true);
-                case STARTED_ANEW -> node.onListed(member(peer.port, 5), false);
-                case MOVED -> node.onListed(member(other.port, 0), false);
-                case CALLED_OFF, LEFT_AND_CALLED_OFF -> node.cancel(e);
+                case DRAINING -> pool.onListed(listed(peer.port, 0, EndpointPhase.DRAINING), false);
+                case REMOVED -> pool.onRemoved();
+                case ADMINISTRATIVELY_DRAINED -> pool.setAdministrativelyDrained(true);
+                case RESTARTED -> pool.onListed(listed(peer.port, 5), false);
+                case MOVED -> pool.onListed(listed(other.port, 0), false);
+                case CANCELLED, DISCONNECTED_AND_CANCELLED -> pool.cancel(attempt);
                 default -> {}
             }
         }
     }
 
     @DataProvider
-    Object[][] news() {
-        Object[][] all = new Object[News.values().length][];
-        for (News n : News.values()) {
+    Object[][] event() {
+        Object[][] all = new Object[Event.values().length][];
+        for (Event n : Event.values()) {
             all[n.ordinal()] = new Object[] {n};
         }
         return all;
     }
 
-    /** The connect has begun in the same turn of the loop, so it comes up after the news each time. */
-    @Test(dataProvider = "news")
-    public void nothingBeginsOnAConnectionThatComesUpAfterTheNews(News news) throws Exception {
+    /** The connect starts in the same iteration of the loop, so it always completes after the event. */
+    @Test(dataProvider = "event")
+    public void requestIsNotSentOnConnectionEstablishedAfterEvent(Event event) throws Exception {
         try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> null);
             ScriptedPeers.Peer other = new ScriptedPeers.Peer(message -> null)) {
-            EndpointConnectionPool node = node(peer.port, false, new DescriptorBudget(100));
-            UpstreamRequest e = request(node, SHORT_NS);
+            EndpointConnectionPool pool = pool(peer.port, false, new DescriptorBudget(100));
+            UpstreamRequest attempt = request(pool, SHORT_TIMEOUT_NANOS);
             loop.execute(() -> {
-                node.start(e);
-                news.reach(node, e, peer, other);
+                pool.start(attempt);
+                event.apply(pool, attempt, peer, other);
             });
-            assertEquals(outcome(), news.end);
-            heardNothing(peer, other);
+            assertEquals(outcome(), event.end);
+            assertNoRequestReceived(peer, other);
         }
     }
 
-    /** The place comes free in the same turn as the news. */
-    @Test(dataProvider = "news")
-    public void nothingBeginsAtAPlaceThatComesFreeAfterTheNews(News news) throws Exception {
-        try (ScriptedPeers.Peer holds = new ScriptedPeers.Peer(message -> null);
+    /** The descriptor is released in the same iteration of the loop as the event. */
+    @Test(dataProvider = "event")
+    public void requestIsNotSentWithDescriptorReleasedAfterEvent(Event event) throws Exception {
+        try (ScriptedPeers.Peer holderPeer = new ScriptedPeers.Peer(message -> null);
             ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> null);
             ScriptedPeers.Peer other = new ScriptedPeers.Peer(message -> null)) {
             DescriptorBudget descriptors = new DescriptorBudget(2 + 8 + 2);
-            EndpointConnectionPool holder = node(holds.port, false, descriptors);
-            EndpointConnectionPool node = node(peer.port, false, descriptors);
-            UpstreamRequest first = begin(holder, LONG_NS);
-            UpstreamRequest e = request(node, LONG_NS);
-            assertNotNull(holds.await("mg"));
+            EndpointConnectionPool holderPool = pool(holderPeer.port, false, descriptors);
+            EndpointConnectionPool pool = pool(peer.port, false, descriptors);
+            UpstreamRequest first = begin(holderPool, LONG_TIMEOUT_NANOS);
+            UpstreamRequest attempt = request(pool, LONG_TIMEOUT_NANOS);
+            assertNotNull(holderPeer.await("mg"));
             loop.execute(() -> {
-                node.start(e);
-                news.reach(node, e, peer, other);
-                holder.cancel(first);
+                pool.start(attempt);
+                event.apply(pool, attempt, peer, other);
+                holderPool.cancel(first);
             });
             List<Outcome> ends = new ArrayList<>(List.of(outcome(), outcome()));
-            assertTrue(ends.remove(Outcome.CANCELLED), "the one that held the place");
-            assertEquals(ends, List.of(news.end));
-            heardNothing(peer, other);
+            assertTrue(ends.remove(Outcome.CANCELLED), "the attempt that held the descriptor");
+            assertEquals(ends, List.of(event.end));
+            assertNoRequestReceived(peer, other);
         }
     }
 
     /**
-     * How a repeat is held up until its time to go out is over: by its connect, or by all places being taken.
+     * Returns whether a retry is delayed past its send deadline by a lack of descriptors, rather than by its
+     * connect.
      */
     @DataProvider
-    Object[][] heldUp() {
+    Object[][] delays() {
         return new Object[][] {{false}, {true}};
     }
 
     /**
-     * A repeat was decided on while nodes knew it for one, and went out when its connection came up, after
-     * that (zone+brink, sent again outside its window).
+     * Guards against a retry that is decided on inside the deduplication window, but sent after the window
+     * when its connection is established.
      */
-    @Test(dataProvider = "heldUp")
-    public void aRepeatDoesNotGoOutOnceItIsNoneAnyMore(boolean place) throws Exception {
-        try (ScriptedPeers.Peer holds = new ScriptedPeers.Peer(message -> null);
+    @Test(dataProvider = "delays")
+    public void retryIsNotSentAfterItsSendDeadline(boolean descriptorsExhausted) throws Exception {
+        try (ScriptedPeers.Peer holderPeer = new ScriptedPeers.Peer(message -> null);
             ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> null)) {
-            DescriptorBudget descriptors = new DescriptorBudget(place ? 2 + 8 + 2 : 100);
-            EndpointConnectionPool holder = node(holds.port, false, descriptors);
-            EndpointConnectionPool node = node(peer.port, false, descriptors);
-            UpstreamRequest first = begin(holder, LONG_NS);
-            UpstreamRequest e = request(node, LONG_NS, clock.now() + SHORT_NS / 2);
-            assertNotNull(holds.await("mg"));
+            DescriptorBudget descriptors = new DescriptorBudget(descriptorsExhausted ? 2 + 8 + 2 : 100);
+            EndpointConnectionPool holderPool = pool(holderPeer.port, false, descriptors);
+            EndpointConnectionPool pool = pool(peer.port, false, descriptors);
+            UpstreamRequest first = begin(holderPool, LONG_TIMEOUT_NANOS);
+            UpstreamRequest attempt = request(pool, LONG_TIMEOUT_NANOS,
+                clock.now() + SHORT_TIMEOUT_NANOS / 2);
+            assertNotNull(holderPeer.await("mg"));
             loop.execute(() -> {
-                node.start(e);
-                while (clock.now() < e.sendDeadlineNanos) {
-                    Thread.onSpinWait(); // the connect is answered meanwhile, and the place comes free
+                pool.start(attempt);
+                while (clock.now() < attempt.sendDeadlineNanos) {
+                    Thread.onSpinWait(); // the connect completes meanwhile
                 }
-                holder.cancel(first);
+                holderPool.cancel(first);
             });
             List<Outcome> ends = new ArrayList<>(List.of(outcome(), outcome()));
-            assertTrue(ends.remove(Outcome.CANCELLED), "the one that held the place");
+            assertTrue(ends.remove(Outcome.CANCELLED), "the attempt that held the descriptor");
             assertEquals(ends, List.of(Outcome.NOT_SENT));
-            heardNothing(peer);
+            assertNoRequestReceived(peer);
         }
     }
 
     @Test
-    public void aRepeatThatWentOutInTimeHasItsAnswerLater() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    public void retrySentInTimeReceivesReplyAfterSendDeadline() throws Exception {
+        CountDownLatch releaseReply = new CountDownLatch(1);
         try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> {
             try {
-                go.await();
+                releaseReply.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
             return "EN O1\r\n";
         })) {
-            EndpointConnectionPool node = node(peer.port, false, new DescriptorBudget(100));
-            UpstreamRequest e = request(node, LONG_NS, clock.now() + SHORT_NS);
-            loop.execute(() -> node.start(e));
+            EndpointConnectionPool pool = pool(peer.port, false, new DescriptorBudget(100));
+            UpstreamRequest attempt = request(pool, LONG_TIMEOUT_NANOS, clock.now() + SHORT_TIMEOUT_NANOS);
+            loop.execute(() -> pool.start(attempt));
             assertNotNull(peer.await("mg"));
-            while (clock.now() < e.sendDeadlineNanos) {
+            while (clock.now() < attempt.sendDeadlineNanos) {
                 Thread.onSpinWait();
             }
-            CountDownLatch turns = new CountDownLatch(1);
-            // by then the alarm has gone off
-            loop.execute(() -> loop.schedule(SHORT_NS / 10, turns::countDown));
-            turns.await();
-            go.countDown();
+            CountDownLatch iterationsDone = new CountDownLatch(1);
+            // by then the timer of the send deadline has fired
+            loop.execute(() -> loop.schedule(SHORT_TIMEOUT_NANOS / 10, iterationsDone::countDown));
+            iterationsDone.await();
+            releaseReply.countDown();
             assertEquals(outcome(), Outcome.CACHE_MISS);
         }
     }
 
-    private static void heardNothing(ScriptedPeers.Peer... peers) {
+    private static void assertNoRequestReceived(ScriptedPeers.Peer... peers) {
         for (ScriptedPeers.Peer p : peers) {
-            assertTrue(p.heard.stream().noneMatch(m -> m.startsWith("mg")), "nothing was sent on");
+            assertTrue(p.heard.stream().noneMatch(m -> m.startsWith("mg")), "no request was sent");
         }
     }
 
     @DataProvider
-    Object[][] whatComesToAnIdleConnection() {
+    Object[][] inputOnIdleConnection() {
         String again = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb";
         return new Object[][] {{false, null}, {true, null}, {false, "VA 1 O1\r\nb\r\n"}, {true, again},
             {true, "x"}};
     }
 
     /**
-     * The loop is held up while it comes, so it can't have been told of it when the next query is written.
+     * The input arrives while the loop is blocked, so the loop has not reported it when the next request is
+     * written.
      */
-    @Test(dataProvider = "whatComesToAnIdleConnection")
-    public void whatStandsUnreadOnAnIdleConnectionIsSeenBeforeAQueryIsRiskedOnIt(boolean origin, String comes)
+    @Test(dataProvider = "inputOnIdleConnection")
+    public void unreadInputOnIdleConnectionIsNoticedBeforeReuse(boolean origin, String input)
         throws Exception {
-        String answer = origin ? "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na" : "VA 1 O1\r\na\r\n";
-        try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> answer)) {
-            EndpointConnectionPool node = node(peer.port, origin, new DescriptorBudget(100));
-            begin(node, LONG_NS);
+        String reply = origin ? "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na" : "VA 1 O1\r\na\r\n";
+        try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> reply)) {
+            EndpointConnectionPool pool = pool(peer.port, origin, new DescriptorBudget(100));
+            begin(pool, LONG_TIMEOUT_NANOS);
             assertEquals(outcome(), Outcome.SUCCEEDED);
-            UpstreamRequest next = request(node, LONG_NS);
+            UpstreamRequest next = request(pool, LONG_TIMEOUT_NANOS);
             loop.execute(() -> {
                 try {
-                    if (comes == null) {
+                    if (input == null) {
                         peer.hangUp();
                     } else {
-                        peer.say(comes);
+                        peer.say(input);
                     }
                 } catch (IOException | InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
-                node.start(next);
+                pool.start(next);
             });
-            UpstreamReply reply = ended.poll(20, TimeUnit.SECONDS);
-            assertEquals(reply.outcome(), Outcome.SUCCEEDED);
-            assertEquals(new String(reply.response()), "VA 1 O1\r\na\r\n", "its own answer");
+            UpstreamReply received = ended.poll(20, TimeUnit.SECONDS);
+            assertEquals(received.outcome(), Outcome.SUCCEEDED);
+            assertEquals(new String(received.response()), "VA 1 O1\r\na\r\n", "its own response");
             assertEquals(peer.connections.get(), 2);
         }
     }
 
     /**
-     * What meets while the loop is held up: an alarm that is due goes off first, then sockets are read, then
-     * what is told.
+     * Returns combinations of events that coincide while the loop is blocked: expired timers run first, then
+     * sockets are read, then posted tasks run.
      */
     @DataProvider
-    Object[][] meetings() {
-        String answer = "EN O1\r\n";
-        return new Object[][] {{answer, false, false, Outcome.CACHE_MISS},
-            {answer, true, false, Outcome.CACHE_MISS},
-            {answer, false, true, Outcome.TIMED_OUT}, {answer, true, true, Outcome.TIMED_OUT},
+    Object[][] coincidingEvents() {
+        String reply = "EN O1\r\n";
+        return new Object[][] {{reply, false, false, Outcome.CACHE_MISS},
+            {reply, true, false, Outcome.CACHE_MISS},
+            {reply, false, true, Outcome.TIMED_OUT}, {reply, true, true, Outcome.TIMED_OUT},
             {"", false, false, Outcome.CONNECTION_LOST},
             {"", true, false, Outcome.CANCELLED}, {"", false, true, Outcome.TIMED_OUT},
             {"", true, true, Outcome.TIMED_OUT},
@@ -486,43 +497,43 @@
             {null, false, true, Outcome.TIMED_OUT}};
     }
 
-    /** An answer or an end, a call off and the time being over, all together: one end of the request. */
-    @Test(dataProvider = "meetings")
-    public void whateverMeetsInOneTurnARequestEndsOnce(String says, boolean calledOff, boolean late,
-                                                       Outcome outcome)
+    /** A response or end of stream, a cancel and a timeout at the same time end the attempt only once. */
+    @Test(dataProvider = "coincidingEvents")
+    public void coincidingEventsEndAttemptOnce(String response, boolean cancelled, boolean late,
+                                               Outcome outcome)
         throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch went = new CountDownLatch(1);
+        CountDownLatch loopBlocked = new CountDownLatch(1);
+        CountDownLatch releaseLoop = new CountDownLatch(1);
         try (ScriptedPeers.Peer peer = new ScriptedPeers.Peer(message -> null)) {
-            EndpointConnectionPool node = node(peer.port, false, new DescriptorBudget(100));
-            UpstreamRequest e = begin(node, late ? SHORT_NS : LONG_NS);
+            EndpointConnectionPool pool = pool(peer.port, false, new DescriptorBudget(100));
+            UpstreamRequest attempt = begin(pool, late ? SHORT_TIMEOUT_NANOS : LONG_TIMEOUT_NANOS);
             assertNotNull(peer.await("mg"));
             loop.execute(() -> {
-                held.countDown();
+                loopBlocked.countDown();
                 try {
-                    went.await();
+                    releaseLoop.await();
                 } catch (InterruptedException broken) {
                     throw new IllegalStateException(broken);
                 }
-                if (calledOff) {
-                    // after the next look at the sockets
-                    loop.execute(() -> node.cancel(e));
+                if (cancelled) {
+                    // after the sockets are read
+                    loop.execute(() -> pool.cancel(attempt));
                 }
             });
-            held.await();
-            if (says != null && says.isEmpty()) {
+            loopBlocked.await();
+            if (response != null && response.isEmpty()) {
                 peer.hangUp();
-            } else if (says != null) {
-                peer.say(says);
+            } else if (response != null) {
+                peer.say(response);
             }
-            while (late && clock.now() <= e.deadlineNanos) {
+            while (late && clock.now() <= attempt.deadlineNanos) {
                 Thread.onSpinWait();
             }
-            went.countDown();
+            releaseLoop.countDown();
             assertEquals(outcome(), outcome);
-            CountDownLatch turns = new CountDownLatch(1);
-            loop.execute(() -> loop.execute(() -> loop.execute(turns::countDown)));
-            turns.await();
+            CountDownLatch iterationsDone = new CountDownLatch(1);
+            loop.execute(() -> loop.execute(() -> loop.execute(iterationsDone::countDown)));
+            iterationsDone.await();
             assertTrue(ended.isEmpty(), "ended once");
         }
     }
--- a/proxy/src/test/java/spurroad/routing/EndpointStartTimesTest.java
+++ b/proxy/src/test/java/spurroad/routing/EndpointStartTimesTest.java
@@ -12,28 +12,35 @@
 import spurroad.model.ZoneId;
 
 public class EndpointStartTimesTest {
-    private static final long NOW = 1_000_000;
+    private static final long NOW_NANOS = 1_000_000;
 
-    private static Endpoint entry(long startedNs) {
-        return new Endpoint(new EndpointId(7), new EndpointKindId(0), new ZoneId(0), new CellId(0), startedNs,
+    private static Endpoint endpoint(long startedNanos) {
+        return new Endpoint(new EndpointId(7), new EndpointKindId(0), new ZoneId(0), new CellId(0),
+            startedNanos,
             1,
             EndpointPhase.READY);
     }
 
     @DataProvider
     Object[][] starts() {
-        // as told, when discovery spoke before, in own time
+        // listed start time, time of discovery's previous line, expected start time by the process's clock
         return new Object[][] {{0, 900_000, 0}, {950_000, 900_000, 950_000}, {20, 900_000, 900_000},
-            {5_000_000, 900_000, NOW}, {20, EndpointStartTimes.NEVER, 20},
-            {5_000_000, EndpointStartTimes.NEVER, NOW}};
+            {5_000_000, 900_000, NOW_NANOS}, {20, EndpointStartTimes.NEVER, 20},
+            {5_000_000, EndpointStartTimes.NEVER, NOW_NANOS}};
     }
 
     @Test(dataProvider = "starts")
-    public void aStartLiesBetweenTheLastWordWithoutItAndNow(long toldNs, long heardBeforeNs, long ownNs) {
+    public void startTimeLiesBetweenPreviousContactAndNow(long listedNanos, long previousContactNanos,
+                                                          long localNanos) {
         EndpointStartTimes starts = new EndpointStartTimes();
-        assertEquals(starts.toLocalTime(entry(toldNs), heardBeforeNs, NOW), entry(ownNs));
-        assertEquals(starts.toLocalTime(entry(toldNs), NOW, 2 * NOW), entry(ownNs), "told again");
-        assertEquals(starts.toLocalTime(entry(toldNs + 1), NOW, 2 * NOW).startedAtNanos() >= NOW, true,
-            "anew");
+        assertEquals(starts.toLocalTime(endpoint(listedNanos), previousContactNanos, NOW_NANOS),
+            endpoint(localNanos));
+        assertEquals(starts.toLocalTime(endpoint(listedNanos), NOW_NANOS, 2 * NOW_NANOS),
+            endpoint(localNanos), "listed again");
+        assertEquals(
+            starts.toLocalTime(endpoint(listedNanos + 1), NOW_NANOS, 2 * NOW_NANOS).startedAtNanos()
+                >= NOW_NANOS,
+            true,
+            "started again");
     }
 }
--- a/proxy/src/test/java/spurroad/routing/EndpointStatusLogTest.java
+++ b/proxy/src/test/java/spurroad/routing/EndpointStatusLogTest.java
@@ -12,9 +12,9 @@
 import spurroad.model.AdminStatus.RestrictedEndpoint;
 import spurroad.model.EndpointId;
 
-/** What staff are told of ejected endpoints, and when the status is asked for again. */
+/** Tests the log lines about ejected endpoints, and when the status is fetched again. */
 public class EndpointStatusLogTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private static AdminStatus status(AwaitedEvent event, int count) {
         List<RestrictedEndpoint> restricted = new ArrayList<>();
@@ -25,18 +25,19 @@
     }
 
     @Test
-    public void asksAgainEachSecondWhileAnyEndpointIsEjected() {
+    public void isRenewalDueEachSecondWhileAnyEndpointIsEjected() {
         EndpointStatusLog statusLog = new EndpointStatusLog(EndpointId::toString, (event, fields) -> {});
-        assertFalse(statusLog.isRenewalDue(5 * SECOND), "nothing is ejected");
-        statusLog.onStatus(status(AwaitedEvent.LOAD_PROBE_REPLY, 1), 5 * SECOND);
-        assertFalse(statusLog.isRenewalDue(6 * SECOND - 1));
-        assertTrue(statusLog.isRenewalDue(6 * SECOND));
-        statusLog.onStatus(status(AwaitedEvent.RETURN_BY_OPERATOR, 1), 6 * SECOND);
-        assertFalse(statusLog.isRenewalDue(9 * SECOND), "staff return it, which is an event");
+        assertFalse(statusLog.isRenewalDue(5 * NANOS_PER_SECOND), "nothing is ejected");
+        statusLog.onStatus(status(AwaitedEvent.LOAD_PROBE_REPLY, 1), 5 * NANOS_PER_SECOND);
+        assertFalse(statusLog.isRenewalDue(6 * NANOS_PER_SECOND - 1));
+        assertTrue(statusLog.isRenewalDue(6 * NANOS_PER_SECOND));
+        statusLog.onStatus(status(AwaitedEvent.RETURN_BY_OPERATOR, 1), 6 * NANOS_PER_SECOND);
+        assertFalse(statusLog.isRenewalDue(9 * NANOS_PER_SECOND),
+            "operators return it to use, which is an event");
     }
 
     @Test
-    public void logsEachChangeOnceAndNamesAFewEndpoints() {
+    public void logsEachChangeOnceAndLimitsNamedEndpoints() {
         List<String> lines = new ArrayList<>();
         EndpointStatusLog statusLog = new EndpointStatusLog(id -> "node " + id.value(),
             (event, fields) -> lines.add(event + ": " + fields));
--- a/proxy/src/test/java/spurroad/routing/ScriptedDiscovery.java
+++ b/proxy/src/test/java/spurroad/routing/ScriptedDiscovery.java
@@ -15,93 +15,94 @@
 import spurroad.fixture.ScriptedPeers;
 import spurroad.protocol.ByteSource;
 
-/** A discovery on loopback that is away and returns. */
+/** A discovery service on loopback that is unavailable at first and then recovers. */
 final class ScriptedDiscovery implements AutoCloseable {
-    /** How discovery is away. */
+    /** How discovery is unavailable. */
     enum Away {
-        /** It is not. */
+        /** Always available. */
         NEVER,
-        /** Nobody listens. */
+        /** No socket listens. */
         REFUSES,
-        /** Connections never come up: what asks for one is dropped. */
+        /** Connections are never established: the full backlog drops SYN packets. */
         DROPS,
-        /** Accepts, and resets once a call has come. */
+        /** Accepts connections, and resets them after the call was received. */
         RESETS,
-        /** Answers each call that it can't serve it. */
+        /** Answers each call with status 503. */
         ANSWERS_503,
-        /** Takes calls and never answers those. */
+        /** Accepts calls and never answers them. */
         HANGS,
-        /** Begins to answer and never goes on. */
+        /** Sends the head of a response and nothing else. */
         HANGS_AFTER_HEAD,
-        /** A watch has spoken and falls silent; further calls are answered. Counts from its last line. */
+        /** A watch stalls after its first lines; later calls are answered. Counted from its last line. */
         WATCH_SILENT,
-        /** The same, and the first call after that is never answered. */
+        /** As {@link #WATCH_SILENT}, but the next call is never answered either. */
         WATCH_SILENT_THEN_CALL_HANGS
     }
 
-    private static final long MS = 1_000_000L;
-    private static final long PATIENCE_MS = 10_000;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long MAX_WAIT_MILLIS = 10_000;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String UNAVAILABLE = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
     private final Away away;
-    private final long returnsAfterMs;
+    private final long outageMillis;
     final int port;
     private final AtomicInteger calls = new AtomicInteger();
-    private final CountDownLatch told = new CountDownLatch(1);
-    private final List<Socket> open = new ArrayList<>();
-    private final Socket holder = new Socket(); // keeps the port where nobody listens: others would get it
+    private final CountDownLatch listSent = new CountDownLatch(1);
+    private final List<Socket> connections = new ArrayList<>();
+    private final Socket portReservation = new Socket(); // reserves the port while no socket listens on it
     private volatile ServerSocket server;
-    private volatile boolean returned;
-    private volatile long since; // ns; from when what it has counts
-    private volatile long toldAt; // ns; when it had written the list
+    private volatile boolean recovered;
+    private volatile long availableSinceNanos; // from when its list can be read
+    private volatile long listSentAtNanos; // when the list was written
 
-    ScriptedDiscovery(Away away, long returnsAfterMs) throws IOException {
+    ScriptedDiscovery(Away away, long outageMillis) throws IOException {
         this.away = away;
-        this.returnsAfterMs = returnsAfterMs;
+        this.outageMillis = outageMillis;
         server = new ServerSocket(0, away == Away.DROPS ? 1 : 50, InetAddress.getLoopbackAddress());
         port = server.getLocalPort();
     }
 
+    /** Starts the service and its outage. */
     void begin() throws IOException {
         if (away == Away.DROPS) {
             fillBacklog();
         } else if (away == Away.REFUSES) {
             server.close();
-            holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+            portReservation.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         } else {
             ScriptedPeers.daemon(this::accept);
         }
-        returned = away == Away.NEVER;
-        if (!returned && away != Away.WATCH_SILENT && away != Away.WATCH_SILENT_THEN_CALL_HANGS) {
-            ScriptedPeers.daemon(this::returns);
+        recovered = away == Away.NEVER;
+        if (!recovered && away != Away.WATCH_SILENT && away != Away.WATCH_SILENT_THEN_CALL_HANGS) {
+            ScriptedPeers.daemon(this::recover);
         }
     }
 
-    /** As many as the system takes for nobody: it drops what asks for a connection from then on. */
+    /** Fills the backlog of the socket, so that the system drops further connection requests. */
     private void fillBacklog() throws IOException {
         for (int i = 0; i < 4; i++) {
-            Socket s = new Socket();
-            keep(s);
+            Socket socket = new Socket();
+            keep(socket);
             try {
-                s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
+                socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
             } catch (java.net.SocketTimeoutException e) {
                 return;
             }
         }
     }
 
-    private void returns() throws Exception {
-        Thread.sleep(returnsAfterMs);
+    private void recover() throws Exception {
+        Thread.sleep(outageMillis);
         if (away == Away.REFUSES) {
-            holder.close();
-            ServerSocket again = new ServerSocket();
-            again.setReuseAddress(true);
-            again.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            server = again;
+            portReservation.close();
+            ServerSocket newServer = new ServerSocket();
+            newServer.setReuseAddress(true);
+            newServer.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+            server = newServer;
         }
-        since = System.nanoTime();
-        returned = true;
+        availableSinceNanos = System.nanoTime();
+        recovered = true;
         if (away == Away.REFUSES || away == Away.DROPS) {
             accept();
         }
@@ -109,93 +110,95 @@
 
     private void accept() throws IOException {
         while (true) {
-            Socket s = server.accept();
-            keep(s);
-            ScriptedPeers.daemon(() -> serve(s));
+            Socket socket = server.accept();
+            keep(socket);
+            ScriptedPeers.daemon(() -> serve(socket));
         }
     }
 
-    private synchronized void keep(Socket s) {
-        open.add(s);
+    private synchronized void keep(Socket socket) {
+        connections.add(socket);
     }
 
-    private void serve(Socket s) throws Exception {
-        ByteSource in = new ByteSource(s.getInputStream());
+    private void serve(Socket socket) throws Exception {
+        ByteSource in = new ByteSource(socket.getInputStream());
         String line = in.line(9000);
         if (line == null) {
-            return; // one of those that filled the backlog
+            return; // a connection that filled the backlog
         }
         while (!line.isEmpty()) {
             line = in.line(9000);
         }
         int call = calls.incrementAndGet();
-        if (returned) {
-            tell(s, 2);
+        if (recovered) {
+            sendList(socket, 2);
             return;
         }
         switch (away) {
             case RESETS -> {
-                s.setSoLinger(true, 0);
-                s.close();
+                socket.setSoLinger(true, 0);
+                socket.close();
             }
             case ANSWERS_503 -> {
-                write(s, UNAVAILABLE);
-                s.close();
+                write(socket, UNAVAILABLE);
+                socket.close();
             }
-            case HANGS_AFTER_HEAD -> write(s, HEAD);
+            case HANGS_AFTER_HEAD -> write(socket, HEAD);
             case WATCH_SILENT, WATCH_SILENT_THEN_CALL_HANGS -> {
                 if (call == 1) {
-                    write(s, HEAD + ScriptedPeers.chunk(ScriptedPeers.list(1, true)));
+                    write(socket, HEAD + ScriptedPeers.chunk(ScriptedPeers.list(1, true)));
                     Thread.sleep(2000);
-                    write(s, ScriptedPeers.chunk(""));
-                    since = System.nanoTime();
+                    write(socket, ScriptedPeers.chunk(""));
+                    availableSinceNanos = System.nanoTime();
                 } else if (call == 3 || away == Away.WATCH_SILENT) {
-                    tell(s, 2);
+                    sendList(socket, 2);
                 }
             }
-            default -> {} // it hangs
+            default -> {} // never answers
         }
-        waitForEnd(s);
+        waitForEnd(socket);
     }
 
-    private void tell(Socket s, int revision) throws Exception {
-        write(s, HEAD + ScriptedPeers.chunk(ScriptedPeers.list(revision, true)));
-        if (toldAt == 0) {
-            toldAt = System.nanoTime();
-            told.countDown();
+    private void sendList(Socket socket, int revision) throws Exception {
+        write(socket, HEAD + ScriptedPeers.chunk(ScriptedPeers.list(revision, true)));
+        if (listSentAtNanos == 0) {
+            listSentAtNanos = System.nanoTime();
+            listSent.countDown();
         }
-        while (true) { // a beat, as of a watch on which nothing changes
+        while (true) { // heartbeats of a watch without changes
             Thread.sleep(2000);
-            write(s, ScriptedPeers.chunk(""));
+            write(socket, ScriptedPeers.chunk(""));
         }
     }
 
-    private static void waitForEnd(Socket s) throws IOException {
-        InputStream in = s.getInputStream();
+    private static void waitForEnd(Socket socket) throws IOException {
+        InputStream in = socket.getInputStream();
         while (in.read() >= 0) {
-            continue; // nothing more comes but its end
+            continue; // ignore input until the end of the stream
         }
     }
 
-    private static void write(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    private static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    long tookMs() throws InterruptedException {
-        return told.await(PATIENCE_MS, TimeUnit.MILLISECONDS) ? (toldAt - since) / MS : Long.MAX_VALUE;
+    /** Returns the time from when the list could be read to when it was written, if within 10 s. */
+    long detectionMillis() throws InterruptedException {
+        return listSent.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS)
+            ? (listSentAtNanos - availableSinceNanos) / NANOS_PER_MILLI : Long.MAX_VALUE;
     }
 
     @Override
     public synchronized void close() throws IOException {
         server.close();
-        holder.close();
-        for (Socket s : open) {
-            s.close();
+        portReservation.close();
+        for (Socket socket : connections) {
+            socket.close();
         }
     }
 
-    /** When it had written the list, in the system's nanoseconds; 0 where it did not within some seconds. */
-    long toldAt() throws InterruptedException {
-        return told.await(PATIENCE_MS, TimeUnit.MILLISECONDS) ? toldAt : 0;
+    /** Returns when the list was written, by {@link System#nanoTime}; 0 if it was not within 10 s. */
+    long listSentAtNanos() throws InterruptedException {
+        return listSent.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS) ? listSentAtNanos : 0;
     }
 }
--- a/proxy/src/test/java/spurroad/routing/UpstreamMessagesFormTest.java
+++ b/proxy/src/test/java/spurroad/routing/UpstreamMessagesFormTest.java
@@ -21,20 +21,20 @@
 import spurroad.transport.EventLog;
 import spurroad.transport.Threads;
 
-/** What a whole proxy sends to cache nodes, to the origin, to discovery and to the other proxies. */
+/** Tests the messages that a proxy sends to cache nodes, the origin, discovery and other proxies. */
 public class UpstreamMessagesFormTest {
     private static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String SERVED = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
-    private static final String NO_LOAD = "STAT inflight 0\r\nEND\r\n";
+    private static final String FOUND = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
+    private static final String LOAD_RESPONSE = "STAT inflight 0\r\nEND\r\n";
     private static final String HOST = "127.0.0.1:8080";
     private static final int REVISION = 41;
-    private static final int TRY_MS = 200;
-    private static final int MOST_TRIES = 100;
-    /** A tenant's request: topic 2, tenant 0, one request. */
+    private static final int RECEIVE_TIMEOUT_MILLIS = 200;
+    private static final int MAX_REQUESTS = 100;
+    /** Peer update about a tenant's requests: topic 2, tenant 0, one request. */
     private static final String TENANT_REQUEST = "02" + "0000000000000000" + "3f800000";
 
-    private static String answerOfCacheNode(String message) {
-        return message.startsWith("stats") ? NO_LOAD
+    private static String cacheNodeResponse(String message) {
+        return message.startsWith("stats") ? LOAD_RESPONSE
             : "EN O" + message.replaceFirst("(?s).*? O(\\S+).*", "$1") + "\r\n";
     }
 
@@ -45,11 +45,11 @@
 
     // ---- whole requests
 
-    /** A read that the cache node lacks, a write, and the call for changes of the list. */
+    /** A read that misses at the cache node, a write, and the watch of the endpoint list. */
     @Test
-    public void requestsGoOutInTheirForms() throws Exception {
-        try (Peer node = new Peer(UpstreamMessagesFormTest::answerOfCacheNode);
-            Peer origin = new Peer(message -> SERVED);
+    public void requestsHaveExpectedForm() throws Exception {
+        try (Peer node = new Peer(UpstreamMessagesFormTest::cacheNodeResponse);
+            Peer origin = new Peer(message -> FOUND);
             Peer discovery = new Peer(message -> WATCH)) {
             ProxyService proxy = service(ScriptedPeers.start(discovery.port, 256,
                 ScriptedPeers.list(REVISION, true, ScriptedPeers.target("s-1", "m1", node.port, "active", 0),
@@ -73,7 +73,7 @@
         }
     }
 
-    /** The id and the list may come in either order; the line between head and body is the recorder's. */
+    /** Accepts both orders of the two headers; the recording peer adds the line between head and body. */
     private static void checkOriginRequest(String request, String firstLine, int port, String list,
                                            String id, String rest) {
         String head = firstLine + "\nHost: 127.0.0.1:" + port + "\n";
@@ -85,54 +85,54 @@
             .matches("(" + extras + requestId + "|" + requestId + extras + ")" + end), request);
     }
 
-    /** Proxies tell one another in datagrams, one message in each and nothing beside it. */
+    /** Proxies send each peer update as a datagram of its own. */
     @Test
-    public void anotherProxyIsToldInADatagram() throws Exception {
+    public void peerUpdateIsSentAsDatagram() throws Exception {
         try (DatagramSocket other = new DatagramSocket(0, InetAddress.getLoopbackAddress());
             DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress());
             Peer discovery = new Peer(message -> WATCH)) {
-            other.setSoTimeout(TRY_MS);
+            other.setSoTimeout(RECEIVE_TIMEOUT_MILLIS);
             int own = free.getLocalPort();
             free.close();
             ProxyService proxy = service(
-                talking(ScriptedPeers.start(discovery.port, 256, ScriptedPeers.list(1, true)),
+                withPeers(ScriptedPeers.start(discovery.port, 256, ScriptedPeers.list(1, true)),
                     other.getLocalPort(), own));
             assertEquals(firstDatagram(proxy, other), TENANT_REQUEST);
             proxy.end();
         }
     }
 
-    /** A proxy tells others nothing until its own socket is open, so it is asked until something comes. */
+    /** Sends requests until a datagram arrives, as a proxy sends none before its own socket is open. */
     private static String firstDatagram(ProxyService proxy, DatagramSocket other) throws IOException {
         try (Client client = new Client(proxy.port())) {
-            for (int i = 0; i < MOST_TRIES; i++) {
+            for (int i = 0; i < MAX_REQUESTS; i++) {
                 client.say("mg k" + i + " v O" + i + " Pc=read,t=acme,d=9000\r\n");
                 try {
-                    return received(other);
+                    return receive(other);
                 } catch (SocketTimeoutException e) {
-                    // asked again, for another key
+                    // the next request has another key
                 }
             }
         }
-        throw new AssertionError("no datagram came");
+        throw new AssertionError("no datagram received");
     }
 
-    /** The second of two proxies; the first is the one that hears of tenant 0. */
-    private static String talking(String settings, int first, int second) {
+    /** Returns settings of the second of two proxies; the first one owns tenant 0. */
+    private static String withPeers(String settings, int first, int second) {
         return settings.replace("\"settings\":{", "\"proxies\":[\"127.0.0.1:" + first + "\",\"127.0.0.1:"
             + second + "\"],\"settings\":{\"balancers\":2,\"index\":1,")
             .replace("\"allowed\":{", "\"allowed\":{\"peers\":true,");
     }
 
-    private static String received(DatagramSocket socket) throws IOException {
+    private static String receive(DatagramSocket socket) throws IOException {
         DatagramPacket packet = new DatagramPacket(new byte[64], 64);
         socket.receive(packet);
         return HexFormat.of().formatHex(packet.getData(), 0, packet.getLength());
     }
 
-    // ---- health checks and what follows a long value
+    // ---- load probes and the bytes after a long value
 
-    /** The health check and what follows a long value, to a cache node and to the origin. */
+    /** Returns the load probe and the bytes after a long value, for a cache node and the origin. */
     @DataProvider
     Object[][] protocols() {
         return new Object[][] {{UpstreamProtocol.CACHE, "stats load\r\n", "\r\n"},
@@ -140,8 +140,8 @@
     }
 
     @Test(dataProvider = "protocols")
-    public void aHealthCheckHasItsForm(UpstreamProtocol protocol, String healthCheck, String afterValue) {
-        assertEquals(text(protocol.message(null, 0)), healthCheck);
+    public void loadProbeHasExpectedForm(UpstreamProtocol protocol, String loadProbe, String afterValue) {
+        assertEquals(text(protocol.message(null, 0)), loadProbe);
         assertEquals(text(protocol.afterValue()), afterValue);
     }
 
