--- a/proxy/src/test/java/spurroad/program/AttemptLog.java
+++ b/proxy/src/test/java/spurroad/program/AttemptLog.java
@@ -32,7 +32,7 @@
 
     /** Adds what endpoints recorded, of the later where both did; with fetches only what the origin did. */
     void addAll(RecordingEndpoints endpoints, boolean fetchesOnly) {
-        endpoints.firstCameAt().forEach((id, at) -> {
+        endpoints.firstArrivalNanos().forEach((id, at) -> {
             if (!fetchesOnly || id.startsWith(RecordingEndpoints.AT_ORIGIN)) {
                 arrivedAt.merge(id.replace(RecordingEndpoints.AT_ORIGIN, ""), at, Math::max);
             }
--- a/proxy/src/test/java/spurroad/program/ClockStepTest.java
+++ b/proxy/src/test/java/spurroad/program/ClockStepTest.java
@@ -51,10 +51,10 @@
                         ScriptedPeers.target("s-1", "m1", restarted.port, "active",
                             System.currentTimeMillis() + startedMs))));
                 Thread.sleep(200 + afterMs); // until it is taken up
-                restarted.heard.clear();
+                restarted.received.clear();
                 ask(client, "after");
             }
-            double part = (double) restarted.heard.stream().filter(m -> m.startsWith("mg")).count()
+            double part = (double) restarted.received.stream().filter(m -> m.startsWith("mg")).count()
                 / REQUESTS;
             assertTrue(part >= least && part <= most, "got a part of " + part);
             RunningProxy.ending(service).join();
--- a/proxy/src/test/java/spurroad/program/EarlierBuildUpgradeTest.java
+++ b/proxy/src/test/java/spurroad/program/EarlierBuildUpgradeTest.java
@@ -60,7 +60,7 @@
             expectReads(platform.port, "both", "second");
             endOld(old, next);
             expectReads(platform.port, "next", "second");
-            assertFalse(first.heard.stream().anyMatch(m -> m.startsWith("mg")), "used while out of use");
+            assertFalse(first.received.stream().anyMatch(m -> m.startsWith("mg")), "used while out of use");
             expectDrained(next, 1);
             givenBack(next, platform.port);
         }
--- a/proxy/src/test/java/spurroad/program/LeavingClientsTest.java
+++ b/proxy/src/test/java/spurroad/program/LeavingClientsTest.java
@@ -234,7 +234,7 @@
         awaitKnown(s);
         Thread.sleep(waits == WaitPoint.CONNECTION ? CONNECTS_MS : AFTER_MS);
         attempts.addAll(nodes, waits == WaitPoint.ORIGIN_FETCH);
-        long stalledMs = Math.max(stalls.longestNanos(), nodes.longestTurnNs()) / MS;
+        long stalledMs = Math.max(stalls.longestNanos(), nodes.longestIterationNanos()) / MS;
         String how = (closes ? ", closed" : ", reset") + (atOnce ? " all at once" : " one by one");
         String figures = waits + how
             + ": the last attempt came " + attempts.latestMillisAfter(left) + " ms after its client left, of "
@@ -333,11 +333,11 @@
             each.close();
         }
         Thread.sleep(2 * LATEST_MS); // in which the module decides, and what has begun comes to nodes
-        int begun = nodes.firstCameAt().size();
+        int begun = nodes.firstArrivalNanos().size();
         gone.countDown();
         awaitKnown(s);
         Thread.sleep(AFTER_MS);
-        assertEquals(nodes.firstCameAt().size(), begun, "attempts, and before clients left");
+        assertEquals(nodes.firstArrivalNanos().size(), begun, "attempts, and before clients left");
         return begun < CLIENTS / 2;
     }
 
--- a/proxy/src/test/java/spurroad/program/NarrowMomentsTest.java
+++ b/proxy/src/test/java/spurroad/program/NarrowMomentsTest.java
@@ -182,7 +182,8 @@
                 String again = discovery.await("GET");
                 assertTrue(again.contains("since=2 "), again);
                 assertTrue(msSince(since) < 5000, "asked anew after " + msSince(since) + " ms");
-                assertTrue(discovery.heard.isEmpty(), "the silent one is kept until the new one has spoken");
+                assertTrue(discovery.received.isEmpty(),
+                    "the silent one is kept until the new one has spoken");
                 go.countDown();
                 assertEquals(discovery.await("closed"), "closed");
                 try (Client c = new Client(s.port())) {
@@ -216,7 +217,7 @@
                     go.countDown();
                     assertEquals(c.line() + c.line() + c.line(), "MNVA 1 O1b");
                 }
-                assertTrue(a.heard.isEmpty());
+                assertTrue(a.received.isEmpty());
             }
         }
     }
@@ -264,7 +265,7 @@
             c.close();
             assertEquals(silent.await("closed"), "closed", "called off");
             assertTrue(msSince(since) < 2000, "seen after " + msSince(since) + " ms");
-            assertTrue(silent.heard.stream().noneMatch(m -> m.startsWith("mg")),
+            assertTrue(silent.received.stream().noneMatch(m -> m.startsWith("mg")),
                 "those behind them were not sent on");
         }
     }
--- a/proxy/src/test/java/spurroad/program/OperationTest.java
+++ b/proxy/src/test/java/spurroad/program/OperationTest.java
@@ -59,7 +59,7 @@
                 for (int i = 0; i < 100; i++) {
                     assertEquals(read(c, "k" + i), "b");
                 }
-                assertTrue(a.heard.stream().noneMatch(m -> m.startsWith("mg")),
+                assertTrue(a.received.stream().noneMatch(m -> m.startsWith("mg")),
                     "nothing, whatever the list says");
                 assertTrue(metrics(s).contains("discovered=2 ejected=1"), metrics(s));
                 assertTrue(setDrained(s, "s-1", false));
--- a/proxy/src/test/java/spurroad/program/ProxyServiceTest.java
+++ b/proxy/src/test/java/spurroad/program/ProxyServiceTest.java
@@ -94,7 +94,7 @@
             try (Client c = new Client(port); Client other = new Client(port)) {
                 assertEquals(c.say(command).line(), answer);
                 assertEquals(goesOn ? c.say("mn\r\n").line() : c.line(), goesOn ? "MN" : null);
-                assertTrue(n.heard.isEmpty());
+                assertTrue(n.received.isEmpty());
                 assertEquals(other.say(READ).line(), "VA 1 O1");
             }
         }
--- a/proxy/src/test/java/spurroad/program/UpgradeTest.java
+++ b/proxy/src/test/java/spurroad/program/UpgradeTest.java
@@ -106,7 +106,7 @@
             }
             Thread.sleep(300);
             load.end();
-            assertTrue(a.heard.stream().noneMatch(m -> m.startsWith("mg")),
+            assertTrue(a.received.stream().noneMatch(m -> m.startsWith("mg")),
                 "nothing new to the node that is out");
             assertEquals(load.unheard.get() + load.wrong.get(), 0,
                 load.served + " served, turned back " + load.unheard
--- a/proxy/src/test/java/spurroad/routing/EndpointConnectionPoolTest.java
+++ b/proxy/src/test/java/spurroad/routing/EndpointConnectionPoolTest.java
@@ -169,7 +169,7 @@
             if (reset) {
                 peer.reset();
             } else {
-                peer.hangUp();
+                peer.closeConnection();
             }
             assertEquals(outcome(), outcome);
         }
@@ -437,7 +437,7 @@
 
     private static void assertNoRequestReceived(ScriptedPeers.Peer... peers) {
         for (ScriptedPeers.Peer p : peers) {
-            assertTrue(p.heard.stream().noneMatch(m -> m.startsWith("mg")), "no request was sent");
+            assertTrue(p.received.stream().noneMatch(m -> m.startsWith("mg")), "no request was sent");
         }
     }
 
@@ -464,7 +464,7 @@
             loop.execute(() -> {
                 try {
                     if (input == null) {
-                        peer.hangUp();
+                        peer.closeConnection();
                     } else {
                         peer.say(input);
                     }
@@ -522,7 +522,7 @@
             });
             loopBlocked.await();
             if (response != null && response.isEmpty()) {
-                peer.hangUp();
+                peer.closeConnection();
             } else if (response != null) {
                 peer.say(response);
             }
