--- a/proxy/src/main/java/spurroad/routing/ClientConnections.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnections.java
@@ -85,7 +85,7 @@
         this.log = log;
         this.loadBalancer = loadBalancer;
         maxConnections = connectionLimit;
-        statistics = loadBalancer.results();
+        statistics = loadBalancer.outcomeStatistics();
         rules = loadBalancer.rules();
         events = new ClientEventCounters(log, loop.now());
         configure(start.settings);
@@ -227,7 +227,7 @@
         candidates
             .forEach(candidate -> candidate.connection.resetUnlessInputPending(CloseReason.PLACE_NEEDED));
         if (candidates.isEmpty()) {
-            loadBalancer.placesNeeded();
+            loadBalancer.onDescriptorShortage();
         }
     }
 
--- a/proxy/src/main/java/spurroad/routing/EndpointConnection.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointConnection.java
@@ -13,14 +13,15 @@
 import spurroad.transport.EventLoop;
 
 /**
- * One connection to an endpoint, with one attempt at a time: it connects, sends requests and parses replies.
- * Its {@link EndpointConnectionPool} owns it and may close it at any time. Used on the event loop only.
+ * A connection to an endpoint that carries one attempt at a time: it connects, sends requests and parses
+ * replies. Its {@link EndpointConnectionPool} owns it and may close it at any time. Used on the event loop
+ * only.
  */
 final class EndpointConnection implements Connection.Handler {
-    private static final String UNEXPECTED_REPLY = "an answer to nothing";
-    /** Inside a reply: one that was given whole arrives sooner. */
+    private static final String UNEXPECTED_REPLY = "reply received without a fully sent request";
+    /** Maximum pause within a reply; the rest of a reply that was sent in full arrives sooner. */
     private static final long REPLY_STALL_NANOS = 300_000_000L;
-    /** Inside a long value that is being read. */
+    /** Maximum pause within a long value while the connection is being read. */
     private static final long STREAM_STALL_NANOS = 2_500_000_000L;
     private static final byte[] LINE_END = MetaResponse.lineEnd();
 
@@ -28,15 +29,15 @@
     private final UpstreamProtocol protocol;
     private final ByteSource input = new ByteSource();
     private final ByteSource.Parser<UpstreamReply> parser = this::parseReply;
-    /** Which incarnation of the endpoint it leads to. */
+    /** The incarnation of the endpoint to which the connection was opened. */
     final int incarnation;
     private Connection connection;
     private EventLoop.Timer timeout; // for the connect, or for the rest of a reply
     private long readAtNanos;
-    private StreamedResponse streamed; // while a long value is on its way to a client
+    private StreamedResponse streamedResponse; // non-null while a long value is passed to a client
     private boolean reusableAfterStream;
-    // the pool's
-    /** The attempt that it carries now; null while idle. */
+    // the fields below are maintained by the pool
+    /** The current attempt; null while idle. */
     UpstreamRequest attempt;
     boolean closed;
     long idleSinceNanos;
@@ -49,16 +50,16 @@
         attempt = first;
     }
 
-    /** Begins to connect; the attempt is sent once the connection is up. */
+    /** Starts to connect; the attempt is sent once the connection is established. */
     void connect(InetSocketAddress address, long timeoutNanos) {
         try {
             connection = pool.openSocket();
         } catch (IOException failure) {
-            pool.onNoSocket(failure);
+            pool.onSocketFailure(failure);
             pool.onConnectionLost(this);
             return;
         }
-        timeout = pool.loop().schedule(timeoutNanos, this::breakOff);
+        timeout = pool.loop().schedule(timeoutNanos, this::abort);
         connection.connect(address, this);
     }
 
@@ -77,18 +78,18 @@
         }
     }
 
-    /** Sends an attempt. */
-    void write(UpstreamRequest next) {
-        next.firstByteSent = true;
-        long timeLeftMillis = next.timeLeftMillis(pool.now());
-        connection.write(protocol.message(next.command(), timeLeftMillis));
-        pool.onFirstByteSent(next, timeLeftMillis);
-        if (!next.isLoadProbe() && next.command().hasLongValue()) {
-            next.command().valueChunks().forEach(connection::write);
+    /** Writes the request of an attempt, or a load probe. */
+    void write(UpstreamRequest request) {
+        request.firstByteSent = true;
+        long timeLeftMillis = request.timeLeftMillis(pool.now());
+        connection.write(protocol.message(request.command(), timeLeftMillis));
+        pool.onFirstByteSent(request, timeLeftMillis);
+        if (!request.isLoadProbe() && request.command().hasLongValue()) {
+            request.command().valueChunks().forEach(connection::write);
             connection.write(protocol.afterValue());
         }
         if (connection.isDrained() && !connection.isClosed()) {
-            pool.onFullySent(next);
+            pool.onFullySent(request);
         }
     }
 
@@ -104,7 +105,8 @@
     @Override
     public void onRead(ByteBuffer bytes) {
         readAtNanos = pool.now();
-        if (streamed != null && input.available() == 0 && streamed.remaining() > 0 && streamed.isWanted()) {
+        if (streamedResponse != null && input.available() == 0 && streamedResponse.remaining() > 0
+            && streamedResponse.isWanted()) {
             streamDirectly(bytes);
         }
         if (bytes.hasRemaining() && !closed) {
@@ -113,71 +115,72 @@
         }
     }
 
-    /** Passes on what belongs to the long value, without a copy. */
+    /** Forwards received bytes of the long value without copying them. */
     private void streamDirectly(ByteBuffer bytes) {
-        int length = (int) Math.min(bytes.remaining(), streamed.remaining());
+        int length = (int) Math.min(bytes.remaining(), streamedResponse.remaining());
         ByteBuffer part = bytes.duplicate().limit(bytes.position() + length);
         bytes.position(bytes.position() + length);
-        streamed.onPart(part);
+        streamedResponse.onPart(part);
         if (!closed) {
             stream();
         }
     }
 
-    /** Passes on what has been read of the long value while the client takes it, then reads on. */
+    /** Forwards buffered bytes of the long value while the client accepts them, then resumes reading. */
     void stream() {
-        while (!closed && streamed != null && streamed.remaining() > 0 && input.available() > 0
-            && streamed.isWanted()) {
-            streamed.onPart(ByteBuffer.wrap(input.takeBuffered(streamed.remaining())));
+        while (!closed && streamedResponse != null && streamedResponse.remaining() > 0
+            && input.available() > 0
+            && streamedResponse.isWanted()) {
+            streamedResponse.onPart(ByteBuffer.wrap(input.takeBuffered(streamedResponse.remaining())));
         }
-        if (closed || streamed == null) {
+        if (closed || streamedResponse == null) {
             return;
         }
-        if (streamed.remaining() == 0) {
+        if (streamedResponse.remaining() == 0) {
             finishStream();
         } else {
-            boolean wanted = streamed.isWanted();
+            boolean wanted = streamedResponse.isWanted();
             connection.setReading(wanted);
-            watchStream(wanted);
+            updateStreamTimeout(wanted);
         }
     }
 
-    /** The value has passed; its end is checked before the client is given one. */
+    /** Checks the end of a fully forwarded value before the client's response is completed. */
     private void finishStream() {
         connection.setReading(true);
-        if (streamed.isFollowedByLineEnd()) {
+        if (streamedResponse.isFollowedByLineEnd()) {
             if (input.available() < LINE_END.length) {
-                watchStream(true);
+                updateStreamTimeout(true);
                 return;
             }
             if (!Arrays.equals(input.takeBuffered(LINE_END.length), LINE_END)) {
-                pool.onMalformedReply("no line end after a value");
-                breakOff();
+                pool.onMalformedReply("expected CR LF after a value");
+                abort();
                 return;
             }
         }
-        StreamedResponse complete = streamed;
-        streamed = null;
+        StreamedResponse complete = streamedResponse;
+        streamedResponse = null;
         timeout.cancel();
         complete.onComplete();
         pool.release(this, reusableAfterStream && input.available() == 0);
     }
 
-    private void watchStream(boolean reading) {
+    private void updateStreamTimeout(boolean reading) {
         timeout.cancel();
         if (reading) {
-            timeout = pool.loop().schedule(STREAM_STALL_NANOS, this::breakOff);
+            timeout = pool.loop().schedule(STREAM_STALL_NANOS, this::abort);
         }
     }
 
-    /** Nobody takes the value: this connection is of no further use. */
+    /** Closes the connection because no client reads its value any more. */
     void abandonStream() {
-        streamed = null;
+        streamedResponse = null;
         close();
     }
 
     private void parseReplies() {
-        if (streamed != null) {
+        if (streamedResponse != null) {
             stream();
             return;
         }
@@ -185,7 +188,7 @@
             try {
                 UpstreamReply reply = input.readMessage(parser);
                 if (reply == null) {
-                    watchRest();
+                    scheduleReplyTimeout();
                     return;
                 }
                 timeout.cancel();
@@ -198,38 +201,38 @@
                 if (failure instanceof ProtocolException) {
                     pool.onMalformedReply(failure.getMessage());
                 }
-                breakOff();
+                abort();
             }
         }
     }
 
     private void beginStream(UpstreamReply reply) {
         reusableAfterStream = reply.reusable();
-        connection.setReading(false); // until the client's turn has come
-        streamed = new StreamedResponse(this, reply.streamedBody());
-        attempt.streamedResponse = streamed;
+        connection.setReading(false); // until earlier responses to the client are written
+        streamedResponse = new StreamedResponse(this, reply.streamedBody());
+        attempt.streamedResponse = streamedResponse;
         pool.onStreamedReply(this, attempt, reply);
     }
 
-    private UpstreamReply parseReply(ByteSource from) throws IOException {
+    private UpstreamReply parseReply(ByteSource source) throws IOException {
         if (attempt == null || !attempt.fullySent) {
             throw new ProtocolException(UNEXPECTED_REPLY);
         }
-        return protocol.reply(from, attempt.command());
+        return protocol.reply(source, attempt.command());
     }
 
-    /** A reply has begun: an endpoint that sends its beginning sends the rest soon. */
-    private void watchRest() {
+    /** Schedules the timeout for the rest of a partly received reply. */
+    private void scheduleReplyTimeout() {
         timeout.cancel();
-        timeout = pool.loop().schedule(readAtNanos + REPLY_STALL_NANOS - pool.now(), this::breakOff);
+        timeout = pool.loop().schedule(readAtNanos + REPLY_STALL_NANOS - pool.now(), this::abort);
     }
 
     // ---- the end
 
     /**
-     * The connection ended or broke. A reply that lasts as long as its connection is complete with an orderly
-     * end, and with that alone: an origin's replies without a length were cut off by resets and passed on as
-     * complete (split and zone, lost).
+     * Handles the end or the loss of the connection. A reply that is delimited by the end of its connection
+     * is complete only if the stream ended in order: otherwise an origin's reply without a length that a
+     * reset cuts off would be forwarded as complete.
      */
     @Override
     public void onClosed() {
@@ -239,47 +242,47 @@
         }
         timeout.cancel();
         pool.onConnectionLost(this);
-        breakStream();
+        failStream();
     }
 
-    private void breakStream() {
-        if (streamed != null) {
-            StreamedResponse broken = streamed;
-            streamed = null;
+    private void failStream() {
+        if (streamedResponse != null) {
+            StreamedResponse broken = streamedResponse;
+            streamedResponse = null;
             broken.onBroken();
         }
     }
 
-    /** Whether the connection broke, though this may not have been reported yet. */
+    /** Returns whether the connection was lost, even if the loss was not reported yet. */
     boolean isBroken() {
         return connection.isClosed();
     }
 
     /**
-     * Whether nothing has come since the last reply, no end either; reads what the loop has not reported. An
-     * idle connection may be closed at any time, or get a second reply, and what is written to it then is
-     * lost.
+     * Returns whether neither bytes nor the end of the stream arrived after the last reply, and closes the
+     * connection otherwise. Reads input that the event loop has not reported yet. An endpoint may close an
+     * idle connection or send a second reply at any time, and a request written after that is lost.
      */
-    boolean isClean() {
+    boolean hasNoUnexpectedInput() {
         if (connection.readAvailable()) {
             close();
         }
         return !closed;
     }
 
-    /** Closes the connection so that its attempt, if it has one, ends by the loss. */
-    private void breakOff() {
+    /** Closes the connection and reports its loss, which ends its attempt, if any. */
+    private void abort() {
         timeout.cancel();
         connection.close();
         pool.onConnectionLost(this);
-        breakStream();
+        failStream();
     }
 
-    /** Closes the connection where nothing that it still brings counts. */
+    /** Closes the connection and ignores all further input. */
     void close() {
         closed = true;
         timeout.cancel();
         connection.close();
-        breakStream();
+        failStream();
     }
 }
--- a/proxy/src/main/java/spurroad/routing/SocketFactory.java
+++ b/proxy/src/main/java/spurroad/routing/SocketFactory.java
@@ -8,15 +8,15 @@
 /** Creates sockets to endpoints. */
 public interface SocketFactory {
     /**
-     * Creates a socket that is still to be connected, or a connection to a peer in memory.
+     * Creates an unconnected socket, or a connection to an in-memory peer.
      *
-     * @param placeBack gives its descriptor back; called once it is closed
+     * @param onClose releases the descriptor; called once the connection is closed
      */
-    Connection socket(EventLoop loop, Runnable placeBack) throws IOException;
+    Connection socket(EventLoop loop, Runnable onClose) throws IOException;
 
     /** Creates TCP sockets. */
-    SocketFactory TCP = (loop, placeBack) -> {
+    SocketFactory TCP = (loop, onClose) -> {
         SocketChannel socket = SocketChannel.open();
-        return new Connection(loop, socket, socket, placeBack);
+        return new Connection(loop, socket, socket, onClose);
     };
 }
