--- a/proxy/src/main/java/spurroad/program/AdminOperations.java
+++ b/proxy/src/main/java/spurroad/program/AdminOperations.java
@@ -5,7 +5,7 @@
 import spurroad.admin.StatsdExport;
 import spurroad.program.restart.HotRestart;
 
-/** What the operators may ask of a proxy that serves, through its second address. Any thread may call it. */
+/** The operations that the admin server offers for a serving proxy. Any thread may call them. */
 final class AdminOperations {
     private final ClientAcceptance acceptance;
     private final StatsdExport metrics;
@@ -13,9 +13,9 @@
     private final HotRestart hotRestart;
 
     /**
-     * Acts upon one proxy.
+     * Creates the operations of one proxy.
      *
-     * @param hotRestart passes drains on to the other processes of this proxy; null where there can be none
+     * @param hotRestart propagates drains to the other processes of this proxy; null if there can be none
      */
     AdminOperations(ClientAcceptance acceptance, StatsdExport metrics, LocalProcessControl local,
                     HotRestart hotRestart) {
@@ -30,11 +30,12 @@
     }
 
     /**
-     * Drains a cache node, or gives it back.
+     * Drains a cache node, or returns it to use.
      *
      * @param id the name of the cache node in the endpoint list
-     * @param onApplied called, from any thread, once this process does so, if others have to follow
-     * @param onResult called once, from any thread, with whether such an endpoint has ever been listed
+     * @param onApplied called on any thread once this process has applied the change, if other processes have
+     *     to apply it too
+     * @param onResult called once, on any thread, with whether such an endpoint has ever been listed
      */
     void setDrained(String id, boolean drained, Runnable onApplied, Consumer<Boolean> onResult) {
         if (hotRestart == null) {
--- a/proxy/src/main/java/spurroad/program/ClientAcceptance.java
+++ b/proxy/src/main/java/spurroad/program/ClientAcceptance.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import spurroad.transport.Listener;
 
-/** Has the listener accept clients from the first call on, whichever thread makes it. */
+/** Starts the listener on the first call to {@link #open}, from any thread. */
 final class ClientAcceptance {
     private final Listener listener;
     private final AtomicBoolean opened = new AtomicBoolean();
@@ -13,14 +13,14 @@
         this.listener = listener;
     }
 
-    /** Has the loop begin to accept; does nothing the second time. */
+    /** Starts accepting clients on the event loop; further calls do nothing. */
     void open() {
         if (!opened.getAndSet(true)) {
             listener.start(() -> accepting = true);
         }
     }
 
-    /** Returns whether the loop has begun to accept. */
+    /** Returns whether the event loop has begun to accept clients. */
     boolean isAccepting() {
         return accepting;
     }
--- a/proxy/src/main/java/spurroad/program/Command.java
+++ b/proxy/src/main/java/spurroad/program/Command.java
@@ -3,21 +3,21 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What the program can do; the only argument of its command line names one of these. */
+/** The commands of the program; its only command line argument names one of them. */
 enum Command {
-    /** Serves clients until the process is told to end. */
+    /** Serves clients until the process receives a termination signal. */
     SERVE("serve"),
-    /** Plays the warm-up requests and ends: the build records the classes that they load. */
+    /** Runs the warm-up requests and exits; the build records the classes that they load. */
     WARM_UP("warm-up"),
-    /** Runs the decisions on a simulator's wire, on standard input and output. */
+    /** Runs load balancers for a simulator over standard input and output. */
     SIMULATOR("simulator");
 
-    /** The line that answers a wrong command line. */
+    /** The usage line, printed if the command line is invalid. */
     static final String USAGE = "usage: spurroad serve | warm-up | simulator";
 
-    // Deploy files of earlier builds name the commands so. The words are accepted for one version after the
-    // commands were renamed; then this map goes.
-    private static final Map<String, Command> FORMER_WORDS = Map.of("rehearse", WARM_UP, "wirehost",
+    // Deploy files of earlier builds use these words. They are accepted for one version after the commands
+    // were renamed; then this map is removed.
+    private static final Map<String, Command> DEPRECATED_WORDS = Map.of("rehearse", WARM_UP, "wirehost",
         SIMULATOR);
 
     private final String word;
@@ -26,7 +26,7 @@
         this.word = word;
     }
 
-    /** Returns the command that the arguments name; empty where they name none or are not exactly one. */
+    /** Returns the command that the only argument names; empty for any other number or an unknown word. */
     static Optional<Command> fromArguments(String... arguments) {
         if (arguments.length != 1) {
             return Optional.empty();
@@ -36,6 +36,6 @@
                 return Optional.of(command);
             }
         }
-        return Optional.ofNullable(FORMER_WORDS.get(arguments[0]));
+        return Optional.ofNullable(DEPRECATED_WORDS.get(arguments[0]));
     }
 }
--- a/proxy/src/main/java/spurroad/program/GracefulShutdown.java
+++ b/proxy/src/main/java/spurroad/program/GracefulShutdown.java
@@ -6,28 +6,28 @@
 import spurroad.transport.Listener;
 
 /**
- * Ends a proxy in order, so that each request that it took gets its response before the process may be
+ * Shuts a proxy down gracefully, so that each accepted request gets its response before the process may be
  * killed.
  *
- * <p>Where the proxies of a deployment restart one after another, the next may end before this one is back: a
- * proxy without a successor therefore goes on accepting for a while, and goes on serving those who are
- * connected for as long as their requests can be answered in time. A successor on the same listening socket
- * takes the new clients at once.
+ * <p>During a rolling restart the next proxy may stop before this one is back. A proxy without a successor
+ * therefore keeps accepting clients for a while, and keeps serving connected clients as long as their
+ * requests can be answered in time. If a successor serves on the same listening socket, it takes new clients
+ * at once.
  *
  * <p>The thread that calls {@link #run} waits until no client is connected.
  */
 final class GracefulShutdown {
-    // ns; balancers in front of the proxy send new connections for up to 400 ms after its end was asked for
+    // ns; load balancers in front of the proxy send new connections for up to 400 ms after the signal
     private static final long KEEP_ACCEPTING_NANOS = 500_000_000L;
-    // ms; a listener without load has accepted all waiting clients by then
+    // ms; a listener without load accepts all queued clients within this time
     private static final long LISTENER_CLOSE_MILLIS = 200;
-    // ns; a platform kills at the latest so long after the signal, however long clients wait
+    // ns; the platform waits at most this long after the signal, however long clients wait
     private static final long MAX_CLIENT_WAIT_NANOS = 3_000_000_000L;
-    // ns; a platform kills 0.7 s after the longest wait of clients; the rest is for a busy moment
+    // ns; the platform kills 0.7 s after the longest client wait; the difference allows for scheduling delays
     private static final long KILL_GRACE_NANOS = 500_000_000L;
-    // ns; the last request that is taken still has so long for its response
+    // ns; time left for the response to the last accepted request
     private static final long LAST_REQUEST_NANOS = 400_000_000L;
-    // ns; the process that takes this one's place serves by then
+    // ns; a replacement process serves by then
     private static final long MAX_KEEP_SERVING_NANOS = 2_500_000_000L;
     // ns; longer than any client waits for a response
     private static final long MAX_CLIENT_CLOSE_NANOS = 10_000_000_000L;
@@ -40,9 +40,9 @@
     private final EventLog log;
 
     /**
-     * Ends nothing yet.
+     * Creates the shutdown of one proxy; {@link #run} carries it out.
      *
-     * @param hotRestart tells of a successor on the same listening socket; null where there can be none
+     * @param hotRestart reports a successor on the same listening socket; null if there can be none
      */
     GracefulShutdown(ClientAcceptance acceptance, Listener listener, ClientConnections clients,
                      HotRestart hotRestart, EventLog log) {
@@ -53,10 +53,10 @@
         this.log = log;
     }
 
-    /** Ends the proxy; returns when no client is left, or after the longest time that closing may take. */
+    /** Shuts the proxy down; returns when no client is connected, or when closing has timed out. */
     void run() throws InterruptedException {
         log.info("graceful shutdown started", "clients=" + clients.count());
-        acceptance.open(); // clients who wait in the accept queue get their responses too
+        acceptance.open(); // clients in the accept queue get their responses too
         long startedAt = System.nanoTime();
         long untilKilledNanos = untilKilledNanos();
         clients.allAnsweredWithin(untilKilledNanos);
@@ -66,13 +66,13 @@
         keepAccepting(startedAt);
         boolean listenerClosed = closeListener();
         keepServing(startedAt, untilKilledNanos);
-        closeClients(listenerClosed);
+        closeRemainingClients(listenerClosed);
         log.info("graceful shutdown ended", "clients=" + clients.count());
     }
 
     /**
-     * Returns how long after the signal the process may be killed: the settings tell the platform how long
-     * clients wait, whatever a single client asks for.
+     * Returns the time in nanoseconds from the signal until the process may be killed. The platform derives
+     * it from the client timeouts in the settings, not from those of single requests.
      */
     private long untilKilledNanos() {
         return Math.min(MAX_CLIENT_WAIT_NANOS, clients.longestWaitNs()) + KILL_GRACE_NANOS;
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Returns whether the listener is closed; without a free descriptor it can't be before clients are. */
+    /** Returns whether the listener is closed. Without a free descriptor it closes only after the clients. */
     private boolean closeListener() throws InterruptedException {
         if (isSuccessorServing()) {
             listener.stopAccepting();
@@ -102,7 +102,7 @@
         }
     }
 
-    private void closeClients(boolean listenerClosed) throws InterruptedException {
+    private void closeRemainingClients(boolean listenerClosed) throws InterruptedException {
         boolean closed = listenerClosed;
         long deadline = System.nanoTime() + MAX_CLIENT_CLOSE_NANOS;
         clients.end();
--- a/proxy/src/main/java/spurroad/program/InMemoryPeer.java
+++ b/proxy/src/main/java/spurroad/program/InMemoryPeer.java
@@ -10,45 +10,46 @@
 import spurroad.transport.EventLoop;
 
 /**
- * A client or an endpoint of the warm-up, behind two pipes in place of a socket. All of it is the loop's.
+ * A client or an endpoint of the warm-up, connected by two pipes instead of a socket. Used only on the event
+ * loop.
  */
 final class InMemoryPeer implements Connection.Handler {
-    private final Connection own;
-    private final Connection remote;
+    private final Connection peerConnection;
+    private final Connection proxyConnection;
     private final UnaryOperator<String> responder;
 
     /**
-     * Opens a peer.
+     * Opens the pipes and the connections at both ends.
      *
-     * @param responder gives what the peer sends upon a message that arrived; null for nothing
-     * @param onRemoteClosed runs once the proxy's end is closed
+     * @param responder returns the peer's reply to a received message; null for no reply
+     * @param onProxyClosed runs once the proxy's connection is closed
      */
-    InMemoryPeer(EventLoop loop, UnaryOperator<String> responder, Runnable onRemoteClosed) {
+    InMemoryPeer(EventLoop loop, UnaryOperator<String> responder, Runnable onProxyClosed) {
         this.responder = responder;
         try {
             Pipe toPeer = Pipe.open();
             Pipe fromPeer = Pipe.open();
-            own = new Connection(loop, toPeer.source(), fromPeer.sink(), () -> {});
-            own.open(this);
-            remote = new Connection(loop, fromPeer.source(), toPeer.sink(), onRemoteClosed);
+            peerConnection = new Connection(loop, toPeer.source(), fromPeer.sink(), () -> {});
+            peerConnection.open(this);
+            proxyConnection = new Connection(loop, fromPeer.source(), toPeer.sink(), onProxyClosed);
         } catch (IOException e) {
-            throw new UncheckedIOException("no pipe", e);
+            throw new UncheckedIOException("can't open a pipe for the warm-up", e);
         }
     }
 
-    /** Returns the proxy's end, which the proxy opens. */
-    Connection remote() {
-        return remote;
+    /** Returns the proxy's side of the connection, which the proxy has yet to open. */
+    Connection proxyConnection() {
+        return proxyConnection;
     }
 
     void send(String text) {
-        own.write(text.getBytes(StandardCharsets.ISO_8859_1));
+        peerConnection.write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     @Override
     public void onConnected() {}
 
-    /** Takes what arrives at once for one whole message, as the warm-up's are small. */
+    /** Treats each read as one whole message, as messages of the warm-up are small. */
     @Override
     public void onRead(ByteBuffer bytes) {
         String response = responder.apply(StandardCharsets.ISO_8859_1.decode(bytes).toString());
--- a/proxy/src/main/java/spurroad/program/Lifecycle.java
+++ b/proxy/src/main/java/spurroad/program/Lifecycle.java
@@ -3,8 +3,9 @@
 import java.io.IOException;
 
 /**
- * The start and the stop of a service, from two threads. A stop may come before, while or after the service
- * starts: one that is starting is stopped once it has started, and nothing starts after a stop.
+ * Coordinates the start and the stop of a service, called from two threads. The stop may come before, during
+ * or after the start: a service that is starting is stopped once it has started, and none starts after a
+ * stop.
  */
 final class Lifecycle<S> {
     /** Starts the service. */
@@ -12,7 +13,7 @@
         S start() throws IOException, InterruptedException;
     }
 
-    /** Stops the service, and returns when it is done. */
+    /** Stops the service, and returns once it has stopped. */
     interface Stopper<S> {
         void stop(S service) throws InterruptedException;
     }
@@ -25,7 +26,7 @@
         this.stopper = stopper;
     }
 
-    /** Starts the service; after a stop this waits, without an end, for the process to go. */
+    /** Starts the service; after a stop, waits indefinitely until the process exits. */
     synchronized S start(Starter<S> starter) throws IOException, InterruptedException {
         while (stopped) {
             wait();
@@ -34,7 +35,7 @@
         return service;
     }
 
-    /** Stops the service, once it has started; returns false where none ever started. */
+    /** Stops the service once a running start has completed; returns false if no service was started. */
     synchronized boolean stop() {
         stopped = true;
         try {
--- a/proxy/src/main/java/spurroad/program/LineFormatter.java
+++ b/proxy/src/main/java/spurroad/program/LineFormatter.java
@@ -7,15 +7,15 @@
 import java.util.logging.LogRecord;
 
 /**
- * Formats log records of a proxy, one line each: plain, or a JSON object with the same fields {@code time},
- * {@code level}, {@code event} (a fixed phrase for each kind), {@code about} and, where an exception was
- * logged, {@code thrown}. The formatter of the standard library writes two lines a record and parses its
- * pattern every time.
+ * Formats each log record as one line: plain text, or a JSON object with the same fields {@code time},
+ * {@code level}, {@code event} (a fixed phrase for each kind), {@code about} and, if an exception was logged,
+ * {@code thrown}. The formatter of the standard library writes two lines a record and parses its pattern for
+ * each record.
  */
 final class LineFormatter extends Formatter {
     private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSS");
-    private static final String EVENT_END = ": "; // between an event and its fields, as the event log writes
-    private static final int USUAL_LINE_LENGTH = 160;
+    private static final String EVENT_END = ": "; // separates the event from its fields, see EventLog
+    private static final int TYPICAL_LINE_LENGTH = 160;
 
     private final boolean json;
     private final ZoneId zone = ZoneId.systemDefault();
@@ -39,7 +39,7 @@
 
     private static String jsonLine(String time, String level, String message, String thrown) {
         int eventEnd = message.indexOf(EVENT_END);
-        StringBuilder line = new StringBuilder(USUAL_LINE_LENGTH);
+        StringBuilder line = new StringBuilder(TYPICAL_LINE_LENGTH);
         line.append("{\"time\":\"").append(time).append("\",\"level\":\"").append(level).append('"');
         appendField(line, "event", eventEnd < 0 ? message : message.substring(0, eventEnd));
         appendField(line, "about", eventEnd < 0 ? "" : message.substring(eventEnd + EVENT_END.length()));
--- a/proxy/src/main/java/spurroad/program/ListenException.java
+++ b/proxy/src/main/java/spurroad/program/ListenException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** An address can't be listened at; the message is one line that names it and the cause. */
+/** Thrown if a listening socket can't be opened; the message names the address and the cause in one line. */
 final class ListenException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/proxy/src/main/java/spurroad/program/LocalProcessControl.java
+++ b/proxy/src/main/java/spurroad/program/LocalProcessControl.java
@@ -8,8 +8,8 @@
 import spurroad.transport.DescriptorBudget;
 
 /**
- * What a hot restart changes in this process: the endpoints that the operators drained and the descriptors
- * that it may hold. Any thread may call it.
+ * Applies changes of a hot restart to this process: administratively drained endpoints and the descriptor
+ * limit. Any thread may call it.
  */
 final class LocalProcessControl implements HotRestart.ProcessControl {
     private final LoadBalancerThread loadBalancer;
@@ -21,8 +21,8 @@
     }
 
     @Override
-    public void setDrained(String id, boolean drained, boolean vouched, Consumer<Boolean> onResult) {
-        loadBalancer.setAdminDrain(new EndpointId(EndpointList.hash(id)), drained, vouched, onResult);
+    public void setDrained(String id, boolean drained, boolean knownElsewhere, Consumer<Boolean> onResult) {
+        loadBalancer.setAdminDrain(new EndpointId(EndpointList.hash(id)), drained, knownElsewhere, onResult);
     }
 
     @Override
@@ -31,15 +31,15 @@
     }
 
     /**
-     * Closes idle connections to endpoints where this process holds more than it may. The budget never falls
-     * below the descriptors in use: a client that connects meanwhile would find none.
+     * Closes idle connections to endpoints if this process holds more descriptors than the limit. The budget
+     * is never set below the descriptors in use, as clients that connect meanwhile would then get none.
      */
     @Override
-    public void setDescriptorLimit(int most) {
-        int excess = descriptors.inUse() - most;
+    public void setDescriptorLimit(int limit) {
+        int excess = descriptors.inUse() - limit;
         if (excess > 0) {
             loadBalancer.closeIdleConnections(excess);
         }
-        descriptors.resize(Math.max(most, descriptors.inUse()));
+        descriptors.resize(Math.max(limit, descriptors.inUse()));
     }
 }
--- a/proxy/src/main/java/spurroad/program/Main.java
+++ b/proxy/src/main/java/spurroad/program/Main.java
@@ -12,27 +12,27 @@
 import spurroad.transport.EventLog;
 import spurroad.transport.Threads;
 
-/** The command line: runs one {@link Command} and turns what stops it into one line and an exit code. */
+/** The entry point: runs one {@link Command} and reports a failure as one line and an exit code. */
 public final class Main {
     private static final int INPUT_BUFFER_BYTES = 1 << 16;
-    private static final int EXIT_FAILED = 1;
-    private static final int EXIT_MISUSED = 2;
+    private static final int EXIT_FAILURE = 1;
+    private static final int EXIT_USAGE = 2;
 
     private Main() {}
 
-    /** Runs the command that the only argument names. */
+    /** Runs the command named by the only argument. */
     public static void main(String[] args) throws IOException, InterruptedException {
         Optional<Command> command = Command.fromArguments(args);
         if (command.isEmpty()) {
-            exit(Command.USAGE, EXIT_MISUSED);
+            exit(Command.USAGE, EXIT_USAGE);
             return;
         }
         try {
             run(command.get());
         } catch (InvalidSettingException e) {
-            exit("spurroad: " + e.getMessage(), EXIT_MISUSED);
+            exit("spurroad: " + e.getMessage(), EXIT_USAGE);
         } catch (ListenException | WireFormatException e) {
-            exit("spurroad: " + e.getMessage(), EXIT_FAILED);
+            exit("spurroad: " + e.getMessage(), EXIT_FAILURE);
         }
     }
 
--- a/proxy/src/main/java/spurroad/program/ProxyMetrics.java
+++ b/proxy/src/main/java/spurroad/program/ProxyMetrics.java
@@ -10,13 +10,13 @@
 import spurroad.routing.OutcomeStatistics;
 import spurroad.transport.Clock;
 
-/** The metrics of one proxy, by the names and in the order that the operators' page gives. */
+/** The metrics of one proxy, with the names and in the order of the operators' documentation. */
 final class ProxyMetrics {
     private ProxyMetrics() {}
 
     static StatsdExport export(LoadBalancerThread loadBalancer, SettingsReload reload, Clock clock) {
         OutcomeStatistics outcomes = loadBalancer.results();
-        return new StatsdExport().metrics(() -> byRequestClass(outcomes))
+        return new StatsdExport().metrics(() -> outcomesByClass(outcomes))
             .counter("forwards", outcomes::forwards)
             .gauge("outstanding", outcomes::outstanding)
             .gauge("discovered", () -> loadBalancer.adminStatus().listedEndpoints())
@@ -24,20 +24,20 @@
             .counter("rule_violations", loadBalancer::ruleViolations)
             .counter("sighup_applied", reload::appliedCount)
             .counter("sighup_rejected", reload::rejectedCount)
-            .gauge("ejected_awaiting_probe", () -> awaiting(loadBalancer, AwaitedEvent.LOAD_PROBE_REPLY))
-            .gauge("ejected_on_trial", () -> awaiting(loadBalancer, AwaitedEvent.TRIAL_SUCCESS));
+            .gauge("ejected_awaiting_probe", () -> countAwaiting(loadBalancer, AwaitedEvent.LOAD_PROBE_REPLY))
+            .gauge("ejected_on_trial", () -> countAwaiting(loadBalancer, AwaitedEvent.TRIAL_SUCCESS));
     }
 
-    private static int awaiting(LoadBalancerThread loadBalancer, AwaitedEvent event) {
+    private static int countAwaiting(LoadBalancerThread loadBalancer, AwaitedEvent event) {
         return loadBalancer.adminStatus().awaiting(event);
     }
 
-    private static List<Metric> byRequestClass(OutcomeStatistics outcomes) {
+    private static List<Metric> outcomesByClass(OutcomeStatistics outcomes) {
         return outcomes.byClass().entrySet().stream()
-            .flatMap(entry -> ofClass(entry.getKey(), entry.getValue())).toList();
+            .flatMap(entry -> outcomesOfClass(entry.getKey(), entry.getValue())).toList();
     }
 
-    private static Stream<Metric> ofClass(String requestClass, OutcomeStatistics.OfClass counts) {
+    private static Stream<Metric> outcomesOfClass(String requestClass, OutcomeStatistics.OfClass counts) {
         return Stream.of(outcome(requestClass, "succeeded", counts.succeeded()),
             outcome(requestClass, "declined", counts.declined()),
             outcome(requestClass, "aborted", counts.aborted()));
--- a/proxy/src/main/java/spurroad/program/ProxyProcess.java
+++ b/proxy/src/main/java/spurroad/program/ProxyProcess.java
@@ -15,21 +15,21 @@
 
 /**
  * The process of one proxy: its signals, its log and the order of its start. SIGHUP reloads the settings;
- * SIGTERM shuts down gracefully. Both are handled from the first moment on, as their default ends the
- * process.
+ * SIGTERM shuts down gracefully. Both handlers are installed before anything else, as the default action of
+ * either signal ends the process.
  */
 final class ProxyProcess {
     private static final String LOG_FORMAT_PROPERTY = "spurroad.log";
     private static final String JSON_LOG_FORMAT = "json"; // one JSON object a line; plain lines otherwise
     private static final long LOG_FLUSH_MILLIS = 200;
-    private static final long CLOSE_MILLIS = 100; // of the 200 that are left before the kill
+    private static final long CLOSE_MILLIS = 100; // of the 200 ms left before the platform kills
 
-    private final StartBudget budget = new StartBudget(); // counts from here on
+    private final StartBudget budget = new StartBudget(); // starts counting here
     private final CompletableFuture<ProxyService> started = new CompletableFuture<>();
     private final Lifecycle<ProxyService> lifecycle = new Lifecycle<>(ProxyService::end);
-    private volatile AdminServer adminServer; // null where there is none
+    private volatile AdminServer adminServer; // null if none is configured
 
-    /** Serves until the process is told to end; returns only where the start fails. */
+    /** Serves until the process receives a termination signal; throws if the start fails. */
     void run() throws ListenException, InterruptedException {
         reloadOnHangup();
         configureLogging();
@@ -39,13 +39,13 @@
         new CountDownLatch(1).await(); // the threads of the proxy serve until the process ends
     }
 
-    /** Reloads once the proxy has started: the platform may signal a process that has only just begun. */
+    /** Defers a reload until the proxy has started, as the platform may send SIGHUP during the start. */
     private void reloadOnHangup() {
         Signal.handle(new Signal("HUP"), signal -> started.thenAccept(
             service -> service.reload(() -> ProxyConfiguration.fromEnvironment(System.getenv()))));
     }
 
-    /** Has to come before the first logger is made. */
+    /** Must run before the first logger is created. */
     private static void configureLogging() {
         System.setProperty("java.util.logging.manager", ShutdownSafeLogManager.class.getName());
         LineFormatter formatter = new LineFormatter(
@@ -55,12 +55,12 @@
         }
     }
 
-    /** The exit code is 0 where a proxy was shut down, and the default's where none had started. */
+    /** Exits with 0 if a started proxy was shut down, else with the default code of the signal. */
     private void shutDownOnTermination(EventLog log) {
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             boolean stopped = lifecycle.stop();
             log.flush(LOG_FLUSH_MILLIS);
-            leaveSystemCalls();
+            endBlockingSystemCalls();
             if (stopped) {
                 Runtime.getRuntime().halt(0);
             }
@@ -68,11 +68,11 @@
     }
 
     /**
-     * Has threads end that are inside system calls: the virtual machine waits up to 0.3 s for such at its
-     * end, and the process may be killed before. Returns once that is done, as the virtual machine stops all
-     * threads at its end, also the one that does it.
+     * Ends threads that are blocked in system calls: at exit the virtual machine waits up to 0.3 s for them,
+     * and the process may be killed before. Waits for the sockets to close, as the virtual machine stops all
+     * threads at exit, including the one that closes them.
      */
-    private void leaveSystemCalls() {
+    private void endBlockingSystemCalls() {
         AdminServer admin = adminServer;
         if (admin != null) {
             admin.close();
@@ -91,11 +91,11 @@
 
     private void start(ProxyConfiguration configuration, EventLog log)
         throws ListenException, InterruptedException {
-        log.info("starting", "name=" + configuration.name); // before all else: the first line takes longest
+        log.info("starting", "name=" + configuration.name); // first, as the first log line takes longest
         Threads threads = new Threads(log);
         Clock clock = new Clock();
         adminServer = adminServer(configuration, threads, log, clock);
-        // before the warm-up: another process of this proxy makes room meanwhile
+        // before the warm-up, so that other processes of this proxy can free descriptors meanwhile
         HotRestart hotRestart = HotRestart.of(configuration, log);
         new WarmUp(configuration).run(threads, log, clock, budget.warmUpMillis());
         ProxyService service = service(configuration, threads, log, clock, hotRestart);
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Returns null where the configuration gives no second address. */
+    /** Returns null if the configuration has no admin address. */
     private static AdminServer adminServer(ProxyConfiguration configuration, Threads threads, EventLog log,
                                            Clock clock)
         throws ListenException {
--- a/proxy/src/main/java/spurroad/program/ProxyService.java
+++ b/proxy/src/main/java/spurroad/program/ProxyService.java
@@ -24,11 +24,11 @@
 import spurroad.transport.Threads;
 
 /**
- * One proxy: builds its parts in the order in which they need one another, starts them, and is their facade.
- * {@link SettingsReload}, {@link AdminOperations} and {@link GracefulShutdown} do what follows the start.
+ * One proxy: builds its components in dependency order, starts them and is their facade.
+ * {@link SettingsReload}, {@link AdminOperations} and {@link GracefulShutdown} act on the running proxy.
  */
 public final class ProxyService {
-    // ns; what an endpoint sends behind a response arrives in less, so a connection idle for longer is clean
+    // ns; surplus bytes after a response arrive sooner, so a connection idle for longer has none pending
     private static final long IDLE_BEFORE_REUSE_NANOS = 10_000_000L;
 
     private final ProxyConfiguration configuration;
@@ -49,7 +49,7 @@
     /**
      * Starts a proxy; it takes requests once this returns.
      *
-     * @param hotRestart coordinates the processes of this proxy; null where there can be no other
+     * @param hotRestart coordinates the processes of this proxy; null if there can be no other
      */
     public ProxyService(ProxyConfiguration configuration, Threads threads, EventLog log, Clock clock,
                         HotRestart hotRestart)
@@ -60,8 +60,8 @@
     /**
      * Starts a proxy.
      *
-     * @param hotRestart coordinates the processes of this proxy; null where there can be no other
-     * @param budget how long the first endpoint list may be waited for where discovery pushes lists
+     * @param hotRestart coordinates the processes of this proxy; null if there can be no other
+     * @param budget limits the wait for the first endpoint list if discovery pushes lists
      */
     ProxyService(ProxyConfiguration configuration, Threads threads, EventLog log, Clock clock,
                  HotRestart hotRestart, StartBudget budget)
@@ -89,7 +89,7 @@
         startAccepting(endpointWatch, budget);
     }
 
-    /** Opens the address of the configuration, or takes the socket that the process inherited. */
+    /** Listens on the configured address or on the socket that the process inherited. */
     private Listener listener(ClientConnections clients) throws IOException {
         if (configuration.listenDescriptor.isEmpty()) {
             return new Listener(configuration.listenAddress, loop, descriptors.clientPermits(), clients, log);
@@ -102,10 +102,10 @@
         if (System.inheritedChannel() instanceof ServerSocketChannel socket) {
             return socket;
         }
-        throw new IOException("descriptor 0 is no listening socket, as BALANCER_LISTEN_FD says it is");
+        throw new IOException("descriptor 0 is not a listening socket, though BALANCER_LISTEN_FD is set");
     }
 
-    /** Gives the load balancer what it learns from: discovery, the other proxies and the first list. */
+    /** Connects the load balancer to discovery and peer gossip, and passes it the initial endpoint list. */
     private void connectLoadBalancer(EndpointWatch endpointWatch, Threads threads) {
         loadBalancer.setDiscoveryPoller(endpointWatch);
         Fleet fleet = configuration.settings.deployment.fleet();
@@ -127,8 +127,8 @@
     }
 
     /**
-     * Accepts clients at once, but where discovery pushes lists: there a list counts from the start of the
-     * process on, and nothing is accepted before the first has come or its time is over.
+     * Accepts clients at once, unless discovery pushes lists. A pushed list is valid from the start of the
+     * process, so clients are accepted only after the first list has arrived or the wait for it has ended.
      */
     private void startAccepting(EndpointWatch endpointWatch, StartBudget budget) {
         if (endpointWatch.pushed()) {
@@ -147,7 +147,7 @@
         return listener.port();
     }
 
-    /** Returns what the calls at the second address do with this proxy. */
+    /** Returns the operations of this proxy for the admin server. */
     public AdminRoutes adminRoutes() {
         return adminOperations.routes();
     }
@@ -156,22 +156,22 @@
         return metrics;
     }
 
-    /** Drains a cache node or gives it back; see {@link AdminOperations#setDrained}. */
+    /** Drains a cache node or returns it to use; see {@link AdminOperations#setDrained}. */
     void setDrained(String id, boolean drained, Consumer<Boolean> onResult) {
         adminOperations.setDrained(id, drained, () -> {}, onResult);
     }
 
     /**
-     * Reads a configuration and puts its settings in force, all at once, or none of them if it is invalid.
+     * Reads a configuration and applies all of its settings at once, or none if it is invalid.
      *
-     * @param source reads and checks it; throws {@link spurroad.configuration.InvalidSettingException} where
-     *     it is invalid
+     * @param source reads and checks it; throws {@link spurroad.configuration.InvalidSettingException} if it
+     *     is invalid
      */
     public void reload(Supplier<ProxyConfiguration> source) {
         settingsReload.reload(source);
     }
 
-    /** Ends this proxy in order, and returns when no client is left. */
+    /** Shuts this proxy down gracefully; returns when no client is connected or closing has timed out. */
     public void end() throws InterruptedException {
         gracefulShutdown.run();
     }
@@ -186,7 +186,7 @@
         });
     }
 
-    /** Waits until {@link #close} has closed the sockets that threads wait for, or the time is over. */
+    /** Waits until {@link #close} has closed the sockets, or the timeout in milliseconds has passed. */
     void awaitClosed(long timeoutMillis) throws InterruptedException {
         closed.await(timeoutMillis, TimeUnit.MILLISECONDS);
     }
--- a/proxy/src/main/java/spurroad/program/SettingsReload.java
+++ b/proxy/src/main/java/spurroad/program/SettingsReload.java
@@ -11,7 +11,7 @@
 
 /**
  * Replaces the settings in force by those of a new configuration, all at once, or none of them if it is
- * invalid. Any thread may call it; calls follow one another.
+ * invalid. Any thread may call it; reloads are serialized.
  */
 final class SettingsReload {
     private final EndpointWatch endpointWatch;
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Reads a configuration and puts it in force.
+     * Reads a configuration and applies it.
      *
-     * @param source reads and checks it; throws {@link InvalidSettingException} where it is invalid
+     * @param source reads and checks it; throws {@link InvalidSettingException} if it is invalid
      */
     synchronized void reload(Supplier<ProxyConfiguration> source) {
         try {
@@ -60,7 +60,7 @@
         current = next;
     }
 
-    /** Returns how many configurations were put in force since the start. */
+    /** Returns how many configurations were applied since the start. */
     long appliedCount() {
         return applied.get();
     }
--- a/proxy/src/main/java/spurroad/program/ShutdownSafeLogManager.java
+++ b/proxy/src/main/java/spurroad/program/ShutdownSafeLogManager.java
@@ -3,11 +3,11 @@
 import java.util.logging.LogManager;
 
 /**
- * The log manager of the standard library, but it keeps its handlers while the process shuts down, so that
- * the graceful shutdown is logged too.
+ * A log manager that keeps its handlers while the process shuts down, so that the graceful shutdown is logged
+ * too.
  */
 public final class ShutdownSafeLogManager extends LogManager {
-    /** Does nothing: the library's own shutdown hook calls this to remove all handlers. */
+    /** Does nothing, as the shutdown hook of the standard library calls this to remove all handlers. */
     @Override
     public void reset() {}
 }
--- a/proxy/src/main/java/spurroad/program/StartBudget.java
+++ b/proxy/src/main/java/spurroad/program/StartBudget.java
@@ -3,32 +3,32 @@
 import java.util.function.LongSupplier;
 
 /**
- * How long the steps of a start may take, counted from the first moment of the program. Platforms expect nine
- * in ten restarted proxies to serve within 6 s, also on a tenth of a core, where the virtual machine needs a
- * second before that moment.
+ * Time limits for the steps of the start, counted from the entry of the program. Platforms expect nine in ten
+ * restarted proxies to serve within 6 s, also on a tenth of a core, on which the virtual machine needs a
+ * second to reach that entry.
  */
 final class StartBudget {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    // ns; a process that is not warm by then serves cold rather than late
+    // ns; a process that is still cold then serves cold rather than start late
     private static final long WARM_UP_DEADLINE_NANOS = 3_000_000_000L;
-    // ns; discovery may be silent, so the first list is not waited for beyond this
+    // ns; the wait for the first list ends here, as discovery may not respond
     private static final long FIRST_LIST_DEADLINE_NANOS = 4_000_000_000L;
-    // ns; where the steps before took all of the budget
+    // ns; granted even if the earlier steps used up the budget
     private static final long MIN_WARM_UP_NANOS = 500_000_000L;
-    // ns; a list that is pushed comes within milliseconds
+    // ns; a pushed list arrives within milliseconds
     private static final long MIN_FIRST_LIST_NANOS = 500_000_000L;
-    // ns; a proxy that waits for longer serves nobody meanwhile
+    // ns; the proxy serves no clients during the wait
     private static final long MAX_FIRST_LIST_NANOS = 3_000_000_000L;
 
     private final LongSupplier nanoTime;
     private final long startedAt;
 
-    /** A budget that counts from now on. */
+    /** Starts a budget now. */
     StartBudget() {
         this(System::nanoTime);
     }
 
-    /** A budget that counts from now on, by a clock of nanoseconds. */
+    /** Starts a budget now, measured with the given clock in nanoseconds. */
     StartBudget(LongSupplier nanoTime) {
         this.nanoTime = nanoTime;
         startedAt = nanoTime.getAsLong();
@@ -39,7 +39,7 @@
         return Math.max(MIN_WARM_UP_NANOS, WARM_UP_DEADLINE_NANOS - elapsedNanos()) / NANOS_PER_MILLI;
     }
 
-    /** Returns how long the first pushed list may be waited for from now on, in nanoseconds. */
+    /** Returns the limit for the wait for the first pushed list from now on, in nanoseconds. */
     long firstListNanos() {
         return Math.min(MAX_FIRST_LIST_NANOS,
             Math.max(MIN_FIRST_LIST_NANOS, FIRST_LIST_DEADLINE_NANOS - elapsedNanos()));
--- a/proxy/src/main/java/spurroad/program/WarmUp.java
+++ b/proxy/src/main/java/spurroad/program/WarmUp.java
@@ -25,18 +25,18 @@
 import spurroad.transport.Threads;
 
 /**
- * Sends requests through all of the program before it takes any, between peers that exist in memory only and
- * with a load balancer of its own. In a fresh process a request takes some thirty times as long as later: on
- * a part of a core the requests of the first seconds were late, were rejected and came back until nothing
- * else was done.
+ * Sends requests through the whole request path before the proxy accepts clients, between in-memory peers and
+ * with a load balancer of its own. In a freshly started process a request takes about thirty times as long as
+ * in a warm one. On a fraction of a core, requests of the first seconds would be late, rejected and retried
+ * until the proxy did nothing else.
  */
 final class WarmUp {
     static final String BALANCER_THREAD = "warm-up balancer";
     private static final String LOOP_THREAD = "warm-up loop";
-    private static final int REQUESTS = 800; // the quick compiler compiles what has run some hundred times
-    private static final int CLIENTS = 4; // at once, so that requests meet each other as they do later
+    private static final int REQUESTS = 800; // C1 compiles a method after a few hundred calls
+    private static final int CLIENTS = 4; // concurrent, so that requests overlap as in production
     private static final int CACHE_NODES = 4;
-    private static final int CONNECTIONS = 200; // more than the warm-up opens
+    private static final int MAX_CONNECTIONS = 200; // more than the warm-up opens; also the client limit
 
     private final ProxyConfiguration configuration;
     private final WarmUpMessages messages;
@@ -48,16 +48,16 @@
         messages = new WarmUpMessages(configuration.settings);
     }
 
-    /** Returns when all requests have their responses, or after the timeout in milliseconds. */
+    /** Sends all requests; returns when all are answered, or after the timeout in milliseconds. */
     void run(Threads threads, EventLog log, Clock clock, long timeoutMillis) throws InterruptedException {
         EventLoop loop = new EventLoop(log, clock);
         LoadBalancerThread loadBalancer = new LoadBalancerThread(configuration, threads, loop, log, clock,
-            new DescriptorBudget(CONNECTIONS),
+            new DescriptorBudget(MAX_CONNECTIONS),
             (address, onClosed) -> new InMemoryPeer(loop, WarmUpMessages::endpointResponse, onClosed)
-                .remote(),
+                .proxyConnection(),
             0);
         ClientConnections clients = new ClientConnections(configuration, loop, log, loadBalancer,
-            CONNECTIONS);
+            MAX_CONNECTIONS);
         loadBalancer.setDiscoveryPoller(() -> {});
         loadBalancer.onEndpointUpdate(new EndpointList(1, true, endpoints()));
         threads.start(BALANCER_THREAD, loadBalancer);
@@ -70,7 +70,7 @@
         loop.shutdown();
     }
 
-    /** Returns how many requests have had no response. */
+    /** Returns how many requests have no response yet. */
     long unansweredRequests() {
         return unanswered.getCount();
     }
@@ -78,19 +78,19 @@
     private void connectClients(EventLoop loop, ClientConnections clients) {
         for (int i = 0; i < CLIENTS; i++) {
             InMemoryPeer client = new InMemoryPeer(loop, this::nextRequest, () -> {});
-            clients.onAccepted(client.remote(), false);
+            clients.onAccepted(client.proxyConnection(), false);
             client.send(messages.request(sent.getAndIncrement()));
         }
     }
 
-    /** A client sends its next request as soon as it has its response; null where all are sent. */
+    /** Returns the next request of a client that received a response; null once all are sent. */
     private String nextRequest(String response) {
         unanswered.countDown();
         long number = sent.getAndIncrement();
         return number < REQUESTS ? messages.request(number) : null;
     }
 
-    /** Cache nodes of a kind that no deployment has, and the origin where the deployment has one. */
+    /** Returns cache nodes of a kind that no deployment has, and the origin if the deployment has one. */
     private List<ListedEndpoint> endpoints() {
         List<ListedEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < CACHE_NODES; i++) {
--- a/proxy/src/main/java/spurroad/program/WarmUpMessages.java
+++ b/proxy/src/main/java/spurroad/program/WarmUpMessages.java
@@ -16,7 +16,7 @@
         this.settings = settings;
     }
 
-    /** Returns the request of a number: mostly reads, and a write where the last class is one of writes. */
+    /** Returns the request with the given number: mostly reads; some writes if the last class has them. */
     String request(long number) {
         int lastClass = settings.requestClassNames.size() - 1;
         int requestClass = number % REQUESTS_PER_WRITE == 0 ? lastClass : 0;
@@ -30,7 +30,7 @@
             : "ms " + number % KEYS + " " + VALUE.length() + flags + VALUE + "\r\n";
     }
 
-    /** Returns what a cache node, or the origin, responds to a message of the proxy. */
+    /** Returns the response of a cache node or of the origin to a message of the proxy. */
     static String endpointResponse(String message) {
         if (message.startsWith("stats")) {
             return "STAT rate 1.0\r\nSTAT inflight 1\r\nEND\r\n";
--- a/proxy/src/main/java/spurroad/program/restart/AdminDrainFormat.java
+++ b/proxy/src/main/java/spurroad/program/restart/AdminDrainFormat.java
@@ -5,16 +5,16 @@
 
 /**
  * The text of an {@code out-HASH} file: a header and the id of the drained endpoint, one line each. The hash
- * in the file's name has to be that of the id, so a text that was cut short is recognized.
+ * in the file's name must match the id, so truncated text is detected.
  */
 final class AdminDrainFormat {
     private static final String HEADER = "spurroad-out 1";
-    private static final int LINES = 3; // header, id, and the empty text after the last line's end
+    private static final int LINE_COUNT = 3; // header, id, and the empty string after the last line break
 
     private AdminDrainFormat() {}
 
     /**
-     * The hash of an endpoint's id in hexadecimal digits, by which the directory's files name the endpoint.
+     * Returns the hash of an endpoint's id in hexadecimal digits, used in the names of the directory's files.
      */
     static String endpointHash(String endpointId) {
         return Long.toHexString(EndpointList.hash(endpointId));
@@ -24,10 +24,10 @@
         return HEADER + "\n" + endpointId + "\n";
     }
 
-    /** Decodes the endpoint's id; empty where the text is cut short, of another format or of another hash. */
+    /** Returns the endpoint's id; empty if the text is truncated, of another format or of another hash. */
     static Optional<String> decode(String text, String endpointHash) {
         String[] lines = text.split("\n", -1);
-        if (lines.length != LINES || !lines[0].equals(HEADER)) {
+        if (lines.length != LINE_COUNT || !lines[0].equals(HEADER)) {
             return Optional.empty();
         }
         String endpointId = lines[1];
--- a/proxy/src/main/java/spurroad/program/restart/AdminDrainStore.java
+++ b/proxy/src/main/java/spurroad/program/restart/AdminDrainStore.java
@@ -12,33 +12,34 @@
 import spurroad.transport.EventLog;
 
 /**
- * The endpoints that operators drained: applies an operator's call in this process, persists it, applies what
- * was persisted by other processes, and answers the call once every process that serves has applied it.
+ * Administratively drained endpoints: applies an operator's call in this process, persists it, applies the
+ * drains that other processes persisted, and answers the call once every serving process has applied it.
  *
  * <p>A drain is persisted as long as it lasts, so it outlives all processes. While a call is not applied or
  * not persisted yet, it takes precedence over the directory, whose content is then older.
  */
 final class AdminDrainStore {
-    /** Where drains are persisted; any operation may fail for a while and be tried again. */
+    /** The storage of drains; any operation may fail temporarily and can be retried. */
     interface Files {
         PersistedDrains readDrains() throws IOException;
 
-        /** Persists that an endpoint is drained, or that it no longer is. */
+        /** Persists that an endpoint is drained, or deletes its persisted drain. */
         void writeDrain(String endpointId, boolean drained) throws IOException;
     }
 
-    /** What drains an endpoint in this process. */
+    /** Drains endpoints in this process. */
     interface Target {
         /**
-         * Drains an endpoint or uses it again.
+         * Drains an endpoint or returns it to use.
          *
-         * @param vouched whether another process knew the endpoint, so that this one needn't
-         * @param known is told, on any thread, whether there is such an endpoint; if not, nothing was done
+         * @param knownElsewhere whether another process knows the endpoint, so that this one need not
+         * @param onResult called on any thread with whether the endpoint exists; if not, nothing was changed
          */
-        void setDrained(String endpointId, boolean drained, boolean vouched, Consumer<Boolean> known);
+        void setDrained(String endpointId, boolean drained, boolean knownElsewhere,
+                        Consumer<Boolean> onResult);
     }
 
-    /** An operator's call that not all processes have applied yet. */
+    /** An operator's call that some process has not applied yet. */
     private record UnconfirmedCall(String endpointHash, boolean drained, Consumer<Boolean> answer) {}
 
     /** An operator's call that is not persisted yet. */
@@ -49,7 +50,7 @@
     private final Executor ownThread;
     private final EventLog log;
     private final Map<String, String> drainedIdsByHash = new HashMap<>();
-    // hashes; an endpoint is listed once a call
+    // endpoint hashes, one entry for each pending call
     private final List<String> applying = new ArrayList<>();
     private final Map<String, UnpersistedCall> unpersistedByHash = new HashMap<>();
     private final List<UnconfirmedCall> unconfirmed = new ArrayList<>();
@@ -57,7 +58,7 @@
     /**
      * Creates a store in which no endpoint is drained yet.
      *
-     * @param ownThread runs the target's answers on the thread that calls this store
+     * @param ownThread runs callbacks of the target on the thread that calls this store
      */
     AdminDrainStore(Files files, Target target, Executor ownThread, EventLog log) {
         this.files = files;
@@ -66,17 +67,17 @@
         this.log = log;
     }
 
-    /** Hashes of the endpoints that this process has drained. */
+    /** Returns the hashes of the endpoints that this process has drained. */
     Set<String> drainedHashes() {
         return Set.copyOf(drainedIdsByHash.keySet());
     }
 
-    /** Whether the target has still to answer a call. */
+    /** Returns whether a call to the target is pending. */
     boolean isApplying() {
         return !applying.isEmpty();
     }
 
-    /** Whether an operator has still to be answered. */
+    /** Returns whether an operator's call is still unanswered. */
     boolean hasUnconfirmedCalls() {
         return !unconfirmed.isEmpty();
     }
@@ -84,13 +85,14 @@
     /**
      * Applies an operator's call.
      *
-     * @param onApplied called once this process has applied the call: it holds here from then on, and is
-     *     tried until it is persisted, whatever the operator is told meanwhile
-     * @param answer false if there is no such endpoint; true once all processes have applied the call
+     * @param onApplied called once this process has applied the call. From then on the call is in effect here
+     *     and persisting it is retried until it succeeds, whatever the operator is answered meanwhile
+     * @param answer receives false if there is no such endpoint, or true once all processes have applied the
+     *     call
      */
     void onAdminCall(String endpointId, boolean drained, Runnable onApplied, Consumer<Boolean> answer) {
-        apply(endpointId, drained, false, known -> {
-            if (!known) {
+        apply(endpointId, drained, false, exists -> {
+            if (!exists) {
                 answer.accept(false);
                 return;
             }
@@ -101,19 +103,20 @@
         });
     }
 
-    private void apply(String endpointId, boolean drained, boolean vouched, Consumer<Boolean> then) {
+    private void apply(String endpointId, boolean drained, boolean knownElsewhere,
+                       Consumer<Boolean> onResult) {
         String hash = AdminDrainFormat.endpointHash(endpointId);
         applying.add(hash);
-        target.setDrained(endpointId, drained, vouched, known -> ownThread.execute(() -> {
+        target.setDrained(endpointId, drained, knownElsewhere, exists -> ownThread.execute(() -> {
             applying.remove(hash);
-            if (known) {
-                remember(endpointId, hash, drained);
+            if (exists) {
+                recordDrain(endpointId, hash, drained);
             }
-            then.accept(known);
+            onResult.accept(exists);
         }));
     }
 
-    private void remember(String endpointId, String hash, boolean drained) {
+    private void recordDrain(String endpointId, String hash, boolean drained) {
         if (drained) {
             drainedIdsByHash.put(hash, endpointId);
         } else {
@@ -121,7 +124,7 @@
         }
     }
 
-    /** Persists operators' calls; a call that can't be persisted is tried again the next time. */
+    /** Persists operators' calls; a call that can't be persisted is retried by the next poll. */
     void persistCalls() {
         Iterator<UnpersistedCall> calls = unpersistedByHash.values().iterator();
         while (calls.hasNext()) {
@@ -136,27 +139,27 @@
         }
     }
 
-    /** Applies what has been persisted, by any process, and is not applied here yet. */
+    /** Applies changes that any process has persisted and that are not applied here yet. */
     void applyPersisted() throws IOException {
         PersistedDrains persisted = files.readDrains();
         persisted.endpointIdsByHash().forEach((hash, endpointId) -> {
             if (!drainedIdsByHash.containsKey(hash) && !isNewerThanDirectory(hash)) {
-                apply(endpointId, true, true, known -> {});
+                apply(endpointId, true, true, exists -> {});
             }
         });
         for (Map.Entry<String, String> drained : List.copyOf(drainedIdsByHash.entrySet())) {
             if (persisted.isNotDrained(drained.getKey()) && !isNewerThanDirectory(drained.getKey())) {
-                apply(drained.getValue(), false, true, known -> {});
+                apply(drained.getValue(), false, true, exists -> {});
             }
         }
     }
 
-    /** Whether this process has been told something about an endpoint that the directory does not say yet. */
+    /** Returns whether this process has a call about an endpoint that the directory does not contain yet. */
     private boolean isNewerThanDirectory(String endpointHash) {
         return applying.contains(endpointHash) || unpersistedByHash.containsKey(endpointHash);
     }
 
-    /** Answers the calls that all processes have applied, and those that a later call has replaced. */
+    /** Answers calls that all processes have applied, and calls that a later call has replaced. */
     void answerConfirmedCalls(List<LiveProcess> others) {
         Iterator<UnconfirmedCall> calls = unconfirmed.iterator();
         while (calls.hasNext()) {
--- a/proxy/src/main/java/spurroad/program/restart/AtomicFiles.java
+++ b/proxy/src/main/java/spurroad/program/restart/AtomicFiles.java
@@ -16,8 +16,8 @@
 import java.util.Optional;
 
 /**
- * Small text files of one directory, each written so that a reader or a crash finds the former content or the
- * new one and never a part of it.
+ * Small text files of one directory. Each is replaced atomically, so that after a crash and for any reader it
+ * has either the previous or the new content.
  */
 final class AtomicFiles {
     private static final String PART_SUFFIX = ".part";
@@ -28,27 +28,27 @@
         this.directory = directory;
     }
 
-    /** Lists the files whose name ends so, those that are not written to their end included. */
+    /** Lists the files whose name ends with a suffix, including incomplete ones. */
     List<Path> list(String suffix) throws IOException {
-        List<Path> found = new ArrayList<>();
+        List<Path> matching = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(directory)) {
             for (Path file : files) {
                 if (file.getFileName().toString().endsWith(suffix)) {
-                    found.add(file);
+                    matching.add(file);
                 }
             }
         } catch (DirectoryIteratorException e) {
             throw e.getCause();
         }
-        return found;
+        return matching;
     }
 
-    /** Whether a file is one that a process has not written to its end. */
+    /** Returns whether the name is that of a file that a process has not written completely. */
     static boolean isPart(String name) {
         return name.endsWith(PART_SUFFIX);
     }
 
-    /** Reads a file, whatever bytes it holds; empty where there is none. */
+    /** Reads a file as UTF-8 and replaces malformed bytes; empty if there is no such file. */
     static Optional<String> read(Path file) throws IOException {
         try {
             return Optional.of(new String(Files.readAllBytes(file), StandardCharsets.UTF_8));
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Writes a file beside its place, syncs it and renames it. */
+    /** Writes a temporary file, syncs it and renames it to the given name. */
     void write(String name, long writerPid, String text) throws IOException {
         Path part = directory.resolve(name + "." + writerPid + PART_SUFFIX);
         try (FileChannel channel = FileChannel.open(part, StandardOpenOption.CREATE,
@@ -66,7 +66,7 @@
             while (bytes.hasRemaining()) {
                 channel.write(bytes);
             }
-            channel.force(true); // a file that was renamed before its bytes were on disk came back empty
+            channel.force(true); // a file renamed before its bytes are on disk can be empty after a crash
         }
         Files.move(part, directory.resolve(name), StandardCopyOption.ATOMIC_MOVE,
             StandardCopyOption.REPLACE_EXISTING);
@@ -76,7 +76,7 @@
         Files.deleteIfExists(directory.resolve(name));
     }
 
-    /** Deletes what a process that has died did not write to its end. */
+    /** Deletes the incomplete files of a process that has died. */
     void deleteParts(long writerPid) throws IOException {
         for (Path part : list("." + writerPid + PART_SUFFIX)) {
             Files.deleteIfExists(part);
--- a/proxy/src/main/java/spurroad/program/restart/HotRestart.java
+++ b/proxy/src/main/java/spurroad/program/restart/HotRestart.java
@@ -10,53 +10,54 @@
 import spurroad.transport.EventLog;
 
 /**
- * This process beside others of the same proxy, with which it shares the listening socket and a directory;
- * see the package's comment.
+ * Coordinates this process with others of the same proxy, with which it shares the listening socket and a
+ * directory; see the package documentation.
  *
  * <p>Its thread polls the directory and runs the tasks of other threads. Before the thread starts, the thread
- * that starts the proxy calls {@link #descriptorLimit}, {@link #isAnotherServing} and at last
+ * that starts the proxy calls {@link #descriptorLimit}, {@link #isAnotherServing} and finally
  * {@link #startServing}.
  */
 public final class HotRestart implements Runnable {
-    /** What a hot restart changes in this process. */
+    /** Applies changes of a hot restart to this process. */
     public interface ProcessControl {
         /**
-         * Drains an endpoint or uses it again.
+         * Drains an endpoint or returns it to use.
          *
-         * @param vouched whether another process knew the endpoint, so that this one needn't
-         * @param known is told, on any thread, whether there is such an endpoint; if not, nothing was done
+         * @param knownElsewhere whether another process knows the endpoint, so that this one need not
+         * @param onResult called on any thread with whether the endpoint exists; if not, nothing was changed
          */
-        void setDrained(String endpointId, boolean drained, boolean vouched, Consumer<Boolean> known);
+        void setDrained(String endpointId, boolean drained, boolean knownElsewhere,
+                        Consumer<Boolean> onResult);
 
-        /** How many descriptors of clients and endpoints are open in this process. */
+        /** Returns how many descriptors this process holds for clients and endpoints. */
         int descriptorsInUse();
 
-        /** Limits the descriptors for clients and endpoints that this process may hold from now on. */
+        /** Sets the limit of descriptors that this process may hold for clients and endpoints. */
         void setDescriptorLimit(int limit);
     }
 
-    // between polls while another process lives: short beside the 1 s in which an operator's call is answered
+    // interval while another process lives; short compared to the 1 s in which an operator's call is answered
     private static final long UPGRADE_POLL_MILLIS = 50;
-    // between polls while no other process lives: a new one takes longer to begin to serve
+    // interval while no other process lives; a new process needs longer than this to begin serving
     private static final long ALONE_POLL_MILLIS = 250;
-    // polls until drains are read before this process serves: 2 s of the 6 s that a start may take
+    // attempts to read the drains before this process serves; 2 s of the 6 s that a start may take
     private static final int INITIAL_POLLS = 40;
 
     private final EventLog log;
     private final HotRestartDirectory directory;
     private final ProcessMembership membership;
     private final DescriptorQuota quota;
-    private final AdminDrainStore drains;
-    // bounded by the operators' calls that are made at a time
+    private final AdminDrainStore drainStore;
+    // size bounded by the number of concurrent calls by operators
     private final BlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
-    private ProcessControl process; // null until this process serves
+    private ProcessControl process; // null until this process begins serving
     private boolean stopped;
 
     /**
      * Joins the processes that share a directory.
      *
-     * @param totalDescriptors descriptors for clients and endpoints of a process that is alone
-     * @param reservedPerProcess descriptors that each process holds besides
+     * @param totalDescriptors descriptors for clients and endpoints of a process without others
+     * @param reservedPerProcess descriptors that each process holds for other purposes
      */
     HotRestart(Path sharedDirectory, long pid, int totalDescriptors, int reservedPerProcess, EventLog log)
         throws InterruptedException {
@@ -64,13 +65,13 @@
         directory = new HotRestartDirectory(sharedDirectory, pid, log);
         membership = ProcessMembership.join(directory, pid, log);
         quota = new DescriptorQuota(totalDescriptors, reservedPerProcess);
-        drains = new AdminDrainStore(directory, this::setDrained, events::add, log);
+        drainStore = new AdminDrainStore(directory, this::setDrained, events::add, log);
         updateQuota();
         publish();
     }
 
     /**
-     * The hot restart of a proxy; null where its listening socket is its own, so no other process shares it.
+     * Returns the hot restart of a proxy; null if no other process can share its listening socket.
      */
     public static HotRestart of(ProxyConfiguration configuration, EventLog log) throws InterruptedException {
         if (configuration.restartDirectory == null) {
@@ -82,20 +83,20 @@
 
     // ---- called by the thread that starts the proxy
 
-    /** How many descriptors this process may hold for clients and endpoints at its start. */
+    /** Returns how many descriptors this process may hold for clients and endpoints at its start. */
     public int descriptorLimit() {
         return quota.limit();
     }
 
-    /** Whether another process serves now, as far as is known; to be asked before the thread starts. */
+    /** Returns whether another process is known to serve; must be called before the thread starts. */
     public boolean isAnotherServing() {
         return membership.isAnotherServing();
     }
 
     /**
-     * Publishes that this process serves and applies the drains that operators asked for, before the process
-     * accepts connections. Calls that operators make at other processes from then on wait for this one too.
-     * The thread has to be started afterwards.
+     * Publishes that this process serves and applies the persisted drains before the process accepts
+     * connections. From then on, operators' calls to other processes also wait for this one. The thread must
+     * be started afterwards.
      */
     public void startServing(ProcessControl control) throws InterruptedException {
         process = control;
@@ -104,40 +105,41 @@
         for (int i = 0; !pollDirectory() && i < INITIAL_POLLS; i++) {
             Thread.sleep(UPGRADE_POLL_MILLIS);
         }
-        while (drains.isApplying()) {
+        while (drainStore.isApplying()) {
             events.take().run();
         }
     }
 
     // ---- called by any thread
 
-    /** Whether a newer process serves and does not shut down. */
+    /** Returns whether a newer process serves and is not shutting down. */
     public boolean isSuccessorServing() {
         return membership.isSuccessorServing();
     }
 
-    /** Publishes that this process shuts down. */
+    /** Publishes that this process is shutting down. */
     public void startShutdown() {
         events.add(membership::beginShutdown);
     }
 
     /**
-     * Applies an operator's call to drain an endpoint or to use it again.
+     * Applies an operator's call to drain an endpoint or to return it to use.
      *
      * @param onApplied called once this process has applied the call
-     * @param answer false if there is no such endpoint; true once all processes have applied the call
+     * @param answer receives false if there is no such endpoint, or true once all processes have applied the
+     *     call
      */
     public void setAdminDrain(String endpointId, boolean drained, Runnable onApplied,
                               Consumer<Boolean> answer) {
-        events.add(() -> drains.onAdminCall(endpointId, drained, onApplied, answer));
+        events.add(() -> drainStore.onAdminCall(endpointId, drained, onApplied, answer));
     }
 
-    /** Ends the thread and releases the lock, as the end of the process would; for tests. */
+    /** Ends the thread and releases the lock, as the exit of the process would; for tests. */
     void stop() {
         events.add(() -> stopped = true);
     }
 
-    // ---- the thread
+    // ---- the thread of the hot restart
 
     @Override
     public void run() {
@@ -152,7 +154,7 @@
         }
     }
 
-    /** Runs what other threads asked for, or waits for the next poll. */
+    /** Waits for tasks of other threads until the next poll is due, and runs them. */
     private void runEvents() throws InterruptedException {
         Runnable first = events.poll(pollIntervalMillis(), TimeUnit.MILLISECONDS);
         for (Runnable event = first; event != null; event = events.poll()) {
@@ -161,22 +163,22 @@
     }
 
     private long pollIntervalMillis() {
-        boolean waitsForNobody = membership.role() == UpgradeRole.ALONE && !drains.hasUnconfirmedCalls()
-            && !drains.isApplying();
-        return waitsForNobody ? ALONE_POLL_MILLIS : UPGRADE_POLL_MILLIS;
+        boolean isIdle = membership.role() == UpgradeRole.ALONE && !drainStore.hasUnconfirmedCalls()
+            && !drainStore.isApplying();
+        return isIdle ? ALONE_POLL_MILLIS : UPGRADE_POLL_MILLIS;
     }
 
-    /** Whether the directory could be read; what failed is tried again by the next poll. */
+    /** Returns whether the directory could be read; the next poll retries failed operations. */
     private boolean pollDirectory() throws InterruptedException {
         membership.ensureJoined();
         try {
             membership.refresh();
             updateQuota();
             process.setDescriptorLimit(quota.limit());
-            drains.persistCalls();
-            drains.applyPersisted();
+            drainStore.persistCalls();
+            drainStore.applyPersisted();
             publish();
-            drains.answerConfirmedCalls(membership.others());
+            drainStore.answerConfirmedCalls(membership.others());
             return true;
         } catch (IOException e) {
             log.warn(HotRestartDirectory.UNAVAILABLE, "error=" + e);
@@ -189,14 +191,15 @@
     }
 
     private void publish() {
-        membership.publish(quota.claimed(descriptorsInUse()), drains.drainedHashes());
+        membership.publish(quota.claimed(descriptorsInUse()), drainStore.drainedHashes());
     }
 
     private int descriptorsInUse() {
         return process == null ? 0 : process.descriptorsInUse();
     }
 
-    private void setDrained(String endpointId, boolean drained, boolean vouched, Consumer<Boolean> known) {
-        process.setDrained(endpointId, drained, vouched, known);
+    private void setDrained(String endpointId, boolean drained, boolean knownElsewhere,
+                            Consumer<Boolean> onResult) {
+        process.setDrained(endpointId, drained, knownElsewhere, onResult);
     }
 }
--- a/proxy/src/main/java/spurroad/program/restart/HotRestartDirectory.java
+++ b/proxy/src/main/java/spurroad/program/restart/HotRestartDirectory.java
@@ -18,21 +18,21 @@
 import spurroad.transport.EventLog;
 
 /**
- * The directory that the processes of one proxy share; the package's comment lists its files. A file that
- * can't be read or is malformed is logged and left out. Any call may fail for a while, as where the disk is
- * full, and may be made again.
+ * The directory that the processes of one proxy share; the package documentation lists its files. A file that
+ * can't be read or is malformed is logged and ignored. Any call may fail temporarily, for example if the disk
+ * is full, and can be retried.
  */
 final class HotRestartDirectory implements AdminDrainStore.Files {
-    /** The log line for a failed call. */
+    /** The log event for a failed operation. */
     static final String UNAVAILABLE = "hot restart directory can't be accessed";
 
     private static final String UNREADABLE = "shared file can't be read";
-    // EarlierBuildUpgradeTest checks that no real process logs this phrase
+    // EarlierBuildUpgradeTest checks that no real process logs this event
     private static final String MALFORMED = "malformed shared file ignored";
     private static final String LOCK_SUFFIX = ".lock";
     private static final String STATE_SUFFIX = ".state";
     private static final String DRAIN_PREFIX = "out-";
-    // a process that looks whether this one lives may hold the lock for a moment
+    // another process may briefly hold the lock to check whether this one lives
     private static final int LOCK_ATTEMPTS = 100;
     private static final long LOCK_RETRY_MILLIS = 5;
 
@@ -42,7 +42,7 @@
     private final EventLog log;
     private FileChannel ownLock; // null until the lock is held
 
-    /** Touches no file yet; the directory may be missing. */
+    /** Accesses no file yet; the directory may be missing. */
     HotRestartDirectory(Path directory, long pid, EventLog log) {
         this.directory = directory;
         this.pid = pid;
@@ -64,7 +64,7 @@
         for (int attempt = 0; attempt < LOCK_ATTEMPTS; attempt++) {
             FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
             if (channel.tryLock() != null && Files.exists(file)) {
-                return channel; // held until the process ends
+                return channel; // held until the process exits
             }
             channel.close();
             Thread.sleep(LOCK_RETRY_MILLIS);
@@ -72,7 +72,7 @@
         throw new IOException("no lock on " + file);
     }
 
-    /** Releases the lock of this process; else the process's end does. */
+    /** Releases the lock of this process, which otherwise lasts until the process exits. */
     void close() throws IOException {
         if (ownLock != null) {
             ownLock.close();
@@ -80,20 +80,20 @@
     }
 
     /**
-     * Whether the lock on another process's file is held; if not, the file is deleted. Never called for the
-     * own file: closing a second channel to it would release the lock.
+     * Returns whether the lock on another process's file is held; if not, deletes the file. Must not be
+     * called for this process's own file, as closing a second channel to it would release the lock.
      */
     private boolean isLocked(Path lockFile) {
         try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.WRITE);
-            FileLock free = channel.tryLock()) {
-            if (free != null) {
+            FileLock acquiredLock = channel.tryLock()) {
+            if (acquiredLock != null) {
                 Files.deleteIfExists(lockFile);
             }
-            return free == null;
+            return acquiredLock == null;
         } catch (NoSuchFileException e) {
             return false;
         } catch (OverlappingFileLockException e) {
-            return true; // held by another proxy within this process, as in tests
+            return true; // held by another proxy in the same virtual machine, as in tests
         } catch (IOException e) {
             log.warn("process lock can't be checked, assuming process alive",
                 "file=" + lockFile + " error=" + e);
@@ -104,30 +104,31 @@
     // ---- processes
 
     /**
-     * Reads the other processes that live, by ascending pid, and deletes the files of those that have died.
+     * Returns the other live processes by ascending pid, and deletes the files of processes that have died.
      */
     List<LiveProcess> readOtherProcesses() throws IOException {
         Map<Long, LiveProcess> live = new TreeMap<>();
         for (Path lockFile : files.list(LOCK_SUFFIX)) {
-            OptionalLong other = pidOf(lockFile);
-            if (other.isEmpty() || other.getAsLong() == pid) {
+            OptionalLong otherPid = pidOf(lockFile);
+            if (otherPid.isEmpty() || otherPid.getAsLong() == pid) {
                 continue;
             }
             if (isLocked(lockFile)) {
-                live.put(other.getAsLong(), new LiveProcess(other.getAsLong(), readState(other.getAsLong())));
+                live.put(otherPid.getAsLong(),
+                    new LiveProcess(otherPid.getAsLong(), readState(otherPid.getAsLong())));
             } else {
-                deleteFilesOfDead(other.getAsLong());
+                deleteFilesOfDeadProcess(otherPid.getAsLong());
             }
         }
         return List.copyOf(live.values());
     }
 
-    private void deleteFilesOfDead(long otherPid) throws IOException {
+    private void deleteFilesOfDeadProcess(long otherPid) throws IOException {
         files.delete(otherPid + STATE_SUFFIX);
         files.deleteParts(otherPid);
     }
 
-    /** The pid in the name of a lock file; empty where the file is somebody else's. */
+    /** Returns the pid in the name of a lock file; empty if the file is not one of a proxy process. */
     private static OptionalLong pidOf(Path lockFile) {
         String name = lockFile.getFileName().toString();
         try {
@@ -176,7 +177,7 @@
         try {
             Optional<String> text = AtomicFiles.read(file);
             if (text.isEmpty()) {
-                return; // the endpoint is used again since the directory was listed
+                return; // the endpoint was returned to use after the directory was listed
             }
             Optional<String> endpointId = AdminDrainFormat.decode(text.get(), endpointHash);
             if (endpointId.isPresent()) {
--- a/proxy/src/main/java/spurroad/program/restart/PersistedDrains.java
+++ b/proxy/src/main/java/spurroad/program/restart/PersistedDrains.java
@@ -4,18 +4,18 @@
 import java.util.Set;
 
 /**
- * The endpoints that operators drained, as the directory holds them.
+ * The administratively drained endpoints that the directory contains.
  *
  * @param endpointIdsByHash ids by {@link AdminDrainFormat#endpointHash}
- * @param unreadableHashes hashes whose files can't be read or are malformed, which says neither that the
- *     endpoint is drained nor that it is not
+ * @param unreadableHashes hashes whose files can't be read or are malformed, so that it is unknown whether
+ *     the endpoint is drained
  */
 record PersistedDrains(Map<String, String> endpointIdsByHash, Set<String> unreadableHashes) {
     boolean isDrained(String endpointHash) {
         return endpointIdsByHash.containsKey(endpointHash);
     }
 
-    /** Whether the directory says for certain that the endpoint is not drained. */
+    /** Returns whether the endpoint is certainly not drained: it has no file, not even an unreadable one. */
     boolean isNotDrained(String endpointHash) {
         return !isDrained(endpointHash) && !unreadableHashes.contains(endpointHash);
     }
--- a/proxy/src/main/java/spurroad/program/restart/ProcessMembership.java
+++ b/proxy/src/main/java/spurroad/program/restart/ProcessMembership.java
@@ -7,18 +7,18 @@
 import spurroad.transport.EventLog;
 
 /**
- * This process among those that share the directory: which others live, which of them is the newest or
- * serves, and what this one publishes of itself.
+ * The membership of this process among those that share the directory: which others live, which of them is
+ * the newest or serves, and the state that this one publishes.
  *
- * <p>There is no election. The order in which processes started decides which of them takes over and which
- * leaves the shared listening socket to the other.
+ * <p>There is no election. The order in which the processes started determines which of them takes over the
+ * shared listening socket and which gives it up.
  */
 final class ProcessMembership {
     private final HotRestartDirectory directory;
     private final EventLog log;
     private final StartOrder startOrder;
     private List<LiveProcess> others;
-    private ProcessState lastPublished; // null until a state was written
+    private ProcessState lastPublished; // null until a state has been written
     private long servingSinceMillis = ProcessState.NOT_SERVING_YET;
     private boolean shuttingDown;
     private volatile boolean successorServing;
@@ -31,7 +31,7 @@
         this.others = others;
     }
 
-    /** Enters the directory as the newest process, also where the directory can't be reached yet. */
+    /** Joins as the newest process, even if the directory can't be accessed yet. */
     static ProcessMembership join(HotRestartDirectory directory, long pid, EventLog log)
         throws InterruptedException {
         lock(directory, log);
@@ -41,7 +41,7 @@
         } catch (IOException e) {
             log.warn(HotRestartDirectory.UNAVAILABLE, "error=" + e);
         }
-        StartOrder startOrder = new StartOrder(laterThan(others, System.currentTimeMillis()), pid);
+        StartOrder startOrder = new StartOrder(laterThanStartsOf(others, System.currentTimeMillis()), pid);
         return new ProcessMembership(directory, log, startOrder, others);
     }
 
@@ -53,29 +53,29 @@
         }
     }
 
-    /** Later than the start of every other process, also where the time of day has been set back since. */
-    private static long laterThan(List<LiveProcess> others, long nowMillis) {
+    /** Returns a time after the start of every other process, even if the system clock was set back since. */
+    private static long laterThanStartsOf(List<LiveProcess> others, long nowMillis) {
         return others.stream().map(LiveProcess::published).flatMap(Optional::stream)
             .mapToLong(state -> state.startedAtMillis() + 1)
             .reduce(nowMillis, Math::max);
     }
 
-    /** The other processes that live, as of the last {@link #refresh}. */
+    /** Returns the other live processes as of the last {@link #refresh}. */
     List<LiveProcess> others() {
         return others;
     }
 
-    /** Whether another process serves, as of the last {@link #refresh}. */
+    /** Returns whether another process serves as of the last {@link #refresh}. */
     boolean isAnotherServing() {
         return others.stream().anyMatch(LiveProcess::isServing);
     }
 
-    /** Whether a newer process serves and does not shut down, as of the last {@link #refresh}; any thread. */
+    /** Returns whether a newer process serves and is not shutting down; safe to call from any thread. */
     boolean isSuccessorServing() {
         return successorServing;
     }
 
-    /** The part of this process among those that live, as of the last {@link #refresh}. */
+    /** Returns the role of this process among the live ones as of the last {@link #refresh}. */
     UpgradeRole role() {
         if (others.isEmpty()) {
             return UpgradeRole.ALONE;
@@ -89,22 +89,22 @@
         return successorServing ? UpgradeRole.SUCCESSOR_SERVING : UpgradeRole.SUCCESSOR_NOT_READY;
     }
 
-    /** From the next {@link #publish} on the other processes see that this one serves. */
+    /** Marks this process as serving; the next {@link #publish} makes that visible to the others. */
     void beginServing() {
         servingSinceMillis = Math.max(startOrder.startedAtMillis(), System.currentTimeMillis());
     }
 
-    /** From the next {@link #publish} on the other processes see that this one shuts down. */
+    /** Marks this process as shutting down; the next {@link #publish} makes that visible to the others. */
     void beginShutdown() {
         shuttingDown = true;
     }
 
-    /** Takes this process's lock where that has failed so far. */
+    /** Acquires this process's lock unless it is already held. */
     void ensureJoined() throws InterruptedException {
         lock(directory, log);
     }
 
-    /** Reads which other processes live and what they publish; keeps what was known where that fails. */
+    /** Reads which other processes live and their states; keeps the previous values if that fails. */
     void refresh() throws IOException {
         List<Long> pidsBefore = pids();
         others = directory.readOtherProcesses();
@@ -119,7 +119,7 @@
         return others.stream().map(LiveProcess::pid).toList();
     }
 
-    /** Publishes this process's state if it has changed; a failed write is tried again the next time. */
+    /** Publishes this process's state if it has changed; the next call retries a failed write. */
     void publish(int descriptors, Set<String> drainedEndpointHashes) {
         ProcessState state = new ProcessState(startOrder.startedAtMillis(), servingSinceMillis, shuttingDown,
             descriptors, drainedEndpointHashes);
--- a/proxy/src/main/java/spurroad/program/restart/ProcessStateFormat.java
+++ b/proxy/src/main/java/spurroad/program/restart/ProcessStateFormat.java
@@ -8,9 +8,8 @@
 import java.util.TreeSet;
 
 /**
- * The text of a {@code PID.state} file: a header, one {@code key value} line a field in any order, and a
- * trailer, by which a text that was cut short is recognized. Unknown keys are ignored, so a later version may
- * add some.
+ * The text of a {@code PID.state} file: a header, one {@code key value} line for each field in any order, and
+ * a trailer that detects truncated text. Unknown keys are ignored, so later versions can add fields.
  *
  * <pre>
  * spurroad-process 1
@@ -31,7 +30,7 @@
     private static final String DRAINED_HASHES = "out";
     private static final String TRAILER = "end";
     private static final String SEPARATOR = " ";
-    private static final int MIN_LINES = 3; // header, trailer, and the empty text after the last line's end
+    private static final int MIN_LINES = 3; // header, trailer, and the empty string after the last line break
 
     private ProcessStateFormat() {}
 
@@ -45,7 +44,7 @@
             TRAILER, "");
     }
 
-    /** Decodes a state; empty where the text is cut short or of another format. */
+    /** Decodes a state; empty if the text is truncated or of another format. */
     static Optional<ProcessState> decode(String text) {
         String[] lines = text.split("\n", -1);
         if (lines.length < MIN_LINES || !lines[0].equals(HEADER)
--- a/proxy/src/main/java/spurroad/program/restart/StartOrder.java
+++ b/proxy/src/main/java/spurroad/program/restart/StartOrder.java
@@ -3,16 +3,16 @@
 import java.util.Comparator;
 
 /**
- * The place of a process in the order in which the processes of one proxy started.
+ * The position of a process in the start order of the processes of one proxy.
  *
  * @param startedAtMillis Unix time, see {@link ProcessState#startedAtMillis}
- * @param pid decides between two processes that started in the same millisecond
+ * @param pid orders processes that started in the same millisecond
  */
 record StartOrder(long startedAtMillis, long pid) implements Comparable<StartOrder> {
     private static final Comparator<StartOrder> BY_TIME_THEN_PID = Comparator
         .comparingLong(StartOrder::startedAtMillis).thenComparingLong(StartOrder::pid);
 
-    /** Whether this process started after another. */
+    /** Returns whether this process started after another. */
     boolean isAfter(StartOrder other) {
         return compareTo(other) > 0;
     }
--- a/proxy/src/main/java/spurroad/simulator/DecisionCode.java
+++ b/proxy/src/main/java/spurroad/simulator/DecisionCode.java
@@ -1,6 +1,6 @@
 package spurroad.simulator;
 
-/** The kinds of records that the adapter replies with, by their codes on the wire. */
+/** The kinds of records in the adapter's replies, with their codes on the wire. */
 enum DecisionCode {
     START_ATTEMPT(10),
     REJECT(20),
--- a/proxy/src/main/java/spurroad/simulator/EventBatch.java
+++ b/proxy/src/main/java/spurroad/simulator/EventBatch.java
@@ -6,38 +6,38 @@
 import java.nio.ByteBuffer;
 
 /**
- * A batch of events as it came, its records not decoded yet.
+ * A received batch of events whose records are not decoded yet.
  *
- * @param number that the reply repeats
- * @param nowNanos when all its events happen, in Unix nanoseconds of simulated time
- * @param recordCount how many records it says it has
- * @param records their bytes
+ * @param number the batch number, repeated in the reply
+ * @param nowNanos the time of all its events, in Unix nanoseconds of simulated time
+ * @param recordCount the number of records according to the header
+ * @param records the encoded records
  */
 record EventBatch(int number, long nowNanos, int recordCount, ByteBuffer records) {
-    private static final int HEADER_BYTES = 4 + 8 + 4 + 4; // length, time in us, records, number
+    private static final int HEADER_BYTES = 4 + 8 + 4 + 4; // body length, time in us, record count, number
     private static final int MAX_BATCH_BYTES = 1 << 28;
 
     /**
-     * Reads the next batch; returns null if the input ends before it.
+     * Reads the next batch; returns null at the end of the input.
      *
-     * @throws WireFormatException if the header is impossible or the input ends inside the batch
+     * @throws WireFormatException if the header is invalid or the input ends inside the batch
      */
     static EventBatch read(DataInputStream in) throws IOException {
-        int first = in.read();
-        if (first < 0) {
+        int firstByte = in.read();
+        if (firstByte < 0) {
             return null;
         }
         byte[] header = new byte[HEADER_BYTES];
-        header[0] = (byte) first;
+        header[0] = (byte) firstByte;
         readFully(in, header, 1);
         ByteBuffer fields = ByteBuffer.wrap(header);
         long length = fields.getInt() & WireUnits.MAX_U32;
         long nowMicros = fields.getLong();
         long recordCount = fields.getInt() & WireUnits.MAX_U32;
         int number = fields.getInt();
-        if (!isPossible(length, nowMicros, recordCount)) {
+        if (!isValidHeader(length, nowMicros, recordCount)) {
             throw new WireFormatException(
-                "batch " + (number & WireUnits.MAX_U32) + " has an impossible header");
+                "batch " + (number & WireUnits.MAX_U32) + " has an invalid header");
         }
         byte[] body = new byte[(int) length];
         readFully(in, body, 0);
@@ -45,16 +45,16 @@
             ByteBuffer.wrap(body));
     }
 
-    private static boolean isPossible(long length, long nowMicros, long recordCount) {
+    private static boolean isValidHeader(long length, long nowMicros, long recordCount) {
         return length <= MAX_BATCH_BYTES && recordCount <= length / WireUnits.RECORD_HEADER_BYTES
             && nowMicros >= 0 && nowMicros <= Long.MAX_VALUE / WireUnits.NANOS_PER_MICRO;
     }
 
-    private static void readFully(DataInputStream in, byte[] into, int from) throws IOException {
+    private static void readFully(DataInputStream in, byte[] buffer, int offset) throws IOException {
         try {
-            in.readFully(into, from, into.length - from);
+            in.readFully(buffer, offset, buffer.length - offset);
         } catch (EOFException e) {
-            throw new WireFormatException("input ended inside a frame");
+            throw new WireFormatException("input ended inside a batch");
         }
     }
 }
--- a/proxy/src/main/java/spurroad/simulator/EventCode.java
+++ b/proxy/src/main/java/spurroad/simulator/EventCode.java
@@ -1,6 +1,6 @@
 package spurroad.simulator;
 
-/** The kinds of records that the simulator sends, by their codes on the wire. */
+/** The kinds of records that the simulator sends, with their codes on the wire. */
 enum EventCode {
     LAUNCH(10),
     ENDPOINT_UPDATE(20),
@@ -26,7 +26,7 @@
         this.code = code;
     }
 
-    /** Returns the kind of a code from 0 to 255; null for one that is not known, which is to be ignored. */
+    /** Returns the kind with a code from 0 to 255; null for an unknown code, whose records are ignored. */
     static EventCode of(int code) {
         return BY_CODE[code];
     }
--- a/proxy/src/main/java/spurroad/simulator/EventDecoder.java
+++ b/proxy/src/main/java/spurroad/simulator/EventDecoder.java
@@ -19,8 +19,8 @@
 import spurroad.protocol.ProtocolException;
 
 /**
- * Decodes the records that are events at one instance, whose settings name the columns of load reports. A
- * record that is too short, or that has an impossible count, makes {@link EventFields} throw.
+ * Decodes records into events of one instance, whose settings name the columns of load reports. For a record
+ * that is too short or has an invalid count, {@link EventFields} throws an exception.
  */
 final class EventDecoder {
     private static final int ENDPOINT_BYTES = 1 + 1 + 8 + 4 + 6 + 1 + 2;
@@ -28,8 +28,8 @@
     private static final int SCOPE_FAILURE = 3;
     private static final int PHASE_REMOVED = 1;
     private static final int PHASE_READY = 3;
-    private static final int HAS_COST_HINT_BIT = 1;
-    private static final int IS_WRITE_BIT = 4;
+    private static final int HAS_COST_HINT_FLAG = 1;
+    private static final int IS_WRITE_FLAG = 4;
 
     private final List<String> reportColumns;
     private final EndpointList.EndpointNames endpointNames;
@@ -39,7 +39,7 @@
         this.endpointNames = endpointNames;
     }
 
-    /** Decodes the fields that follow the instance's number. */
+    /** Decodes the fields after the instance number. */
     SimulatorEvent decode(EventCode code, EventFields fields) {
         return switch (code) {
             case ENDPOINT_UPDATE -> endpointUpdate(fields);
@@ -49,13 +49,14 @@
             case TIMER -> new SimulatorEvent.Timer(fields.i64());
             case LOAD_PROBE_END -> loadProbeEnd(fields);
             case PEER_MESSAGE -> peerMessage(fields);
-            case LAUNCH, POWER_OFF -> throw new IllegalStateException(code + " is no event at an instance");
+            case LAUNCH, POWER_OFF ->
+                throw new IllegalStateException(code + " is not an event of an instance");
         };
     }
 
     private SimulatorEvent endpointUpdate(EventFields fields) {
         int scope = fields.u8();
-        fields.i64(); // the list's revision
+        fields.i64(); // list revision, not used
         List<Endpoint> endpoints = endpoints(fields);
         return scope == SCOPE_FAILURE ? new SimulatorEvent.DiscoveryFailure()
             : new SimulatorEvent.EndpointUpdate(endpoints, scope != SCOPE_CHANGES);
@@ -89,13 +90,13 @@
         RequestId id = new RequestId(fields.i64());
         TenantId tenant = new TenantId(fields.i32());
         RequestClassId requestClass = new RequestClassId(fields.u16());
-        int bits = fields.u8();
+        int flags = fields.u8();
         fields.f32(); // not used
         long costNanos = fields.durationNanos();
         CacheKey key = new CacheKey(fields.i64());
         long timeoutNanos = fields.durationNanos();
-        boolean isWrite = (bits & IS_WRITE_BIT) != 0;
-        long costHintNanos = (bits & HAS_COST_HINT_BIT) != 0 ? costNanos : 0;
+        boolean isWrite = (flags & IS_WRITE_FLAG) != 0;
+        long costHintNanos = (flags & HAS_COST_HINT_FLAG) != 0 ? costNanos : 0;
         return new SimulatorEvent.Request(id, requestClass, tenant, key, isWrite, costHintNanos,
             timeoutNanos);
     }
@@ -105,7 +106,7 @@
         boolean isFinal = fields.u8() != 0;
         int attempt = fields.u8();
         fields.i32(); // not used
-        fields.endpointId(); // the load balancer knows it by the attempt
+        fields.endpointId(); // not used: the load balancer identifies the endpoint by the attempt
         fields.u8(); // not used
         Outcome outcome = fields.outcome();
         LoadReport load = fields.loadReport(reportColumns);
--- a/proxy/src/main/java/spurroad/simulator/EventFields.java
+++ b/proxy/src/main/java/spurroad/simulator/EventFields.java
@@ -8,8 +8,8 @@
 import spurroad.model.Outcome;
 
 /**
- * Reads the fields of one record in order. Any read throws {@link java.nio.BufferUnderflowException} past the
- * end of the record, or {@link IllegalArgumentException} for a length that is impossible.
+ * Reads the fields of one record in order. Each method throws {@link java.nio.BufferUnderflowException} past
+ * the end of the record, and {@link IllegalArgumentException} for an invalid length.
  */
 final class EventFields {
     private static final long MAX_TIME_MICROS = Long.MAX_VALUE / WireUnits.NANOS_PER_MICRO;
@@ -41,31 +41,31 @@
         return bytes.getFloat();
     }
 
-    /** Reads a duration in microseconds of 32 bits. */
+    /** Reads a duration, encoded as an unsigned 32-bit number of microseconds. */
     long durationNanos() {
         return (bytes.getInt() & WireUnits.MAX_U32) * WireUnits.NANOS_PER_MICRO;
     }
 
-    /** Reads a time in Unix microseconds; those that nanoseconds can't express become the nearest. */
+    /** Reads a time, encoded in Unix microseconds, limited to the range of Unix nanoseconds. */
     long timeNanos() {
         return Math.max(0, Math.min(bytes.getLong(), MAX_TIME_MICROS)) * WireUnits.NANOS_PER_MICRO;
     }
 
-    /** Reads a count of things that follow. */
-    int count(int bytesEach) {
+    /** Reads the number of elements that follow, each of at least the given size. */
+    int count(int bytesPerElement) {
         int count = bytes.getInt();
-        if (count < 0 || (long) count * bytesEach > bytes.remaining()) {
-            throw new IllegalArgumentException("count");
+        if (count < 0 || (long) count * bytesPerElement > bytes.remaining()) {
+            throw new IllegalArgumentException("element count is negative or exceeds the record");
         }
         return count;
     }
 
-    /** Reads a text after its length in bytes. */
+    /** Reads a UTF-8 text that is preceded by its length in bytes. */
     String text() {
         return new String(bytes(count(1)), StandardCharsets.UTF_8);
     }
 
-    /** Reads bytes after their length, up to the end of the record. */
+    /** Reads a length and as many bytes, or fewer at the end of the record. */
     byte[] message() {
         return bytes(Math.min(u16(), bytes.remaining()));
     }
@@ -76,18 +76,18 @@
         return copy;
     }
 
-    /** Reads the address and port that name an endpoint. */
+    /** Reads an endpoint id, encoded as an IPv4 address and a port. */
     EndpointId endpointId() {
         return new EndpointId((bytes.getInt() & WireUnits.MAX_U32) << 16 | u16());
     }
 
-    /** Reads how an attempt or a probe ended; a code that is not known is a failure. */
+    /** Reads the outcome of an attempt or a load probe; an unknown code counts as a failure. */
     Outcome outcome() {
         int code = u16();
         return code < OUTCOMES.length ? OUTCOMES[code] : Outcome.FAILED;
     }
 
-    /** Reads a load report, whose columns the settings name; those without a name here are ignored. */
+    /** Reads a load report with the given column names; ignores all columns but rif and q. */
     LoadReport loadReport(List<String> columns) {
         int count = u8();
         if (count == 0) {
--- a/proxy/src/main/java/spurroad/simulator/ReplyEncoder.java
+++ b/proxy/src/main/java/spurroad/simulator/ReplyEncoder.java
@@ -9,9 +9,9 @@
 import spurroad.model.EndpointId;
 import spurroad.protocol.PeerUpdateCodec;
 
-/** Builds the reply to one batch after another, in a buffer that grows as needed. */
+/** Encodes the replies to successive batches in a buffer that grows as needed. */
 final class ReplyEncoder {
-    private static final int HEADER_BYTES = 4 + 4; // length of what follows the header, number
+    private static final int HEADER_BYTES = 4 + 4; // body length, batch number
     private static final int INSTANCE_BYTES = 4;
     private static final int REQUEST_BYTES = 8;
     private static final int ENDPOINT_BYTES = 4 + 2;
@@ -22,20 +22,20 @@
 
     private ByteBuffer reply = ByteBuffer.allocate(INITIAL_CAPACITY);
 
-    /** Begins the reply to the batch of a number. */
+    /** Begins the reply to the batch with the given number. */
     void begin(int batchNumber) {
         reply.clear();
         reply.putInt(0).putInt(batchNumber);
     }
 
-    /** Writes the reply with its length, and flushes it. */
+    /** Sets the length of the reply, writes it and flushes the stream. */
     void finish(OutputStream out) throws IOException {
         reply.putInt(0, reply.position() - HEADER_BYTES);
         out.write(reply.array(), 0, reply.position());
         out.flush();
     }
 
-    /** Adds all decisions but that on the timer, in the order in which they are to be carried out. */
+    /** Adds all decisions except the timer, in the order in which they are to be carried out. */
     void addDecisions(int instance, Decisions decisions) {
         for (Decisions.StartAttempt start : decisions.attemptsToStart) {
             addStart(instance, start);
@@ -90,14 +90,14 @@
             .put(message);
     }
 
-    /** Adds that a timer is to go off, after at least the delay, with its deadline as its name. */
+    /** Adds a timer that expires after at least the delay and is identified by its deadline. */
     void addTimer(int instance, long delayNanos, long deadlineNanos) {
         begin(DecisionCode.SET_TIMER, DURATION_BYTES + 8, instance);
         putDuration(Math.max(0, delayNanos) + WireUnits.NANOS_PER_MICRO - 1); // rounded up
         reply.putLong(deadlineNanos);
     }
 
-    /** Adds that an instance has failed, with the reason for people. */
+    /** Adds the failure of an instance, with a human-readable reason. */
     void addInstanceFailure(int instance, String reason) {
         byte[] text = reason.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(text.length, MAX_TEXT_BYTES);
@@ -105,9 +105,9 @@
             .put(text, 0, length);
     }
 
-    /** Begins a record, of so many bytes after the instance's number. */
-    private ByteBuffer begin(DecisionCode code, int size, int instance) {
-        int fieldBytes = INSTANCE_BYTES + size;
+    /** Begins a record with the given number of bytes after the instance number. */
+    private ByteBuffer begin(DecisionCode code, int bodyBytes, int instance) {
+        int fieldBytes = INSTANCE_BYTES + bodyBytes;
         ensureRemaining(WireUnits.RECORD_HEADER_BYTES + fieldBytes);
         return reply.put(code.code()).putInt(fieldBytes).putInt(instance);
     }
--- a/proxy/src/main/java/spurroad/simulator/SimulatedInstance.java
+++ b/proxy/src/main/java/spurroad/simulator/SimulatedInstance.java
@@ -4,37 +4,37 @@
 import spurroad.configuration.DeploymentSettings;
 import spurroad.model.Decisions;
 
-/** One load balancer with the deadline of the timer that the simulator runs for it. */
+/** One load balancer and the deadline of its timer, which the simulator runs. */
 final class SimulatedInstance {
-    private static final long NOT_ARMED = Long.MAX_VALUE;
+    private static final long NO_TIMER = Long.MAX_VALUE;
 
     private final LoadBalancer balancer;
     private final EventDecoder decoder;
-    private long timerDeadlineNanos = NOT_ARMED;
+    private long timerDeadlineNanos = NO_TIMER;
 
     SimulatedInstance(DeploymentSettings settings, long seed) {
         balancer = new LoadBalancer(settings.deployment, seed);
         decoder = new EventDecoder(settings.reportColumns, settings.endpointNames);
     }
 
-    /** Decodes an event at this instance. */
+    /** Decodes an event of this instance. */
     SimulatorEvent decode(EventCode code, EventFields fields) {
         return decoder.decode(code, fields);
     }
 
-    /** Lets the load balancer decide; throws what it throws. */
+    /** Delivers an event to the load balancer; propagates its exceptions. */
     void deliver(SimulatorEvent event, long nowNanos, Decisions decisions) {
         if (event instanceof SimulatorEvent.Timer timer && timer.deadlineNanos() == timerDeadlineNanos) {
-            timerDeadlineNanos = NOT_ARMED;
+            timerDeadlineNanos = NO_TIMER;
         }
         event.deliverTo(balancer, nowNanos, decisions);
     }
 
     /**
-     * Arms the timer if it would go off later than asked for; returns whether it has, and the simulator must
-     * be notified. Timers armed before go off all the same.
+     * Sets the timer if the deadline is earlier than the current one. Returns whether it did so, in which
+     * case the simulator must be notified. Timers that were set before still expire.
      */
-    boolean armTimer(long deadlineNanos) {
+    boolean setTimerIfEarlier(long deadlineNanos) {
         boolean isEarlier = deadlineNanos < timerDeadlineNanos;
         if (isEarlier) {
             timerDeadlineNanos = deadlineNanos;
--- a/proxy/src/main/java/spurroad/simulator/SimulatorAdapter.java
+++ b/proxy/src/main/java/spurroad/simulator/SimulatorAdapter.java
@@ -13,10 +13,11 @@
 import spurroad.transport.EventLog;
 
 /**
- * Runs many load balancers for a simulator: reads batches of events, and replies to each with the decisions
- * that it led to. An instance whose load balancer throws is reported as failed, and gets further events.
+ * Runs many load balancers for a simulator: reads batches of events and replies to each with the resulting
+ * decisions. An instance whose load balancer throws an exception is reported as failed and still receives
+ * further events.
  *
- * <p>Used by one thread.
+ * <p>Not thread-safe.
  */
 public final class SimulatorAdapter {
     private final DataInputStream in;
@@ -25,27 +26,27 @@
     private final Decisions decisions = new Decisions();
     private final ReplyEncoder reply = new ReplyEncoder();
 
-    /** Takes the streams from and to the simulator. */
+    /** Creates an adapter with the streams from and to the simulator. */
     public SimulatorAdapter(DataInputStream in, OutputStream out) {
         this.in = in;
         this.out = out;
     }
 
     /**
-     * Replies to batches until the input ends between two of them.
+     * Replies to batches until the input ends after a complete batch.
      *
      * @throws IOException if a stream fails
-     * @throws WireFormatException if the input is malformed; nothing of its batch is replied to
+     * @throws WireFormatException if the input is malformed; the malformed batch gets no reply
      */
     public void run() throws IOException {
         for (EventBatch batch = EventBatch.read(in); batch != null; batch = EventBatch.read(in)) {
             reply.begin(batch.number());
-            play(batch);
+            processBatch(batch);
             reply.finish(out);
         }
     }
 
-    private void play(EventBatch batch) {
+    private void processBatch(EventBatch batch) {
         ByteBuffer records = batch.records();
         for (int i = 0; i < batch.recordCount(); i++) {
             int code;
@@ -54,17 +55,17 @@
                 code = records.get() & 0xff;
                 fields = takeFields(records, i);
             } catch (BufferUnderflowException e) {
-                throw new WireFormatException("record " + i + " is cut short");
+                throw new WireFormatException("record " + i + " is truncated");
             }
             try {
-                playRecord(code, batch.nowNanos(), new EventFields(fields));
+                processRecord(code, batch.nowNanos(), new EventFields(fields));
             } catch (BufferUnderflowException | IllegalArgumentException e) {
                 throw new WireFormatException(
-                    "record " + i + " with code " + code + " has impossible fields");
+                    "record " + i + " with code " + code + " has invalid fields");
             }
         }
         if (records.hasRemaining()) {
-            throw new WireFormatException("a batch is longer than its records");
+            throw new WireFormatException("batch is longer than its records");
         }
     }
 
@@ -78,7 +79,7 @@
         return fields;
     }
 
-    private void playRecord(int code, long nowNanos, EventFields fields) {
+    private void processRecord(int code, long nowNanos, EventFields fields) {
         EventCode eventCode = EventCode.of(code);
         if (eventCode == null) {
             return;
@@ -96,7 +97,7 @@
             instances.remove(number);
             return;
         }
-        playEvent(number, instance, instance.decode(eventCode, fields), nowNanos);
+        processEvent(number, instance, instance.decode(eventCode, fields), nowNanos);
     }
 
     private void launch(int number, EventFields fields) {
@@ -109,7 +110,7 @@
         }
     }
 
-    private void playEvent(int number, SimulatedInstance instance, SimulatorEvent event, long nowNanos) {
+    private void processEvent(int number, SimulatedInstance instance, SimulatorEvent event, long nowNanos) {
         decisions.clear();
         try {
             instance.deliver(event, nowNanos, decisions);
@@ -119,7 +120,7 @@
         }
         reply.addDecisions(number, decisions);
         long wakeAtNanos = decisions.wakeAtNanos;
-        if (instance.armTimer(wakeAtNanos)) {
+        if (instance.setTimerIfEarlier(wakeAtNanos)) {
             reply.addTimer(number, wakeAtNanos - nowNanos, wakeAtNanos);
         }
     }
--- a/proxy/src/main/java/spurroad/simulator/SimulatorEvent.java
+++ b/proxy/src/main/java/spurroad/simulator/SimulatorEvent.java
@@ -13,12 +13,12 @@
 import spurroad.model.RequestId;
 import spurroad.model.TenantId;
 
-/** An event at one instance. */
+/** An event of one instance. */
 sealed interface SimulatorEvent {
     /** Calls the load balancer's method for the event. */
     void deliverTo(LoadBalancer balancer, long nowNanos, Decisions decisions);
 
-    /** Discovery sent its list, or changes to it. */
+    /** Discovery sent a complete endpoint list or changes to it. */
     record EndpointUpdate(List<Endpoint> endpoints, boolean isComplete) implements SimulatorEvent {
         @Override
         public void deliverTo(LoadBalancer balancer, long nowNanos, Decisions decisions) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** A client sent a request; the cost hint is zero where there is none. */
+    /** A client sent a request; the cost hint is zero if there is none. */
     record Request(RequestId id, RequestClassId requestClass, TenantId tenant, CacheKey key, boolean isWrite,
                    long costHintNanos, long timeoutNanos)
         implements
@@ -46,11 +46,11 @@
         }
     }
 
-    /** An attempt ended; {@code isFinal} if the simulator has given the client its final answer by this. */
+    /** An attempt ended; {@code isFinal} if the simulator has sent the client its final response. */
     record AttemptEnd(RequestId id, int attempt, Outcome outcome, LoadReport load, boolean isFinal)
         implements
             SimulatorEvent {
-        private static final long NO_PROXY_DELAY = 0; // a simulated proxy never stalls
+        private static final long NO_PROXY_DELAY = 0; // simulated proxies are never delayed
 
         @Override
         public void deliverTo(LoadBalancer balancer, long nowNanos, Decisions decisions) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Another proxy sent what is malformed; the load balancer is only given the time. */
+    /** Another proxy sent a malformed update; the load balancer only receives the current time. */
     record MalformedPeerMessage() implements SimulatorEvent {
         @Override
         public void deliverTo(LoadBalancer balancer, long nowNanos, Decisions decisions) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /** A timer went off, perhaps one that was replaced by an earlier one. */
+    /** A timer expired, possibly one that an earlier deadline has replaced. */
     record Timer(long deadlineNanos) implements SimulatorEvent {
         @Override
         public void deliverTo(LoadBalancer balancer, long nowNanos, Decisions decisions) {
--- a/proxy/src/main/java/spurroad/simulator/WireFormatException.java
+++ b/proxy/src/main/java/spurroad/simulator/WireFormatException.java
@@ -1,10 +1,10 @@
 package spurroad.simulator;
 
-/** Input that breaks the simulator's wire format, or settings that no instance can start with. */
+/** Thrown for input that violates the simulator's wire format and for invalid settings of an instance. */
 public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** The message is one line for people. */
+    /** Creates an exception whose message is one human-readable line. */
     public WireFormatException(String message) {
         super(message);
     }
--- a/proxy/src/main/java/spurroad/simulator/WireUnits.java
+++ b/proxy/src/main/java/spurroad/simulator/WireUnits.java
@@ -1,6 +1,6 @@
 package spurroad.simulator;
 
-/** What both directions of the simulator's wire share. */
+/** Units and sizes that both directions of the simulator's wire format share. */
 final class WireUnits {
     static final long NANOS_PER_MICRO = 1_000L;
     static final long MAX_U32 = 0xffffffffL;
--- a/proxy/src/test/java/spurroad/program/restart/AdminDrainStoreTest.java
+++ b/proxy/src/test/java/spurroad/program/restart/AdminDrainStoreTest.java
@@ -69,9 +69,10 @@
         targetCalls = new ArrayList<>();
         operatorAnswers = new ArrayList<>();
         applied = new ArrayList<>();
-        store = new AdminDrainStore(files, (id, drained, vouched, known) -> {
-            targetCalls.add(id + (drained ? " drained" : " used") + (vouched ? " vouched" : ""));
-            targetAnswers.add(() -> known.accept(vouched || !id.equals(UNKNOWN_ID)));
+        store = new AdminDrainStore(files, (id, drained, knownElsewhere, known) -> {
+            targetCalls
+                .add(id + (drained ? " drained" : " used") + (knownElsewhere ? " knownElsewhere" : ""));
+            targetAnswers.add(() -> known.accept(knownElsewhere || !id.equals(UNKNOWN_ID)));
         }, Runnable::run, new EventLog());
     }
 
@@ -162,7 +163,7 @@
     @Test(dataProvider = "orders")
     public void oppositeCallsToTwoProcessesEndInOneState(boolean drainedFirst) throws IOException {
         AdminDrainStore other = new AdminDrainStore(files,
-            (id, drained, vouched, known) -> known.accept(true), Runnable::run, new EventLog());
+            (id, drained, knownElsewhere, known) -> known.accept(true), Runnable::run, new EventLog());
         files.failing = true;
         call(ID, true);
         answerFromTarget();
@@ -290,7 +291,7 @@
         files.writeDrain(UNKNOWN_ID, true);
         store.applyPersisted();
         answerFromTarget();
-        assertEquals(targetCalls, List.of("unknown drained vouched"));
+        assertEquals(targetCalls, List.of("unknown drained knownElsewhere"));
         assertEquals(store.drainedHashes(), Set.of(AdminDrainFormat.endpointHash(UNKNOWN_ID)));
     }
 
@@ -300,7 +301,7 @@
         files.endpointIdsByHash.clear();
         store.applyPersisted();
         answerFromTarget();
-        assertEquals(targetCalls, List.of("s-1 used vouched"));
+        assertEquals(targetCalls, List.of("s-1 used knownElsewhere"));
         assertEquals(store.drainedHashes(), Set.of());
     }
 
@@ -311,6 +312,6 @@
         store.applyPersisted();
         answerFromTarget();
         store.applyPersisted();
-        assertEquals(targetCalls, List.of("s-1 drained vouched"));
+        assertEquals(targetCalls, List.of("s-1 drained knownElsewhere"));
     }
 }
--- a/proxy/src/test/java/spurroad/program/restart/HotRestartTest.java
+++ b/proxy/src/test/java/spurroad/program/restart/HotRestartTest.java
@@ -53,8 +53,9 @@
         }
 
         @Override
-        public void setDrained(String endpointId, boolean drain, boolean vouched, Consumer<Boolean> known) {
-            boolean isKnown = vouched || endpointId.startsWith("s-");
+        public void setDrained(String endpointId, boolean drain, boolean knownElsewhere,
+                               Consumer<Boolean> known) {
+            boolean isKnown = knownElsewhere || endpointId.startsWith("s-");
             if (isKnown && drain) {
                 drained.add(endpointId);
             } else if (isKnown) {
--- a/proxy/src/test/java/spurroad/program/restart/SteppedProcess.java
+++ b/proxy/src/test/java/spurroad/program/restart/SteppedProcess.java
@@ -30,10 +30,11 @@
     /**
      * An endpoint that the process was told to drain or to use again, with the answer that may be delayed.
      */
-    private record DrainChange(String id, boolean drained, boolean vouched, Consumer<Boolean> delayedAnswer) {
+    private record DrainChange(String id, boolean drained, boolean knownElsewhere,
+                               Consumer<Boolean> delayedAnswer) {
         private String text() {
             return id + (drained ? " drained" : " used again")
-                + (vouched ? ", known to another process" : ", by a call");
+                + (knownElsewhere ? ", known to another process" : ", by a call");
         }
     }
 
@@ -57,12 +58,12 @@
     // ---- what the process under test calls
 
     @Override
-    public void setDrained(String id, boolean drained, boolean vouched, Consumer<Boolean> known) {
+    public void setDrained(String id, boolean drained, boolean knownElsewhere, Consumer<Boolean> known) {
         if (id.equals(WAKE_UP_ID)) {
             known.accept(false);
             return;
         }
-        DrainChange change = new DrainChange(id, drained, vouched, known);
+        DrainChange change = new DrainChange(id, drained, knownElsewhere, known);
         drainChanges.add(change);
         if (delaysAnswers) {
             delayed.add(change);
@@ -88,7 +89,7 @@
     }
 
     private static void answer(DrainChange change) {
-        change.delayedAnswer.accept(change.vouched || change.id.startsWith(LISTED_PREFIX));
+        change.delayedAnswer.accept(change.knownElsewhere || change.id.startsWith(LISTED_PREFIX));
     }
 
     // ---- steps of a test
