--- a/proxy/src/test/java/spurroad/program/restart/AdminDrainStoreTest.java
+++ b/proxy/src/test/java/spurroad/program/restart/AdminDrainStoreTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.Test;
 import spurroad.transport.EventLog;
 
-/** The drains of one process, with files in memory and a target that answers when the test says so. */
+/** Tests the drains of one process with in-memory files and a target whose answers the test controls. */
 public class AdminDrainStoreTest {
     private static final String ID = "s-1";
     private static final String HASH = AdminDrainFormat.endpointHash(ID);
@@ -41,13 +41,13 @@
 
         @Override
         public PersistedDrains readDrains() throws IOException {
-            failIfFailing();
+            throwIfFailing();
             return new PersistedDrains(Map.copyOf(endpointIdsByHash), Set.copyOf(unreadableHashes));
         }
 
         @Override
         public void writeDrain(String endpointId, boolean drained) throws IOException {
-            failIfFailing();
+            throwIfFailing();
             if (drained) {
                 endpointIdsByHash.put(AdminDrainFormat.endpointHash(endpointId), endpointId);
             } else {
@@ -55,7 +55,7 @@
             }
         }
 
-        private void failIfFailing() throws IOException {
+        private void throwIfFailing() throws IOException {
             if (failing) {
                 throw new IOException("no space left on device");
             }
@@ -86,7 +86,7 @@
         }
     }
 
-    /** What a poll of the directory does with the store. */
+    /** Calls the store as a poll of the directory does. */
     private void poll(List<LiveProcess> others) throws IOException {
         store.persistCalls();
         store.applyPersisted();
@@ -109,7 +109,7 @@
     // ---- calls of operators
 
     @Test
-    public void callForUnknownEndpointIsAnsweredFalseAndNotPersisted() throws IOException {
+    public void answersFalseForUnknownEndpointAndDoesNotPersistCall() throws IOException {
         call(UNKNOWN_ID, true);
         answerFromTarget();
         assertEquals(operatorAnswers, List.of(false));
@@ -119,7 +119,7 @@
     }
 
     @Test
-    public void callIsPersistedAndAnsweredTrue() throws IOException {
+    public void persistsCallAndAnswersTrue() throws IOException {
         call(ID, true);
         assertTrue(store.isApplying());
         answerFromTarget();
@@ -133,12 +133,12 @@
     }
 
     /**
-     * The operator may be told what holds: a call that can't be persisted is applied all the same.
-     *
-     * <p>With a full directory the call got a 503 that said nothing of it, and the node was drained.
+     * A call that can't be persisted is applied nevertheless, and the store reports that, so that the
+     * operator can be told. Otherwise a call with a full directory gets a 503 that does not mention the
+     * drained node.
      */
     @Test
-    public void callThatIsNotPersistedYetTellsThatItIsApplied() throws IOException {
+    public void reportsCallAsAppliedThoughItIsNotPersistedYet() throws IOException {
         files.failing = true;
         call(ID, true);
         assertEquals(applied, List.of());
@@ -147,21 +147,21 @@
         store.persistCalls();
         assertThrows(IOException.class, store::applyPersisted);
         assertEquals(operatorAnswers, List.of());
-        assertEquals(store.drainedHashes(), Set.of(HASH), "it holds here");
+        assertEquals(store.drainedHashes(), Set.of(HASH), "applied in this process");
         call(UNKNOWN_ID, true);
         answerFromTarget();
         assertEquals(applied, List.of(ID), "no such endpoint, nothing applied");
     }
 
-    /** Which of two processes persists first, once the directory takes files again. */
+    /** Whether the process that drained the endpoint polls first once the directory is writable again. */
     @DataProvider
-    Object[][] orders() {
+    Object[][] persistOrders() {
         return new Object[][] {{true}, {false}};
     }
 
-    /** Two processes that were told the opposite while the directory took nothing agree once it does. */
-    @Test(dataProvider = "orders")
-    public void oppositeCallsToTwoProcessesEndInOneState(boolean drainedFirst) throws IOException {
+    /** Two processes that got opposite calls while the directory was not writable agree once it is. */
+    @Test(dataProvider = "persistOrders")
+    public void processesWithOppositeCallsConverge(boolean drainedFirst) throws IOException {
         AdminDrainStore other = new AdminDrainStore(files,
             (id, drained, knownElsewhere, known) -> known.accept(true), Runnable::run, new EventLog());
         files.failing = true;
@@ -184,7 +184,7 @@
     }
 
     @Test
-    public void callThatEndsADrainDeletesItsFile() throws IOException {
+    public void deletesDrainFileWhenCallEndsDrain() throws IOException {
         drainAndPersist();
         call(ID, false);
         answerFromTarget();
@@ -195,7 +195,7 @@
     }
 
     @Test
-    public void callIsAnsweredOnceEveryServingProcessHasAppliedIt() throws IOException {
+    public void answersCallOnceEveryServingProcessHasAppliedIt() throws IOException {
         call(ID, true);
         answerFromTarget();
         poll(serving());
@@ -205,7 +205,7 @@
     }
 
     @Test
-    public void callDoesNotWaitForProcessesThatStartOrHaveNoReadableState() throws IOException {
+    public void doesNotWaitForStartingProcessesOrThoseWithoutReadableState() throws IOException {
         ProcessState starting = new ProcessState(1, ProcessState.NOT_SERVING_YET, false, 30, Set.of());
         call(ID, true);
         answerFromTarget();
@@ -214,7 +214,7 @@
     }
 
     @Test
-    public void laterCallAboutTheSameEndpointAnswersTheEarlierOne() throws IOException {
+    public void answersCallThatLaterCallForSameEndpointReplaces() throws IOException {
         call(ID, true);
         answerFromTarget();
         poll(serving());
@@ -230,7 +230,7 @@
     // ---- files that can't be written or read
 
     @Test
-    public void callIsAppliedButNotAnsweredUntilItIsPersisted() throws IOException {
+    public void appliesCallAtOnceButAnswersOnlyOncePersisted() throws IOException {
         files.failing = true;
         call(ID, true);
         answerFromTarget();
@@ -244,7 +244,7 @@
     }
 
     @Test
-    public void unpersistedCallTakesPrecedenceOverTheDirectory() throws IOException {
+    public void unpersistedCallTakesPrecedenceOverDirectory() throws IOException {
         drainAndPersist();
         call(ID, false);
         answerFromTarget();
@@ -257,7 +257,7 @@
     }
 
     @Test
-    public void callThatTheTargetHasNotAnsweredTakesPrecedenceOverTheDirectory() throws IOException {
+    public void unappliedCallTakesPrecedenceOverDirectory() throws IOException {
         drainAndPersist();
         call(ID, false);
         files.endpointIdsByHash.clear();
@@ -276,7 +276,7 @@
     }
 
     @Test
-    public void unreadableFileNeitherEndsADrainNorDrains() throws IOException {
+    public void unreadableFileNeitherStartsNorEndsDrain() throws IOException {
         drainAndPersist();
         files.endpointIdsByHash.clear();
         files.unreadableHashes.addAll(Set.of(HASH, AdminDrainFormat.endpointHash("s-2")));
@@ -287,7 +287,7 @@
     // ---- what other processes persisted
 
     @Test
-    public void drainOfAnotherProcessIsAppliedAlsoWhereTheEndpointIsUnknownHere() throws IOException {
+    public void appliesDrainOfOtherProcessForEndpointUnknownHere() throws IOException {
         files.writeDrain(UNKNOWN_ID, true);
         store.applyPersisted();
         answerFromTarget();
@@ -296,7 +296,7 @@
     }
 
     @Test
-    public void drainThatAnotherProcessEndedIsEndedHere() throws IOException {
+    public void endsDrainThatOtherProcessEnded() throws IOException {
         drainAndPersist();
         files.endpointIdsByHash.clear();
         store.applyPersisted();
@@ -306,7 +306,7 @@
     }
 
     @Test
-    public void persistedDrainIsAppliedOnce() throws IOException {
+    public void appliesPersistedDrainOnce() throws IOException {
         files.writeDrain(ID, true);
         store.applyPersisted();
         store.applyPersisted();
--- a/proxy/src/test/java/spurroad/program/restart/DescriptorQuotaTest.java
+++ b/proxy/src/test/java/spurroad/program/restart/DescriptorQuotaTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How descriptors are divided between processes, each number a count of descriptors. */
+/** Tests the division of descriptors between processes; all numbers are descriptor counts. */
 public class DescriptorQuotaTest {
     private static final int TOTAL = 200;
     private static final int RESERVED = 40;
@@ -18,7 +18,7 @@
     private static final int HEADROOM = 16;
 
     private static List<LiveProcess> othersWith(int... descriptors) {
-        return Arrays.stream(descriptors).mapToObj(n -> new ProcessState(1, 1, false, n, Set.of()))
+        return Arrays.stream(descriptors).mapToObj(count -> new ProcessState(1, 1, false, count, Set.of()))
             .map(state -> new LiveProcess(state.descriptors(), Optional.of(state))).toList();
     }
 
@@ -42,13 +42,13 @@
     }
 
     @Test(dataProvider = "limits")
-    public void limitFollowsTheRoleOfTheProcess(UpgradeRole role, int inUse, List<LiveProcess> others,
-                                                int limit) {
+    public void limitDependsOnRole(UpgradeRole role, int inUse, List<LiveProcess> others,
+                                   int limit) {
         assertEquals(limit(role, inUse, others), limit);
     }
 
     @Test
-    public void processWithoutReadableStateClaimsOnlyItsReservedDescriptors() {
+    public void processWithoutReadableStateClaimsOnlyReservedDescriptors() {
         List<LiveProcess> others = List.of(new LiveProcess(7, Optional.empty()));
         assertEquals(limit(UpgradeRole.NEWEST, 0, others), TOTAL - RESERVED - MIN);
     }
@@ -59,26 +59,26 @@
     }
 
     @Test(dataProvider = "roles")
-    public void everyProcessKeepsTheMinimum(UpgradeRole role) {
+    public void everyProcessKeepsMinimum(UpgradeRole role) {
         assertTrue(limit(role, 0, othersWith(TOTAL, TOTAL, TOTAL, TOTAL)) >= MIN);
     }
 
     @Test
-    public void newestProcessLeavesTheMinimumToAnOther() {
+    public void newestProcessLeavesMinimumToAnother() {
         assertEquals(limit(UpgradeRole.NEWEST, 0, othersWith(0)), TOTAL - RESERVED - MIN);
     }
 
     @Test
-    public void claimsWhatIsInUseWhereThatIsOverTheLimit() {
+    public void claimsDescriptorsInUseWhenOverLimit() {
         DescriptorQuota quota = new DescriptorQuota(TOTAL, RESERVED);
         quota.update(UpgradeRole.SUCCESSOR_SERVING, othersWith(40), 150);
         assertEquals(quota.claimed(150), 150);
         assertEquals(quota.claimed(30), quota.limit());
     }
 
-    /** The successor serves while the older process shuts down, with each number of descriptors in use. */
+    /** Checks each number of descriptors in use by an older process that shuts down beside a successor. */
     @Test
-    public void olderAndNewestProcessTogetherStayWithinTheTotal() {
+    public void olderAndNewestProcessTogetherStayWithinTotal() {
         for (int inUse = 0; inUse <= TOTAL - RESERVED - MIN; inUse++) {
             DescriptorQuota older = new DescriptorQuota(TOTAL, RESERVED);
             older.update(UpgradeRole.SHUTTING_DOWN, othersWith(0), inUse);
--- a/proxy/src/test/java/spurroad/program/restart/HotRestartEnvironment.java
+++ b/proxy/src/test/java/spurroad/program/restart/HotRestartEnvironment.java
@@ -10,13 +10,13 @@
 import java.util.TreeMap;
 
 /**
- * A directory that processes share, the processes, and the trace of all that is done with them. The text of
- * the steps is pinned by the digests of {@link HotRestartTraceTest}.
+ * A shared directory, the processes that use it, and the trace of all steps taken with them. The digests in
+ * {@link HotRestartTraceTest} depend on the text of the steps.
  */
 final class HotRestartEnvironment implements AutoCloseable {
     private static final long CLOCK_POLL_MILLIS = 1;
-    // A process that can't read the directory polls it twice or more within this time. No test can wait for
-    // such a poll instead, as it changes no file and calls no one.
+    // A process that can't read the directory polls it at least twice within this time. A test can't wait for
+    // such a poll instead, as it changes no file and calls no method of the process.
     private static final long DIRECTORY_MISSING_MILLIS = 120;
 
     private final RestartTrace trace = new RestartTrace();
@@ -31,12 +31,12 @@
 
     /** A step whose description is traced before it is taken. */
     private interface Step {
-        void take() throws Exception;
+        void run() throws Exception;
     }
 
     private void step(String what, Step step) throws Exception {
         trace.step(what);
-        step.take();
+        step.run();
         processes.forEach((pid, process) -> {
             process.takeEvents().forEach(event -> trace.line(pid + " " + event));
             trace.line(pid + " answers " + process.answers());
@@ -48,7 +48,9 @@
         return trace;
     }
 
-    /** Waits until a process that starts or serves now has a later time than any before. */
+    /**
+     * Waits until the clock has advanced, so that the next start or serving time is later than all others.
+     */
     private static void awaitLaterTimeOfDay() throws InterruptedException {
         long beforeMillis = System.currentTimeMillis();
         while (System.currentTimeMillis() <= beforeMillis) {
@@ -56,7 +58,7 @@
         }
     }
 
-    /** The processes that live, by ascending pid. */
+    /** Returns the pids of the live processes in ascending order. */
     List<Long> pids() {
         return List.copyOf(processes.keySet());
     }
@@ -124,8 +126,8 @@
 
     // ---- processes of another program, files and faults
 
-    /** Starts a process of another program: the test holds its lock. */
-    void foreignLives(long pid) throws Exception {
+    /** Simulates a process of another program by holding its lock. */
+    void startForeign(long pid) throws Exception {
         step("foreign " + pid + " lives", () -> {
             FileChannel lock = FileChannel.open(directory.resolve(pid + ".lock"), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE);
@@ -134,7 +136,7 @@
         });
     }
 
-    void foreignDies(long pid) throws Exception {
+    void stopForeign(long pid) throws Exception {
         step("foreign " + pid + " dies", () -> foreignLocks.remove(pid).close());
     }
 
@@ -154,7 +156,7 @@
         return Files.exists(directory.resolve(name));
     }
 
-    /** Deletes a file and makes every later write, read or deletion of that name fail. */
+    /** Replaces a file by a directory, so that writing, reading or deleting it fails. */
     void obstruct(String name) throws Exception {
         step("obstruct " + name, () -> {
             Files.deleteIfExists(directory.resolve(name));
@@ -169,7 +171,7 @@
         });
     }
 
-    /** Puts a file where the directory belongs. */
+    /** Creates a file with the name of the directory. */
     void obstructDirectory() throws Exception {
         step("obstruct the directory", () -> Files.createFile(directory));
     }
@@ -178,21 +180,23 @@
         step("clear the directory", () -> Files.delete(directory));
     }
 
-    /** Calls a process, and moves the directory away and back while it applies the call. */
-    void callWhileDirectoryIsGone(long pid, String id, boolean drained) throws Exception {
+    /**
+     * Makes an operator's call, and moves the directory movedDirectory and back while the process applies it.
+     */
+    void callWhileDirectoryIsMissing(long pid, String id, boolean drained) throws Exception {
         call(pid, id, drained);
-        Path away = directory.resolveSibling("away");
+        Path movedDirectory = directory.resolveSibling("away");
         step("the directory goes and comes back", () -> {
-            Files.move(directory, away);
+            Files.move(directory, movedDirectory);
             processes.get(pid).continueUntilDrainChange();
             Thread.sleep(DIRECTORY_MISSING_MILLIS);
-            Files.move(away, directory);
+            Files.move(movedDirectory, directory);
             processes.get(pid).awaitStop();
         });
     }
 
-    /** Serves though the directory can't be read, and only then mends the directory. */
-    void serveBeforeDirectoryIsMended(long pid) throws Exception {
+    /** Starts serving while the directory can't be read, then makes the directory usable. */
+    void serveBeforeDirectoryIsUsable(long pid) throws Exception {
         awaitLaterTimeOfDay();
         step("serve " + pid + " before the directory is mended", () -> {
             processes.get(pid).beginServing();
--- a/proxy/src/test/java/spurroad/program/restart/HotRestartTest.java
+++ b/proxy/src/test/java/spurroad/program/restart/HotRestartTest.java
@@ -27,12 +27,13 @@
 import spurroad.transport.EventLog;
 
 /**
- * Processes of one proxy that share a directory, each with its thread. Those with sockets are in UpgradeTest.
+ * Tests processes of one proxy that share a directory, each with its own thread. UpgradeTest covers processes
+ * with sockets.
  */
 public class HotRestartTest {
     private static final int TOTAL = 200; // descriptors
     private static final int RESERVED = 40; // descriptors of each process
-    private static final int SHARED = TOTAL - RESERVED; // of two processes together
+    private static final int SHARED = TOTAL - RESERVED; // available to two processes together
     private static final long TIMEOUT_SECONDS = 10;
     private static final long CONDITION_POLL_MILLIS = 10;
     private static final long HOUR_MILLIS = 3_600_000;
@@ -40,7 +41,7 @@
     private final List<FakeProcess> started = new ArrayList<>();
     private Path directory;
 
-    /** A process that knows the endpoints whose ids begin with {@code s-}, and keeps what it is told. */
+    /** A process that knows the endpoints whose ids begin with {@code s-} and records the calls it gets. */
     private static final class FakeProcess implements HotRestart.ProcessControl {
         private final Set<String> drained = new ConcurrentSkipListSet<>();
         private final AtomicInteger polls = new AtomicInteger();
@@ -54,14 +55,14 @@
 
         @Override
         public void setDrained(String endpointId, boolean drain, boolean knownElsewhere,
-                               Consumer<Boolean> known) {
+                               Consumer<Boolean> onResult) {
             boolean isKnown = knownElsewhere || endpointId.startsWith("s-");
             if (isKnown && drain) {
                 drained.add(endpointId);
             } else if (isKnown) {
                 drained.remove(endpointId);
             }
-            known.accept(isKnown);
+            onResult.accept(isKnown);
         }
 
         @Override
@@ -89,15 +90,15 @@
             return call(endpointId, false).poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
 
-        /** Waits until two polls were begun and ended; the first that ends may have begun before. */
+        /** Waits for three polls to end, two of which began after the call of this method. */
         private void awaitTwoPolls() throws InterruptedException {
-            int begun = polls.get() + 3;
-            await(() -> polls.get() >= begun);
+            int expectedPolls = polls.get() + 3;
+            await(() -> polls.get() >= expectedPolls);
         }
     }
 
     @BeforeMethod
-    void nameDirectory() throws IOException {
+    void createDirectoryName() throws IOException {
         directory = Files.createTempDirectory("hot-restart").resolve("spurroad-n1");
     }
 
@@ -133,16 +134,16 @@
     // ---- upgrades
 
     @Test
-    public void drainOutlivesItsProcess() throws Exception {
+    public void drainOutlivesProcessThatPersistedIt() throws Exception {
         FakeProcess first = startServing(1);
-        assertEquals(first.drain("x"), Boolean.FALSE, "never listed");
+        assertEquals(first.drain("x"), Boolean.FALSE, "endpoint was never listed");
         assertEquals(first.drain("s-1"), Boolean.TRUE);
         assertEquals(first.drain("s-1"), Boolean.TRUE);
         assertEquals(first.drain("s-2"), Boolean.TRUE);
         assertEquals(first.undrain("s-2"), Boolean.TRUE);
         first.hotRestart.stop();
         FakeProcess second = startServing(2);
-        assertEquals(second.drained, Set.of("s-1"), "also while the first still lives");
+        assertEquals(second.drained, Set.of("s-1"), "while the first process may still live");
         await(() -> second.descriptorLimit == TOTAL);
         assertEquals(second.undrain("s-1"), Boolean.TRUE);
         second.hotRestart.stop();
@@ -150,11 +151,11 @@
     }
 
     @Test
-    public void malformedAndLeftoverFilesAreIgnored() throws Exception {
+    public void ignoresMalformedAndLeftoverFiles() throws Exception {
         FakeProcess process = startServing(2);
         assertEquals(process.drain("s-1"), Boolean.TRUE);
-        Files.writeString(directory.resolve("out-77"), "spurroad-out 1\ns-3\n"); // of another hash
-        Files.writeString(drainFile("s-4"), "spurroad-out 1\ns-4"); // cut short
+        Files.writeString(directory.resolve("out-77"), "spurroad-out 1\ns-3\n"); // hash of another endpoint
+        Files.writeString(drainFile("s-4"), "spurroad-out 1\ns-4"); // truncated
         Files.writeString(directory.resolve("5.state"), "begun"); // without a lock file
         Files.writeString(directory.resolve("6.lock"), ""); // of a process that was killed
         process.awaitTwoPolls();
@@ -166,13 +167,13 @@
     }
 
     @Test
-    public void twoProcessesShareDrainsAndDescriptors() throws Exception {
+    public void processesShareDrainsAndDescriptors() throws Exception {
         FakeProcess old = startServing(1);
         old.descriptorsInUse = 30;
         FakeProcess successor = new FakeProcess(directory, 2);
         await(() -> old.descriptorLimit == SHARED * 3 / 4);
         assertFalse(old.hotRestart.isSuccessorServing(), "the successor does not serve yet");
-        assertEquals(old.drain("s-1"), Boolean.TRUE, "a starting process has not to confirm");
+        assertEquals(old.drain("s-1"), Boolean.TRUE, "a starting process need not confirm");
         startServing(successor);
         assertEquals(successor.drained, Set.of("s-1"));
         await(() -> old.hotRestart.isSuccessorServing() && old.descriptorLimit == SHARED / 2);
@@ -186,7 +187,7 @@
         await(() -> old.descriptorLimit < SHARED / 2 && successor.descriptorLimit > SHARED / 2);
         assertTrue(old.descriptorLimit >= old.descriptorsInUse
             && old.descriptorLimit + successor.descriptorLimit <= SHARED);
-        old.descriptorsInUse = 130; // over its limit: the successor leaves it that
+        old.descriptorsInUse = 130; // over its limit; the successor must leave it these
         await(() -> successor.descriptorLimit == SHARED - 130);
         old.hotRestart.stop();
         await(() -> successor.descriptorLimit == TOTAL);
@@ -194,7 +195,7 @@
     }
 
     @Test
-    public void oldProcessServesAloneAgainOnceItsSuccessorDies() throws Exception {
+    public void oldProcessServesAloneAfterSuccessorDies() throws Exception {
         FakeProcess old = startServing(1);
         FakeProcess successor = startServing(2);
         await(old.hotRestart::isSuccessorServing);
@@ -204,7 +205,7 @@
     }
 
     @Test
-    public void laterProcessIsTheSuccessorAlsoWhereTheTimeOfDayWasSetBack() throws Exception {
+    public void laterProcessIsSuccessorThoughClockWasSetBack() throws Exception {
         Files.createDirectories(directory);
         long later = System.currentTimeMillis() + HOUR_MILLIS;
         try (FileChannel lock = FileChannel.open(directory.resolve("1.lock"), StandardOpenOption.CREATE,
@@ -217,11 +218,11 @@
             ProcessState published = ProcessStateFormat
                 .decode(Files.readString(directory.resolve("2.state"))).orElseThrow();
             assertTrue(new StartOrder(published.startedAtMillis(), 2).isAfter(new StartOrder(later, 1)),
-                "the process before takes itself for the later one");
+                "the earlier process would count as the newer one");
         }
     }
 
-    // ---- files that can't be written or read for a while, as a directory is in their place
+    // ---- files that temporarily can't be written or read, as a directory has their name
 
     private static Path obstruct(Path file) throws IOException {
         return Files.createDirectories(file.resolve("in the way"));
@@ -232,15 +233,15 @@
         Files.delete(obstacle.getParent());
     }
 
-    /** Success says that the next process will drain the endpoint too, so it has to wait for the file. */
+    /** Success promises that the next process drains the endpoint too, so it must wait for the file. */
     @Test
-    public void drainIsAppliedAtOnceAndAnsweredOnceItIsPersisted() throws Exception {
+    public void appliesDrainAtOnceAndAnswersOncePersisted() throws Exception {
         FakeProcess first = startServing(1);
         Path obstacle = obstruct(Path.of(drainFile("s-1") + ".1.part"));
         BlockingQueue<Boolean> answer = first.call("s-1", true);
         first.awaitTwoPolls();
-        assertEquals(first.drained, Set.of("s-1"), "used again though nobody asked for it");
-        assertNull(answer.poll(), "success, though the next process can't know of it");
+        assertEquals(first.drained, Set.of("s-1"), "returned to use without a call");
+        assertNull(answer.poll(), "success before the next process can read the drain");
         clear(obstacle);
         assertEquals(answer.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), Boolean.TRUE);
         first.awaitTwoPolls();
@@ -250,7 +251,7 @@
     }
 
     @Test
-    public void undrainIsAppliedAtOnceAndAnsweredOnceTheFileIsDeleted() throws Exception {
+    public void appliesUndrainAtOnceAndAnswersOnceFileIsDeleted() throws Exception {
         FakeProcess process = startServing(1);
         Path obstacle = obstruct(drainFile("s-1"));
         process.call("s-1", true);
@@ -259,7 +260,7 @@
         BlockingQueue<Boolean> answer = process.call("s-1", false);
         process.awaitTwoPolls();
         assertEquals(process.drained, Set.of());
-        assertNull(answer.poll(), "success, though the next process would drain the endpoint");
+        assertNull(answer.poll(), "success while the next process would still drain the endpoint");
         clear(obstacle);
         assertEquals(answer.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), Boolean.TRUE);
         process.awaitTwoPolls();
@@ -272,7 +273,7 @@
     }
 
     @Test(dataProvider = "filesOfSecondProcess")
-    public void processThatCannotPublishItsStateServesAndAppliesDrains(String file) throws Exception {
+    public void servesAndAppliesDrainsWhileStateCannotBePublished(String file) throws Exception {
         FakeProcess first = startServing(1);
         assertEquals(first.drain("s-1"), Boolean.TRUE);
         Path obstacle = obstruct(directory.resolve(file));
--- a/proxy/src/test/java/spurroad/program/restart/HotRestartTraceTest.java
+++ b/proxy/src/test/java/spurroad/program/restart/HotRestartTraceTest.java
@@ -9,16 +9,16 @@
 import org.testng.annotations.Test;
 
 /**
- * What processes of one proxy do beside each other, to the byte: each row runs a hot restart step by step on
- * a real directory and pins the SHA-256 of its trace (see {@link RestartTrace}). The trace of the last run
- * lies in {@code target/hot-restart-traces}; where a digest differs, compare it with the one that the same
- * test writes on the commit before.
+ * Verifies the behaviour of concurrent processes of one proxy byte for byte: each row runs a hot restart step
+ * by step on a real directory and compares the SHA-256 of its trace (see {@link RestartTrace}). The trace of
+ * the last run is in {@code target/hot-restart-traces}; if a digest differs, compare the trace with the one
+ * that the same test writes on the previous commit.
  *
- * <p>Left out, as threads and the system decide them: how long a process waits between two polls, a lock that
- * another process takes for a moment, and the log.
+ * <p>Not covered, as they depend on threads and the operating system: the time between two polls, a lock that
+ * another process holds briefly, and the log.
  */
 public class HotRestartTraceTest {
-    private static final Path TRACES = Path.of("target", "hot-restart-traces");
+    private static final Path TRACE_DIRECTORY = Path.of("target", "hot-restart-traces");
     private static final int RANDOM_STEPS = 300;
 
     private interface Steps {
@@ -28,7 +28,7 @@
     private record Scenario(String name, Steps steps) {
         @Override
         public String toString() {
-            return name; // in reports
+            return name; // shown in test reports
         }
     }
 
@@ -37,7 +37,8 @@
     }
 
     private static Object[] random(long seed, String digest) {
-        return row("random " + seed, e -> new RandomHotRestart(e, seed).play(RANDOM_STEPS), digest);
+        return row("random " + seed,
+            environment -> new RandomHotRestart(environment, seed).play(RANDOM_STEPS), digest);
     }
 
     @DataProvider
@@ -70,10 +71,10 @@
     }
 
     @Test(dataProvider = "scenarios")
-    public void traceIsUnchanged(Scenario scenario, String digest) throws Exception {
+    public void traceMatchesDigest(Scenario scenario, String digest) throws Exception {
         RestartTrace trace = play(scenario.steps);
         Path file = write(scenario.name, trace);
-        assertEquals(trace.digest(), digest, "another trace than before: " + file);
+        assertEquals(trace.digest(), digest, "trace differs from the expected one: " + file);
     }
 
     private static RestartTrace play(Steps steps) throws Exception {
@@ -84,7 +85,7 @@
     }
 
     private static Path write(String name, RestartTrace trace) throws IOException {
-        Files.createDirectories(TRACES);
-        return Files.writeString(TRACES.resolve(name.replace(' ', '-') + ".txt"), trace.text());
+        Files.createDirectories(TRACE_DIRECTORY);
+        return Files.writeString(TRACE_DIRECTORY.resolve(name.replace(' ', '-') + ".txt"), trace.text());
     }
 }
--- a/proxy/src/test/java/spurroad/program/restart/ProcessMembershipTest.java
+++ b/proxy/src/test/java/spurroad/program/restart/ProcessMembershipTest.java
@@ -19,12 +19,12 @@
 import org.testng.annotations.Test;
 import spurroad.transport.EventLog;
 
-/** One process beside others whose locks and states the test writes. */
+/** Tests one process among others whose lock and state files the test writes. */
 public class ProcessMembershipTest {
     private static final long PID = 50;
     private static final long OTHER_PID = 60;
-    private static final long BEFORE_MILLIS = 1_000;
-    private static final long AFTER_MILLIS = 4_102_444_800_000L; // later than the clock of a test
+    private static final long EARLIER_MILLIS = 1_000;
+    private static final long LATER_MILLIS = 4_102_444_800_000L; // later than the clock of a test
     private static final int DESCRIPTORS = 30;
 
     private final Map<Long, FileChannel> locks = new HashMap<>();
@@ -82,8 +82,8 @@
     }
 
     @Test
-    public void laterProcessIsTheNewestAndSeesThatAnotherServes() throws Exception {
-        startOther(OTHER_PID, serving(BEFORE_MILLIS));
+    public void laterProcessIsNewestAndSeesThatAnotherServes() throws Exception {
+        startOther(OTHER_PID, serving(EARLIER_MILLIS));
         ProcessMembership membership = join();
         membership.refresh();
         assertEquals(membership.role(), UpgradeRole.NEWEST);
@@ -92,24 +92,24 @@
     }
 
     @Test
-    public void startIsLaterThanThatOfEveryOtherProcessWhateverTheTimeOfDay() throws Exception {
-        startOther(OTHER_PID, serving(AFTER_MILLIS));
+    public void startTimeIsLaterThanThatOfOthersWhateverTheClock() throws Exception {
+        startOther(OTHER_PID, serving(LATER_MILLIS));
         ProcessMembership membership = join();
         membership.beginServing();
         membership.publish(DESCRIPTORS, Set.of());
-        assertEquals(published(), serving(AFTER_MILLIS + 1));
+        assertEquals(published(), serving(LATER_MILLIS + 1));
         assertEquals(membership.role(), UpgradeRole.NEWEST);
     }
 
     @Test
     public void roleFollowsTheSuccessor() throws Exception {
         ProcessMembership membership = join();
-        startOther(OTHER_PID, starting(AFTER_MILLIS));
+        startOther(OTHER_PID, starting(LATER_MILLIS));
         membership.refresh();
         assertEquals(membership.role(), UpgradeRole.SUCCESSOR_NOT_READY);
         assertFalse(membership.isAnotherServing());
         Files.writeString(path.resolve(OTHER_PID + ".state"),
-            ProcessStateFormat.encode(serving(AFTER_MILLIS)));
+            ProcessStateFormat.encode(serving(LATER_MILLIS)));
         membership.refresh();
         assertEquals(membership.role(), UpgradeRole.SUCCESSOR_SERVING);
         assertTrue(membership.isSuccessorServing());
@@ -122,17 +122,17 @@
     }
 
     @Test
-    public void newestProcessStaysTheNewestWhileItShutsDown() throws Exception {
-        startOther(OTHER_PID, serving(BEFORE_MILLIS));
+    public void newestProcessStaysNewestWhileShuttingDown() throws Exception {
+        startOther(OTHER_PID, serving(EARLIER_MILLIS));
         ProcessMembership membership = join();
         membership.beginShutdown();
         assertEquals(membership.role(), UpgradeRole.NEWEST);
     }
 
     @Test
-    public void successorThatShutsDownDoesNotTakeOver() throws Exception {
+    public void successorThatIsShuttingDownDoesNotTakeOver() throws Exception {
         ProcessMembership membership = join();
-        startOther(OTHER_PID, shuttingDown(AFTER_MILLIS));
+        startOther(OTHER_PID, shuttingDown(LATER_MILLIS));
         membership.refresh();
         assertFalse(membership.isSuccessorServing());
         assertTrue(membership.isAnotherServing());
@@ -140,8 +140,8 @@
     }
 
     @Test
-    public void processWithoutReadableStateLivesButIsNotNewer() throws Exception {
-        startOther(OTHER_PID, serving(AFTER_MILLIS));
+    public void processWithoutReadableStateIsLiveButNotNewer() throws Exception {
+        startOther(OTHER_PID, serving(LATER_MILLIS));
         Files.writeString(path.resolve(OTHER_PID + ".state"), "cut sh");
         ProcessMembership membership = join();
         assertEquals(membership.others(), List.of(new LiveProcess(OTHER_PID, Optional.empty())));
@@ -150,7 +150,7 @@
     }
 
     @Test
-    public void unchangedStateIsNotWrittenAgain() throws Exception {
+    public void doesNotRewriteUnchangedState() throws Exception {
         ProcessMembership membership = join();
         membership.publish(DESCRIPTORS, Set.of("a1"));
         Files.delete(path.resolve(PID + ".state"));
@@ -161,7 +161,7 @@
     }
 
     @Test
-    public void stateThatCouldNotBeWrittenIsWrittenTheNextTime() throws Exception {
+    public void retriesFailedWriteOfStateAtNextPublish() throws Exception {
         ProcessMembership membership = join();
         Path obstacle = Files.createDirectory(path.resolve(PID + ".state." + PID + ".part"));
         membership.publish(DESCRIPTORS, Set.of());
@@ -172,28 +172,28 @@
     }
 
     @Test
-    public void knownProcessesAreKeptWhileTheDirectoryCannotBeRead() throws Exception {
-        startOther(OTHER_PID, serving(BEFORE_MILLIS));
+    public void keepsLastKnownProcessesWhileDirectoryIsUnreadable() throws Exception {
+        startOther(OTHER_PID, serving(EARLIER_MILLIS));
         ProcessMembership membership = join();
         Path moved = path.resolveSibling(path.getFileName() + "-moved");
         Files.move(path, moved);
         try {
             membership.refresh();
-            throw new AssertionError("read a directory that is gone");
+            throw new AssertionError("expected an IOException for the missing directory");
         } catch (IOException expected) {
             assertEquals(membership.others(),
-                List.of(new LiveProcess(OTHER_PID, Optional.of(serving(BEFORE_MILLIS)))));
+                List.of(new LiveProcess(OTHER_PID, Optional.of(serving(EARLIER_MILLIS)))));
         } finally {
             Files.move(moved, path);
         }
     }
 
     @Test
-    public void ofTwoProcessesOfOneMillisecondTheOneWithTheGreaterPidIsNewer() {
-        StartOrder order = new StartOrder(BEFORE_MILLIS, PID);
-        assertTrue(new StartOrder(BEFORE_MILLIS, PID + 1).isAfter(order));
-        assertFalse(new StartOrder(BEFORE_MILLIS, PID - 1).isAfter(order));
+    public void processWithGreaterPidIsNewerWithinSameMillisecond() {
+        StartOrder order = new StartOrder(EARLIER_MILLIS, PID);
+        assertTrue(new StartOrder(EARLIER_MILLIS, PID + 1).isAfter(order));
+        assertFalse(new StartOrder(EARLIER_MILLIS, PID - 1).isAfter(order));
         assertFalse(order.isAfter(order));
-        assertTrue(new StartOrder(BEFORE_MILLIS + 1, PID - 1).isAfter(order));
+        assertTrue(new StartOrder(EARLIER_MILLIS + 1, PID - 1).isAfter(order));
     }
 }
--- a/proxy/src/test/java/spurroad/program/restart/ProcessStateFormatTest.java
+++ b/proxy/src/test/java/spurroad/program/restart/ProcessStateFormatTest.java
@@ -21,24 +21,24 @@
     }
 
     @Test(dataProvider = "states")
-    public void decodesWhatItEncoded(ProcessState state) {
+    public void decodesEncodedState(ProcessState state) {
         assertEquals(ProcessStateFormat.decode(ProcessStateFormat.encode(state)), Optional.of(state));
     }
 
     @DataProvider
     Object[][] malformed() {
-        String whole = ProcessStateFormat.encode(SHUTTING_DOWN);
+        String complete = ProcessStateFormat.encode(SHUTTING_DOWN);
         List<Object[]> cases = new ArrayList<>();
-        for (int length = 0; length < whole.length(); length++) {
-            cases.add(new Object[] {whole.substring(0, length)});
+        for (int length = 0; length < complete.length(); length++) {
+            cases.add(new Object[] {complete.substring(0, length)});
         }
-        cases.add(new Object[] {whole.replace("process 1", "process 2")});
-        cases.add(new Object[] {whole.replace("places 30", "places x")});
+        cases.add(new Object[] {complete.replace("process 1", "process 2")});
+        cases.add(new Object[] {complete.replace("places 30", "places x")});
         return cases.toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "malformed")
-    public void decodesNothingFromATextThatIsCutShortOrOfAnotherFormat(String text) {
+    public void rejectsTruncatedTextAndOtherFormats(String text) {
         assertEquals(ProcessStateFormat.decode(text), Optional.empty());
     }
 }
--- a/proxy/src/test/java/spurroad/program/restart/RandomHotRestart.java
+++ b/proxy/src/test/java/spurroad/program/restart/RandomHotRestart.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Plays a long hot restart whose steps are drawn by a seeded generator. */
+/** Runs a long hot restart whose steps are chosen by a seeded random generator. */
 final class RandomHotRestart {
     private static final int MAX_PROCESSES = 4;
     private static final int[] DESCRIPTORS_IN_USE = {0, 10, 40, 90, 160};
@@ -12,7 +12,7 @@
 
     private final HotRestartEnvironment environment;
     private final Random random;
-    private long joined;
+    private long joinedCount;
 
     RandomHotRestart(HotRestartEnvironment environment, long seed) {
         this.environment = environment;
@@ -25,7 +25,7 @@
             step();
         }
         for (long pid : environment.pids()) {
-            clearAllOf(pid);
+            clearObstaclesOf(pid);
         }
     }
 
@@ -46,8 +46,8 @@
             case 10 -> environment.setDelaysAnswers(pid, random.nextBoolean());
             case 11 -> environment.answerDelayed(pid);
             case 12 -> obstructOrClear(partFile(anyId(), pid));
-            case 13 -> damage(drainFile(anyId()));
-            case 14 -> foreign();
+            case 13 -> deleteOrTruncate(drainFile(anyId()));
+            case 14 -> startOrStopForeign();
             default -> environment.poll(pid);
         }
     }
@@ -65,22 +65,25 @@
         return IDS[random.nextInt(IDS.length)];
     }
 
-    /** Pids grow and wrap round, so a later process may have a smaller one. */
+    /** Starts a process; pids increase and wrap around, so a later process may have a smaller pid. */
     private void join() throws Exception {
         if (environment.pids().size() < MAX_PROCESSES) {
-            environment.join(1_000 + joined++ * 37 % 101);
+            environment.join(1_000 + joinedCount++ * 37 % 101);
         }
     }
 
     private void kill(long pid) throws Exception {
         if (environment.pids().size() > 1) {
-            clearAllOf(pid);
+            clearObstaclesOf(pid);
             environment.kill(pid);
         }
     }
 
-    /** Clears what no other process could delete once the process is dead, so that no poll would succeed. */
-    private void clearAllOf(long pid) throws Exception {
+    /**
+     * Removes the obstacles at the process's part files. Once the process is dead, other processes could not
+     * delete these, and each of their polls would fail.
+     */
+    private void clearObstaclesOf(long pid) throws Exception {
         for (String id : IDS) {
             if (environment.exists(partFile(id, pid))) {
                 environment.clear(partFile(id, pid));
@@ -100,7 +103,7 @@
         }
     }
 
-    private void damage(String drainFile) throws Exception {
+    private void deleteOrTruncate(String drainFile) throws Exception {
         if (random.nextBoolean()) {
             environment.delete(drainFile);
         } else {
@@ -108,12 +111,12 @@
         }
     }
 
-    private void foreign() throws Exception {
+    private void startOrStopForeign() throws Exception {
         if (environment.isForeignAlive(FOREIGN_PID)) {
-            environment.foreignDies(FOREIGN_PID);
+            environment.stopForeign(FOREIGN_PID);
             return;
         }
-        environment.foreignLives(FOREIGN_PID);
+        environment.startForeign(FOREIGN_PID);
         environment.write(FOREIGN_PID + ".state", HotRestartScenarios.state(1_000L + random.nextInt(9),
             random.nextInt(2), random.nextBoolean(),
             DESCRIPTORS_IN_USE[random.nextInt(DESCRIPTORS_IN_USE.length)],
--- a/proxy/src/test/java/spurroad/program/restart/RestartDirectoryGoldenTest.java
+++ b/proxy/src/test/java/spurroad/program/restart/RestartDirectoryGoldenTest.java
@@ -21,18 +21,17 @@
 import spurroad.transport.EventLog;
 
 /**
- * The files that processes of an earlier version left in their shared directory, as real processes of commit
- * d32fb29 wrote them: a later version reads every field of them, and writes the same bytes for the same
- * state.
+ * Compares the format of the shared directory with files that real processes of commit d32fb29 wrote: this
+ * version reads every field of them and writes the same bytes for the same state.
  *
- * <p>{@code alone}: one process, after two endpoints were drained. {@code upgrade}: a process that was told
- * to shut down, beside its successor, after one of the two endpoints was used again.
+ * <p>{@code alone}: one process, after two endpoints were drained. {@code upgrade}: a process that is
+ * shutting down and its successor, after one of the two endpoints was returned to use.
  */
 public class RestartDirectoryGoldenTest {
     private static final Path GOLDEN = Path.of("src/test/resources/golden/restart-directory");
-    private static final long OLD = 16386;
-    private static final long NEW = 16422;
-    private static final long READER = 1;
+    private static final long OLD_PID = 16386;
+    private static final long NEW_PID = 16422;
+    private static final long READER_PID = 1;
     private static final String S0_HASH = "817cdb195c3fc0d7";
     private static final String S1_HASH = "817cda195c3fbf24";
 
@@ -74,68 +73,70 @@
         return new StartOrder(state.startedAtMillis(), pid);
     }
 
-    /** Makes others see that a process lives until this is closed. */
+    /** Locks the file of a process, which counts as live until the returned channel is closed. */
     private static FileChannel lock(Path directory, long pid) throws IOException {
         FileChannel lock = FileChannel.open(directory.resolve(pid + ".lock"), StandardOpenOption.WRITE);
         assertTrue(lock.tryLock().isValid());
         return lock;
     }
 
-    // ---- reading what an earlier version wrote
+    // ---- reading files of an earlier version
 
     @Test
     public void readsEveryFieldOfASingleProcess() throws Exception {
         Path directory = copy("alone");
-        try (FileChannel lock = lock(directory, OLD)) {
-            assertEquals(directory(directory, READER).readOtherProcesses(), List.of(live(OLD, ALONE)));
+        try (FileChannel lock = lock(directory, OLD_PID)) {
+            assertEquals(directory(directory, READER_PID).readOtherProcesses(),
+                List.of(live(OLD_PID, ALONE)));
         }
     }
 
     @Test
     public void readsEveryFieldOfTwoProcesses() throws Exception {
         Path directory = copy("upgrade");
-        try (FileChannel first = lock(directory, OLD); FileChannel second = lock(directory, NEW)) {
-            assertEquals(directory(directory, READER).readOtherProcesses(),
-                List.of(live(OLD, SHUTTING_DOWN), live(NEW, SUCCESSOR)));
+        try (FileChannel first = lock(directory, OLD_PID); FileChannel second = lock(directory, NEW_PID)) {
+            assertEquals(directory(directory, READER_PID).readOtherProcesses(),
+                List.of(live(OLD_PID, SHUTTING_DOWN), live(NEW_PID, SUCCESSOR)));
         }
-        assertTrue(live(NEW, SUCCESSOR).isNewerThan(startOrder(SHUTTING_DOWN, OLD)));
-        assertTrue(!live(OLD, SHUTTING_DOWN).isNewerThan(startOrder(SUCCESSOR, NEW)));
+        assertTrue(live(NEW_PID, SUCCESSOR).isNewerThan(startOrder(SHUTTING_DOWN, OLD_PID)));
+        assertTrue(!live(OLD_PID, SHUTTING_DOWN).isNewerThan(startOrder(SUCCESSOR, NEW_PID)));
     }
 
     @Test
     public void readsDrainedEndpoints() throws Exception {
-        PersistedDrains alone = directory(copy("alone"), READER).readDrains();
+        PersistedDrains alone = directory(copy("alone"), READER_PID).readDrains();
         assertEquals(alone.endpointIdsByHash(), Map.of(S0_HASH, "s-0", S1_HASH, "s-1"));
         assertEquals(alone.unreadableHashes(), Set.of());
-        assertEquals(directory(copy("upgrade"), READER).readDrains().endpointIdsByHash(),
+        assertEquals(directory(copy("upgrade"), READER_PID).readDrains().endpointIdsByHash(),
             Map.of(S0_HASH, "s-0"));
     }
 
     @Test
-    public void deletesFilesOfADeadProcessExceptForDrainedEndpoints() throws Exception {
+    public void deletesFilesOfDeadProcessExceptDrainedEndpoints() throws Exception {
         Path directory = copy("upgrade");
-        try (FileChannel second = lock(directory, NEW)) {
-            assertEquals(directory(directory, READER).readOtherProcesses(), List.of(live(NEW, SUCCESSOR)));
+        try (FileChannel second = lock(directory, NEW_PID)) {
+            assertEquals(directory(directory, READER_PID).readOtherProcesses(),
+                List.of(live(NEW_PID, SUCCESSOR)));
         }
-        assertEquals(names(directory), Set.of(NEW + ".lock", NEW + ".state", "out-" + S0_HASH));
+        assertEquals(names(directory), Set.of(NEW_PID + ".lock", NEW_PID + ".state", "out-" + S0_HASH));
     }
 
     @Test
-    public void ofTwoProcessesOfOneMillisecondTheOneWithTheGreaterPidIsNewer() {
-        assertTrue(live(NEW, ALONE).isNewerThan(startOrder(SHUTTING_DOWN, OLD)));
-        assertTrue(!live(OLD, ALONE).isNewerThan(startOrder(SHUTTING_DOWN, NEW)));
+    public void processWithGreaterPidIsNewerWithinSameMillisecond() {
+        assertTrue(live(NEW_PID, ALONE).isNewerThan(startOrder(SHUTTING_DOWN, OLD_PID)));
+        assertTrue(!live(OLD_PID, ALONE).isNewerThan(startOrder(SHUTTING_DOWN, NEW_PID)));
     }
 
-    // ---- writing the same
+    // ---- writing the same bytes
 
     @DataProvider
     Object[][] states() {
-        return new Object[][] {{"alone", OLD, ALONE}, {"upgrade", OLD, SHUTTING_DOWN},
-            {"upgrade", NEW, SUCCESSOR}};
+        return new Object[][] {{"alone", OLD_PID, ALONE}, {"upgrade", OLD_PID, SHUTTING_DOWN},
+            {"upgrade", NEW_PID, SUCCESSOR}};
     }
 
     @Test(dataProvider = "states")
-    public void writesTheSameBytesForAState(String name, long pid, ProcessState state) throws Exception {
+    public void writesSameBytesForState(String name, long pid, ProcessState state) throws Exception {
         Path directory = Files.createTempDirectory("golden");
         directory(directory, pid).writeState(state);
         assertEquals(names(directory), Set.of(pid + ".state"));
@@ -144,9 +145,9 @@
     }
 
     @Test
-    public void writesTheSameFilesForDrainedEndpoints() throws Exception {
+    public void writesSameFilesForDrainedEndpoints() throws Exception {
         Path directory = Files.createTempDirectory("golden").resolve("made");
-        HotRestartDirectory shared = directory(directory, OLD);
+        HotRestartDirectory shared = directory(directory, OLD_PID);
         shared.join();
         shared.writeState(ALONE);
         shared.writeDrain("s-0", true);
@@ -157,7 +158,7 @@
                 Files.readAllBytes(GOLDEN.resolve("alone").resolve(file)), file);
         }
         shared.writeDrain("s-1", false);
-        assertEquals(names(directory), Set.of(OLD + ".lock", OLD + ".state", "out-" + S0_HASH));
+        assertEquals(names(directory), Set.of(OLD_PID + ".lock", OLD_PID + ".state", "out-" + S0_HASH));
         shared.close();
     }
 
@@ -165,54 +166,56 @@
 
     @DataProvider
     Object[][] malformedStates() throws IOException {
-        String whole = golden("upgrade/" + OLD + ".state");
-        List<Object[]> cases = cuts(whole);
-        for (String other : List.of(whole.replace("process 1", "process 2"), whole.replace("process 1", ""),
-            whole.replace("begun ", "born "), whole.replace("serving ", ""),
-            whole.replace("places 26", "places 2x"), whole.replace("places 26", "places"),
-            whole.replace("places 26", "places 99999999999"), whole + "\n", whole.replace("\n", "\r\n"),
-            "\n" + whole)) {
+        String complete = golden("upgrade/" + OLD_PID + ".state");
+        List<Object[]> cases = truncations(complete);
+        for (String other : List.of(complete.replace("process 1", "process 2"),
+            complete.replace("process 1", ""),
+            complete.replace("begun ", "born "), complete.replace("serving ", ""),
+            complete.replace("places 26", "places 2x"), complete.replace("places 26", "places"),
+            complete.replace("places 26", "places 99999999999"), complete + "\n",
+            complete.replace("\n", "\r\n"),
+            "\n" + complete)) {
             cases.add(new Object[] {other});
         }
         return cases.toArray(Object[][]::new);
     }
 
-    private static List<Object[]> cuts(String whole) {
+    private static List<Object[]> truncations(String complete) {
         List<Object[]> cases = new ArrayList<>();
-        for (int length = 0; length < whole.length(); length++) {
-            cases.add(new Object[] {whole.substring(0, length)});
+        for (int length = 0; length < complete.length(); length++) {
+            cases.add(new Object[] {complete.substring(0, length)});
         }
         return cases;
     }
 
     @Test(dataProvider = "malformedStates")
-    public void processWithMalformedStateStillLives(String text) throws Exception {
+    public void processWithMalformedStateCountsAsLive(String text) throws Exception {
         assertEquals(ProcessStateFormat.decode(text), Optional.empty());
         Path directory = copy("upgrade");
-        Files.writeString(directory.resolve(OLD + ".state"), text);
-        try (FileChannel first = lock(directory, OLD); FileChannel second = lock(directory, NEW)) {
-            assertEquals(directory(directory, READER).readOtherProcesses(),
-                List.of(new LiveProcess(OLD, Optional.empty()), live(NEW, SUCCESSOR)),
-                "both live");
+        Files.writeString(directory.resolve(OLD_PID + ".state"), text);
+        try (FileChannel first = lock(directory, OLD_PID); FileChannel second = lock(directory, NEW_PID)) {
+            assertEquals(directory(directory, READER_PID).readOtherProcesses(),
+                List.of(new LiveProcess(OLD_PID, Optional.empty()), live(NEW_PID, SUCCESSOR)),
+                "both processes live");
         }
     }
 
-    /** What a later version may add or leave out without an earlier one taking its state for torn. */
+    /** States with fields added, reordered or left out, which must not count as truncated. */
     @DataProvider
     Object[][] readableStates() throws IOException {
-        String whole = golden("upgrade/" + OLD + ".state");
+        String complete = golden("upgrade/" + OLD_PID + ".state");
         ProcessState noDrains = new ProcessState(1796234364292L, 1796234364765L, true, 26, Set.of());
         ProcessState notShuttingDown = new ProcessState(1796234364292L, 1796234364765L, false, 26,
             Set.of(S0_HASH));
-        return new Object[][] {{whole.replace("places", "version 7\nplaces"), SHUTTING_DOWN},
-            {whole.replace("places", "alone\nplaces"), SHUTTING_DOWN},
-            {whole.replace("ending true\nplaces 26", "places 26\nending true"), SHUTTING_DOWN},
-            {whole.replace("places 26", "places 3\nplaces 26"), SHUTTING_DOWN},
-            {whole.replace("out " + S0_HASH + "\n", ""), noDrains},
-            {whole.replace("out " + S0_HASH, "out "), noDrains}, {whole.replace(S0_HASH, ""), noDrains},
-            {whole.replace("out ", "out  "), SHUTTING_DOWN},
-            {whole.replace("ending true", "ending yes"), notShuttingDown},
-            {whole.replace("ending true\n", ""), notShuttingDown}};
+        return new Object[][] {{complete.replace("places", "version 7\nplaces"), SHUTTING_DOWN},
+            {complete.replace("places", "alone\nplaces"), SHUTTING_DOWN},
+            {complete.replace("ending true\nplaces 26", "places 26\nending true"), SHUTTING_DOWN},
+            {complete.replace("places 26", "places 3\nplaces 26"), SHUTTING_DOWN},
+            {complete.replace("out " + S0_HASH + "\n", ""), noDrains},
+            {complete.replace("out " + S0_HASH, "out "), noDrains}, {complete.replace(S0_HASH, ""), noDrains},
+            {complete.replace("out ", "out  "), SHUTTING_DOWN},
+            {complete.replace("ending true", "ending yes"), notShuttingDown},
+            {complete.replace("ending true\n", ""), notShuttingDown}};
     }
 
     @Test(dataProvider = "readableStates")
@@ -222,21 +225,22 @@
 
     @DataProvider
     Object[][] malformedDrains() throws IOException {
-        String whole = golden("alone/out-" + S0_HASH);
-        List<Object[]> cases = cuts(whole);
-        for (String other : List.of(whole.replace("out 1", "out 2"), whole.replace("s-0", "s-1"),
-            whole.replace("s-0", "s-0 "), whole + "s-1\n", whole + "\n", whole.replace("\n", "\r\n"))) {
+        String complete = golden("alone/out-" + S0_HASH);
+        List<Object[]> cases = truncations(complete);
+        for (String other : List.of(complete.replace("out 1", "out 2"), complete.replace("s-0", "s-1"),
+            complete.replace("s-0", "s-0 "), complete + "s-1\n", complete + "\n",
+            complete.replace("\n", "\r\n"))) {
             cases.add(new Object[] {other});
         }
         return cases.toArray(Object[][]::new);
     }
 
-    /** The file says neither that its endpoint is drained nor that it is used again. */
+    /** A malformed file means neither that its endpoint is drained nor that it was returned to use. */
     @Test(dataProvider = "malformedDrains")
     public void malformedDrainFileIsUnreadable(String text) throws Exception {
         Path directory = copy("alone");
         Files.writeString(directory.resolve("out-" + S0_HASH), text);
-        PersistedDrains drains = directory(directory, READER).readDrains();
+        PersistedDrains drains = directory(directory, READER_PID).readDrains();
         assertEquals(drains.endpointIdsByHash(), Map.of(S1_HASH, "s-1"));
         assertEquals(drains.unreadableHashes(), Set.of(S0_HASH));
     }
@@ -248,10 +252,10 @@
     }
 
     @Test(dataProvider = "otherNames")
-    public void drainFileOfAnotherNameDrainsNothing(String name, Set<String> unreadable) throws Exception {
+    public void drainFileWithOtherNameDrainsNothing(String name, Set<String> unreadable) throws Exception {
         Path directory = Files.createTempDirectory("golden");
         Files.copy(GOLDEN.resolve("alone/out-" + S0_HASH), directory.resolve(name));
-        PersistedDrains drains = directory(directory, READER).readDrains();
+        PersistedDrains drains = directory(directory, READER_PID).readDrains();
         assertEquals(drains.endpointIdsByHash(), Map.of());
         assertEquals(drains.unreadableHashes(), unreadable);
     }
--- a/proxy/src/test/java/spurroad/program/restart/RestartTrace.java
+++ b/proxy/src/test/java/spurroad/program/restart/RestartTrace.java
@@ -14,9 +14,10 @@
 import java.util.stream.Stream;
 
 /**
- * The record of a hot restart: each step, what it made the processes do, and every file of their directory
- * with its bytes. Times of day are replaced by their order among those in the directory, so that two runs of
- * the same steps give the same text. It is worded without names of the program's code.
+ * The trace of a hot restart: each step, the resulting actions of the processes, and every file of their
+ * directory with its bytes. Times are replaced by their order among those in the directory, so that two runs
+ * of the same steps produce the same text. The text uses no identifiers of the program, so that renaming them
+ * does not change its digest.
  */
 final class RestartTrace {
     private static final Pattern TIME = Pattern.compile("(?m)^(begun|serving) ([1-9][0-9]*)$");
@@ -31,7 +32,7 @@
         text.append("  ").append(line).append('\n');
     }
 
-    /** Writes down all files below a directory, in the order of their names. */
+    /** Appends all files below a directory in the order of their names. */
     void directory(Path directory) throws IOException {
         if (!Files.isDirectory(directory)) {
             line(Files.exists(directory) ? "no directory but a file" : "no directory");
@@ -76,7 +77,7 @@
         return text.toString();
     }
 
-    /** The SHA-256 of the text, in hexadecimal digits. */
+    /** Returns the SHA-256 of the text in hexadecimal digits. */
     String digest() throws NoSuchAlgorithmException {
         byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
         return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
--- a/proxy/src/test/java/spurroad/program/restart/SteppedProcess.java
+++ b/proxy/src/test/java/spurroad/program/restart/SteppedProcess.java
@@ -12,23 +12,23 @@
 import spurroad.transport.EventLog;
 
 /**
- * One process of a hot restart that runs only when a test says so. Its thread stops in the middle of each
- * poll of the directory, where it reports how many descriptors the process may hold, and continues at the
- * next {@link #poll}. As no two threads run at once, a sequence of calls has the same effect on every run.
+ * One process of a hot restart that the test advances step by step. Its thread stops in the middle of each
+ * poll of the directory, when it sets the descriptor limit of the process, and continues at the next
+ * {@link #poll}. As no two threads run at once, a sequence of calls has the same effect in every run.
  */
 final class SteppedProcess implements HotRestart.ProcessControl {
-    /** Descriptors of a process that is alone. */
+    /** Descriptors of a process without others. */
     static final int TOTAL_DESCRIPTORS = 200;
-    /** Descriptors that each process holds besides. */
+    /** Descriptors that each process holds for other purposes. */
     static final int RESERVED_DESCRIPTORS = 40;
 
     private static final long TIMEOUT_SECONDS = 20;
     private static final String LISTED_PREFIX = "s-";
-    // not listed, so a call for it changes nothing; it only ends the thread's wait for the next poll
+    // not a listed endpoint, so a call for it changes nothing and only ends the thread's wait between polls
     private static final String WAKE_UP_ID = "wake-up";
 
     /**
-     * An endpoint that the process was told to drain or to use again, with the answer that may be delayed.
+     * A requested change of the drain of an endpoint, with the callback whose answer may be delayed.
      */
     private record DrainChange(String id, boolean drained, boolean knownElsewhere,
                                Consumer<Boolean> delayedAnswer) {
@@ -46,7 +46,7 @@
     private final List<DrainChange> drainChanges = new ArrayList<>();
     private final List<DrainChange> delayed = new ArrayList<>();
     private final List<String> events = new ArrayList<>();
-    private Thread thread; // null until it serves
+    private Thread thread; // null until the process serves
     private boolean delaysAnswers;
     private int descriptorsInUse;
 
@@ -55,15 +55,15 @@
         hotRestart = new HotRestart(directory, pid, TOTAL_DESCRIPTORS, RESERVED_DESCRIPTORS, new EventLog());
     }
 
-    // ---- what the process under test calls
+    // ---- called by the process under test
 
     @Override
-    public void setDrained(String id, boolean drained, boolean knownElsewhere, Consumer<Boolean> known) {
+    public void setDrained(String id, boolean drained, boolean knownElsewhere, Consumer<Boolean> onResult) {
         if (id.equals(WAKE_UP_ID)) {
-            known.accept(false);
+            onResult.accept(false);
             return;
         }
-        DrainChange change = new DrainChange(id, drained, knownElsewhere, known);
+        DrainChange change = new DrainChange(id, drained, knownElsewhere, onResult);
         drainChanges.add(change);
         if (delaysAnswers) {
             delayed.add(change);
@@ -82,7 +82,7 @@
     public void setDescriptorLimit(int limit) {
         events.add("may hold " + limit);
         if (Thread.currentThread() != thread) {
-            return; // the first poll, on the thread of the test
+            return; // the first poll runs on the thread of the test
         }
         stopped.release();
         mayContinue.acquireUninterruptibly();
@@ -94,13 +94,13 @@
 
     // ---- steps of a test
 
-    /** Serves, and stops in the first poll of its thread. */
+    /** Starts serving, and returns once the thread has stopped in its first poll. */
     void startServing() throws InterruptedException {
         beginServing();
         awaitStop();
     }
 
-    /** Serves while the directory can't be read, so that no poll of its thread gets as far as the stop. */
+    /** Starts serving without waiting for a stop, which no poll reaches while the directory is unreadable. */
     void beginServing() throws InterruptedException {
         hotRestart.startServing(this);
         thread = new Thread(this::run, "process " + pid);
@@ -117,30 +117,32 @@
         }
     }
 
-    /** Finishes its poll, runs what was asked for, and begins the next poll. */
+    /** Finishes the current poll, runs the requested tasks, and begins the next poll. */
     void poll() throws InterruptedException {
         wakeUp();
         pollAfterInterval();
     }
 
-    /** The same, with nothing asked for: after the poll interval. */
+    /** Finishes the current poll and begins the next one, after the poll interval if no task is requested. */
     void pollAfterInterval() throws InterruptedException {
         mayContinue.release();
         awaitStop();
     }
 
-    /** Runs what was asked for while the directory can't be read; {@link #awaitStop} follows once it can. */
+    /**
+     * Runs the requested tasks while the directory can't be read; call {@link #awaitStop} once it can be.
+     */
     void continueUntilDrainChange() throws InterruptedException {
         drainChanged.drainPermits();
         mayContinue.release();
-        assertTrue(drainChanged.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS), "no drain changed");
+        assertTrue(drainChanged.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS), "expected a drain change");
     }
 
     void awaitStop() throws InterruptedException {
         assertTrue(stopped.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS), "process " + pid + " hangs");
     }
 
-    /** Makes an operator's call; the answer becomes an event. */
+    /** Makes an operator's call and records its answer as an event. */
     void call(String name, String id, boolean drained) {
         hotRestart.setAdminDrain(id, drained, () -> {}, known -> events.add(name + " answered " + known));
     }
@@ -149,7 +151,7 @@
         hotRestart.startShutdown();
     }
 
-    /** Ends its thread and releases its lock; its files stay. */
+    /** Ends the thread and releases the lock; the files of the process remain. */
     void kill() throws InterruptedException {
         hotRestart.stop();
         poll();
@@ -164,7 +166,7 @@
         delaysAnswers = on;
     }
 
-    /** Answers all drain changes that it has delayed, in the order of their ids. */
+    /** Answers all delayed drain changes in the order of their ids. */
     void answerDelayed() {
         delayed.stream().sorted(Comparator.comparing(DrainChange::id)).forEach(SteppedProcess::answer);
         delayed.clear();
@@ -174,15 +176,15 @@
         hotRestart.setAdminDrain(WAKE_UP_ID, true, () -> {}, known -> {});
     }
 
-    // ---- what a trace holds
+    // ---- content of the trace
 
     boolean isServing() {
         return thread != null;
     }
 
     /**
-     * What happened since the last call. Changes of different endpoints within one step are in the order of
-     * their ids, as the order in which a directory lists its files is not the program's.
+     * Returns the events since the last call. Changes of different endpoints within one step are in the order
+     * of their ids, as the program does not control the order in which a directory lists its files.
      */
     List<String> takeEvents() {
         List<String> taken = new ArrayList<>();
@@ -194,7 +196,7 @@
         return taken;
     }
 
-    /** What it answers to those who ask. */
+    /** Returns the results of the queries that other components make. */
     String answers() {
         return "descriptors " + hotRestart.descriptorLimit() + ", another serves "
             + hotRestart.isAnotherServing()
--- a/proxy/src/test/java/spurroad/simulator/RecordedDialogue.java
+++ b/proxy/src/test/java/spurroad/simulator/RecordedDialogue.java
@@ -11,7 +11,7 @@
 import java.util.List;
 
 /**
- * A dialogue on the simulator's wire as a resource file holds it; the head of the file describes its form.
+ * A recorded exchange of batches and replies, read from a resource file whose header describes its format.
  */
 final class RecordedDialogue {
     private static final HexFormat HEX = HexFormat.of();
@@ -23,7 +23,7 @@
     private final List<Integer> inputCodes = new ArrayList<>();
     private final List<Integer> outputCodes = new ArrayList<>();
 
-    /** Reads a resource. */
+    /** Reads the dialogue from a resource. */
     static RecordedDialogue ofResource(String name) {
         try (InputStream in = RecordedDialogue.class.getResourceAsStream(name)) {
             return new RecordedDialogue(new String(in.readAllBytes(), StandardCharsets.UTF_8));
@@ -33,8 +33,8 @@
     }
 
     private RecordedDialogue(String text) {
-        String joined = text.replaceAll("(?m)^#.*\n", "").replaceAll("\n +", " ");
-        joined.lines().filter(line -> !line.isBlank()).forEach(this::addLine);
+        String joinedLines = text.replaceAll("(?m)^#.*\n", "").replaceAll("\n +", " ");
+        joinedLines.lines().filter(line -> !line.isBlank()).forEach(this::addLine);
     }
 
     private void addLine(String line) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The bytes of hexadecimal digits in groups and of texts in quotes. */
+    /** Decodes groups of hexadecimal digits and quoted texts into bytes. */
     private static byte[] bytes(String line) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (String word : line.split(" +")) {
@@ -66,12 +66,12 @@
         return bytes.toByteArray();
     }
 
-    /** Returns what the simulator sends. */
+    /** Returns the bytes that the simulator sends. */
     byte[] input() {
         return input.toByteArray();
     }
 
-    /** Returns the replies: a line for each header and each record. */
+    /** Returns the expected replies, one line for each header and each record. */
     List<String> replies() {
         return replies;
     }
@@ -86,7 +86,7 @@
         return outputCodes;
     }
 
-    /** Splits bytes that the adapter wrote into lines, as {@link #replies} has them. */
+    /** Splits the output of the adapter into lines in the format of {@link #replies}. */
     static List<String> repliesOf(byte[] output) {
         List<String> lines = new ArrayList<>();
         ByteBuffer bytes = ByteBuffer.wrap(output);
@@ -102,8 +102,8 @@
     }
 
     private static String next(ByteBuffer bytes, int count) {
-        byte[] part = new byte[count];
-        bytes.get(part);
-        return HEX.formatHex(part);
+        byte[] copy = new byte[count];
+        bytes.get(copy);
+        return HEX.formatHex(copy);
     }
 }
--- a/proxy/src/test/java/spurroad/simulator/SimulatorAdapterTest.java
+++ b/proxy/src/test/java/spurroad/simulator/SimulatorAdapterTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Batches of single events, in hexadecimal digits. */
+/** Tests the replies to batches, written in hexadecimal digits. */
 public class SimulatorAdapterTest {
     private static final String EMPTY_BATCH = "00000000 0000000000805c5a 00000000 00000001";
     private static final String SETTINGS = "tracks.count=1\ntracks.0.effect=retryable\n"
@@ -47,13 +47,13 @@
     }
 
     @Test
-    public void anEmptyBatchIsAnsweredAndTheEndOfInputEndsIt() throws IOException {
+    public void repliesToEmptyBatchAndReturnsAtEndOfInput() throws IOException {
         assertEquals(run(EMPTY_BATCH + EMPTY_BATCH), "0000000000000001".repeat(2));
         assertEquals(run(""), "");
     }
 
     @Test
-    public void aRequestIsSentToTheListedEndpointByItsName() throws IOException {
+    public void sendsRequestToListedEndpoint() throws IOException {
         String reply = run(batch(12, 4, LAUNCH, ENDPOINTS, record(200, "ffff"), REQUEST));
         assertEquals(reply.substring(8, 16), "0000000c");
         assertEquals(Integer.parseInt(reply.substring(0, 8), 16), reply.length() / 2 - 8);
@@ -62,12 +62,12 @@
     }
 
     @Test
-    public void eventsOfUnknownOrStoppedInstancesAreIgnored() throws IOException {
-        String stop = record(100, "00000003");
+    public void ignoresEventsOfUnknownOrStoppedInstances() throws IOException {
+        String powerOff = record(100, "00000003");
         assertEquals(
-            run(batch(1, 1, REQUEST) + batch(2, 4, LAUNCH, ENDPOINTS, stop, REQUEST)).substring(0, 16),
+            run(batch(1, 1, REQUEST) + batch(2, 4, LAUNCH, ENDPOINTS, powerOff, REQUEST)).substring(0, 16),
             "0000000000000001");
-        assertTrue(!run(batch(2, 4, LAUNCH, ENDPOINTS, stop, REQUEST)).contains("000bba465d3a91c4"));
+        assertTrue(!run(batch(2, 4, LAUNCH, ENDPOINTS, powerOff, REQUEST)).contains("000bba465d3a91c4"));
     }
 
     @DataProvider
@@ -83,7 +83,7 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void malformedInputEndsWithOneLine(String hex) {
+    public void rejectsMalformedInputWithOneLineMessage(String hex) {
         WireFormatException e = org.testng.Assert.expectThrows(WireFormatException.class, () -> run(hex));
         assertTrue(!e.getMessage().isBlank() && !e.getMessage().contains("\n"));
         assertThrows(WireFormatException.class, () -> run(EMPTY_BATCH + hex));
