--- a/proxy/src/main/java/spurroad/program/GracefulShutdown.java
+++ b/proxy/src/main/java/spurroad/program/GracefulShutdown.java
@@ -23,7 +23,7 @@
     private static final long LISTENER_CLOSE_MILLIS = 200;
     // ns; the platform waits at most this long after the signal, however long clients wait
     private static final long MAX_CLIENT_WAIT_NANOS = 3_000_000_000L;
-    // ns; the platform kills 0.7 s after the longest client wait; the difference allows for scheduling delays
+    // ns; the platform kills the process 0.7 s after the longest client wait; the rest covers delays
     private static final long KILL_GRACE_NANOS = 500_000_000L;
     // ns; time left for the response to the last accepted request
     private static final long LAST_REQUEST_NANOS = 400_000_000L;
--- a/proxy/src/main/java/spurroad/program/ProxyProcess.java
+++ b/proxy/src/main/java/spurroad/program/ProxyProcess.java
@@ -15,14 +15,14 @@
 
 /**
  * The process of one proxy: its signals, its log and the order of its start. SIGHUP reloads the settings;
- * SIGTERM shuts down gracefully. Both handlers are installed before anything else, as the default action of
- * either signal ends the process.
+ * SIGTERM shuts down gracefully. Both handlers are installed before the proxy starts, as the default action
+ * of either signal ends the process.
  */
 final class ProxyProcess {
     private static final String LOG_FORMAT_PROPERTY = "spurroad.log";
     private static final String JSON_LOG_FORMAT = "json"; // one JSON object a line; plain lines otherwise
     private static final long LOG_FLUSH_MILLIS = 200;
-    private static final long CLOSE_MILLIS = 100; // of the 200 ms left before the platform kills
+    private static final long CLOSE_MILLIS = 100; // of the 200 ms left before the kill
 
     private final StartBudget budget = new StartBudget(); // starts counting here
     private final CompletableFuture<ProxyService> started = new CompletableFuture<>();
--- a/proxy/src/main/java/spurroad/program/restart/ProcessMembership.java
+++ b/proxy/src/main/java/spurroad/program/restart/ProcessMembership.java
@@ -70,7 +70,10 @@
         return others.stream().anyMatch(LiveProcess::isServing);
     }
 
-    /** Returns whether a newer process serves and is not shutting down; safe to call from any thread. */
+    /**
+     * Returns whether a newer process serves and is not shutting down, as of the last {@link #refresh}. Any
+     * thread may call it.
+     */
     boolean isSuccessorServing() {
         return successorServing;
     }
--- a/proxy/src/main/java/spurroad/simulator/EventFields.java
+++ b/proxy/src/main/java/spurroad/simulator/EventFields.java
@@ -51,7 +51,7 @@
         return Math.max(0, Math.min(bytes.getLong(), MAX_TIME_MICROS)) * WireUnits.NANOS_PER_MICRO;
     }
 
-    /** Reads the number of elements that follow, each of at least the given size. */
+    /** Reads the number of elements that follow, each of the given size in bytes. */
     int count(int bytesPerElement) {
         int count = bytes.getInt();
         if (count < 0 || (long) count * bytesPerElement > bytes.remaining()) {
--- a/proxy/src/test/java/spurroad/program/restart/HotRestartEnvironment.java
+++ b/proxy/src/test/java/spurroad/program/restart/HotRestartEnvironment.java
@@ -181,7 +181,7 @@
     }
 
     /**
-     * Makes an operator's call, and moves the directory movedDirectory and back while the process applies it.
+     * Makes an operator's call, and moves the directory away and back while the process applies it.
      */
     void callWhileDirectoryIsMissing(long pid, String id, boolean drained) throws Exception {
         call(pid, id, drained);
--- a/proxy/src/test/java/spurroad/program/restart/HotRestartTest.java
+++ b/proxy/src/test/java/spurroad/program/restart/HotRestartTest.java
@@ -90,7 +90,7 @@
             return call(endpointId, false).poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
 
-        /** Waits for three polls to end, two of which began after the call of this method. */
+        /** Waits until two polls have ended; the first of them may have begun before this call. */
         private void awaitTwoPolls() throws InterruptedException {
             int expectedPolls = polls.get() + 3;
             await(() -> polls.get() >= expectedPolls);
