--- a/proxy/src/test/java/spurroad/routing/EndpointConnectionPoolTest.java
+++ b/proxy/src/test/java/spurroad/routing/EndpointConnectionPoolTest.java
@@ -308,7 +308,8 @@
 
         private void apply(EndpointConnectionPool pool, UpstreamRequest attempt, ScriptedPeers.Peer peer,
                            ScriptedPeers.Peer other) {
-            attempt.request.clientDisconnected = this == CLIENT_DISCONNECTED || this == DISCONNECTED_AND_CANCELLED;
+            attempt.request.clientDisconnected = this == CLIENT_DISCONNECTED
+                || this == DISCONNECTED_AND_CANCELLED;
             switch (this) {
                 case DRAINING -> pool.onListed(listed(peer.port, 0, EndpointPhase.DRAINING), false);
                 case REMOVED -> pool.onRemoved();
