--- a/control/src/main/java/spurroad/control/distribution/lease/LeaseClient.java
+++ b/control/src/main/java/spurroad/control/distribution/lease/LeaseClient.java
@@ -10,21 +10,24 @@
 import spurroad.control.distribution.message.Outbox;
 
 /**
- * A candidate's side of a relay lease: requests it from the first grantor that answers, renews it, and counts
- * its duration from when the request was sent, so that it ends here before it ends at the grantor (Gray and
- * Cheriton, "Leases", 1989).
+ * A candidate's side of a relay lease: requests the lease from the first grantor that answers, renews it, and
+ * counts its duration from the time of the request, so that the lease ends at the holder before it ends at
+ * the grantor (Gray and Cheriton, "Leases", 1989).
  *
  * <p>Not thread-safe. Times are nanoseconds of a monotonic clock.
  */
 public final class LeaseClient {
     private static final long NOT_HELD = Long.MIN_VALUE;
-    /** A reply that is handled later than this after its request shows that this process is overloaded. */
+    /**
+     * Age of a request at which its reply counts as late: a process that handles replies so slowly is
+     * overloaded.
+     */
     private static final long LATE_REPLY_NANOS = DistributionSettings.NANOS_PER_SECOND;
     /** Backoff after a late reply, and after all grantors have left a request unanswered. */
     private static final long BACKOFF_NANOS = 5 * DistributionSettings.NANOS_PER_SECOND;
-    /** Bounds the lease duration that a grantor may set. */
+    /** Maximum lease duration that a grantor may set. */
     private static final long MAX_DURATION_MILLIS = 10_000;
-    /** Every so many requests, one is sent to the first grantor again. */
+    /** Number of requests after which the first grantor is tried again. */
     private static final int REQUESTS_BETWEEN_FIRST_GRANTOR_TRIALS = 10;
 
     private final DistributionSettings settings;
@@ -40,11 +43,11 @@
     private long heldUntilNanos = NOT_HELD;
 
     /**
-     * Creates a client that holds no lease and requests it within a lease interval.
+     * Creates a client that holds no lease and sends its first request within one lease interval.
      *
-     * @param nowNanos the time
-     * @param group whose lease is requested
-     * @param grantors at least one, in the order that all candidates of the group use
+     * @param nowNanos the current time
+     * @param group the group whose lease is requested
+     * @param grantors at least one grantor, in the same order at all candidates of the group
      * @param random source of the jitter of requests
      */
     public LeaseClient(long nowNanos, DistributionSettings settings, String group, List<ProcessId> grantors,
@@ -56,21 +59,21 @@
         nextRequestNanos = nowNanos + (long) (random.nextDouble() * settings.leaseIntervalNanos);
     }
 
-    /** Whether the lease is held at a time. */
+    /** Returns whether the lease is held at {@code nowNanos}. */
     public boolean isHeld(long nowNanos) {
         return nowNanos < heldUntilNanos;
     }
 
     /**
-     * When the lease ends unless it is renewed; {@code Long.MIN_VALUE} before the first one and after a
-     * release.
+     * Returns when the lease ends unless it is renewed, in nanoseconds, or {@code Long.MIN_VALUE} before the
+     * first lease and after a release.
      */
     public long heldUntilNanos() {
         return heldUntilNanos;
     }
 
     /**
-     * Requests or renews the lease where that is due.
+     * Requests or renews the lease if that is due.
      *
      * @param isWanted whether the lease is to be requested or renewed
      */
@@ -107,8 +110,8 @@
     }
 
     /**
-     * Handles a grantor's reply. A late one is ignored, as a process that reads so slowly must not relay; it
-     * requests the lease again only after a backoff.
+     * Handles a grantor's reply. A late reply is ignored, because a process that reads so slowly must not be
+     * a relay; the lease is requested again only after a backoff.
      */
     public void onReply(long nowNanos, ProcessId from, LeaseReply reply) {
         boolean isPlausible = reply.echoMillis() <= MonotonicTime.toMillis(nowNanos);
@@ -140,8 +143,8 @@
     }
 
     /**
-     * Handles the reply of a grantor that grants no leases at present: the next grantor is tried without
-     * delay, until each of them was tried once.
+     * Handles the reply of a grantor that currently grants no leases: the next grantor is tried without
+     * delay, until each grantor was tried once.
      */
     public void onGrantorUnavailable(long nowNanos, ProcessId from) {
         if (!isAwaitedFrom(from)) {
@@ -163,12 +166,12 @@
         grantorIndex = (grantorIndex + 1) % grantors.size();
     }
 
-    /** Stops holding the lease at this end; at the grantor it expires later. */
+    /** Stops holding the lease at this process; the lease expires later at the grantor. */
     public void release() {
         heldUntilNanos = NOT_HELD;
     }
 
-    /** When to call {@link #onTimer} next, in nanoseconds. */
+    /** Returns when to call {@link #onTimer} next, in nanoseconds. */
     public long nextTimerNanos() {
         return nextRequestNanos;
     }
--- a/control/src/main/java/spurroad/control/distribution/lease/LeaseGrantor.java
+++ b/control/src/main/java/spurroad/control/distribution/lease/LeaseGrantor.java
@@ -12,11 +12,12 @@
 import spurroad.control.distribution.message.Outbox;
 
 /**
- * The grantor's side of relay leases: grants a bounded number of leases a group at a time. In its first lease
- * duration it grants none, as it does not know what it granted before a restart.
+ * The grantor's side of relay leases: grants a bounded number of leases per group at a time. A grantor grants
+ * no lease during its first lease duration, because it does not know the leases that it granted before a
+ * restart.
  *
- * <p>Two grantors may grant the leases of one group to different processes. That costs bandwidth and nothing
- * else: a lease bounds how many relays are fed, correctness does not depend on it.
+ * <p>Two grantors may grant the leases of one group to different processes. This costs only bandwidth: a
+ * lease bounds how many relays receive updates from one level up, and correctness does not depend on it.
  *
  * <p>Not thread-safe. Times are nanoseconds of a monotonic clock.
  */
@@ -28,14 +29,17 @@
     private final long readyAtNanos;
     private final Map<String, List<Grant>> grants = new HashMap<>();
 
-    /** Creates a grantor that starts at {@code nowNanos}, with a bound on the leases of each group. */
+    /**
+     * Creates a grantor that starts at {@code nowNanos} and grants at most {@code leasesPerGroup} leases per
+     * group.
+     */
     public LeaseGrantor(long nowNanos, DistributionSettings settings, int leasesPerGroup) {
         this.settings = settings;
         this.leasesPerGroup = leasesPerGroup;
         readyAtNanos = nowNanos + settings.leaseDurationNanos;
     }
 
-    /** Answers a request; a holder's own lease is renewed. */
+    /** Answers a request; renews the lease if the sender already holds one. */
     public void onRequest(long nowNanos, ProcessId from, LeaseRequest request, Outbox outbox) {
         boolean isGranted = nowNanos >= readyAtNanos && tryGrant(nowNanos, request.group(), from);
         long durationMillis = isGranted ? MonotonicTime.toMillis(settings.leaseDurationNanos) : 0;
@@ -53,7 +57,10 @@
         return true;
     }
 
-    /** The processes that hold leases of a group at a time, the latest renewal last. */
+    /**
+     * Returns the processes that hold leases of a group at {@code nowNanos}, the most recently granted or
+     * renewed one last.
+     */
     public List<ProcessId> holders(long nowNanos, String group) {
         return grants.getOrDefault(group, List.of()).stream()
             .filter(grant -> nowNanos < grant.untilNanos()).map(Grant::holder).toList();
--- a/control/src/main/java/spurroad/control/distribution/publish/ChildProgress.java
+++ b/control/src/main/java/spurroad/control/distribution/publish/ChildProgress.java
@@ -12,16 +12,16 @@
 import spurroad.control.distribution.state.PurgeUpdate;
 import spurroad.control.distribution.state.Scope;
 
-/** The position of one child: what it was sent and what it has acknowledged. */
+/** The progress of one child: the positions up to which it was sent updates and has acknowledged them. */
 final class ChildProgress {
     private final Scope scope;
     private final UpdateWindow window;
     private boolean hasConfiguration;
     private Position sent;
     private Position acknowledged;
-    private long latestSentAtMillis; // of the child's messages, by its clock
+    private long latestSentAtMillis; // latest send time of the child's messages, by the child's clock
 
-    /** Starts at the position that the subscription reports. */
+    /** Creates the progress of a child at the position that its subscription reports. */
     ChildProgress(DistributionSettings settings, long nowNanos, Subscribe request) {
         scope = request.scope();
         window = new UpdateWindow(settings, nowNanos);
@@ -31,32 +31,32 @@
         latestSentAtMillis = request.sentAtMillis();
     }
 
-    /** The part of the configuration that the child uses. */
+    /** Returns the part of the configuration that the child uses. */
     Scope scope() {
         return scope;
     }
 
-    /** Whether the child has, or was sent, a configuration. */
+    /** Returns whether the child has a configuration or was sent one. */
     boolean hasConfiguration() {
         return hasConfiguration;
     }
 
-    /** The position that the child reaches with the updates that it was sent. */
+    /** Returns the position that the child reaches once it has applied the updates that it was sent. */
     Position sent() {
         return sent;
     }
 
-    /** The position that the child has acknowledged. */
+    /** Returns the position that the child has acknowledged. */
     Position acknowledged() {
         return acknowledged;
     }
 
-    /** Skips purges: the next ones that are sent follow that number. */
+    /** Skips purges: the next purge that is sent is the one after {@code purgeNumber}. */
     void skipPurgesTo(long purgeNumber) {
         sent = sent.withPurgeNumber(purgeNumber);
     }
 
-    /** Handles an acknowledgement; one of an update that was never sent is ignored. */
+    /** Handles an acknowledgement; ignores it if its update was never sent. */
     void onAcknowledgement(long nowNanos, Acknowledgement acknowledgement) {
         long updateNumber = acknowledgement.updateNumber();
         if (!window.wasSent(updateNumber)) {
@@ -73,19 +73,19 @@
         sent = sent.max(acknowledged);
     }
 
-    /** Whether an unsubscription refers to this subscription, not to an earlier one. */
+    /** Returns whether an unsubscription refers to this subscription and not to an earlier one. */
     boolean isEndedBy(Unsubscribe message) {
         return message.sentAtMillis() >= latestSentAtMillis;
     }
 
-    /** Whether the child has acknowledged nothing within a timeout. */
+    /** Returns whether the child has acknowledged nothing within a timeout. */
     boolean isTimedOut(long nowNanos, long timeoutNanos) {
         return window.isTimedOut(nowNanos, timeoutNanos);
     }
 
     /**
-     * Whether an update may be sent now. Rewinds to the acknowledged position where the child has not
-     * acknowledged for too long.
+     * Returns whether an update may be sent now. Rewinds to the acknowledged position if the child has sent
+     * no acknowledgement for too long.
      */
     boolean prepareUpdate(long nowNanos) {
         if (window.isOpen()) {
@@ -102,7 +102,8 @@
     /**
      * Creates the next update and records it as sent.
      *
-     * @param lastPurgeNumber of the publisher's purges; an age is sent only with all of them
+     * @param lastPurgeNumber number of the publisher's latest purge; an age is sent only if the child has
+     *     been sent all purges
      */
     Update nextUpdate(Optional<ConfigurationUpdate> configuration, Optional<PurgeUpdate> purges,
                       Publisher.Status status, long lastPurgeNumber) {
--- a/control/src/main/java/spurroad/control/distribution/publish/Publisher.java
+++ b/control/src/main/java/spurroad/control/distribution/publish/Publisher.java
@@ -20,10 +20,10 @@
 import spurroad.control.distribution.state.Scope;
 
 /**
- * The sending end of the links to the children of one process. For each child it has a position and no queue:
- * the next update is created from the current state when the child's window is open, so that a slow child
- * costs no memory and gets the newest state. All children are served once in a flush interval; the phase of
- * that interval is random, so that publishers which started together do not send at the same time.
+ * The sending end of the links to the children of one process. For each child it stores a position and no
+ * queue: the next update is created from the current state when the child's window is open, so that a slow
+ * child costs no memory and receives the newest state. All children are served once per flush interval. The
+ * phase of the interval is random, so that publishers that started together do not send at the same time.
  *
  * <p>Not thread-safe. Times are nanoseconds of a monotonic clock.
  */
@@ -31,9 +31,9 @@
     private static final long NEVER = Long.MAX_VALUE;
 
     /**
-     * What the publishing process knows about its own connection at a time.
+     * The publishing process's own connection and freshness at one time.
      *
-     * @param term of the core in which its latest state was committed
+     * @param term the term of the core in which its latest state was committed
      * @param ageMillis age of its knowledge in milliseconds, as {@code Freshness.ageMillis} returns it
      * @param isConnected whether it has a parent, or a leader, of its own
      */
@@ -53,10 +53,11 @@
     /**
      * Creates a publisher without children.
      *
-     * @param scope of the configuration
-     * @param configuration which its owner advances
-     * @param purges which its owner advances; this publisher determines which of them are still needed
-     * @param seed of the phase of the flush interval and the spread of retries
+     * @param scope the part of the configuration that this publisher has
+     * @param configuration the configuration to publish, advanced by its owner
+     * @param purges the purges to publish, advanced by their owner; this publisher determines which of them
+     *     are still needed
+     * @param seed the seed for the phase of the flush interval and the spread of retries
      */
     public Publisher(DistributionSettings settings, Scope scope, ConfigurationState configuration,
                      PurgeLog purges, long seed) {
@@ -123,8 +124,8 @@
     }
 
     /**
-     * Sends a reset to a child that has stored nothing which purges could concern; it then starts with as
-     * many earlier purges as it requested.
+     * Sends a reset to a child that has stored nothing that purges could affect; the child then starts with
+     * as many earlier purges as it requested, if they are still in the log.
      */
     private void sendFirstUpdateWithReset(ProcessId to, ChildProgress child, int purgeHistory, Status status,
                                           Outbox outbox) {
@@ -133,7 +134,7 @@
         sendUpdate(to, child, Optional.of(new PurgeUpdate.Reset(startNumber)), status, outbox);
     }
 
-    /** Records what a child has applied. */
+    /** Records the position up to which a child has applied updates. */
     public void onAcknowledgement(long nowNanos, ProcessId from, Acknowledgement acknowledgement) {
         ChildProgress child = children.get(from);
         if (child != null) {
@@ -141,7 +142,7 @@
         }
     }
 
-    /** Drops a child that unsubscribes; a message from before its latest subscription is ignored. */
+    /** Removes a child that unsubscribes; ignores a message sent before its latest subscription. */
     public void onUnsubscribe(ProcessId from, Unsubscribe message) {
         ChildProgress child = children.get(from);
         if (child != null && child.isEndedBy(message)) {
@@ -150,8 +151,8 @@
     }
 
     /**
-     * When the flush interval has passed, drops children that have timed out and sends each other one its new
-     * changes, or a heartbeat.
+     * If the flush interval has passed, removes children that have timed out, and sends the others their new
+     * changes or a heartbeat, except while their window is closed.
      */
     public void flush(long nowNanos, Status status, Outbox outbox) {
         if (nowNanos < nextFlushNanos) {
@@ -193,19 +194,23 @@
     }
 
     /**
-     * Retains the purges after a number beside those that children need; {@code Long.MAX_VALUE} to end that.
+     * Retains the purges after a number in addition to those that children need; {@code Long.MAX_VALUE} ends
+     * this.
      */
     public void retainPurgesAfter(long purgeNumber) {
         retainedPurgesAfter = purgeNumber;
         retainNeededPurges();
     }
 
-    /** When to call {@link #flush} next; {@code Long.MAX_VALUE} for never. */
+    /**
+     * Returns when to call {@link #flush} next, in nanoseconds, or {@code Long.MAX_VALUE} while there are no
+     * children.
+     */
     public long nextFlushNanos() {
         return nextFlushNanos;
     }
 
-    /** How many children there are. */
+    /** Returns the number of children. */
     public int childCount() {
         return children.size();
     }
--- a/control/src/main/java/spurroad/control/distribution/publish/SubscriptionRateLimiter.java
+++ b/control/src/main/java/spurroad/control/distribution/publish/SubscriptionRateLimiter.java
@@ -4,21 +4,21 @@
 import spurroad.control.distribution.DistributionSettings;
 
 /**
- * Bounds how many new children a publisher accepts, by a token bucket. A rejected subscriber is assigned a
- * time to retry; these times are spread over the period in which all recently rejected ones can be accepted.
- * Times are nanoseconds of a monotonic clock.
+ * Limits the rate at which a publisher accepts new children, with a token bucket. A rejected subscriber is
+ * assigned a time to retry; these times are spread over the period in which all recently rejected subscribers
+ * can be accepted. Times are nanoseconds of a monotonic clock.
  */
 final class SubscriptionRateLimiter {
     private static final long REJECTION_WINDOW_NANOS = DistributionSettings.NANOS_PER_SECOND;
     private static final long MIN_RETRY_MILLIS = 10;
-    private static final double MIN_SPREAD = 0.5; // of the time until all rejected ones can be accepted
+    private static final double MIN_SPREAD = 0.5; // fraction of the time to accept all rejected subscribers
 
     private final int tokensPerSecond;
     private final int maxTokens;
     private final Random random;
     private double tokens;
     private long refilledAtNanos = Long.MIN_VALUE;
-    private int rejectedCount; // since the start of the window
+    private int rejectedCount; // since the start of the rejection window
     private long windowStartNanos;
 
     /** Creates a full bucket. */
@@ -29,7 +29,7 @@
         tokens = maxTokens;
     }
 
-    /** Takes a token; returns whether there was one. */
+    /** Takes a token if one is available; returns whether it did. */
     boolean tryAcquire(long nowNanos) {
         refill(nowNanos);
         if (tokens < 1) {
--- a/control/src/main/java/spurroad/control/distribution/publish/UpdateCache.java
+++ b/control/src/main/java/spurroad/control/distribution/publish/UpdateCache.java
@@ -11,8 +11,8 @@
 import spurroad.control.distribution.state.Scope;
 
 /**
- * Creates updates from the state, and caches them: an update for one child is reused for all others at the
- * same position, until the state changes.
+ * Creates updates from the current state and caches them: an update for one child is reused for all other
+ * children at the same position, until the state changes.
  */
 final class UpdateCache {
     private record ConfigurationKey(long afterSequence, boolean hasConfiguration, Scope scope) {}
@@ -31,7 +31,7 @@
         this.maxPurgesPerUpdate = maxPurgesPerUpdate;
     }
 
-    /** The configuration to send to a child next; empty where it was sent all. */
+    /** Returns the configuration to send to a child next, or empty if it was sent all of it. */
     Optional<ConfigurationUpdate> configurationFor(ChildProgress child) {
         if (cachedSequence != configuration.sequence()) {
             configurationUpdates.clear();
@@ -46,7 +46,7 @@
             key -> configuration.updateAfter(key.afterSequence(), key.hasConfiguration(), key.scope()));
     }
 
-    /** The purges, or a reset, to send to a child next; empty where it was sent all. */
+    /** Returns the purges or the reset to send to a child next, or empty if it was sent all purges. */
     Optional<PurgeUpdate> purgesFor(ChildProgress child) {
         if (cachedPurgeNumber != purges.lastNumber()) {
             purgeBatches.clear();
--- a/control/src/main/java/spurroad/control/distribution/publish/UpdateWindow.java
+++ b/control/src/main/java/spurroad/control/distribution/publish/UpdateWindow.java
@@ -3,17 +3,17 @@
 import spurroad.control.distribution.DistributionSettings;
 
 /**
- * Flow control towards one child: how many updates may be unacknowledged, and when unacknowledged ones are
- * assumed to be lost. Updates are numbered from 1 on. Times are nanoseconds of the publisher's clock.
+ * Flow control for one child: bounds the number of unacknowledged updates, and determines when they are
+ * assumed to be lost. Updates are numbered from 1. Times are nanoseconds of the publisher's clock.
  */
 final class UpdateWindow {
     private final int maxUnacknowledged;
     private final long resendTimeoutNanos;
     private long sentCount;
     private long acknowledgedCount;
-    private long rewoundAtCount; // how many updates were sent before the latest rewind
+    private long rewoundAtCount; // number of updates sent before the latest rewind
     private long rewoundNanos;
-    private long lastAcknowledgementNanos; // or when the child subscribed
+    private long lastAcknowledgementNanos; // the time of the subscription before the first acknowledgement
 
     /** Opens a window for a child whose subscription was just received. */
     UpdateWindow(DistributionSettings settings, long nowNanos) {
@@ -28,12 +28,14 @@
         return sentCount;
     }
 
-    /** Whether an update with that number was sent. */
+    /** Returns whether an update with the given number was sent. */
     boolean wasSent(long updateNumber) {
         return updateNumber <= sentCount;
     }
 
-    /** Whether an update was sent after the latest rewind, so that a gap after it is a new one. */
+    /**
+     * Returns whether an update was sent after the latest rewind, so that a gap reported for it is a new gap.
+     */
     boolean isAfterRewind(long updateNumber) {
         return updateNumber > rewoundAtCount;
     }
@@ -44,26 +46,26 @@
         acknowledgedCount = Math.max(acknowledgedCount, updateNumber);
     }
 
-    /** Whether another update may be sent. */
+    /** Returns whether another update may be sent. */
     boolean isOpen() {
         return sentCount - acknowledgedCount < maxUnacknowledged;
     }
 
     /**
-     * Whether there was no acknowledgement for so long that the unacknowledged updates are assumed to be
-     * lost.
+     * Returns whether no acknowledgement was received for so long that the unacknowledged updates are assumed
+     * to be lost.
      */
     boolean isResendDue(long nowNanos) {
         return nowNanos - Math.max(lastAcknowledgementNanos, rewoundNanos) >= resendTimeoutNanos;
     }
 
-    /** Records that all is sent again, and opens the window completely. */
+    /** Records that all unacknowledged updates are sent again, and opens the window completely. */
     void reopen(long nowNanos) {
         rewind(nowNanos);
         acknowledgedCount = sentCount;
     }
 
-    /** Records that all is sent again, and opens the window by one update. */
+    /** Records that all unacknowledged updates are sent again, and opens the window for one update. */
     void reopenForOne(long nowNanos) {
         rewind(nowNanos);
         acknowledgedCount = sentCount - maxUnacknowledged + 1;
@@ -74,7 +76,7 @@
         rewoundNanos = nowNanos;
     }
 
-    /** Whether the child has acknowledged nothing within a timeout. */
+    /** Returns whether the child has acknowledged nothing within a timeout. */
     boolean isTimedOut(long nowNanos, long timeoutNanos) {
         return nowNanos - lastAcknowledgementNanos >= timeoutNanos;
     }
--- a/control/src/main/java/spurroad/control/distribution/relay/FormerChildRetention.java
+++ b/control/src/main/java/spurroad/control/distribution/relay/FormerChildRetention.java
@@ -5,13 +5,13 @@
 import spurroad.control.distribution.subscribe.Subscriber;
 
 /**
- * Retains purges for children that leave a relay because it has lost its parent: when they return, they lack
- * the same purges as the relay. The purges that the relay has when it loses its parent, and all later ones,
- * are retained until some time after it has a parent again.
+ * Retains purges for children that leave a relay because the relay has lost its parent: when they return,
+ * they lack the same purges as the relay. The purges that the relay has when it loses its parent, and all
+ * later ones, are retained until some time after it has a parent again.
  */
 final class FormerChildRetention {
     private static final long NEVER = Long.MAX_VALUE;
-    /** How long former children can return once the relay has a parent again. */
+    /** Time for which former children can return after the relay has a parent again. */
     private static final long RETURN_TIMEOUT_NANOS = 60 * DistributionSettings.NANOS_PER_SECOND;
 
     private final Subscriber subscriber;
@@ -25,7 +25,8 @@
     }
 
     /**
-     * Records whether the relay has a parent; to be called before and after every call that may change that.
+     * Records whether the relay has a parent; must be called before and after every call that may change
+     * this.
      */
     void update(long nowNanos) {
         boolean isAttached = subscriber.isAttached();
--- a/control/src/main/java/spurroad/control/distribution/relay/Relay.java
+++ b/control/src/main/java/spurroad/control/distribution/relay/Relay.java
@@ -24,9 +24,9 @@
 import spurroad.control.distribution.subscribe.Subscriber;
 
 /**
- * A process that may be a relay: always a subscriber, and while it holds its group's lease a publisher too,
- * with parents one level up. When it has had no parent for too long it releases the lease, so that another
- * candidate can obtain it.
+ * A process that may become a relay. It is always a subscriber, and while it holds its group's lease it is
+ * also a publisher and has parents one level up. If it has no parent for too long, it releases the lease, so
+ * that another candidate can obtain it.
  *
  * <p>Not thread-safe. Times are nanoseconds of a monotonic clock.
  */
@@ -34,19 +34,20 @@
     /**
      * The position of a process in the tree.
      *
-     * @param group whose lease it requests, such as a site
-     * @param grantors to which it sends lease requests, in the same order at all candidates of the group
+     * @param group the group whose lease it requests, such as a site
+     * @param grantors processes to which it sends lease requests, in the same order at all candidates of the
+     *     group
      * @param parentsAsRelay its parents while it holds the lease, one level up
      * @param preferredParents its preferred parents while it does not hold the lease: the other candidates of
      *     its group
-     * @param leasesPerSubgroup how many relays each group below it has; 0 where it grants no leases
+     * @param leasesPerSubgroup maximum number of relays of each group below it; 0 if it grants no leases
      */
     public record TreePosition(String group, List<ProcessId> grantors, List<ProcessId> parentsAsRelay,
                                List<ProcessId> preferredParents, int leasesPerSubgroup) {}
 
-    /** After how long without a parent the lease is released. */
+    /** Time without a parent after which the lease is released. */
     private static final long RELEASE_TIMEOUT_NANOS = 3 * DistributionSettings.NANOS_PER_SECOND;
-    /** For how long a released lease is not requested again. */
+    /** Time for which a released lease is not requested again. */
     private static final long ABSTENTION_NANOS = 5 * DistributionSettings.NANOS_PER_SECOND;
 
     private final TreePosition position;
@@ -56,16 +57,16 @@
     private final LeaseGrantor grantor;
     private final FormerChildRetention formerChildRetention;
     private boolean isRelay;
-    private long lastAttachedNanos; // or when its role last changed
+    private long lastAttachedNanos; // or the time of the latest role change
     private long abstainUntilNanos;
 
     /**
      * Creates a process without state, parent or lease.
      *
-     * @param nowNanos the time, in nanoseconds of a monotonic clock
+     * @param nowNanos the current time, in nanoseconds of a monotonic clock
      * @param scope the part of the configuration that it and its children use
-     * @param listener is notified of all changes and purges that take effect at this process
-     * @param seed of all its random choices
+     * @param listener receives all changes and purges that take effect at this process
+     * @param seed the seed for all random choices of this process
      */
     public Relay(long nowNanos, DistributionSettings settings, Scope scope, TreePosition position,
                  StateListener listener, long seed) {
@@ -143,7 +144,7 @@
         }
     }
 
-    /** Becomes a relay when the lease was obtained, and only a subscriber when it was lost. */
+    /** Becomes a relay if the lease was obtained, and a plain subscriber if the lease was lost. */
     private void updateRole(long nowNanos, Outbox outbox) {
         boolean holdsLease = lease.isHeld(nowNanos);
         if (holdsLease == isRelay) {
@@ -177,17 +178,17 @@
             : Math.min(nextNanos, lastAttachedNanos + RELEASE_TIMEOUT_NANOS);
     }
 
-    /** Whether this process holds the lease and accepts children. */
+    /** Returns whether this process holds the lease and accepts children. */
     public boolean isRelay() {
         return isRelay;
     }
 
-    /** The receiving end of the link to its parent. */
+    /** Returns the receiving end of the link to its parent. */
     public Subscriber subscriber() {
         return subscriber;
     }
 
-    /** The sending end of the links to its children. */
+    /** Returns the sending end of the links to its children. */
     public Publisher publisher() {
         return publisher;
     }
--- a/control/src/main/java/spurroad/control/distribution/replication/CommitListener.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/CommitListener.java
@@ -2,9 +2,9 @@
 
 import spurroad.control.distribution.log.Command;
 
-/** Is notified of each command that a replica commits, in the order of the log and on the caller's thread. */
+/** Receives each command that a replica commits, in log order and on the thread that called the replica. */
 @FunctionalInterface
 public interface CommitListener {
-    /** Called after the command at an index of the log was applied. */
+    /** Called after a command was applied; {@code index} is its log index. */
     void onCommit(long index, Command command);
 }
--- a/control/src/main/java/spurroad/control/distribution/replication/Election.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/Election.java
@@ -9,9 +9,9 @@
 import spurroad.control.distribution.message.Outbox;
 
 /**
- * The candidate's side of an election: first a pre-vote, which finds out whether a majority would elect this
- * replica and changes no term anywhere, then the vote in a new term (Ongaro's thesis, 3.4 and 9.6). A replica
- * that rejoins after a network partition therefore deposes no leader.
+ * The candidate's side of an election. A pre-vote first determines whether a majority would elect this
+ * replica, without changing the term of any replica; the vote in a new term follows (Ongaro's thesis, 3.4 and
+ * 9.6). A replica that rejoins after a network partition therefore does not depose the leader.
  */
 final class Election {
     private final ProcessId self;
@@ -20,7 +20,7 @@
     private final RoleState roleState;
     private final Set<ProcessId> votes = new HashSet<>();
 
-    /** Creates the elections of a replica; {@code others} are the members beside it. */
+    /** Creates the election of a replica; {@code others} are the other members of the core. */
     Election(ProcessId self, List<ProcessId> others, PersistentState persistent, RoleState roleState) {
         this.self = self;
         this.others = others;
@@ -28,15 +28,13 @@
         this.roleState = roleState;
     }
 
-    /** Begins an election; returns whether it is won already, as in a core of one member. */
+    /** Starts an election; returns whether it is already won, as it is in a core of one member. */
     boolean start(long nowNanos, Outbox outbox) {
         roleState.becomePreCandidate(nowNanos);
         return requestVotes(outbox);
     }
 
-    /**
-     * Handles a vote; returns whether it wins the election. A reply to an earlier request is ignored.
-     */
+    /** Handles a vote; returns whether it wins the election. A reply to an earlier request is ignored. */
     boolean onReply(long nowNanos, ProcessId voter, RequestVoteReply reply, Outbox outbox) {
         if (!reply.isGranted()) {
             roleState.enterLaterTerm(nowNanos, reply.term());
--- a/control/src/main/java/spurroad/control/distribution/replication/ElectionTimer.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/ElectionTimer.java
@@ -6,12 +6,12 @@
 import spurroad.control.distribution.ProcessId;
 
 /**
- * The time at which a replica without contact with a leader stands for election. Departs from Raft, where all
- * timeouts are drawn from one range: here each replica has a slot by its rank after the last leader, and the
- * random part only blurs the slots, so that with 24 replicas votes are seldom split.
+ * Determines when a replica that has no contact with a leader starts an election. Differs from Raft, which
+ * draws all timeouts from one range: here each replica has a time slot that depends on its rank after the
+ * last leader, and random jitter of a few slots is added. With 24 replicas, votes are therefore seldom split.
  */
 final class ElectionTimer {
-    /** Width of the random part, in slots. */
+    /** Upper bound of the random jitter, in slots. */
     private static final int JITTER_SLOTS = 3;
 
     private final DistributionSettings settings;
@@ -20,7 +20,7 @@
     private final Random random;
     private long deadlineNanos;
 
-    /** Creates a timer that is to be restarted before its first use. */
+    /** Creates a timer that must be restarted before its first use. */
     ElectionTimer(DistributionSettings settings, ProcessId self, List<ProcessId> members, Random random) {
         this.settings = settings;
         this.self = self;
@@ -28,9 +28,7 @@
         this.random = random;
     }
 
-    /**
-     * Restarts the timer; {@code lastLeader} is the leader of the latest contact, null where there was none.
-     */
+    /** Restarts the timer; {@code lastLeader} is the last known leader, or null if there was none. */
     void restart(long nowNanos, ProcessId lastLeader) {
         int lastLeaderIndex = lastLeader == null ? -1 : members.indexOf(lastLeader);
         int rank = Math.floorMod(members.indexOf(self) - 1 - lastLeaderIndex, members.size());
@@ -39,7 +37,7 @@
             + (long) ((rank + jitter) * settings.electionStaggerNanos);
     }
 
-    /** When the timer expires, in nanoseconds. */
+    /** Returns the time at which the timer expires, in nanoseconds. */
     long deadlineNanos() {
         return deadlineNanos;
     }
--- a/control/src/main/java/spurroad/control/distribution/replication/FollowerProgress.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/FollowerProgress.java
@@ -3,11 +3,11 @@
 import spurroad.control.distribution.message.Message.AppendEntriesReply;
 
 /**
- * What a leader knows of one follower's log, and since when a message to it is unanswered. Times are
- * nanoseconds of the leader's clock unless a name says otherwise.
+ * A leader's view of one follower: how far the logs agree, and since when a request to the follower is
+ * unanswered. Times are nanoseconds of the leader's clock unless the name states another unit.
  */
 final class FollowerProgress {
-    /** In place of a time: there was no such message. */
+    /** Stands for a missing time: no such message was sent or answered. */
     static final long NEVER = Long.MIN_VALUE;
 
     private long nextIndex;
@@ -17,41 +17,44 @@
     private long unansweredSinceNanos = NEVER;
 
     /**
-     * Starts optimistically: assumes that the follower's log agrees with the leader's before
+     * Creates the initial progress, which assumes that the follower's log agrees with the leader's before
      * {@code nextIndex}.
      */
     FollowerProgress(long nextIndex) {
         this.nextIndex = nextIndex;
     }
 
-    /** The index of the entry that is sent next. */
+    /** Returns the index of the next entry to send. */
     long nextIndex() {
         return nextIndex;
     }
 
-    /** The highest index up to which the logs are known to agree. */
+    /** Returns the highest index up to which the logs are known to agree. */
     long matchIndex() {
         return matchIndex;
     }
 
     /**
-     * The send time of the leader's latest message that was answered, in its milliseconds; or {@link #NEVER}.
+     * Returns when the leader sent the latest message that was answered, in milliseconds of the leader's
+     * clock, or {@link #NEVER}.
      */
     long latestEchoMillis() {
         return latestEchoMillis;
     }
 
-    /** The latest time at which the follower sent a reply, in milliseconds of the follower's clock. */
+    /**
+     * Returns the latest time at which the follower sent a reply, in milliseconds of the follower's clock.
+     */
     long latestSentAtMillis() {
         return latestSentAtMillis;
     }
 
-    /** Whether the reply to entries or a snapshot is awaited and not overdue. */
+    /** Returns whether a reply to entries or a snapshot is awaited and not overdue. */
     boolean isAwaitingReply(long nowNanos, long timeoutNanos) {
         return isReplyAwaited() && nowNanos - unansweredSinceNanos < timeoutNanos;
     }
 
-    /** Whether a reply to entries or a snapshot is awaited, even if it is overdue. */
+    /** Returns whether a reply to entries or a snapshot is awaited, even if it is overdue. */
     boolean isReplyAwaited() {
         return unansweredSinceNanos != NEVER;
     }
@@ -81,8 +84,8 @@
     }
 
     /**
-     * Moves the next index back, by at least one entry and directly to the follower's hint, but never before
-     * a known match.
+     * Moves the next index back to the entry after the follower's hint, but never forward and never to an
+     * entry that is known to match.
      */
     private void onMismatch(long hintIndex) {
         nextIndex = Math.max(matchIndex, Math.min(nextIndex - 1, hintIndex)) + 1;
--- a/control/src/main/java/spurroad/control/distribution/replication/FollowerReplication.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/FollowerReplication.java
@@ -11,9 +11,9 @@
 import spurroad.control.distribution.state.Freshness;
 
 /**
- * The follower's side of replication: checks that a leader's entries fit its log, stores them and applies
- * what is committed. Departs from Raft in that a rejection carries a hint where the logs may agree, and that
- * a snapshot is sent in one message, which is answered like entries.
+ * The follower's side of replication: checks that a leader's entries are consistent with the log, stores them
+ * and applies committed entries. Differs from Raft in two ways: a rejection carries a hint at which index the
+ * logs may agree, and a snapshot is sent in one message, which is answered like entries.
  */
 final class FollowerReplication {
     private final PersistentState persistent;
@@ -58,7 +58,10 @@
         return Math.min(log.lastIndex(), Math.max(stateMachine.commitIndex(), mismatchIndex - 1));
     }
 
-    /** Stores those entries after an index that the log lacks; returns the index of the last entry. */
+    /**
+     * Stores the entries that follow an index and are missing from the log; returns the index of the last
+     * entry.
+     */
     private long store(long previousIndex, List<LogEntry> entries) {
         long index = previousIndex;
         for (LogEntry entry : entries) {
@@ -74,7 +77,7 @@
     }
 
     /**
-     * Installs a snapshot in place of entries that the leader has compacted; empty, without a reply, where
+     * Installs a snapshot in place of entries that the leader has compacted; returns the reply, or empty if
      * the leader's term has ended.
      */
     Optional<AppendEntriesReply> onInstallSnapshot(long nowNanos, ProcessId from, InstallSnapshot install) {
--- a/control/src/main/java/spurroad/control/distribution/replication/LeaderReplication.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/LeaderReplication.java
@@ -16,12 +16,12 @@
 import spurroad.control.distribution.state.Freshness;
 
 /**
- * The leader's side of replication in one term: sends followers the entries that they lack, commits what a
- * majority has, and records up to which time no other entry can have been committed. An entry of an earlier
- * term is committed only together with one of this term (Raft, 5.4.2).
+ * The leader's side of replication in one term: sends followers the entries that they lack, commits the
+ * entries that a majority stores, and records up to which time no other entry can have been committed. An
+ * entry of an earlier term is committed only together with an entry of the current term (Raft, 5.4.2).
  *
- * <p>Beyond Raft: replies of a majority to a message prove that no other leader had committed anything when
- * the message was sent; {@link Freshness} counts from that time.
+ * <p>In addition to Raft: replies from a majority to a message prove that no other leader had committed an
+ * entry when the message was sent; {@link Freshness} counts from that time.
  */
 final class LeaderReplication {
     private final DistributionSettings settings;
@@ -32,7 +32,7 @@
     private final Map<ProcessId, FollowerProgress> followers = new HashMap<>();
     private long nextHeartbeatNanos;
 
-    /** Begins a term at its leader, before the first entry of the term is in the log. */
+    /** Creates the replication of a new term, before the first entry of the term is appended to the log. */
     LeaderReplication(DistributionSettings settings, List<ProcessId> followerIds, PersistentState persistent,
                       StateMachine stateMachine, Freshness freshness) {
         this.settings = settings;
@@ -43,7 +43,7 @@
         followerIds.forEach(id -> followers.put(id, new FollowerProgress(log.lastIndex() + 1)));
     }
 
-    /** When {@link #onHeartbeatTimer} is due. */
+    /** Returns when to call {@link #onHeartbeatTimer} next, in nanoseconds. */
     long nextHeartbeatNanos() {
         return nextHeartbeatNanos;
     }
@@ -61,7 +61,7 @@
         advanceCommitIndex(nowNanos);
     }
 
-    /** Handles a reply of the current term; sends further entries where the follower lacks some. */
+    /** Handles a reply of the current term; sends further entries if the follower lacks any. */
     void onReply(long nowNanos, ProcessId from, AppendEntriesReply reply, Outbox outbox) {
         FollowerProgress progress = followers.get(from);
         if (progress == null) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Whether a majority of replicas has answered a message that was sent within the timeout. */
+    /** Returns whether a majority of replicas has answered a message that was sent within the timeout. */
     boolean hasMajorityContact(long nowNanos, long timeoutNanos) {
         long echoMillis = majorityEchoMillis(nowNanos);
         return echoMillis != FollowerProgress.NEVER
@@ -130,14 +130,17 @@
     }
 
     /**
-     * The latest time, in milliseconds, for which a majority has answered a message that was sent then or
-     * later.
+     * Returns the latest time, in milliseconds, such that a majority has answered a message sent at that time
+     * or later.
      */
     private long majorityEchoMillis(long nowNanos) {
         return reachedByMajority(FollowerProgress::latestEchoMillis, MonotonicTime.toMillis(nowNanos));
     }
 
-    /** The highest value that a majority of replicas has reached, counting this one with its own value. */
+    /**
+     * Returns the highest value that a majority of replicas has reached, where this replica's value is {@code
+     * ownValue}.
+     */
     private long reachedByMajority(ToLongFunction<FollowerProgress> valueOf, long ownValue) {
         long[] values = new long[followers.size() + 1];
         int count = 0;
--- a/control/src/main/java/spurroad/control/distribution/replication/PersistentState.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/PersistentState.java
@@ -3,9 +3,9 @@
 import spurroad.control.distribution.ProcessId;
 
 /**
- * What a replica must recover after a restart: its current term, its vote in that term and its log. The
- * process that runs the replica writes what a call has changed to stable storage before it sends the messages
- * of that call. Not thread-safe.
+ * The state that a replica must recover after a restart: its current term, its vote in that term and its log.
+ * The process that runs the replica writes the changes of each call to stable storage before it sends the
+ * messages of that call. Not thread-safe.
  */
 public final class PersistentState {
     private final ReplicatedLog log = new ReplicatedLog();
@@ -15,17 +15,17 @@
     /** Creates the state of a replica that starts for the first time. */
     public PersistentState() {}
 
-    /** The latest term that the replica has entered; 0 before the first. */
+    /** Returns the latest term that the replica has entered; 0 before the first. */
     long currentTerm() {
         return currentTerm;
     }
 
-    /** The candidate that this replica voted for in the current term; null for none. */
+    /** Returns the candidate that this replica voted for in the current term, or null if it has not voted. */
     ProcessId votedFor() {
         return votedFor;
     }
 
-    /** The log of this replica. */
+    /** Returns the log of this replica. */
     ReplicatedLog log() {
         return log;
     }
--- a/control/src/main/java/spurroad/control/distribution/replication/RaftReplica.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/RaftReplica.java
@@ -21,13 +21,13 @@
 
 /**
  * One replica of the core's replicated log, after Raft (Ongaro and Ousterhout, 2014): the leader of a term is
- * elected by a majority, an entry is committed once a majority has it, and all replicas apply the committed
- * entries in the same order.
+ * elected by a majority, an entry is committed once a majority stores it, and all replicas apply the
+ * committed entries in the same order.
  *
- * <p>Departures from Raft: an election begins with a pre-vote (Ongaro's thesis, 9.6); a replica that has
+ * <p>Differences from Raft: an election begins with a pre-vote (Ongaro's thesis, 9.6); a replica that has
  * contact with a leader does not answer vote requests at all; election timeouts are staggered by rank
  * ({@link ElectionTimer}); a snapshot is one message; the set of members is fixed; there are no client reads
- * at the leader; and messages carry what {@link Freshness} needs.
+ * at the leader; and messages carry the times that {@link Freshness} needs.
  *
  * <p>Not thread-safe.
  */
@@ -43,16 +43,16 @@
     private final Election election;
     private final Voter voter;
     private final FollowerReplication followerReplication;
-    private LeaderReplication leaderReplication; // of the latest term as the leader; null before the first
+    private LeaderReplication leaderReplication; // of the latest term led; null before the first
 
     /**
      * Starts a replica as a follower.
      *
      * @param nowNanos the time, in nanoseconds of a monotonic clock
-     * @param members of the core, this replica among them, in the order that all members use
+     * @param members the members of the core, including this replica, in the same order at all members
      * @param persistent state of the replica's previous run, or a new one
-     * @param listener is notified of each command that is committed from now on
-     * @param seed of the random part of election timeouts
+     * @param listener receives each command that is committed from now on
+     * @param seed the seed of the random part of election timeouts
      */
     public RaftReplica(long nowNanos, DistributionSettings settings, ProcessId self, List<ProcessId> members,
                        PersistentState persistent, CommitListener listener, long seed) {
@@ -71,7 +71,7 @@
         followerReplication = new FollowerReplication(persistent, roleState, stateMachine, freshness);
     }
 
-    /** Handles a message of another replica; messages that replicas do not send each other are ignored. */
+    /** Handles a message of another replica; messages that are not exchanged between replicas are ignored. */
     @Override
     public void onMessage(long nowNanos, ProcessId from, Message message, Outbox outbox) {
         if (message instanceof RequestVote request) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Begins an election, or sends the leader's heartbeat, where that is due. */
+    /** Starts an election or sends the leader's heartbeats, if that is due. */
     @Override
     public void onTimer(long nowNanos, Outbox outbox) {
         if (nowNanos < nextTimerNanos()) {
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Leaves a vote request unanswered while there is contact with a leader, so that the candidate can't
-     * depose it.
+     * Leaves a vote request unanswered while this replica has contact with a leader, so that the candidate
+     * can't depose the leader.
      */
     private void onRequestVote(long nowNanos, ProcessId from, RequestVote request, Outbox outbox) {
         boolean hasLeader = hasMajorityContact(nowNanos)
@@ -133,7 +133,10 @@
         }
     }
 
-    /** Begins to lead the current term; its first entry commits what earlier terms left uncommitted. */
+    /**
+     * Becomes the leader of the current term. The first entry of the term also commits the uncommitted
+     * entries of earlier terms.
+     */
     private void becomeLeader(long nowNanos, Outbox outbox) {
         roleState.becomeLeader();
         leaderReplication = new LeaderReplication(settings, others, persistent, stateMachine, freshness);
@@ -142,9 +145,9 @@
     }
 
     /**
-     * Appends a command to the leader's log; it is committed later, or never where this leader is deposed.
+     * Appends a command to the leader's log. It is committed later, or never if this leader is deposed.
      *
-     * @return the command's index; empty where this replica is not the leader
+     * @return the command's log index, or empty if this replica is not the leader
      */
     public OptionalLong propose(Command command) {
         if (!roleState.isLeader()) {
@@ -158,18 +161,22 @@
         persistent.log().append(new LogEntry(persistent.currentTerm(), command));
     }
 
-    /** Whether this replica is the leader of the latest term that it knows. */
+    /** Returns whether this replica is the leader of the latest term that it knows. */
     public boolean isLeader() {
         return roleState.isLeader();
     }
 
-    /** The leader that this replica follows, or this replica as the leader; null while none is known. */
+    /**
+     * Returns the leader that this replica follows, this replica itself if it is the leader, or null while no
+     * leader is known.
+     */
     public ProcessId leader() {
         return roleState.leader();
     }
 
     /**
-     * Whether this replica is a leader in contact with a majority, or a follower in contact with its leader.
+     * Returns whether this replica is a leader in contact with a majority, or a follower in contact with its
+     * leader.
      */
     public boolean isConnected(long nowNanos) {
         return roleState.isLeader() ? hasMajorityContact(nowNanos)
@@ -181,27 +188,27 @@
             && leaderReplication.hasMajorityContact(nowNanos, settings.electionTimeoutNanos);
     }
 
-    /** The term of the last committed entry; 0 before the first. */
+    /** Returns the term of the last committed entry; 0 before the first. */
     public long lastAppliedTerm() {
         return stateMachine.lastAppliedTerm();
     }
 
-    /** The index of the last committed entry; 0 before the first. */
+    /** Returns the index of the last committed entry; 0 before the first. */
     public long commitIndex() {
         return stateMachine.commitIndex();
     }
 
-    /** The committed configuration, which only this replica advances. */
+    /** Returns the committed configuration, which only this replica advances. */
     public ConfigurationState configuration() {
         return configuration;
     }
 
-    /** The committed purges, which only this replica advances. */
+    /** Returns the committed purges, which only this replica advances. */
     public PurgeLog purges() {
         return purges;
     }
 
-    /** Up to which time this replica knows all committed entries. */
+    /** Returns the time up to which this replica knows all committed entries. */
     public Freshness freshness() {
         return freshness;
     }
--- a/control/src/main/java/spurroad/control/distribution/replication/Role.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/Role.java
@@ -1,11 +1,11 @@
 package spurroad.control.distribution.replication;
 
 /**
- * What a replica is in its current term. Raft's three roles, with its candidate split in two because a
+ * The role of a replica in its current term: Raft's three roles, with the candidate split in two because a
  * pre-vote precedes the vote.
  */
 enum Role {
-    /** Accepts entries of a leader, or waits for a leader. */
+    /** Accepts entries from a leader, or waits for one. */
     FOLLOWER,
     /** Requests pre-votes for the next term without entering it. */
     PRE_CANDIDATE,
@@ -14,7 +14,9 @@
     /** Was elected by a majority in the current term. */
     LEADER;
 
-    /** Whether the protocol has a transition from this role to another, which may be the same one. */
+    /**
+     * Returns whether the protocol allows a transition from this role to another, or to the same role again.
+     */
     boolean canBecome(Role next) {
         return switch (next) {
             case FOLLOWER -> true; // a later term, or a leader of the current one
--- a/control/src/main/java/spurroad/control/distribution/replication/RoleState.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/RoleState.java
@@ -3,8 +3,8 @@
 import spurroad.control.distribution.ProcessId;
 
 /**
- * The role of a replica in its current term and the leader that it follows. All changes of role are made in
- * this class; each restarts the election timer where Raft does.
+ * The role of a replica in its current term and the leader that it follows. All role changes are made in this
+ * class and restart the election timer in the cases in which Raft does.
  */
 final class RoleState {
     private static final long NEVER = Long.MIN_VALUE;
@@ -35,21 +35,21 @@
         return role == Role.LEADER;
     }
 
-    /** The leader of the current term; null while it is not known. */
+    /** Returns the leader of the current term, or null while it is unknown. */
     ProcessId leader() {
         return leader;
     }
 
-    /** When the election timer expires, in nanoseconds. */
+    /** Returns the time at which the election timer expires, in nanoseconds. */
     long electionDeadlineNanos() {
         return electionTimer.deadlineNanos();
     }
 
     /**
-     * Whether a leader is known and a message of it was received within a timeout.
+     * Returns whether a leader is known and its latest message was received within a timeout.
      *
-     * <p>For a leader that never followed another one this is always true: there is no time from which the
-     * age could be counted.
+     * <p>Always true for a leader that has never followed another leader, because there is no contact time to
+     * compare with.
      */
     boolean hasLeaderContactWithin(long nowNanos, long timeoutNanos) {
         return leader != null
@@ -57,7 +57,8 @@
     }
 
     /**
-     * Enters a later term as a follower without a leader; in the current or an earlier one nothing changes.
+     * Enters a later term as a follower without a known leader; does nothing for the current or an earlier
+     * term.
      */
     void enterLaterTerm(long nowNanos, long term) {
         if (term <= persistent.currentTerm()) {
@@ -81,21 +82,21 @@
         restartElectionTimer(nowNanos);
     }
 
-    /** Abandons the leader and begins a pre-vote; the term does not change. */
+    /** Abandons the leader and starts a pre-vote; the term does not change. */
     void becomePreCandidate(long nowNanos) {
         become(Role.PRE_CANDIDATE);
         leader = null;
         restartElectionTimer(nowNanos);
     }
 
-    /** Enters the next term and votes for itself there. */
+    /** Enters the next term and votes for this replica itself. */
     void becomeCandidate() {
         become(Role.CANDIDATE);
         persistent.enterTerm(persistent.currentTerm() + 1);
         persistent.voteFor(self);
     }
 
-    /** Leads the current term. */
+    /** Becomes the leader of the current term. */
     void becomeLeader() {
         become(Role.LEADER);
         leader = self;
@@ -111,7 +112,7 @@
 
     private void become(Role next) {
         if (!role.canBecome(next)) {
-            throw new IllegalStateException("transition from " + role + " to " + next);
+            throw new IllegalStateException("no transition of a replica from role " + role + " to " + next);
         }
         role = next;
     }
--- a/control/src/main/java/spurroad/control/distribution/replication/StateMachine.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/StateMachine.java
@@ -8,9 +8,9 @@
 import spurroad.control.distribution.state.Scope;
 
 /**
- * Applies committed entries to the configuration and the purges, each once and in the order of the log, and
- * compacts the log when it has grown by its capacity. Commit index and last applied index are the same here:
- * an entry is applied as soon as it is committed.
+ * Applies committed entries to the configuration and the purges, each once and in log order, and compacts the
+ * log when it has grown by its capacity. The commit index is also the last applied index, because an entry is
+ * applied as soon as it is committed.
  */
 final class StateMachine {
     private final ReplicatedLog log;
@@ -24,7 +24,8 @@
     /**
      * Starts from the log's latest snapshot.
      *
-     * @param logCapacity after how many entries a snapshot is taken, and how many are retained before it
+     * @param logCapacity number of entries after which a snapshot is taken, and maximum number of entries
+     *     that are retained before it
      */
     StateMachine(ReplicatedLog log, int logCapacity, ConfigurationState configuration, PurgeLog purges,
                  CommitListener listener) {
@@ -36,18 +37,18 @@
         restore(log.latestSnapshot());
     }
 
-    /** The index of the last entry that is committed and applied. */
+    /** Returns the index of the last entry that is committed and applied. */
     long commitIndex() {
         return commitIndex;
     }
 
-    /** The term of that entry. */
+    /** Returns the term of the last applied entry. */
     long lastAppliedTerm() {
         return lastAppliedTerm;
     }
 
     /**
-     * Applies the entries up to an index, which must be in the log; entries that were applied before are
+     * Applies the entries up to an index, which must be in the log; entries that are already applied are
      * skipped.
      */
     void applyUpTo(long index) {
@@ -71,7 +72,9 @@
                 purges.append(hash);
             }
         } else if (!(command instanceof Command.NoOp)) {
-            throw new IllegalArgumentException("no application of " + command.getClass());
+            throw new IllegalArgumentException(
+                "unsupported command: expected a configuration change, a purge or a no-op, not "
+                    + command.getClass());
         }
     }
 
@@ -80,7 +83,7 @@
             purges.lastNumber()), logCapacity);
     }
 
-    /** Installs a leader's snapshot if it includes entries that are not applied yet. */
+    /** Installs a leader's snapshot if it includes entries that this replica has not applied. */
     void install(LogSnapshot snapshot) {
         if (snapshot.lastIncludedIndex() > commitIndex) {
             log.installSnapshot(snapshot, logCapacity);
--- a/control/src/main/java/spurroad/control/distribution/replication/Voter.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/Voter.java
@@ -5,8 +5,8 @@
 import spurroad.control.distribution.message.Message.RequestVoteReply;
 
 /**
- * The voter's side of an election: one vote a term, and only for a candidate whose log is at least as up to
- * date as the voter's, so that a leader has all committed entries.
+ * The voter's side of an election: grants one vote per term, and only to a candidate whose log is at least as
+ * up to date as the voter's, so that every leader has all committed entries.
  */
 final class Voter {
     private final PersistentState persistent;
@@ -18,7 +18,7 @@
         this.roleState = roleState;
     }
 
-    /** Answers a vote request; to be called only while this replica has no contact with a leader. */
+    /** Answers a vote request; must be called only while this replica has no contact with a leader. */
     RequestVoteReply onRequest(long nowNanos, ProcessId candidate, RequestVote request) {
         boolean isUpToDate = persistent.log().isCoveredBy(request.lastLogIndex(), request.lastLogTerm());
         return request.isPreVote() ? preVote(nowNanos, request, isUpToDate)
@@ -28,7 +28,7 @@
     private RequestVoteReply preVote(long nowNanos, RequestVote request, boolean isUpToDate) {
         boolean wouldGrant = isUpToDate && request.term() > persistent.currentTerm();
         if (wouldGrant && roleState.role() == Role.FOLLOWER) {
-            roleState.restartElectionTimer(nowNanos); // lets the other candidate win
+            roleState.restartElectionTimer(nowNanos); // gives the other candidate time to win
         }
         long term = wouldGrant ? request.term() : persistent.currentTerm();
         return new RequestVoteReply(term, wouldGrant, true);
--- a/control/src/main/java/spurroad/control/distribution/subscribe/LinkState.java
+++ b/control/src/main/java/spurroad/control/distribution/subscribe/LinkState.java
@@ -9,10 +9,10 @@
     /** The parent has sent an update. */
     ATTACHED;
 
-    /** Whether a link goes from this state to another, which may be the same one. */
+    /** Returns whether a link may change from this state to another, or to the same state again. */
     boolean canBecome(LinkState next) {
         return switch (next) {
-            case SEARCHING -> true; // rejected, lost or given up
+            case SEARCHING -> true; // rejected, lost or abandoned
             case SUBSCRIBING -> this == SEARCHING;
             case ATTACHED -> this == SUBSCRIBING;
         };
--- a/control/src/main/java/spurroad/control/distribution/subscribe/ParentLink.java
+++ b/control/src/main/java/spurroad/control/distribution/subscribe/ParentLink.java
@@ -5,18 +5,18 @@
 
 /**
  * The link to the parent, or to the candidate that was sent a subscription: its state, and the times at which
- * it counts as lost or is to be given up for a preferred parent. There is a parent exactly while the link is
- * not {@link LinkState#SEARCHING}. Times are nanoseconds of a monotonic clock.
+ * it counts as lost or is abandoned to search for a preferred parent. {@link #parent} is null exactly while
+ * the link is {@link LinkState#SEARCHING}. Times are nanoseconds of a monotonic clock.
  */
 final class ParentLink {
-    /** In place of a time or duration. */
+    /** Stands for a missing time or duration. */
     static final long NEVER = Long.MAX_VALUE;
 
     private final DistributionSettings settings;
     private LinkState state = LinkState.SEARCHING;
     private ProcessId parent;
-    private long lastContactNanos; // latest update, or when the subscription was sent
-    private long detachedSinceNanos = NEVER; // since when the parent has no parent itself
+    private long lastContactNanos; // time of the latest update, or of the subscription
+    private long detachedSinceNanos = NEVER; // since when the parent itself has no parent
     private long returnNanos = NEVER; // when to search for a preferred parent
 
     ParentLink(DistributionSettings settings) {
@@ -31,7 +31,7 @@
         return state == LinkState.ATTACHED;
     }
 
-    /** The parent, or the candidate that was sent a subscription; null while searching. */
+    /** Returns the parent, or the candidate that was sent a subscription; null while searching. */
     ProcessId parent() {
         return parent;
     }
@@ -51,10 +51,10 @@
     }
 
     /**
-     * Records that the candidate has accepted.
+     * Records that the candidate has accepted the subscription.
      *
-     * @param returnDelayNanos after how long to search for a preferred parent; {@link #NEVER} where this
-     *     parent is preferred
+     * @param returnDelayNanos delay before searching for a preferred parent, or {@link #NEVER} if this parent
+     *     is preferred
      */
     void attach(long nowNanos, long returnDelayNanos) {
         become(LinkState.ATTACHED);
@@ -62,25 +62,28 @@
         returnNanos = returnDelayNanos == NEVER ? NEVER : nowNanos + returnDelayNanos;
     }
 
-    /** Records an update of the parent, and whether the parent has a parent itself. */
+    /** Records an update from the parent, and whether the parent itself has a parent. */
     void onUpdate(long nowNanos, boolean isParentConnected) {
         lastContactNanos = nowNanos;
         detachedSinceNanos = isParentConnected ? NEVER : Math.min(detachedSinceNanos, nowNanos);
     }
 
-    /** Whether the parent has sent no update, or had no parent itself, for too long. */
+    /** Returns whether the parent has sent no update, or has itself had no parent, for too long. */
     boolean isLost(long nowNanos, long requestTimeoutNanos) {
         long timeoutNanos = isAttached() ? settings.parentTimeoutNanos : requestTimeoutNanos;
         return !isSearching() && (nowNanos - lastContactNanos >= timeoutNanos
             || nowNanos >= detachedDeadlineNanos());
     }
 
-    /** Whether it is time to search for a preferred parent. */
+    /** Returns whether it is time to search for a preferred parent. */
     boolean isReturnDue(long nowNanos) {
         return isAttached() && nowNanos >= returnNanos;
     }
 
-    /** When the link may be lost or is to be given up, in nanoseconds; not to be called while searching. */
+    /**
+     * Returns the earliest time at which the link may count as lost or is abandoned to search for a preferred
+     * parent, in nanoseconds; must not be called while searching.
+     */
     long deadlineNanos(long requestTimeoutNanos) {
         return isAttached()
             ? Math.min(returnNanos,
@@ -94,7 +97,8 @@
 
     private void become(LinkState next) {
         if (!state.canBecome(next)) {
-            throw new IllegalStateException("transition from " + state + " to " + next);
+            throw new IllegalStateException(
+                "no transition of a parent link from state " + state + " to " + next);
         }
         state = next;
     }
--- a/control/src/main/java/spurroad/control/distribution/subscribe/ParentSelector.java
+++ b/control/src/main/java/spurroad/control/distribution/subscribe/ParentSelector.java
@@ -29,7 +29,7 @@
         this.random = random;
     }
 
-    /** Replaces the candidates, without the backoff and failures of earlier ones. */
+    /** Replaces the candidates, and clears all backoff and failure counts. */
     void setCandidates(List<ProcessId> preferredCandidates, List<ProcessId> otherCandidates) {
         preferred = shuffled(preferredCandidates);
         candidates = new ArrayList<>(preferred);
@@ -44,17 +44,20 @@
         return order;
     }
 
-    /** How many candidates there are, preferred ones included. */
+    /** Returns the number of candidates, including preferred ones. */
     int candidateCount() {
         return candidates.size();
     }
 
-    /** Whether a process is a preferred candidate. */
+    /** Returns whether a process is a preferred candidate. */
     boolean isPreferred(ProcessId candidate) {
         return preferred.contains(candidate);
     }
 
-    /** The candidate to subscribe to at a time; null where all are in backoff, or there is none. */
+    /**
+     * Returns the candidate to subscribe to at {@code nowNanos}, or null if all are in backoff or there is
+     * none.
+     */
     ProcessId nextCandidate(long nowNanos) {
         for (ProcessId candidate : candidates) {
             if (backoffEndNanos(candidate) <= nowNanos) {
@@ -64,7 +67,10 @@
         return null;
     }
 
-    /** When the first backoff ends; {@code Long.MAX_VALUE} where there is no candidate. */
+    /**
+     * Returns when the first backoff ends, in nanoseconds, or {@code Long.MAX_VALUE} if there are no
+     * candidates.
+     */
     long nextCandidateNanos() {
         long earliestNanos = Long.MAX_VALUE;
         for (ProcessId candidate : candidates) {
@@ -88,7 +94,10 @@
             nowNanos + backoffNanos / 2 + (long) (random.nextDouble() * backoffNanos));
     }
 
-    /** Records that a candidate rejected, and for how long it is to be excluded. */
+    /**
+     * Records that a candidate rejected the subscription, and excludes it for {@code backoffNanos} plus up to
+     * 50% of random jitter.
+     */
     void onRejection(ProcessId candidate, long nowNanos, long backoffNanos) {
         backoffUntilNanos.put(candidate,
             nowNanos + backoffNanos + (long) (random.nextDouble() * backoffNanos / 2));
@@ -99,7 +108,7 @@
         consecutiveFailures.remove(candidate);
     }
 
-    /** Ends all backoff, so that preferred candidates come first again. */
+    /** Ends all backoff, so that preferred candidates are tried first again. */
     void clearBackoff() {
         backoffUntilNanos.clear();
     }
--- a/control/src/main/java/spurroad/control/distribution/subscribe/Subscriber.java
+++ b/control/src/main/java/spurroad/control/distribution/subscribe/Subscriber.java
@@ -22,18 +22,18 @@
 
 /**
  * The receiving end of a link: subscribes to a parent, applies its updates, and changes to another parent
- * when the current one is lost, has no parent itself, or is not a preferred one. Without a parent it retains
- * the last state. Messages of a former parent are ignored.
+ * when the current one is lost, itself has no parent, or is not preferred. Without a parent it retains its
+ * last state. Messages of a former parent are ignored.
  *
  * <p>Not thread-safe. Times are nanoseconds of a monotonic clock.
  */
 public final class Subscriber implements Participant {
-    /** Time over which subscribers that lose one parent together spread their new subscriptions. */
+    /** Time over which subscribers that lose the same parent at once spread their new subscriptions. */
     private static final long RECONNECT_SPREAD_NANOS = 200 * DistributionSettings.NANOS_PER_MILLISECOND;
     private static final long REJECTION_BACKOFF_NANOS = 500 * DistributionSettings.NANOS_PER_MILLISECOND;
-    /** Bounds the time for which a publisher may postpone a retry. */
+    /** Maximum time for which a publisher may postpone a retry. */
     private static final long MAX_RETRY_AFTER_MILLIS = 10_000;
-    /** How often the request timeout doubles at most. */
+    /** Maximum number of times that the request timeout is doubled. */
     private static final int MAX_TIMEOUT_DOUBLINGS = 3;
 
     private final DistributionSettings settings;
@@ -46,7 +46,7 @@
     private final Freshness freshness;
     private final UpdateApplier applier;
     private final ParentLink link;
-    private ProcessId unnotifiedFormerParent; // null where there is none
+    private ProcessId unnotifiedFormerParent; // null if there is none
     private int consecutiveFailures;
     private int consecutiveShortLogRejections;
     private long nextAttemptNanos;
@@ -56,11 +56,11 @@
      * Creates a subscriber without a parent or candidates for one.
      *
      * @param scope the part of the configuration that it subscribes to
-     * @param configuration which this subscriber advances
-     * @param purges which this subscriber advances
-     * @param purgeHistory how many earlier purges it requests while it has none, for its own children
-     * @param listener is notified of all changes and purges that take effect
-     * @param seed of the order of parents and the spread of retries
+     * @param configuration the configuration that this subscriber advances
+     * @param purges the purges that this subscriber advances
+     * @param purgeHistory number of earlier purges to request while it has none, for its own children
+     * @param listener receives all changes and purges that take effect
+     * @param seed the seed for the order of candidates and the spread of retries
      */
     public Subscriber(DistributionSettings settings, Scope scope, ConfigurationState configuration,
                       PurgeLog purges, int purgeHistory, StateListener listener, long seed) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Handles a message of the current parent; all others are ignored. */
+    /** Handles a message from the current parent; ignores messages from other processes. */
     @Override
     public void onMessage(long nowNanos, ProcessId from, Message message, Outbox outbox) {
         if (!from.equals(link.parent())) {
@@ -163,7 +163,10 @@
         }
     }
 
-    /** Doubles with each round in which no candidate answered, as this process may be the slow one. */
+    /**
+     * Returns the request timeout, which doubles with each round in which no candidate answered, because this
+     * process itself may be slow.
+     */
     private long requestTimeoutNanos() {
         int failedRounds = consecutiveFailures / Math.max(1, selector.candidateCount());
         return settings.requestTimeoutNanos << Math.min(failedRounds, MAX_TIMEOUT_DOUBLINGS);
@@ -198,37 +201,37 @@
         return link.isSearching() ? nextAttemptNanos : link.deadlineNanos(requestTimeoutNanos());
     }
 
-    /** Whether this subscriber has a parent that has sent an update. */
+    /** Returns whether this subscriber has a parent that has sent an update. */
     public boolean isAttached() {
         return link.isAttached();
     }
 
-    /** The parent, or the candidate that was sent a subscription; null for none. */
+    /** Returns the parent, or the candidate that was sent a subscription, or null if there is none. */
     public ProcessId parent() {
         return link.parent();
     }
 
-    /** The latest term of the core of which an update was applied without a gap. */
+    /** Returns the latest term of the core from which an update was applied without a gap. */
     public long term() {
         return applier.term();
     }
 
-    /** Up to which time this subscriber knows everything that the core has committed. */
+    /** Returns the time up to which this subscriber knows all entries that the core has committed. */
     public Freshness freshness() {
         return freshness;
     }
 
-    /** The configuration of this subscriber. */
+    /** Returns the configuration of this subscriber. */
     public ConfigurationState configuration() {
         return configuration;
     }
 
-    /** The purges of this subscriber. */
+    /** Returns the purges of this subscriber. */
     public PurgeLog purges() {
         return purges;
     }
 
-    /** How many subscriptions were sent. */
+    /** Returns the number of subscriptions that were sent. */
     public long subscribeCount() {
         return subscribeCount;
     }
--- a/control/src/main/java/spurroad/control/distribution/subscribe/UpdateApplier.java
+++ b/control/src/main/java/spurroad/control/distribution/subscribe/UpdateApplier.java
@@ -12,7 +12,7 @@
 
 /**
  * Applies updates to the state of a subscriber, each change and purge once and in order. An update of an
- * earlier term than the latest applied one is ignored, as its publisher is behind.
+ * earlier term than the latest applied one is ignored, because its publisher is behind.
  */
 final class UpdateApplier {
     private final ConfigurationState configuration;
@@ -30,19 +30,21 @@
         this.listener = listener;
     }
 
-    /** The latest term of the core of which an update was applied without a gap. */
+    /** Returns the latest term of the core from which an update was applied without a gap. */
     long term() {
         return term;
     }
 
-    /** The number of the last purge that was applied; {@link Subscribe#NO_PURGE_NUMBER} before the first. */
+    /**
+     * Returns the number of the last applied purge, or {@link Subscribe#NO_PURGE_NUMBER} before the first.
+     */
     long purgeNumber() {
         return hasPurges ? purges.lastNumber() : Subscribe.NO_PURGE_NUMBER;
     }
 
     /**
-     * Applies an update; returns whether there is a gap: changes or purges are missing that the heartbeat
-     * assumes to be applied.
+     * Applies an update; returns whether there is a gap, that is, whether changes or purges are missing that
+     * the heartbeat assumes to be applied.
      */
     boolean apply(long nowNanos, Update update) {
         Heartbeat heartbeat = update.heartbeat();
