--- a/control/src/test/java/spurroad/control/distribution/FleetTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/FleetTraceTest.java
@@ -86,17 +86,17 @@
         partitionFor(fleet, 9 * SECOND, id -> id >= 200); // one region
         partitionFor(fleet, 6 * SECOND, id -> id >= 110 && id < 120); // a site
         partitionFor(fleet, 4 * SECOND, id -> id < 3); // three of five
-        fleet.network.setPassingLinks((from, to) -> from.value() < 100 || to.value() != 100); // one way only
+        fleet.network.setLinkFilter((from, to) -> from.value() < 100 || to.value() != 100); // one way only
         fleet.runWithCommands(5 * SECOND, 300 * MS, 4);
-        fleet.network.setPassingLinks((from, to) -> true);
+        fleet.network.setLinkFilter((from, to) -> true);
         fleet.network.run(62 * SECOND); // until the purges retained for former children are dropped
         fleet.runWithCommands(3 * SECOND, 300 * MS, 4);
     }
 
     private static void partitionFor(TracedFleet fleet, long duration, IntPredicate oneSide) {
-        fleet.network.setPassingLinks((from, to) -> oneSide.test(from.value()) == oneSide.test(to.value()));
+        fleet.network.setLinkFilter((from, to) -> oneSide.test(from.value()) == oneSide.test(to.value()));
         fleet.runWithCommands(duration, 310 * MS, 4);
-        fleet.network.setPassingLinks((from, to) -> true);
+        fleet.network.setLinkFilter((from, to) -> true);
         fleet.runWithCommands(5 * SECOND, 310 * MS, 4);
     }
 
@@ -140,9 +140,9 @@
         fleet.startAll();
         fleet.network.run(STARTUP_NANOS);
         fleet.runWithCommands(2 * SECOND, 200 * MS, 900);
-        fleet.network.setPassingLinks((from, to) -> isOfLastSite(from) == isOfLastSite(to));
+        fleet.network.setLinkFilter((from, to) -> isOfLastSite(from) == isOfLastSite(to));
         fleet.runWithCommands(9 * SECOND, 200 * MS, 900);
-        fleet.network.setPassingLinks((from, to) -> true);
+        fleet.network.setLinkFilter((from, to) -> true);
         fleet.runWithCommands(6 * SECOND, 200 * MS, 400);
         fleet.network.run(8 * SECOND);
     }
--- a/control/src/test/java/spurroad/control/distribution/TreeFailureTest.java
+++ b/control/src/test/java/spurroad/control/distribution/TreeFailureTest.java
@@ -88,7 +88,7 @@
                     .stream().filter(id -> !id.equals(fleet.leader())).limit(2).forEach(fleet::stop)},
             {"a site's relay is cut off from above only", (Consumer<SimulatedFleet>) fleet -> {
                 ProcessId cut = relayOf(fleet, "east0");
-                fleet.network.setPassingLinks((from, to) -> !(to.equals(cut) && from.value() < 110));
+                fleet.network.setLinkFilter((from, to) -> !(to.equals(cut) && from.value() < 110));
             }},
             {"a tenth of all messages is lost, as many doubled", (Consumer<SimulatedFleet>) fleet -> {
                 fleet.network.setFaults(0.1, 0.1);
@@ -165,7 +165,7 @@
         SimulatedFleet fleet = started(4);
         Set<ProcessId> west = new HashSet<>(fleet.all().stream()
             .filter(id -> "west".equals(fleet.regionOf.get(id))).toList());
-        fleet.network.setPassingLinks((from, to) -> west.contains(from) == west.contains(to));
+        fleet.network.setLinkFilter((from, to) -> west.contains(from) == west.contains(to));
         fleet.network.run(fleet.settings.freshnessLeaseNanos);
         for (int i = 0; i < 40; i++) {
             fleet.change("", "everywhere");
@@ -180,13 +180,13 @@
             assertTrue(
                 fleet.subscribers.get(id).configuration().value(new ResourceKey("", "everywhere")) != null);
         }
-        fleet.network.setPassingLinks((from, to) -> true);
+        fleet.network.setLinkFilter((from, to) -> true);
         fleet.network.run(25 * SECOND);
         assertEquals(fleet.behind(id -> true), List.of());
         for (ProcessId id : west) {
             assertTrue(fleet.subscribers.get(id).freshness().isFresh(fleet.network.now()),
                 id + " is fresh again");
-            assertEquals(fleet.applied.get(id).purges, fleet.purges, id + " received each purge");
+            assertEquals(fleet.applied.get(id).purgeCount, fleet.purges, id + " received each purge");
         }
     }
 
@@ -202,14 +202,14 @@
         fleet.purge(100);
         fleet.network.run(2 * SECOND);
         fleet.network
-            .setPassingLinks(
+            .setLinkFilter(
                 (from, to) -> "west".equals(fleet.regionOf.get(from)) == "west".equals(fleet.regionOf
                     .get(to)));
         for (int put = 0; put < backlog; put += 30_000) {
             assertTrue(fleet.purge(30_000));
             fleet.network.run(SECOND);
         }
-        fleet.network.setPassingLinks((from, to) -> true);
+        fleet.network.setLinkFilter((from, to) -> true);
         int seconds = 0;
         while (!fleet.behind(id -> true).isEmpty() && seconds < 200) {
             fleet.network.run(SECOND);
@@ -218,8 +218,10 @@
         assertEquals(fleet.behind(id -> true), List.of(), "after " + seconds + " s");
         fleet.applied.forEach((id, applied) -> {
             if ("west".equals(fleet.regionOf.get(id))) {
-                assertEquals(applied.resets > 1, exceedsLog, id + " was reset " + applied.resets + " times");
-                assertTrue(exceedsLog || applied.purges == fleet.purges, id + " had " + applied.purges);
+                assertEquals(applied.resetCount > 1, exceedsLog,
+                    id + " was reset " + applied.resetCount + " times");
+                assertTrue(exceedsLog || applied.purgeCount == fleet.purges,
+                    id + " had " + applied.purgeCount);
             }
         });
     }
@@ -284,7 +286,7 @@
             assertEquals(fleet.wronglyFresh(), List.of(), "seed " + seed + ", step " + step);
         }
         fleet.network.setFaults(0, 0);
-        fleet.network.setPassingLinks((from, to) -> true);
+        fleet.network.setLinkFilter((from, to) -> true);
         fleet.all().stream().filter(id -> !fleet.runs(id)).toList().forEach(fleet::start);
         fleet.network.run(40 * SECOND);
         assertTrue(fleet.committedSequences.size() > 5, fleet.committedSequences + " committed");
@@ -306,9 +308,9 @@
                     fleet.stop(any);
                 }
             }
-            case 2 -> fleet.network.setPassingLinks((from, to) -> !from.equals(any) && !to.equals(any));
-            case 3 -> fleet.network.setPassingLinks((from, to) -> !to.equals(any));
-            case 4 -> fleet.network.setPassingLinks((from, to) -> true);
+            case 2 -> fleet.network.setLinkFilter((from, to) -> !from.equals(any) && !to.equals(any));
+            case 3 -> fleet.network.setLinkFilter((from, to) -> !to.equals(any));
+            case 4 -> fleet.network.setLinkFilter((from, to) -> true);
             default -> {}
         }
     }
--- a/control/src/test/java/spurroad/control/distribution/lease/LeaseTest.java
+++ b/control/src/test/java/spurroad/control/distribution/lease/LeaseTest.java
@@ -21,90 +21,92 @@
     private final DistributionSettings settings = new DistributionSettings();
 
     /** Sends a lease request of a candidate; returns whether it is granted. */
-    private boolean requestLease(LeaseGrantor grantor, long now, int candidate) {
+    private boolean requestLease(LeaseGrantor grantor, long nowNanos, int candidate) {
         List<LeaseReply> replies = new ArrayList<>();
-        grantor.onRequest(now, new ProcessId(candidate),
-            new LeaseRequest("site", now / DistributionSettings.NANOS_PER_MILLISECOND),
+        grantor.onRequest(nowNanos, new ProcessId(candidate),
+            new LeaseRequest("site", nowNanos / DistributionSettings.NANOS_PER_MILLISECOND),
             (to, message) -> replies.add((LeaseReply) message));
         assertEquals(replies.size(), 1);
         return replies.get(0).isGranted();
     }
 
     @Test
-    public void noMoreLeasesAreGrantedThanAGroupHas() {
+    public void grantsNoMoreLeasesThanGroupLimit() {
         LeaseGrantor grantor = new LeaseGrantor(0, settings, 2);
-        long now = settings.leaseDurationNanos;
-        assertTrue(requestLease(grantor, now, 1));
-        assertTrue(requestLease(grantor, now, 2));
-        assertFalse(requestLease(grantor, now, 3));
-        assertTrue(requestLease(grantor, now + SECOND, 1), "renewed");
-        assertFalse(requestLease(grantor, now + settings.leaseDurationNanos - 1, 3));
-        assertTrue(requestLease(grantor, now + settings.leaseDurationNanos, 3),
+        long nowNanos = settings.leaseDurationNanos;
+        assertTrue(requestLease(grantor, nowNanos, 1));
+        assertTrue(requestLease(grantor, nowNanos, 2));
+        assertFalse(requestLease(grantor, nowNanos, 3));
+        assertTrue(requestLease(grantor, nowNanos + SECOND, 1), "renewed");
+        assertFalse(requestLease(grantor, nowNanos + settings.leaseDurationNanos - 1, 3));
+        assertTrue(requestLease(grantor, nowNanos + settings.leaseDurationNanos, 3),
             "the lease of the second candidate has ended");
-        assertEquals(grantor.holders(now + settings.leaseDurationNanos, "site"), List.of(new ProcessId(1),
-            new ProcessId(3)));
+        assertEquals(grantor.holders(nowNanos + settings.leaseDurationNanos, "site"),
+            List.of(new ProcessId(1),
+                new ProcessId(3)));
     }
 
     @Test
-    public void aRestartedGrantorWaitsForOneLeaseDuration() {
+    public void restartedGrantorGrantsNothingForOneLeaseDuration() {
         LeaseGrantor grantor = new LeaseGrantor(10 * SECOND, settings, 1);
         assertFalse(requestLease(grantor, 10 * SECOND + settings.leaseDurationNanos - 1, 1));
         assertTrue(requestLease(grantor, 10 * SECOND + settings.leaseDurationNanos, 1));
     }
 
     @Test
-    public void theHolderCountsTheLeaseFromItsRequest() {
+    public void holderCountsLeaseFromRequestTime() {
         LeaseClient lease = new LeaseClient(0, settings, "site", List.of(GRANTOR), new Random(1));
         List<LeaseRequest> requests = new ArrayList<>();
-        long now = lease.nextTimerNanos();
-        lease.onTimer(now, true, (to, message) -> requests.add((LeaseRequest) message));
-        lease.onReply(now + SECOND / 2, GRANTOR,
+        long nowNanos = lease.nextTimerNanos();
+        lease.onTimer(nowNanos, true, (to, message) -> requests.add((LeaseRequest) message));
+        lease.onReply(nowNanos + SECOND / 2, GRANTOR,
             new LeaseReply("site", true, 3_000, requests.get(0).sentAtMillis()));
-        long granted = requests.get(0).sentAtMillis() * DistributionSettings.NANOS_PER_MILLISECOND
+        long grantedUntilNanos = requests.get(0).sentAtMillis() * DistributionSettings.NANOS_PER_MILLISECOND
             + settings.leaseDurationNanos;
-        assertTrue(lease.isHeld(granted - 1));
-        assertFalse(lease.isHeld(granted));
+        assertTrue(lease.isHeld(grantedUntilNanos - 1));
+        assertFalse(lease.isHeld(grantedUntilNanos));
     }
 
     @Test
-    public void theNextGrantorIsTriedAfterOneIsUnresponsiveOrUnavailable() {
+    public void triesNextGrantorIfOneIsUnresponsiveOrUnavailable() {
         LeaseClient lease = new LeaseClient(0, settings, "site", List.of(GRANTOR, SECOND_GRANTOR),
             new Random(1));
         List<ProcessId> recipients = new ArrayList<>();
         Outbox outbox = (to, message) -> recipients.add(to);
-        long now = lease.nextTimerNanos();
-        lease.onTimer(now, true, outbox);
-        now = lease.nextTimerNanos();
-        lease.onTimer(now, true, outbox);
-        lease.onGrantorUnavailable(now, SECOND_GRANTOR);
-        lease.onTimer(now, true, outbox);
+        long nowNanos = lease.nextTimerNanos();
+        lease.onTimer(nowNanos, true, outbox);
+        nowNanos = lease.nextTimerNanos();
+        lease.onTimer(nowNanos, true, outbox);
+        lease.onGrantorUnavailable(nowNanos, SECOND_GRANTOR);
+        lease.onTimer(nowNanos, true, outbox);
         assertEquals(recipients, List.of(GRANTOR, SECOND_GRANTOR, GRANTOR));
-        lease.onGrantorUnavailable(now, GRANTOR);
-        lease.onTimer(now, true, outbox);
+        lease.onGrantorUnavailable(nowNanos, GRANTOR);
+        lease.onTimer(nowNanos, true, outbox);
         assertEquals(recipients.size(), 3, "each grantor was tried, so the client waits");
-        assertEquals(lease.nextTimerNanos(), now + settings.leaseIntervalNanos);
+        assertEquals(lease.nextTimerNanos(), nowNanos + settings.leaseIntervalNanos);
     }
 
     @Test
-    public void aLateReplyGrantsNoLeaseAndIsFollowedByABackoff() {
+    public void lateReplyGrantsNoLeaseAndStartsBackoff() {
         LeaseClient lease = new LeaseClient(0, settings, "site", List.of(GRANTOR), new Random(1));
         List<LeaseRequest> requests = new ArrayList<>();
         Outbox outbox = (to, message) -> requests.add((LeaseRequest) message);
-        for (long now = SECOND; now < 21 * SECOND; now += SECOND / 10) {
-            lease.onTimer(now, true, outbox);
-            long late = now - SECOND;
+        for (long nowNanos = SECOND; nowNanos < 21 * SECOND; nowNanos += SECOND / 10) {
+            lease.onTimer(nowNanos, true, outbox);
+            long requestNanos = nowNanos - SECOND;
             requests.stream()
                 .filter(
-                    request -> request.sentAtMillis() == late / DistributionSettings.NANOS_PER_MILLISECOND)
-                .toList().forEach(request -> lease.onReply(late + SECOND, GRANTOR,
+                    request -> request.sentAtMillis()
+                        == requestNanos / DistributionSettings.NANOS_PER_MILLISECOND)
+                .toList().forEach(request -> lease.onReply(requestNanos + SECOND, GRANTOR,
                     new LeaseReply("site", true, 3_000, request.sentAtMillis())));
-            assertFalse(lease.isHeld(now));
+            assertFalse(lease.isHeld(nowNanos));
         }
         assertTrue(requests.size() < 12, requests.size() + " requests in 20 s");
     }
 
     @Test
-    public void implausibleRepliesAreIgnoredAndDurationsBounded() {
+    public void ignoresImplausibleRepliesAndBoundsDuration() {
         LeaseClient lease = new LeaseClient(0, settings, "site", List.of(GRANTOR), new Random(1));
         lease.onReply(SECOND, GRANTOR, new LeaseReply("site", true, 3_000, 5_000));
         assertFalse(lease.isHeld(SECOND));
--- a/control/src/test/java/spurroad/control/distribution/lease/LeaseTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/lease/LeaseTraceTest.java
@@ -15,11 +15,11 @@
 import spurroad.control.distribution.support.MessageTrace;
 import spurroad.control.distribution.support.TracedParticipant;
 
-/** Holds both sides of a lease to what they did before. */
+/** Compares the behavior of the client and the grantor of a lease with recorded traces. */
 public class LeaseTraceTest {
-    /** A divisor of all durations, so that timers are met exactly. */
-    private static final long STEP = 50 * DistributionSettings.NANOS_PER_MILLISECOND;
-    private static final long STEP_MILLIS = STEP / DistributionSettings.NANOS_PER_MILLISECOND;
+    /** Divides all durations, so that timers expire at exactly the simulated times. In nanoseconds. */
+    private static final long STEP_NANOS = 50 * DistributionSettings.NANOS_PER_MILLISECOND;
+    private static final long STEP_MILLIS = STEP_NANOS / DistributionSettings.NANOS_PER_MILLISECOND;
     private static final int STEPS = 6_000;
 
     private final DistributionSettings settings = new DistributionSettings();
@@ -39,80 +39,80 @@
     }
 
     @Test(dataProvider = "grantors")
-    public void holdsAsBefore(int grantors, double unansweredFraction, String digest) {
+    public void clientProducesRecordedTrace(int grantors, double unansweredFraction, String digest) {
         Trace trace = Trace.named("lease-" + grantors + "-" + unansweredFraction);
         Random random = new Random(grantors);
         LeaseClient lease = new LeaseClient(0, settings, "site", processes(1, grantors),
             new Random(random.nextLong()));
-        long now = 0;
+        long nowNanos = 0;
         for (int step = 0; step < STEPS; step++) {
-            now += random.nextInt(3) * STEP;
-            fireTimer(trace, random, lease, now);
+            nowNanos += random.nextInt(3) * STEP_NANOS;
+            fireTimer(trace, random, lease, nowNanos);
             if (random.nextDouble() >= unansweredFraction) {
-                answer(trace, random, lease, now, new ProcessId(1 + random.nextInt(grantors)));
+                answer(trace, random, lease, nowNanos, new ProcessId(1 + random.nextInt(grantors)));
             }
             if (random.nextInt(500) == 0) {
                 lease.release();
                 trace.part('x');
             }
-            trace.number(now).flag(lease.isHeld(now)).number(lease.heldUntilNanos())
+            trace.number(nowNanos).flag(lease.isHeld(nowNanos)).number(lease.heldUntilNanos())
                 .number(lease.nextTimerNanos())
                 .end();
         }
         assertEquals(trace.digest(), digest);
     }
 
-    private static void fireTimer(Trace trace, Random random, LeaseClient lease, long now) {
+    private static void fireTimer(Trace trace, Random random, LeaseClient lease, long nowNanos) {
         boolean isWanted = random.nextInt(30) > 0;
         trace.part('w').flag(isWanted);
-        lease.onTimer(now, isWanted, TracedParticipant.traced(trace, (to, message) -> {}));
+        lease.onTimer(nowNanos, isWanted, TracedParticipant.traced(trace, (to, message) -> {}));
     }
 
-    private static void answer(Trace trace, Random random, LeaseClient lease, long now, ProcessId from) {
+    private static void answer(Trace trace, Random random, LeaseClient lease, long nowNanos, ProcessId from) {
         trace.part('r');
         MessageTrace.process(trace, from);
         if (random.nextInt(4) == 0) {
-            lease.onGrantorUnavailable(now, from);
+            lease.onGrantorUnavailable(nowNanos, from);
             return;
         }
-        long age = random.nextInt(8) == 0 ? random.nextInt(40) - 2 : random.nextInt(8);
-        long duration = random.nextInt(20) == 0 ? 60_000 : 3_000;
+        long ageSteps = random.nextInt(8) == 0 ? random.nextInt(40) - 2 : random.nextInt(8);
+        long durationMillis = random.nextInt(20) == 0 ? 60_000 : 3_000;
         LeaseReply reply = new LeaseReply(random.nextInt(30) == 0 ? "other" : "site",
-            random.nextInt(3) > 0, duration,
-            now / DistributionSettings.NANOS_PER_MILLISECOND - age * STEP_MILLIS);
+            random.nextInt(3) > 0, durationMillis,
+            nowNanos / DistributionSettings.NANOS_PER_MILLISECOND - ageSteps * STEP_MILLIS);
         MessageTrace.fields(trace, reply);
-        lease.onReply(now, from, reply);
+        lease.onReply(nowNanos, from, reply);
     }
 
     @Test
-    public void grantsAsBefore() {
+    public void grantorProducesRecordedTrace() {
         Trace trace = Trace.named("lease-grantor");
         Random random = new Random(5);
-        LeaseGrantor grantor = new LeaseGrantor(7 * STEP, settings, 2);
-        long now = 7 * STEP;
+        LeaseGrantor grantor = new LeaseGrantor(7 * STEP_NANOS, settings, 2);
+        long nowNanos = 7 * STEP_NANOS;
         for (int step = 0; step < STEPS; step++) {
-            now += random.nextInt(9) * STEP;
+            nowNanos += random.nextInt(9) * STEP_NANOS;
             String group = "site" + random.nextInt(2);
             ProcessId from = new ProcessId(random.nextInt(4));
-            trace.number(now);
+            trace.number(nowNanos);
             MessageTrace.process(trace, from);
-            grantor.onRequest(now, from, new LeaseRequest(group, random.nextInt(1_000)),
+            grantor.onRequest(nowNanos, from, new LeaseRequest(group, random.nextInt(1_000)),
                 TracedParticipant.traced(trace, (to, message) -> {}));
-            grantor.holders(now + random.nextInt(90) * STEP, group)
+            grantor.holders(nowNanos + random.nextInt(90) * STEP_NANOS, group)
                 .forEach(holder -> MessageTrace.process(trace, holder));
             trace.end();
         }
         assertEquals(trace.digest(), "661788aa7b455eb48174dac01341a3f86da73c372b1c39668555419e2d764009");
     }
 
-    /** When a grantor grants its first lease after its start. */
+    /** Traces when a grantor grants its first lease after its start. */
     @Test
-    public void beginsToGrantAsBefore() {
+    public void grantorAfterStartProducesRecordedTrace() {
         Trace trace = Trace.named("lease-grantor-start");
         LeaseGrantor grantor = new LeaseGrantor(0, settings, 1);
-        for (long now = 0; now <= 2 * settings.leaseDurationNanos; now += STEP) {
-            trace.number(now);
-            grantor.onRequest(now, new ProcessId(1), new LeaseRequest("site", now / STEP),
+        for (long nowNanos = 0; nowNanos <= 2 * settings.leaseDurationNanos; nowNanos += STEP_NANOS) {
+            trace.number(nowNanos);
+            grantor.onRequest(nowNanos, new ProcessId(1), new LeaseRequest("site", nowNanos / STEP_NANOS),
                 TracedParticipant.traced(trace, (to, message) -> {}));
             trace.end();
         }
--- a/control/src/test/java/spurroad/control/distribution/publish/SubscriptionRateLimiterTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/publish/SubscriptionRateLimiterTraceTest.java
@@ -7,24 +7,25 @@
 import spurroad.control.Trace;
 import spurroad.control.distribution.DistributionSettings;
 
-/** Verifies that the rate at which children are accepted is unchanged. */
+/** Compares the rate at which children are accepted with a recorded trace. */
 public class SubscriptionRateLimiterTraceTest {
-    /** A divisor of all durations, so that time windows are met exactly. */
-    private static final long STEP = 50 * DistributionSettings.NANOS_PER_MILLISECOND;
+    /** Divides all durations, so that time windows end at exactly the simulated times. In nanoseconds. */
+    private static final long STEP_NANOS = 50 * DistributionSettings.NANOS_PER_MILLISECOND;
     private static final int STEPS = 6_000;
 
     @Test
-    public void admitsAsBefore() {
+    public void rateLimiterProducesRecordedTrace() {
         Trace trace = Trace.named("admission");
         Random random = new Random(8);
-        SubscriptionRateLimiter admission = new SubscriptionRateLimiter(20, 5, new Random(9));
-        long now = 0;
+        SubscriptionRateLimiter rateLimiter = new SubscriptionRateLimiter(20, 5, new Random(9));
+        long nowNanos = 0;
         for (int step = 0; step < STEPS; step++) {
-            now += random.nextInt(40) == 0 ? random.nextInt(30) * STEP : random.nextInt(2) * STEP;
-            boolean admitted = admission.tryAcquire(now);
-            trace.number(now).flag(admitted);
-            if (!admitted) {
-                trace.number(admission.retryAfterMillis(now));
+            nowNanos += random.nextInt(40) == 0 ? random.nextInt(30) * STEP_NANOS
+                : random.nextInt(2) * STEP_NANOS;
+            boolean isAccepted = rateLimiter.tryAcquire(nowNanos);
+            trace.number(nowNanos).flag(isAccepted);
+            if (!isAccepted) {
+                trace.number(rateLimiter.retryAfterMillis(nowNanos));
             }
             trace.end();
         }
--- a/control/src/test/java/spurroad/control/distribution/relay/LinkTest.java
+++ b/control/src/test/java/spurroad/control/distribution/relay/LinkTest.java
@@ -34,7 +34,7 @@
 import spurroad.control.distribution.subscribe.Subscriber;
 import spurroad.control.distribution.support.CheckingListener;
 
-/** A publisher and a subscriber, message by message. */
+/** Tests a publisher and a subscriber, message by message. */
 public class LinkTest {
     private static final long SECOND = DistributionSettings.NANOS_PER_SECOND;
     private static final long START = 1_000 * SECOND;
@@ -48,10 +48,10 @@
     private PurgeLog sourcePurges;
     private Publisher publisher;
     private Publisher.Status status;
-    private CheckingListener applied;
+    private CheckingListener listener;
     private Subscriber subscriber;
-    private final List<Message> toChild = new ArrayList<>();
-    private final List<Message> toParent = new ArrayList<>();
+    private final List<Message> messagesToChild = new ArrayList<>();
+    private final List<Message> messagesToParent = new ArrayList<>();
     private final List<ProcessId> recipients = new ArrayList<>();
 
     @BeforeMethod
@@ -60,12 +60,13 @@
         sourcePurges = new PurgeLog(64, 1 << 14);
         publisher = new Publisher(settings, Scope.ALL, source, sourcePurges, 1);
         status = new Publisher.Status(1, 0, true);
-        applied = new CheckingListener();
-        subscriber = new Subscriber(settings, EAST, new ConfigurationState(0), new PurgeLog(0, 0), 0, applied,
+        listener = new CheckingListener();
+        subscriber = new Subscriber(settings, EAST, new ConfigurationState(0), new PurgeLog(0, 0), 0,
+            listener,
             7);
         subscriber.setParentCandidates(START, List.of(PARENT, OTHER_PARENT), List.of());
-        toChild.clear();
-        toParent.clear();
+        messagesToChild.clear();
+        messagesToParent.clear();
         recipients.clear();
         change(1);
     }
@@ -80,56 +81,57 @@
         }
     }
 
-    private void fromChild(ProcessId to, Message message) {
+    private void sendFromChild(ProcessId to, Message message) {
         recipients.add(to);
-        toParent.add(message);
+        messagesToParent.add(message);
     }
 
     private static Message takeFirst(List<Message> messages) {
         return messages.remove(0);
     }
 
-    /** Lets the child subscribe; the publisher answers for each of its candidates. */
-    private void attach(long now) {
-        subscriber.onTimer(now, this::fromChild);
-        publisher.onSubscribe(now, CHILD, (Subscribe) takeFirst(toParent), status,
-            (to, m) -> toChild.add(m));
-        deliver(now);
+    /** Subscribes the child; the publisher answers in place of whichever candidate the child chose. */
+    private void attach(long nowNanos) {
+        subscriber.onTimer(nowNanos, this::sendFromChild);
+        publisher.onSubscribe(nowNanos, CHILD, (Subscribe) takeFirst(messagesToParent), status,
+            (to, m) -> messagesToChild.add(m));
+        deliver(nowNanos);
     }
 
-    private void deliver(long now) {
-        while (!toChild.isEmpty()) {
-            subscriber.onMessage(now, subscriber.parent(), takeFirst(toChild), this::fromChild);
+    private void deliver(long nowNanos) {
+        while (!messagesToChild.isEmpty()) {
+            subscriber.onMessage(nowNanos, subscriber.parent(), takeFirst(messagesToChild),
+                this::sendFromChild);
         }
-        while (!toParent.isEmpty()) {
-            publisher.onAcknowledgement(now, CHILD, (Acknowledgement) takeFirst(toParent));
+        while (!messagesToParent.isEmpty()) {
+            publisher.onAcknowledgement(nowNanos, CHILD, (Acknowledgement) takeFirst(messagesToParent));
         }
     }
 
-    private List<Message> flush(long now) {
-        toChild.clear();
-        publisher.flush(now, status, (to, m) -> toChild.add(m));
-        return toChild;
+    private List<Message> flush(long nowNanos) {
+        messagesToChild.clear();
+        publisher.flush(nowNanos, status, (to, m) -> messagesToChild.add(m));
+        return messagesToChild;
     }
 
-    private Update flushed(long now) {
-        return (Update) flush(now).get(0);
+    private Update flushFirst(long nowNanos) {
+        return (Update) flush(nowNanos).get(0);
     }
 
     @Test
-    public void aNewChildIsSentASnapshotAndThenDeltas() {
+    public void sendsNewChildSnapshotAndThenDeltas() {
         attach(START);
         assertEquals(subscriber.configuration().sequence(), 1);
         change(2);
-        Update update = flushed(START + SECOND);
+        Update update = flushFirst(START + SECOND);
         assertTrue(update.configuration().orElseThrow() instanceof Delta);
         deliver(START + SECOND);
         assertEquals(subscriber.configuration().sequence(), 2);
-        assertTrue(flushed(START + 2 * SECOND).configuration().isEmpty(), "a heartbeat");
+        assertTrue(flushFirst(START + 2 * SECOND).configuration().isEmpty(), "a heartbeat");
     }
 
     @Test
-    public void aLostUpdateIsDetectedByTheNextHeartbeatAndResent() {
+    public void resendsLostUpdateDetectedByNextHeartbeat() {
         attach(START);
         change(2);
         flush(START + SECOND).clear(); // lost
@@ -139,16 +141,16 @@
         flush(START + 3 * SECOND);
         deliver(START + 3 * SECOND);
         assertEquals(subscriber.configuration().sequence(), 2);
-        assertEquals(applied.sequences.size(), 2);
+        assertEquals(listener.sequences.size(), 2);
     }
 
     @Test
-    public void duplicatedReorderedAndLateUpdatesAreAppliedOnce() {
+    public void appliesDuplicatedReorderedAndLateUpdatesOnce() {
         attach(START);
         change(2);
-        Update first = flushed(START + SECOND);
+        Update first = flushFirst(START + SECOND);
         change(2);
-        Update second = flushed(START + 2 * SECOND);
+        Update second = flushFirst(START + 2 * SECOND);
         receive(second);
         assertEquals(subscriber.configuration().sequence(), 1, "the update before it is missing");
         receive(first);
@@ -160,11 +162,11 @@
     }
 
     private void receive(Update update) {
-        subscriber.onMessage(START + 2 * SECOND, subscriber.parent(), update, this::fromChild);
+        subscriber.onMessage(START + 2 * SECOND, subscriber.parent(), update, this::sendFromChild);
     }
 
     @Test
-    public void anUpdateOfAnEarlierTermIsNotApplied() {
+    public void ignoresUpdateOfEarlierTerm() {
         status = new Publisher.Status(5, 0, true);
         attach(START);
         status = new Publisher.Status(4, 0, true);
@@ -174,49 +176,50 @@
         deliver(START + SECOND);
         assertEquals(subscriber.configuration().sequence(), 1);
         assertEquals(subscriber.term(), 5);
-        assertEquals(applied.purges, 0);
+        assertEquals(listener.purgeCount, 0);
     }
 
     @Test
-    public void messagesOfAFormerParentAreIgnored() {
+    public void ignoresMessagesOfFormerParent() {
         attach(START);
         Delta delta = new Delta(1, 2, List.of(new ConfigurationEntry(2, new ResourceKey("east", "x"), null)));
-        ProcessId former = subscriber.parent().equals(PARENT) ? OTHER_PARENT : PARENT;
-        subscriber.onMessage(START, former,
+        ProcessId formerParent = subscriber.parent().equals(PARENT) ? OTHER_PARENT : PARENT;
+        subscriber.onMessage(START, formerParent,
             new Update(1, new Heartbeat(9, 2, 0, 0, 0, true), Optional.of(delta),
                 Optional.empty()),
-            this::fromChild);
+            this::sendFromChild);
         assertEquals(subscriber.configuration().sequence(), 1);
-        assertTrue(toParent.isEmpty());
+        assertTrue(messagesToParent.isEmpty());
     }
 
     @Test
-    public void aSlowChildIsSentTheNewestStateInsteadOfAQueue() {
+    public void sendsSlowChildNewestStateInsteadOfQueue() {
         attach(START);
-        long now = START;
+        long nowNanos = START;
         int updates = 0;
-        for (int i = 0; i < 200; i++) { // the child acknowledges no update for 50 s, but does not time out
+        for (int i = 0; i < 200; i++) { // for 50 s the child acknowledges no update, but does not time out
             change(2);
-            now += settings.flushIntervalNanos;
-            publisher.onAcknowledgement(now, CHILD,
-                new Acknowledgement(0, 1, 0, false, now / DistributionSettings.NANOS_PER_MILLISECOND));
-            updates += flush(now).size();
+            nowNanos += settings.flushIntervalNanos;
+            publisher.onAcknowledgement(nowNanos, CHILD,
+                new Acknowledgement(0, 1, 0, false, nowNanos / DistributionSettings.NANOS_PER_MILLISECOND));
+            updates += flush(nowNanos).size();
         }
         assertTrue(updates <= settings.maxUnacknowledgedUpdates, updates + " updates in flight");
-        toChild.clear();
-        publisher.onAcknowledgement(now, CHILD, new Acknowledgement(updates + 2L, 1, 0, true, 0));
-        assertTrue(flush(now + SECOND / 2).isEmpty(), "an update that was never sent can't be acknowledged");
-        publisher.onAcknowledgement(now, CHILD, new Acknowledgement(updates + 1L, 1, 0, true, 0));
-        Update coalesced = flushed(now + 2 * SECOND);
+        messagesToChild.clear();
+        publisher.onAcknowledgement(nowNanos, CHILD, new Acknowledgement(updates + 2L, 1, 0, true, 0));
+        assertTrue(flush(nowNanos + SECOND / 2).isEmpty(),
+            "an update that was never sent can't be acknowledged");
+        publisher.onAcknowledgement(nowNanos, CHILD, new Acknowledgement(updates + 1L, 1, 0, true, 0));
+        Update coalesced = flushFirst(nowNanos + 2 * SECOND);
         assertTrue(coalesced.configuration().orElseThrow() instanceof Snapshot,
             "the log of 8 no longer retains the changes");
         assertEquals(coalesced.configuration().orElseThrow().entries().size(), 2);
-        deliver(now + 2 * SECOND);
+        deliver(nowNanos + 2 * SECOND);
         assertEquals(subscriber.configuration().sequence(), 201);
     }
 
     @Test
-    public void aChildWithoutAcknowledgementsIsDropped() {
+    public void removesChildWithoutAcknowledgements() {
         attach(START);
         publisher.flush(START + 4 * SECOND, status, (to, m) -> {});
         assertEquals(publisher.childCount(), 1);
@@ -226,45 +229,45 @@
     }
 
     @Test
-    public void aChildOfAnUnresponsiveParentResumesAtAnotherWithinTheBound() {
+    public void childOfUnresponsiveParentResumesAtAnotherWithinTimeout() {
         attach(START);
         ProcessId first = recipients.get(0);
-        long lost = START + settings.parentTimeoutNanos;
-        assertTrue(subscriber.nextTimerNanos() <= lost);
-        subscriber.onTimer(lost, this::fromChild);
-        subscriber.onTimer(subscriber.nextTimerNanos(), this::fromChild);
-        assertTrue(subscriber.nextTimerNanos() < lost + SECOND);
+        long lostNanos = START + settings.parentTimeoutNanos;
+        assertTrue(subscriber.nextTimerNanos() <= lostNanos);
+        subscriber.onTimer(lostNanos, this::sendFromChild);
+        subscriber.onTimer(subscriber.nextTimerNanos(), this::sendFromChild);
+        assertTrue(subscriber.nextTimerNanos() < lostNanos + SECOND);
         assertFalse(recipients.get(recipients.size() - 1).equals(first));
-        Subscribe again = (Subscribe) toParent.get(toParent.size() - 1);
-        assertEquals(again.configurationSequence(), 1);
-        assertTrue(again.hasConfiguration());
+        Subscribe resubscription = (Subscribe) messagesToParent.get(messagesToParent.size() - 1);
+        assertEquals(resubscription.configurationSequence(), 1);
+        assertTrue(resubscription.hasConfiguration());
     }
 
     @Test
-    public void aSubscriberDetachesFromAParentThatStaysDetached() {
+    public void detachesFromParentThatStaysDetached() {
         attach(START);
         status = new Publisher.Status(1, 0, false);
         flush(START + SECOND);
         deliver(START + SECOND);
-        subscriber.onTimer(START + SECOND + settings.detachedTimeoutNanos - 1, this::fromChild);
+        subscriber.onTimer(START + SECOND + settings.detachedTimeoutNanos - 1, this::sendFromChild);
         assertTrue(subscriber.isAttached());
-        subscriber.onTimer(START + SECOND + settings.detachedTimeoutNanos, this::fromChild);
+        subscriber.onTimer(START + SECOND + settings.detachedTimeoutNanos, this::sendFromChild);
         assertFalse(subscriber.isAttached());
     }
 
     @Test
-    public void aFormerParentIsNotifiedAndALateUnsubscribeIsIgnored() {
+    public void notifiesFormerParentAndIgnoresLateUnsubscribe() {
         attach(START);
         ProcessId first = subscriber.parent();
-        long lost = START + settings.parentTimeoutNanos;
-        subscriber.onTimer(lost, this::fromChild);
-        subscriber.onTimer(subscriber.nextTimerNanos(), this::fromChild);
-        int unsubscribeIndex = IntStream.range(0, toParent.size())
-            .filter(i -> toParent.get(i) instanceof Unsubscribe)
+        long lostNanos = START + settings.parentTimeoutNanos;
+        subscriber.onTimer(lostNanos, this::sendFromChild);
+        subscriber.onTimer(subscriber.nextTimerNanos(), this::sendFromChild);
+        int unsubscribeIndex = IntStream.range(0, messagesToParent.size())
+            .filter(i -> messagesToParent.get(i) instanceof Unsubscribe)
             .findFirst().orElseThrow();
-        Unsubscribe unsubscribe = (Unsubscribe) toParent.get(unsubscribeIndex);
-        assertEquals(recipients.get(recipients.size() - toParent.size() + unsubscribeIndex), first);
-        publisher.onSubscribe(lost + SECOND, CHILD, new Subscribe(EAST, true, 1, 0, 0, false,
+        Unsubscribe unsubscribe = (Unsubscribe) messagesToParent.get(unsubscribeIndex);
+        assertEquals(recipients.get(recipients.size() - messagesToParent.size() + unsubscribeIndex), first);
+        publisher.onSubscribe(lostNanos + SECOND, CHILD, new Subscribe(EAST, true, 1, 0, 0, false,
             unsubscribe.sentAtMillis() + 1), status, (to, m) -> {});
         publisher.onUnsubscribe(CHILD, unsubscribe);
         assertEquals(publisher.childCount(), 1);
@@ -273,7 +276,7 @@
     }
 
     @Test
-    public void simultaneousSubscriptionsAreRateLimitedAndRetriesSpread() {
+    public void limitsRateOfSimultaneousSubscriptionsAndSpreadsRetries() {
         List<SubscriptionRejected> rejections = new ArrayList<>();
         Subscribe request = new Subscribe(EAST, false, 0, Subscribe.NO_PURGE_NUMBER, 0, false, 0);
         for (int i = 0; i < 400; i++) {
@@ -285,47 +288,50 @@
         }
         assertEquals(publisher.childCount(), settings.admissionBurst);
         assertTrue(rejections.stream().allMatch(r -> r.reason() == RejectionReason.BUSY));
-        long early = rejections.stream().filter(r -> r.retryAfterMillis() < 900).count();
-        assertTrue(early > 90 && early < 270, early + " of 360 may retry in the first half of the time");
-        publisher.onSubscribe(START + SECOND, new ProcessId(9), request, status, (to, m) -> toChild.add(m));
-        assertTrue(toChild.get(0) instanceof Update, "later subscriptions are accepted again");
+        long earlyCount = rejections.stream().filter(r -> r.retryAfterMillis() < 900).count();
+        assertTrue(earlyCount > 90 && earlyCount < 270,
+            earlyCount + " of 360 may retry in the first half of the time");
+        publisher.onSubscribe(START + SECOND, new ProcessId(9), request, status,
+            (to, m) -> messagesToChild.add(m));
+        assertTrue(messagesToChild.get(0) instanceof Update, "later subscriptions are accepted again");
     }
 
     @Test
-    public void purgesAreAppliedOnceInOrderAndInBoundedBatches() {
+    public void appliesPurgesOnceInOrderAndInBoundedBatches() {
         attach(START);
         purge(10_000);
-        long now = START;
+        long nowNanos = START;
         for (int i = 0; i < 4; i++) {
-            now += SECOND;
-            Update update = flushed(now);
+            nowNanos += SECOND;
+            Update update = flushFirst(nowNanos);
             update.purges().map(PurgeBatch.class::cast)
                 .ifPresent(batch -> assertTrue(batch.hashes().length <= settings.maxPurgesPerUpdate));
-            Update doubled = (Update) toChild.get(0);
-            toChild.add(doubled);
-            deliver(now);
+            Update duplicate = (Update) messagesToChild.get(0);
+            messagesToChild.add(duplicate);
+            deliver(nowNanos);
         }
-        assertEquals(applied.purges, 10_000);
-        assertEquals(applied.resets, 1, "at the start, when nothing was stored");
+        assertEquals(listener.purgeCount, 10_000);
+        assertEquals(listener.resetCount, 1, "at the start, when nothing was stored");
     }
 
     @Test
-    public void aSubscriberBehindThePurgeLogIsRejectedUnlessItAcceptsAReset() {
+    public void rejectsSubscriberBehindPurgeLogUnlessItAcceptsReset() {
         purge(100);
-        Subscribe behind = new Subscribe(EAST, true, 1, 10, 0, false, 0);
-        publisher.onSubscribe(START, CHILD, behind, status, (to, m) -> toChild.add(m));
-        assertEquals(((SubscriptionRejected) toChild.get(0)).reason(), RejectionReason.LOG_TOO_SHORT);
-        toChild.clear();
-        Subscribe accepting = new Subscribe(EAST, true, 1, 10, 0, true, 0);
-        publisher.onSubscribe(START, CHILD, accepting, status, (to, m) -> toChild.add(m));
-        assertEquals(((Update) toChild.get(0)).purges(), Optional.of(new PurgeUpdate.Reset(100)));
+        Subscribe staleSubscribe = new Subscribe(EAST, true, 1, 10, 0, false, 0);
+        publisher.onSubscribe(START, CHILD, staleSubscribe, status, (to, m) -> messagesToChild.add(m));
+        assertEquals(((SubscriptionRejected) messagesToChild.get(0)).reason(), RejectionReason.LOG_TOO_SHORT);
+        messagesToChild.clear();
+        Subscribe acceptingSubscribe = new Subscribe(EAST, true, 1, 10, 0, true, 0);
+        publisher.onSubscribe(START, CHILD, acceptingSubscribe, status, (to, m) -> messagesToChild.add(m));
+        assertEquals(((Update) messagesToChild.get(0)).purges(), Optional.of(new PurgeUpdate.Reset(100)));
     }
 
     @Test
-    public void aChildThatLostItsFirstUpdatesIsReset() {
+    public void resetsChildThatLostItsFirstUpdates() {
         purge(100);
-        subscriber.onTimer(START, this::fromChild);
-        publisher.onSubscribe(START, CHILD, (Subscribe) takeFirst(toParent), status, (to, m) -> {}); // lost
+        subscriber.onTimer(START, this::sendFromChild);
+        // the first update is lost
+        publisher.onSubscribe(START, CHILD, (Subscribe) takeFirst(messagesToParent), status, (to, m) -> {});
         purge(5);
         for (int i = 1; i < 5; i++) {
             flush(START + i * SECOND / 4);
@@ -338,7 +344,7 @@
     // ---- freshness
 
     @Test
-    public void freshnessBeginsWithTheFirstUpdateAndEndsALeaseAfterTheLast() {
+    public void freshnessStartsWithFirstUpdateAndExpiresOneLeaseAfterLast() {
         assertFalse(subscriber.freshness().isFresh(START));
         attach(START);
         assertTrue(subscriber.freshness().isFresh(START + settings.freshnessLeaseNanos - 1));
@@ -346,11 +352,11 @@
     }
 
     @Test
-    public void ageIsCountedFromTheEchoAndIncludesThePublishersAge() {
+    public void ageCountsFromEchoAndIncludesPublisherAge() {
         attach(START);
         status = new Publisher.Status(1, 2_000, true);
         flush(START + 4 * SECOND);
-        deliver(START + 5 * SECOND); // a second in flight
+        deliver(START + 5 * SECOND); // the update was in flight for one second
         assertEquals(subscriber.freshness().ageMillis(START + 5 * SECOND), 5_000,
             "the earlier update results in the smaller age");
         flush(START + 6 * SECOND);
@@ -364,23 +370,23 @@
         status = new Publisher.Status(1, Freshness.UNKNOWN_AGE_MILLIS, true);
         attach(START);
         assertFalse(subscriber.freshness().isFresh(START));
-        for (long echo : new long[] {START / DistributionSettings.NANOS_PER_MILLISECOND + 1,
+        for (long echoMillis : new long[] {START / DistributionSettings.NANOS_PER_MILLISECOND + 1,
             Long.MAX_VALUE}) {
             subscriber.onMessage(START, subscriber.parent(),
-                new Update(9, new Heartbeat(1, 1, 0, 0, echo, true),
+                new Update(9, new Heartbeat(1, 1, 0, 0, echoMillis, true),
                     Optional.empty(), Optional.empty()),
-                this::fromChild);
-            assertFalse(subscriber.freshness().isFresh(START), "echo " + echo);
+                this::sendFromChild);
+            assertFalse(subscriber.freshness().isFresh(START), "echo " + echoMillis);
         }
         subscriber.onMessage(START, subscriber.parent(),
             new Update(9, new Heartbeat(1, 1, 0, Long.MAX_VALUE, 5, true),
                 Optional.empty(), Optional.empty()),
-            this::fromChild);
+            this::sendFromChild);
         assertFalse(subscriber.freshness().isFresh(START));
     }
 
     @Test
-    public void aHeartbeatDoesNotRefreshASubscriberThatLacksPurges() {
+    public void heartbeatDoesNotRefreshSubscriberThatLacksPurges() {
         attach(START);
         purge(6_000);
         flush(START + SECOND);
--- a/control/src/test/java/spurroad/control/distribution/relay/LinkTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/relay/LinkTraceTest.java
@@ -33,12 +33,12 @@
 import spurroad.control.distribution.support.TracedParticipant;
 
 /**
- * Verifies that each end of a link is unchanged, with another end that sends any valid message. Time advances
- * in whole steps, so that timeouts are met to the nanosecond.
+ * Compares each end of a link with recorded traces while the other end sends random valid messages. Time
+ * advances in whole steps, so that timeouts expire at exactly the simulated times.
  */
 public class LinkTraceTest {
-    private static final long MS = DistributionSettings.NANOS_PER_MILLISECOND;
-    private static final long STEP = 50 * MS;
+    private static final long NANOS_PER_MILLISECOND = DistributionSettings.NANOS_PER_MILLISECOND;
+    private static final long STEP_NANOS = 50 * NANOS_PER_MILLISECOND;
     private static final int STEPS = 6_000;
     private static final int CHILDREN = 9;
     private static final List<Scope> SCOPES = List.of(Scope.ALL, new Scope("east"), new Scope("west"));
@@ -46,7 +46,7 @@
 
     private final DistributionSettings settings = new DistributionSettings();
 
-    /** What a publisher sends from, changed at random. */
+    /** The state that a publisher sends, changed at random. */
     private static final class Source {
         private final ConfigurationState configuration = new ConfigurationState(8);
         private final PurgeLog purges = new PurgeLog(64, 1 << 10);
@@ -56,7 +56,7 @@
             this.random = random;
         }
 
-        private void change() {
+        private void changeAtRandom() {
             for (int i = random.nextInt(4); i > 0; i--) {
                 int name = random.nextInt(9);
                 configuration.append(new ResourceKey(REGIONS.get(name % 3), "r" + name),
@@ -67,11 +67,11 @@
             }
         }
 
-        /** A number up to one above the present one, mostly close to it. */
-        private long near(long present) {
+        /** Returns a number that is at most one greater than {@code present}, mostly close to it. */
+        private long randomNumberNear(long present) {
             int kind = random.nextInt(20);
-            int farthest = kind == 0 ? 3_000 : kind < 4 ? 100 : 6;
-            return Math.max(0, present + 1 - random.nextInt(farthest));
+            int maxDistance = kind == 0 ? 3_000 : kind < 4 ? 100 : 6;
+            return Math.max(0, present + 1 - random.nextInt(maxDistance));
         }
     }
 
@@ -85,39 +85,40 @@
     }
 
     @Test(dataProvider = "publishers")
-    public void publishesAsBefore(int seed, Scope scope, String digest) {
+    public void publisherProducesRecordedTrace(int seed, Scope scope, String digest) {
         Trace trace = Trace.named("publisher-" + seed);
         Random random = new Random(seed);
         Source source = new Source(random);
         Publisher publisher = new Publisher(settings, scope, source.configuration, source.purges, seed);
         Outbox outbox = TracedParticipant.traced(trace, (to, message) -> {});
-        long now = 0;
+        long nowNanos = 0;
         for (int step = 0; step < STEPS; step++) {
-            now += random.nextInt(4) * STEP;
-            trace.number(now);
-            callPublisher(random, source, publisher, now, outbox);
+            nowNanos += random.nextInt(4) * STEP_NANOS;
+            trace.number(nowNanos);
+            callPublisherAtRandom(random, source, publisher, nowNanos, outbox);
             StateTrace.publisher(trace, publisher);
             trace.number(source.purges.startNumber()).end();
         }
         assertEquals(trace.digest(), digest);
     }
 
-    private static void callPublisher(Random random, Source source, Publisher publisher, long now,
-                                      Outbox outbox) {
+    private static void callPublisherAtRandom(Random random, Source source, Publisher publisher,
+                                              long nowNanos,
+                                              Outbox outbox) {
         ProcessId child = new ProcessId(random.nextInt(CHILDREN));
-        Publisher.Status status = new Publisher.Status(2 + now / (1_000 * STEP),
+        Publisher.Status status = new Publisher.Status(2 + nowNanos / (1_000 * STEP_NANOS),
             random.nextInt(9) - 1, random.nextInt(20) > 0);
         int kind = random.nextInt(100);
         if (kind < 15) {
-            publisher.onSubscribe(now, child, subscribe(random, source, now), status, outbox);
+            publisher.onSubscribe(nowNanos, child, subscribe(random, source, nowNanos), status, outbox);
         } else if (kind < 45) {
-            publisher.onAcknowledgement(now, child, acknowledgement(random, source, now));
+            publisher.onAcknowledgement(nowNanos, child, acknowledgement(random, source, nowNanos));
         } else if (kind < 47) {
-            publisher.onUnsubscribe(child, new Unsubscribe(sentAt(random, now)));
+            publisher.onUnsubscribe(child, new Unsubscribe(randomSentAtMillis(random, nowNanos)));
         } else if (kind < 75) {
-            publisher.flush(now, status, outbox);
+            publisher.flush(nowNanos, status, outbox);
         } else if (kind < 97) {
-            source.change();
+            source.changeAtRandom();
         } else if (kind < 99) {
             publisher.retainPurgesAfter(random.nextInt(3) > 0 ? Long.MAX_VALUE : source.purges.startNumber());
         } else if (random.nextInt(5) == 0) {
@@ -125,38 +126,42 @@
         }
     }
 
-    private static long sentAt(Random random, long now) {
-        return Math.max(0, now / MS - 50L * random.nextInt(10));
+    private static long randomSentAtMillis(Random random, long nowNanos) {
+        return Math.max(0, nowNanos / NANOS_PER_MILLISECOND - 50L * random.nextInt(10));
     }
 
-    private static Subscribe subscribe(Random random, Source source, long now) {
+    private static Subscribe subscribe(Random random, Source source, long nowNanos) {
         long purgeNumber = random.nextInt(3) == 0 ? Subscribe.NO_PURGE_NUMBER
-            : source.near(source.purges.lastNumber());
+            : source.randomNumberNear(source.purges.lastNumber());
         return new Subscribe(SCOPES.get(random.nextInt(3)), random.nextInt(4) > 0,
-            source.near(source.configuration.sequence()), purgeNumber, random.nextInt(3) * 40,
-            random.nextInt(4) == 0, sentAt(random, now));
+            source.randomNumberNear(source.configuration.sequence()), purgeNumber, random.nextInt(3) * 40,
+            random.nextInt(4) == 0, randomSentAtMillis(random, nowNanos));
     }
 
-    private static Acknowledgement acknowledgement(Random random, Source source, long now) {
-        return new Acknowledgement(random.nextInt(12), source.near(source.configuration.sequence()),
-            source.near(source.purges.lastNumber()), random.nextInt(5) == 0, sentAt(random, now));
+    private static Acknowledgement acknowledgement(Random random, Source source, long nowNanos) {
+        return new Acknowledgement(random.nextInt(12),
+            source.randomNumberNear(source.configuration.sequence()),
+            source.randomNumberNear(source.purges.lastNumber()), random.nextInt(5) == 0,
+            randomSentAtMillis(random, nowNanos));
     }
 
-    /** More children than a publisher may have, at first faster than it accepts them. */
+    /** Subscribes more children than a publisher may have, at first faster than it accepts them. */
     @Test
-    public void limitsSubscriptionsAsBefore() {
+    public void subscriptionLimitsProduceRecordedTrace() {
         Trace trace = Trace.named("publisher-crowd");
         Random random = new Random(4);
         Source source = new Source(random);
         source.configuration.append(new ResourceKey("", "r"), new byte[1]);
         Publisher publisher = new Publisher(settings, Scope.ALL, source.configuration, source.purges, 4);
         Outbox outbox = TracedParticipant.traced(trace, (to, message) -> {});
-        int crowd = settings.maxChildren + 20;
-        long now = 0;
-        for (int step = 0; step < 3 * crowd; step++) {
-            now += MS * (step < crowd / 2 ? random.nextInt(6) : 5 + random.nextInt(3));
-            trace.number(now);
-            publisher.onSubscribe(now, new ProcessId(step % crowd), subscribe(random, source, now),
+        int subscriberCount = settings.maxChildren + 20;
+        long nowNanos = 0;
+        for (int step = 0; step < 3 * subscriberCount; step++) {
+            nowNanos += NANOS_PER_MILLISECOND
+                * (step < subscriberCount / 2 ? random.nextInt(6) : 5 + random.nextInt(3));
+            trace.number(nowNanos);
+            publisher.onSubscribe(nowNanos, new ProcessId(step % subscriberCount),
+                subscribe(random, source, nowNanos),
                 new Publisher.Status(1, 0, true), outbox);
             StateTrace.publisher(trace, publisher);
             trace.end();
@@ -175,23 +180,23 @@
     }
 
     @Test(dataProvider = "subscribers")
-    public void subscribesAsBefore(int seed, int log, String digest) {
+    public void subscriberProducesRecordedTrace(int seed, int logCapacity, String digest) {
         Trace trace = Trace.named("subscriber-" + seed);
         Random random = new Random(seed);
         Source source = new Source(random);
-        Subscriber subscriber = new Subscriber(settings, SCOPES.get(1), new ConfigurationState(log),
-            new PurgeLog(log, log), log, new TracedListener(trace), seed);
+        Subscriber subscriber = new Subscriber(settings, SCOPES.get(1), new ConfigurationState(logCapacity),
+            new PurgeLog(logCapacity, logCapacity), logCapacity, new TracedListener(trace), seed);
         Participant traced = new TracedParticipant(new ProcessId(0), subscriber, trace,
-            at -> StateTrace.subscriber(trace, at, subscriber));
-        long now = 0;
+            atNanos -> StateTrace.subscriber(trace, atNanos, subscriber));
+        long nowNanos = 0;
         for (int step = 0; step < STEPS; step++) {
-            now += random.nextInt(step % 600 < 500 ? 4 : 12) * STEP;
+            nowNanos += random.nextInt(step % 600 < 500 ? 4 : 12) * STEP_NANOS;
             if (random.nextInt(300) == 0) {
-                subscriber.setParentCandidates(now, processes(1, random.nextInt(3)),
+                subscriber.setParentCandidates(nowNanos, processes(1, random.nextInt(3)),
                     processes(4, random.nextInt(4)));
             }
-            traced.onTimer(now, (to, message) -> {});
-            answer(random, source, subscriber, traced, now);
+            traced.onTimer(nowNanos, (to, message) -> {});
+            answerAtRandom(random, source, subscriber, traced, nowNanos);
         }
         assertEquals(trace.digest(), digest);
     }
@@ -200,40 +205,42 @@
         return IntStream.range(first, first + count).mapToObj(ProcessId::new).toList();
     }
 
-    private static void answer(Random random, Source source, Subscriber subscriber, Participant traced,
-                               long now) {
+    private static void answerAtRandom(Random random, Source source, Subscriber subscriber,
+                                       Participant traced,
+                                       long nowNanos) {
         if (random.nextInt(5) == 0) {
-            source.change();
+            source.changeAtRandom();
         }
-        boolean fromParent = subscriber.parent() != null && random.nextInt(20) > 0;
-        ProcessId from = fromParent ? subscriber.parent() : new ProcessId(random.nextInt(9));
+        boolean isFromParent = subscriber.parent() != null && random.nextInt(20) > 0;
+        ProcessId from = isFromParent ? subscriber.parent() : new ProcessId(random.nextInt(9));
         int kind = random.nextInt(20);
         if (kind < 1) {
             RejectionReason reason = RejectionReason.values()[random
                 .nextInt(RejectionReason.values().length)];
-            traced.onMessage(now, from, new SubscriptionRejected(reason, random.nextInt(15_000)),
+            traced.onMessage(nowNanos, from, new SubscriptionRejected(reason, random.nextInt(15_000)),
                 (to, message) -> {});
         } else if (kind < 14) {
-            traced.onMessage(now, from, update(random, source, now), (to, message) -> {});
+            traced.onMessage(nowNanos, from, update(random, source, nowNanos), (to, message) -> {});
         }
     }
 
-    private static Update update(Random random, Source source, long now) {
+    private static Update update(Random random, Source source, long nowNanos) {
         boolean hasConfiguration = random.nextInt(3) == 0;
         Optional<ConfigurationUpdate> configuration = hasConfiguration
-            ? source.configuration.updateAfter(source.near(source.configuration.sequence()),
+            ? source.configuration.updateAfter(source.randomNumberNear(source.configuration.sequence()),
                 random.nextInt(6) > 0,
                 SCOPES.get(1))
             : Optional.empty();
-        Heartbeat heartbeat = new Heartbeat(10 + now / (2_000 * STEP) - random.nextInt(20) / 19,
-            source.near(source.configuration.sequence()), source.near(source.purges.lastNumber()),
-            random.nextInt(12) * 50 - 1, sentAt(random, now), random.nextInt(12) > 0);
+        Heartbeat heartbeat = new Heartbeat(10 + nowNanos / (2_000 * STEP_NANOS) - random.nextInt(20) / 19,
+            source.randomNumberNear(source.configuration.sequence()),
+            source.randomNumberNear(source.purges.lastNumber()),
+            random.nextInt(12) * 50 - 1, randomSentAtMillis(random, nowNanos), random.nextInt(12) > 0);
         return new Update(1 + random.nextInt(100), heartbeat, configuration, purges(random, source));
     }
 
     private static Optional<PurgeUpdate> purges(Random random, Source source) {
         int kind = random.nextInt(6);
-        long from = source.near(source.purges.lastNumber());
+        long from = source.randomNumberNear(source.purges.lastNumber());
         if (kind == 0) {
             return Optional.of(new PurgeUpdate.Reset(from));
         }
--- a/control/src/test/java/spurroad/control/distribution/relay/RelayTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/relay/RelayTraceTest.java
@@ -32,12 +32,13 @@
 import spurroad.control.distribution.support.TracedParticipant;
 
 /**
- * Verifies that a relay is unchanged, with a child, and with a parent and a grantor that are unresponsive at
- * times, independently of each other. Messages have no delay, and time advances in whole steps.
+ * Compares a relay with recorded traces. The relay has a child, and a parent and a grantor that are
+ * temporarily unresponsive, independently of each other. Messages have no delay, and time advances in whole
+ * steps.
  */
 public class RelayTraceTest {
     private static final long SECOND = DistributionSettings.NANOS_PER_SECOND;
-    private static final long STEP = SECOND / 20;
+    private static final long STEP_NANOS = SECOND / 20;
     private static final int PHASES = 1_000;
     private static final ProcessId RELAY = new ProcessId(0);
     private static final ProcessId PARENT = new ProcessId(1);
@@ -57,7 +58,7 @@
         private final Participant traced;
         private final Subscriber child;
         private final Deque<Sent> inFlight = new ArrayDeque<>();
-        private long now;
+        private long nowNanos;
         private boolean isParentUnresponsive;
         private boolean isGrantorUnresponsive;
 
@@ -65,7 +66,8 @@
             Relay.TreePosition position = new Relay.TreePosition("site", List.of(GRANTOR), List.of(PARENT),
                 List.of(), 1);
             relay = new Relay(0, settings, Scope.ALL, position, new TracedListener(trace), seed);
-            traced = new TracedParticipant(RELAY, relay, trace, at -> StateTrace.relay(trace, at, relay));
+            traced = new TracedParticipant(RELAY, relay, trace,
+                atNanos -> StateTrace.relay(trace, atNanos, relay));
             child = new Subscriber(settings, new Scope("east"), new ConfigurationState(0), new PurgeLog(0, 0),
                 0, StateListener.NONE, seed);
             child.setParentCandidates(0, List.of(RELAY), List.of());
@@ -82,22 +84,22 @@
             }
         }
 
-        private void run(long duration) {
-            for (long end = now + duration; now < end;) {
+        private void run(long durationNanos) {
+            for (long endNanos = nowNanos + durationNanos; nowNanos < endNanos;) {
                 step();
             }
         }
 
         private void step() {
-            now += STEP;
+            nowNanos += STEP_NANOS;
             if (!isParentUnresponsive) {
-                parent.flush(now, status(), outbox(PARENT));
+                parent.flush(nowNanos, status(), outbox(PARENT));
             }
-            if (now >= relay.nextTimerNanos()) {
-                traced.onTimer(now, outbox(RELAY));
+            if (nowNanos >= relay.nextTimerNanos()) {
+                traced.onTimer(nowNanos, outbox(RELAY));
             }
-            if (now >= child.nextTimerNanos()) {
-                child.onTimer(now, outbox(CHILD));
+            if (nowNanos >= child.nextTimerNanos()) {
+                child.onTimer(nowNanos, outbox(CHILD));
             }
             while (!inFlight.isEmpty()) {
                 deliver(inFlight.remove());
@@ -114,21 +116,21 @@
 
         private void deliver(Sent sent) {
             if (sent.to().equals(RELAY)) {
-                traced.onMessage(now, sent.from(), sent.message(), outbox(RELAY));
+                traced.onMessage(nowNanos, sent.from(), sent.message(), outbox(RELAY));
             } else if (sent.to().equals(CHILD)) {
-                child.onMessage(now, sent.from(), sent.message(), outbox(CHILD));
+                child.onMessage(nowNanos, sent.from(), sent.message(), outbox(CHILD));
             } else if (sent.to().equals(PARENT) && !isParentUnresponsive) {
                 toParent(sent.from(), sent.message());
             } else if (sent.message() instanceof LeaseRequest request && !isGrantorUnresponsive) {
-                grantor.onRequest(now, sent.from(), request, outbox(GRANTOR));
+                grantor.onRequest(nowNanos, sent.from(), request, outbox(GRANTOR));
             }
         }
 
         private void toParent(ProcessId from, Message message) {
             if (message instanceof Subscribe subscribe) {
-                parent.onSubscribe(now, from, subscribe, status(), outbox(PARENT));
-            } else if (message instanceof Acknowledgement acknowledge) {
-                parent.onAcknowledgement(now, from, acknowledge);
+                parent.onSubscribe(nowNanos, from, subscribe, status(), outbox(PARENT));
+            } else if (message instanceof Acknowledgement acknowledgement) {
+                parent.onAcknowledgement(nowNanos, from, acknowledgement);
             } else if (message instanceof Unsubscribe unsubscribe) {
                 parent.onUnsubscribe(from, unsubscribe);
             }
@@ -136,8 +138,8 @@
 
         private void requestLease() {
             LeaseRequest request = new LeaseRequest("subgroup",
-                now / DistributionSettings.NANOS_PER_MILLISECOND);
-            traced.onMessage(now, CHILD, request, outbox(RELAY));
+                nowNanos / DistributionSettings.NANOS_PER_MILLISECOND);
+            traced.onMessage(nowNanos, CHILD, request, outbox(RELAY));
         }
     }
 
@@ -150,7 +152,7 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void relaysAsBefore(int seed, String digest) {
+    public void relayUnderOutagesProducesRecordedTrace(int seed, String digest) {
         Trace trace = Trace.named("relay-" + seed);
         Random random = new Random(seed);
         RelayEnvironment environment = new RelayEnvironment(trace, seed);
@@ -160,19 +162,20 @@
             environment.change("resource-" + random.nextInt(5));
             environment.purge(random.nextInt(600));
             environment.requestLease();
-            environment.run(random.nextInt(120) * STEP);
+            environment.run(random.nextInt(120) * STEP_NANOS);
         }
         assertEquals(trace.digest(), digest);
     }
 
     /**
-     * Purges about a minute after a relay has a parent again: until then the log retains for former children
-     * what these purges would replace.
+     * Adds purges about a minute after a relay has a parent again: until then the log retains for former
+     * children the older purges that these would replace.
      */
     @Test
-    public void retainsPurgesForFormerChildrenAsBefore() {
+    public void purgeRetentionForFormerChildrenProducesRecordedTrace() {
         Trace trace = Trace.named("relay-return");
-        for (long sinceReturn = 58 * SECOND; sinceReturn < 62 * SECOND; sinceReturn += 4 * STEP) {
+        for (long sinceReturnNanos = 58 * SECOND; sinceReturnNanos
+            < 62 * SECOND; sinceReturnNanos += 4 * STEP_NANOS) {
             RelayEnvironment environment = new RelayEnvironment(trace, 1);
             environment.run(8 * SECOND);
             environment.purge(environment.settings.usualPurgeLogCapacity + 10);
@@ -181,7 +184,7 @@
             environment.run(2 * SECOND);
             assertTrue(environment.relay.isRelay() && !environment.relay.subscriber().isAttached());
             environment.isParentUnresponsive = false;
-            environment.run(sinceReturn);
+            environment.run(sinceReturnNanos);
             environment.purge(30);
             environment.run(SECOND);
         }
--- a/control/src/test/java/spurroad/control/distribution/replication/FollowerTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/replication/FollowerTraceTest.java
@@ -28,12 +28,13 @@
 import spurroad.control.distribution.support.TracedParticipant;
 
 /**
- * Verifies that one replica is unchanged under leaders and candidates that are simulated at random, and when
- * a core of one compacts its log. The leaders follow the protocol: committed entries are never lost.
+ * Compares the behavior of one replica with recorded traces: under leaders and candidates that are simulated
+ * at random, and when a core of one replica compacts its log. The leaders follow the protocol: committed
+ * entries are never lost.
  */
 public class FollowerTraceTest {
-    private static final long MS = DistributionSettings.NANOS_PER_MILLISECOND;
-    private static final long STEP = 50 * MS; // all bounds are whole steps
+    private static final long NANOS_PER_MILLISECOND = DistributionSettings.NANOS_PER_MILLISECOND;
+    private static final long STEP_NANOS = 50 * NANOS_PER_MILLISECOND; // divides all timeouts
     private static final int STEPS = 6_000;
     private static final ProcessId SELF = new ProcessId(0);
     private static final ProcessId LEADER = new ProcessId(1);
@@ -42,20 +43,20 @@
 
     private final DistributionSettings settings = new DistributionSettings();
 
-    /** The log of the simulated leaders, and their committed state. */
+    /** The log of the simulated leaders and its committed state. */
     private static final class LeaderLog {
         private final Random random;
         private final List<LogEntry> entries = new ArrayList<>();
         private final ConfigurationState committed = new ConfigurationState(0);
         private long term = 1;
         private long commitIndex;
-        private long purges;
+        private long purgeCount;
 
         private LeaderLog(Random random) {
             this.random = random;
         }
 
-        private void grow() {
+        private void appendAndCommit() {
             for (int i = random.nextInt(4); i > 0; i--) {
                 Command command = random.nextInt(4) == 0 ? new Command.Purge(new long[] {i, term})
                     : new Command.ConfigurationChange(new ResourceKey("", "r" + random.nextInt(6)),
@@ -71,13 +72,15 @@
         private void commit(Command command) {
             if (command instanceof Command.ConfigurationChange change) {
                 committed.append(change.key(), change.value());
-            } else if (command instanceof Command.Purge batch) {
-                purges += batch.hashes().length;
+            } else if (command instanceof Command.Purge purge) {
+                purgeCount += purge.hashes().length;
             }
         }
 
-        /** The next leader has the committed entries and some of the others. */
-        private void enter(long laterTerm) {
+        /**
+         * Starts the term of a new leader, which has the committed entries and some of the uncommitted ones.
+         */
+        private void startTerm(long laterTerm) {
             term = laterTerm;
             int retainedCount = (int) commitIndex + random.nextInt(entries.size() - (int) commitIndex + 1);
             entries.subList(retainedCount, entries.size()).clear();
@@ -88,20 +91,22 @@
             return index == 0 ? 0 : entries.get((int) index - 1).term();
         }
 
-        private AppendEntries append(long near, long now) {
-            int spread = random.nextInt(10) == 0 ? 60 : 4;
-            long previous = Math.min(entries.size(), Math.max(0, near + 1 - random.nextInt(spread)));
+        private AppendEntries appendEntries(long nearIndex, long nowNanos) {
+            int maxDistance = random.nextInt(10) == 0 ? 60 : 4;
+            long previous = Math.min(entries.size(),
+                Math.max(0, nearIndex + 1 - random.nextInt(maxDistance)));
             int last = (int) Math.min(entries.size(), previous + random.nextInt(6));
             return new AppendEntries(term, previous, termAt(previous),
                 entries.subList((int) previous, last),
-                commitIndex - Math.min(commitIndex, random.nextInt(3)), now / MS,
-                random.nextInt(10) * 50 - 1, Math.max(0, now / MS - 50L * random.nextInt(10)));
+                commitIndex - Math.min(commitIndex, random.nextInt(3)), nowNanos / NANOS_PER_MILLISECOND,
+                random.nextInt(10) * 50 - 1,
+                Math.max(0, nowNanos / NANOS_PER_MILLISECOND - 50L * random.nextInt(10)));
         }
 
-        private InstallSnapshot state(long now) {
+        private InstallSnapshot installSnapshot(long nowNanos) {
             return new InstallSnapshot(term,
-                new LogSnapshot(commitIndex, termAt(commitIndex), committed.snapshot(Scope.ALL), purges),
-                now / MS);
+                new LogSnapshot(commitIndex, termAt(commitIndex), committed.snapshot(Scope.ALL), purgeCount),
+                nowNanos / NANOS_PER_MILLISECOND);
         }
     }
 
@@ -115,102 +120,107 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void followsAsBefore(int seed, String digest) {
+    public void replicaUnderSimulatedLeadersProducesRecordedTrace(int seed, String digest) {
         Trace trace = Trace.named("follower-" + seed);
         Random random = new Random(seed);
         LeaderLog log = new LeaderLog(random);
-        PersistentState disk = new PersistentState();
-        RaftReplica replica = start(trace, disk, 0, seed);
-        long now = 0;
+        PersistentState persistent = new PersistentState();
+        RaftReplica replica = start(trace, persistent, 0, seed);
+        long nowNanos = 0;
         for (int step = 0; step < STEPS; step++) {
-            now += random.nextInt(random.nextInt(12) == 0 ? 40 : 5) * STEP;
-            log.grow();
-            boolean isDeposed = disk.currentTerm() > log.term;
+            nowNanos += random.nextInt(random.nextInt(12) == 0 ? 40 : 5) * STEP_NANOS;
+            log.appendAndCommit();
+            boolean isDeposed = persistent.currentTerm() > log.term;
             if (random.nextInt(isDeposed ? 3 : 60) == 0) {
-                log.enter(Math.max(log.term, disk.currentTerm()) + 1 + random.nextInt(2));
+                log.startTerm(Math.max(log.term, persistent.currentTerm()) + 1 + random.nextInt(2));
             }
             if (random.nextInt(400) == 0) {
-                replica = start(trace, disk, now, step);
+                replica = start(trace, persistent, nowNanos, step);
             }
-            call(trace, random, log, replica, disk, now);
-            state(trace, now, replica, disk);
+            callAtRandom(trace, random, log, replica, persistent, nowNanos);
+            traceState(trace, nowNanos, replica, persistent);
         }
-        PersistentStateTrace.full(trace, disk);
+        PersistentStateTrace.full(trace, persistent);
         assertEquals(trace.digest(), digest);
     }
 
-    private RaftReplica start(Trace trace, PersistentState disk, long now, long seed) {
-        return new RaftReplica(now, settings, SELF, MEMBERS, disk, (index, command) -> {
+    private RaftReplica start(Trace trace, PersistentState persistent, long nowNanos, long seed) {
+        return new RaftReplica(nowNanos, settings, SELF, MEMBERS, persistent, (index, command) -> {
             trace.part('a').number(index);
             MessageTrace.command(trace, command);
         }, seed);
     }
 
-    private static void call(Trace trace, Random random, LeaderLog log, RaftReplica replica,
-                             PersistentState disk, long now) {
+    private static void callAtRandom(Trace trace, Random random, LeaderLog log, RaftReplica replica,
+                                     PersistentState persistent, long nowNanos) {
         Outbox outbox = TracedParticipant.traced(trace, (to, message) -> {});
         int kind = random.nextInt(100);
-        trace.number(now).number(kind);
+        trace.number(nowNanos).number(kind);
         if (kind < 20) {
-            replica.onTimer(now, outbox);
+            replica.onTimer(nowNanos, outbox);
         } else if (kind < 65) {
-            replica.onMessage(now, LEADER, log.append(disk.log().lastIndex(), now), outbox);
+            replica.onMessage(nowNanos, LEADER, log.appendEntries(persistent.log().lastIndex(), nowNanos),
+                outbox);
         } else if (kind < 67) {
-            replica.onMessage(now, LEADER, log.state(now), outbox);
+            replica.onMessage(nowNanos, LEADER, log.installSnapshot(nowNanos), outbox);
         } else if (kind < 70) {
-            AppendEntries outdated = log.append(disk.log().lastIndex(), now);
-            replica.onMessage(now, LEADER, new AppendEntries(disk.currentTerm() - 1, 0, 0, List.of(), 0,
-                outdated.sentAtMillis(), outdated.ageMillis(), outdated.echoMillis()), outbox);
+            AppendEntries outdated = log.appendEntries(persistent.log().lastIndex(), nowNanos);
+            replica.onMessage(nowNanos, LEADER,
+                new AppendEntries(persistent.currentTerm() - 1, 0, 0, List.of(), 0,
+                    outdated.sentAtMillis(), outdated.ageMillis(), outdated.echoMillis()),
+                outbox);
         } else if (kind < 88) {
-            replica.onMessage(now, CANDIDATE, voteRequest(random, disk), outbox);
+            replica.onMessage(nowNanos, CANDIDATE, voteRequest(random, persistent), outbox);
         } else if (kind < 97) {
-            boolean granted = random.nextBoolean(); // by one only, which is no majority
-            replica.onMessage(now, CANDIDATE,
-                new RequestVoteReply(disk.currentTerm() + random.nextInt(2), granted,
+            boolean isGranted = random.nextBoolean(); // only one vote, which is not a majority
+            replica.onMessage(nowNanos, CANDIDATE,
+                new RequestVoteReply(persistent.currentTerm() + random.nextInt(2), isGranted,
                     random.nextBoolean()),
                 outbox);
         } else {
-            replica.onMessage(now, CANDIDATE,
-                new AppendEntriesReply(disk.currentTerm() + random.nextInt(10) / 9, true,
-                    0, now / MS, now / MS),
+            replica.onMessage(nowNanos, CANDIDATE,
+                new AppendEntriesReply(persistent.currentTerm() + random.nextInt(10) / 9, true,
+                    0, nowNanos / NANOS_PER_MILLISECOND, nowNanos / NANOS_PER_MILLISECOND),
                 outbox);
         }
     }
 
-    private static RequestVote voteRequest(Random random, PersistentState disk) {
-        long lastTerm = Math.max(0, disk.log().lastTerm() + 1 - random.nextInt(3));
-        return new RequestVote(Math.max(1, disk.currentTerm() + 2 - random.nextInt(4)),
-            Math.max(0, disk.log().lastIndex() + 1 - random.nextInt(3)), lastTerm, random.nextInt(4) > 0);
+    private static RequestVote voteRequest(Random random, PersistentState persistent) {
+        long lastTerm = Math.max(0, persistent.log().lastTerm() + 1 - random.nextInt(3));
+        return new RequestVote(Math.max(1, persistent.currentTerm() + 2 - random.nextInt(4)),
+            Math.max(0, persistent.log().lastIndex() + 1 - random.nextInt(3)), lastTerm,
+            random.nextInt(4) > 0);
     }
 
-    private static void state(Trace trace, long now, RaftReplica replica, PersistentState disk) {
+    private static void traceState(Trace trace, long nowNanos, RaftReplica replica,
+                                   PersistentState persistent) {
         trace.part('=').number(replica.nextTimerNanos());
-        StateTrace.replica(trace, now, replica);
+        StateTrace.replica(trace, nowNanos, replica);
         for (int later = 1; later < 30; later += 3) {
-            trace.flag(replica.isConnected(now + later * STEP));
+            trace.flag(replica.isConnected(nowNanos + later * STEP_NANOS));
         }
-        PersistentStateTrace.summary(trace, disk);
+        PersistentStateTrace.summary(trace, persistent);
         trace.end();
     }
 
-    /** The log is compacted twice, at its bound to the entry. */
+    /** Compacts the log twice, each time exactly when it reaches its capacity. */
     @Test
-    public void compactsAsBefore() {
+    public void compactionProducesRecordedTrace() {
         Trace trace = Trace.named("compaction");
-        PersistentState disk = new PersistentState();
-        RaftReplica replica = new RaftReplica(0, settings, SELF, List.of(SELF), disk,
+        PersistentState persistent = new PersistentState();
+        RaftReplica replica = new RaftReplica(0, settings, SELF, List.of(SELF), persistent,
             (index, command) -> trace.part('a').number(index), 1);
-        long now = 10 * DistributionSettings.NANOS_PER_SECOND;
-        replica.onTimer(now, (to, message) -> {});
+        long nowNanos = 10 * DistributionSettings.NANOS_PER_SECOND;
+        replica.onTimer(nowNanos, (to, message) -> {});
         for (int step = 0; step < 200; step++) {
-            now += settings.heartbeatIntervalNanos;
+            nowNanos += settings.heartbeatIntervalNanos;
             int commands = step % 100 == 0 ? settings.replicatedLogCapacity - 50 : 1;
             for (int i = 0; i < commands; i++) {
                 replica.propose(
                     new Command.ConfigurationChange(new ResourceKey("", "r" + i % 9), new byte[] {1}));
             }
-            replica.onTimer(now, (to, message) -> {});
-            state(trace, now, replica, disk);
+            replica.onTimer(nowNanos, (to, message) -> {});
+            traceState(trace, nowNanos, replica, persistent);
         }
         assertEquals(trace.digest(), "642bc3c6450c91a32a67f4143206d985b9f6dcbee858e671b4ed9de8b407dc5e");
     }
--- a/control/src/test/java/spurroad/control/distribution/replication/RaftReplicaTest.java
+++ b/control/src/test/java/spurroad/control/distribution/replication/RaftReplicaTest.java
@@ -25,20 +25,20 @@
 import spurroad.control.distribution.support.SimulatedNetwork;
 
 /**
- * A core of replicas: no committed entry is lost, all replicas commit the same entries in the same order, and
- * a replica that counts as fresh has them all.
+ * Tests a core of replicas: no committed entry is lost, all replicas commit the same entries in the same
+ * order, and a replica that counts as fresh has all of them.
  */
 public class RaftReplicaTest {
     private static final long SECOND = SimulatedNetwork.NANOS_PER_SECOND;
 
-    /** A core over a network; committed commands are compared among all replicas. */
+    /** A core on a simulated network, which compares the committed commands of all replicas. */
     private static final class Core {
         final SimulatedNetwork network;
         final List<ProcessId> members;
-        final Map<ProcessId, PersistentState> disks = new HashMap<>();
+        final Map<ProcessId, PersistentState> persistentStates = new HashMap<>();
         final Map<ProcessId, RaftReplica> replicas = new LinkedHashMap<>();
         final Map<Long, Command> committed = new HashMap<>();
-        final Map<Long, Long> committedAt = new HashMap<>();
+        final Map<Long, Long> commitTimes = new HashMap<>();
         private long seed;
 
         Core(int size, long seed) {
@@ -49,10 +49,11 @@
         }
 
         void start(ProcessId id) {
-            PersistentState disk = disks.computeIfAbsent(id, unused -> new PersistentState());
+            PersistentState persistent = persistentStates.computeIfAbsent(id,
+                unused -> new PersistentState());
             RaftReplica replica = new RaftReplica(network.now(), new DistributionSettings(), id, members,
-                disk,
-                this::committed, seed++);
+                persistent,
+                this::onCommit, seed++);
             replicas.put(id, replica);
             network.add(id, replica);
         }
@@ -62,17 +63,17 @@
             replicas.remove(id);
         }
 
-        private void committed(long index, Command command) {
-            Command known = committed.putIfAbsent(index, command);
-            committedAt.putIfAbsent(index, network.now());
-            if (known != null) {
-                assertEquals(text(command), text(known), "index " + index);
+        private void onCommit(long index, Command command) {
+            Command previous = committed.putIfAbsent(index, command);
+            commitTimes.putIfAbsent(index, network.now());
+            if (previous != null) {
+                assertEquals(describe(command), describe(previous), "index " + index);
             }
         }
 
         ProcessId leader() {
             List<ProcessId> connected = replicas.entrySet().stream()
-                .filter(e -> e.getValue().isLeader() && e.getValue().isConnected(network.now()))
+                .filter(entry -> entry.getValue().isLeader() && entry.getValue().isConnected(network.now()))
                 .map(Map.Entry::getKey)
                 .toList();
             assertTrue(connected.size() <= 1, "leaders with a majority: " + connected);
@@ -86,7 +87,7 @@
 
         Set<String> committedNames() {
             Set<String> names = new HashSet<>();
-            committed.values().forEach(command -> names.add(text(command)));
+            committed.values().forEach(command -> names.add(describe(command)));
             return names;
         }
     }
@@ -95,7 +96,7 @@
         return new Command.ConfigurationChange(new ResourceKey("", name), new byte[] {1});
     }
 
-    private static String text(Command command) {
+    private static String describe(Command command) {
         return command instanceof Command.ConfigurationChange change ? change.key().name()
             : command.getClass().getSimpleName();
     }
@@ -106,7 +107,7 @@
     }
 
     @Test(dataProvider = "sizes")
-    public void oneLeaderIsElectedAndAllReplicasApplyWhatItCommits(int size) {
+    public void electsOneLeaderAndAppliesCommittedEntriesAtAllReplicas(int size) {
         Core core = new Core(size, size);
         core.network.run(10 * SECOND);
         assertNotNull(core.leader());
@@ -119,7 +120,7 @@
     }
 
     @Test
-    public void aFailedLeaderIsReplacedAndItsCommittedEntriesStay() {
+    public void replacesFailedLeaderAndRetainsCommittedEntries() {
         Core core = new Core(5, 3);
         core.network.run(10 * SECOND);
         core.propose("kept");
@@ -128,7 +129,7 @@
         core.propose("perhaps lost");
         core.stop(first);
         core.network.run(4 * SECOND);
-        assertNotNull(core.leader(), "another within 4 s");
+        assertNotNull(core.leader(), "another leader within 4 s");
         assertTrue(core.propose("later"));
         core.network.run(SECOND);
         core.start(first);
@@ -140,14 +141,14 @@
     }
 
     @Test
-    public void withoutAMajorityNothingIsCommittedAndFreshnessEnds() {
+    public void commitsNothingAndLosesFreshnessWithoutMajority() {
         Core core = new Core(5, 5);
         core.network.run(10 * SECOND);
         ProcessId leader = core.leader();
         Set<ProcessId> minority = Set.of(leader,
-            core.members.stream().filter(m -> !m.equals(leader)).findFirst()
+            core.members.stream().filter(member -> !member.equals(leader)).findFirst()
                 .orElseThrow());
-        core.network.setPassingLinks((from, to) -> minority.contains(from) == minority.contains(to));
+        core.network.setLinkFilter((from, to) -> minority.contains(from) == minority.contains(to));
         assertTrue(core.replicas.get(leader).propose(change("in the minority")).isPresent());
         core.network.run(10 * SECOND);
         assertFalse(core.committedNames().contains("in the minority"));
@@ -155,7 +156,7 @@
         assertFalse(core.replicas.get(leader).freshness().isFresh(core.network.now()));
         assertTrue(core.propose("in the majority"));
         core.network.run(SECOND);
-        core.network.setPassingLinks((from, to) -> true);
+        core.network.setLinkFilter((from, to) -> true);
         core.network.run(5 * SECOND);
         assertEquals(core.replicas.get(leader).configuration().value(new ResourceKey("", "in the minority")),
             null);
@@ -164,28 +165,30 @@
     }
 
     @Test
-    public void aReplicaThatReturnsFromAPartitionDeposesNoLeader() {
+    public void replicaReturningFromPartitionDoesNotDeposeLeader() {
         Core core = new Core(5, 8);
         core.network.run(10 * SECOND);
         ProcessId leader = core.leader();
         long term = core.replicas.get(leader).lastAppliedTerm();
-        ProcessId cut = core.members.stream().filter(m -> !m.equals(leader)).findFirst().orElseThrow();
-        core.network.setPassingLinks((from, to) -> !from.equals(cut) && !to.equals(cut));
+        ProcessId partitioned = core.members.stream().filter(member -> !member.equals(leader)).findFirst()
+            .orElseThrow();
+        core.network.setLinkFilter((from, to) -> !from.equals(partitioned) && !to.equals(partitioned));
         core.network.run(30 * SECOND);
-        core.network.setPassingLinks((from, to) -> true);
+        core.network.setLinkFilter((from, to) -> true);
         core.network.run(10 * SECOND);
         assertEquals(core.leader(), leader);
-        assertEquals(core.replicas.get(cut).lastAppliedTerm(), term);
+        assertEquals(core.replicas.get(partitioned).lastAppliedTerm(), term);
     }
 
     @Test
-    public void aReplicaBehindTheLogIsSentTheSnapshot() {
+    public void sendsSnapshotToReplicaBehindCompactedLog() {
         Core core = new Core(3, 9);
         core.network.run(10 * SECOND);
         ProcessId leader = core.leader();
-        ProcessId away = core.members.stream().filter(m -> !m.equals(leader)).findFirst().orElseThrow();
-        core.stop(away);
-        core.disks.remove(away);
+        ProcessId stopped = core.members.stream().filter(member -> !member.equals(leader)).findFirst()
+            .orElseThrow();
+        core.stop(stopped);
+        core.persistentStates.remove(stopped);
         int changes = 2 * new DistributionSettings().replicatedLogCapacity + 10;
         for (int i = 0; i < changes; i++) {
             core.propose("name-" + i % 50);
@@ -194,16 +197,16 @@
             }
         }
         core.network.run(5 * SECOND);
-        core.start(away);
+        core.start(stopped);
         core.network.run(5 * SECOND);
-        RaftReplica back = core.replicas.get(away);
-        assertEquals(back.configuration().sequence(), changes);
-        assertEquals(back.configuration().snapshot(Scope.ALL),
+        RaftReplica restarted = core.replicas.get(stopped);
+        assertEquals(restarted.configuration().sequence(), changes);
+        assertEquals(restarted.configuration().snapshot(Scope.ALL),
             core.replicas.get(leader).configuration().snapshot(Scope.ALL));
     }
 
     @Test
-    public void aRestartedReplicaRecoversTheCommittedState() {
+    public void restartedReplicasRecoverCommittedState() {
         Core core = new Core(3, 10);
         core.network.run(10 * SECOND);
         for (int i = 0; i < 30; i++) {
@@ -222,60 +225,62 @@
     }
 
     /**
-     * Loss, duplication, reordering, partitions and crashes at random; once they end, all replicas have the
-     * same state.
+     * Injects message loss, duplication, reordering, partitions and crashes at random; after they end, all
+     * replicas have the same state.
      */
     @Test(dataProvider = "seeds")
-    public void noCommittedEntryIsLostUnderRandomFaults(int seed) {
+    public void losesNoCommittedEntryUnderRandomFaults(int seed) {
         Random random = new Random(seed);
         Core core = new Core(3 + 2 * (seed % 2), seed);
         core.network.setFaults(0.1, 0.1);
         core.network.setDelays(SimulatedNetwork.NANOS_PER_MILLISECOND,
             200 * SimulatedNetwork.NANOS_PER_MILLISECOND);
-        Map<String, Boolean> seenCommitted = new HashMap<>();
+        Map<String, Boolean> observedNames = new HashMap<>();
         for (int step = 0; step < 120; step++) {
             core.network.run(SECOND / 4 + random.nextInt((int) (SECOND / 2)));
             core.propose("change-" + step);
-            core.committedNames().forEach(name -> seenCommitted.put(name, true));
+            core.committedNames().forEach(name -> observedNames.put(name, true));
             injectFault(core, random);
         }
         core.network.setFaults(0, 0);
-        core.network.setPassingLinks((from, to) -> true);
-        core.members.stream().filter(m -> !core.replicas.containsKey(m)).toList().forEach(core::start);
+        core.network.setLinkFilter((from, to) -> true);
+        core.members.stream().filter(member -> !core.replicas.containsKey(member)).toList()
+            .forEach(core::start);
         core.network.run(20 * SECOND);
         assertNotNull(core.leader());
-        assertTrue(seenCommitted.size() > 10, "only " + seenCommitted.size() + " were committed");
+        assertTrue(observedNames.size() > 10, "only " + observedNames.size() + " names were committed");
         List<ConfigurationUpdate.Snapshot> states = new ArrayList<>();
         core.replicas.values().forEach(replica -> states.add(replica.configuration().snapshot(Scope.ALL)));
         states.forEach(state -> assertEquals(state, states.get(0), "seed " + seed));
         Set<String> present = new HashSet<>();
         states.get(0).entries().forEach(entry -> present.add(entry.key().name()));
-        seenCommitted.keySet().stream().filter(name -> name.startsWith("change"))
+        observedNames.keySet().stream().filter(name -> name.startsWith("change"))
             .forEach(name -> assertTrue(present.contains(name), "seed " + seed + ": lost " + name));
     }
 
     private static void injectFault(Core core, Random random) {
-        ProcessId any = core.members.get(random.nextInt(core.members.size()));
+        ProcessId target = core.members.get(random.nextInt(core.members.size()));
         switch (random.nextInt(8)) {
             case 0 -> {
-                if (core.replicas.containsKey(any)) {
-                    core.stop(any);
+                if (core.replicas.containsKey(target)) {
+                    core.stop(target);
                 } else {
-                    core.start(any);
+                    core.start(target);
                 }
             }
-            case 1 -> core.network.setPassingLinks((from, to) -> !from.equals(any) && !to.equals(any));
-            case 2 -> core.network.setPassingLinks((from, to) -> !to.equals(any));
-            case 3 -> core.network.setPassingLinks((from, to) -> true);
+            case 1 -> core.network.setLinkFilter((from, to) -> !from.equals(target) && !to.equals(target));
+            case 2 -> core.network.setLinkFilter((from, to) -> !to.equals(target));
+            case 3 -> core.network.setLinkFilter((from, to) -> true);
             default -> {}
         }
-        List<ProcessId> down = core.members.stream().filter(m -> !core.replicas.containsKey(m)).toList();
-        if (down.size() > core.members.size() / 2) {
-            core.start(down.get(0));
+        List<ProcessId> stopped = core.members.stream().filter(member -> !core.replicas.containsKey(member))
+            .toList();
+        if (stopped.size() > core.members.size() / 2) {
+            core.start(stopped.get(0));
         }
     }
 
-    /** A replica has all entries that were committed up to the time from which its age counts. */
+    /** Checks that a replica has all entries that were committed up to the time from which its age counts. */
     @Test(dataProvider = "seeds")
     public void freshReplicasHaveAllCommittedEntries(int seed) {
         Random random = new Random(1_000 + seed);
@@ -283,7 +288,7 @@
         core.network.setDelays(SimulatedNetwork.NANOS_PER_MILLISECOND,
             150 * SimulatedNetwork.NANOS_PER_MILLISECOND);
         core.network.setFaults(0.05, 0.05);
-        int checked = 0;
+        int checkCount = 0;
         for (int step = 0; step < 150; step++) {
             core.network.run(SECOND / 10 + random.nextInt((int) (SECOND / 3)));
             core.propose("change-" + step);
@@ -293,12 +298,13 @@
                 if (age < 0) {
                     continue;
                 }
-                long knownAsOf = core.network.now() - age * SimulatedNetwork.NANOS_PER_MILLISECOND;
-                core.committedAt.forEach((index, at) -> assertTrue(at > knownAsOf
-                    || replica.commitIndex() >= index, "index " + index + " committed before " + knownAsOf));
-                checked++;
+                long completeUntilNanos = core.network.now() - age * SimulatedNetwork.NANOS_PER_MILLISECOND;
+                core.commitTimes.forEach((index, at) -> assertTrue(at > completeUntilNanos
+                    || replica.commitIndex() >= index,
+                    "index " + index + " committed before " + completeUntilNanos));
+                checkCount++;
             }
         }
-        assertTrue(checked > 50, "checked " + checked);
+        assertTrue(checkCount > 50, "checked " + checkCount);
     }
 }
--- a/control/src/test/java/spurroad/control/distribution/replication/ReplicatedLogTest.java
+++ b/control/src/test/java/spurroad/control/distribution/replication/ReplicatedLogTest.java
@@ -12,7 +12,7 @@
 import spurroad.control.distribution.log.LogSnapshot;
 import spurroad.control.distribution.state.ConfigurationUpdate;
 
-/** A log with entries of the terms 1, 1, 2 and 4 at the indexes 1 to 4. */
+/** Tests a log with entries of the terms 1, 1, 2 and 4 at the indexes 1 to 4. */
 public class ReplicatedLogTest {
     private ReplicatedLog log;
 
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void entriesMatchByIndexAndTerm() {
+    public void matchesEntriesByIndexAndTerm() {
         assertTrue(log.matches(0, 0));
         assertTrue(log.matches(3, 2));
         assertFalse(log.matches(3, 1));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void aLogIsCoveredByOneWithALaterLastTermOrTheSameAndNoFewerEntries() {
+    public void isCoveredByLogWithLaterTermOrSameTermAndNoFewerEntries() {
         assertTrue(log.isCoveredBy(1, 5));
         assertTrue(log.isCoveredBy(4, 4));
         assertFalse(log.isCoveredBy(3, 4));
@@ -45,14 +45,14 @@
     }
 
     @Test
-    public void truncationDropsAnEntryAndAllAfterIt() {
+    public void truncationRemovesEntryAndAllLaterEntries() {
         log.truncateFrom(3);
         assertEquals(log.lastIndex(), 2);
         assertEquals(log.lastTerm(), 1);
     }
 
     @Test
-    public void aSnapshotRetainsTheLastEntriesBeforeItAndAllAfterIt() {
+    public void matchingSnapshotRetainsLastIncludedEntriesAndAllLaterEntries() {
         log.installSnapshot(snapshot(3, 2), 1);
         assertEquals(log.startIndex(), 2);
         assertEquals(log.termAt(2), 1);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    public void aSnapshotThatDisagreesReplacesAllEntries() {
+    public void conflictingSnapshotReplacesAllEntries() {
         log.installSnapshot(snapshot(3, 3), 8);
         assertEquals(log.startIndex(), 3);
         assertEquals(log.lastIndex(), 3);
--- a/control/src/test/java/spurroad/control/distribution/replication/ReplicationTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/replication/ReplicationTraceTest.java
@@ -22,12 +22,12 @@
 import spurroad.control.distribution.support.TracedParticipant;
 
 /**
- * Verifies that replicas of the core are unchanged: cores of several sizes whose messages are lost,
- * duplicated and delayed and whose replicas are partitioned and restarted. Time advances in whole steps, so
- * that timeouts are met to the nanosecond.
+ * Compares the replicas of a core with recorded traces: cores of several sizes whose messages are lost,
+ * duplicated and delayed, and whose replicas are partitioned and restarted. Time advances in whole steps, so
+ * that timeouts expire at exactly the simulated times.
  */
 public class ReplicationTraceTest {
-    private static final long STEP = 10 * DistributionSettings.NANOS_PER_MILLISECOND;
+    private static final long STEP_NANOS = 10 * DistributionSettings.NANOS_PER_MILLISECOND;
     private static final int STEPS = 4_000;
 
     @DataProvider
@@ -43,30 +43,30 @@
     }
 
     @Test(dataProvider = "cores")
-    public void replicatesAsBefore(int size, double loss, String digest) {
+    public void coreUnderRandomFaultsProducesRecordedTrace(int size, double loss, String digest) {
         Trace trace = Trace.named("core-" + size + "-" + loss);
         TracedCore core = new TracedCore(size, loss, trace);
         for (int step = 0; step < STEPS; step++) {
             core.step();
         }
-        core.disks.forEach(disk -> PersistentStateTrace.full(trace, disk));
+        core.persistentStates.forEach(persistent -> PersistentStateTrace.full(trace, persistent));
         assertEquals(trace.digest(), digest);
     }
 
-    private record Delivery(long at, long order, int from, int to, Message message) {}
+    private record Delivery(long atNanos, long order, int from, int to, Message message) {}
 
-    /** Replicas, their disks and the messages between them. */
+    /** Replicas, their persistent states and the messages between them. */
     private static final class TracedCore {
         private final DistributionSettings settings = new DistributionSettings();
         private final Trace trace;
         private final Random random;
         private final double loss;
         private final List<ProcessId> members;
-        private final List<PersistentState> disks = new ArrayList<>();
+        private final List<PersistentState> persistentStates = new ArrayList<>();
         private final List<RaftReplica> replicas = new ArrayList<>();
         private final PriorityQueue<Delivery> inFlight = new PriorityQueue<>(
-            Comparator.comparingLong(Delivery::at).thenComparingLong(Delivery::order));
-        private long now = STEP;
+            Comparator.comparingLong(Delivery::atNanos).thenComparingLong(Delivery::order));
+        private long nowNanos = STEP_NANOS;
         private long order;
         private int partitioned = -1; // index of the partitioned replica; -1 for none
 
@@ -75,51 +75,52 @@
             this.loss = loss;
             random = new Random(size);
             members = IntStream.range(0, size).mapToObj(ProcessId::new).toList();
-            members.forEach(id -> disks.add(new PersistentState()));
-            members.forEach(id -> replicas.add(replica(id)));
+            members.forEach(id -> persistentStates.add(new PersistentState()));
+            members.forEach(id -> replicas.add(newReplica(id)));
         }
 
-        private RaftReplica replica(ProcessId id) {
-            return new RaftReplica(now, settings, id, members, disks.get(id.value()), this::committed,
+        private RaftReplica newReplica(ProcessId id) {
+            return new RaftReplica(nowNanos, settings, id, members, persistentStates.get(id.value()),
+                this::onCommit,
                 random.nextLong());
         }
 
-        private void committed(long index, Command command) {
+        private void onCommit(long index, Command command) {
             trace.part('a').number(index);
             MessageTrace.command(trace, command);
         }
 
         private void step() {
-            now += STEP;
-            while (!inFlight.isEmpty() && inFlight.peek().at() <= now) {
+            nowNanos += STEP_NANOS;
+            while (!inFlight.isEmpty() && inFlight.peek().atNanos() <= nowNanos) {
                 deliver(inFlight.poll());
             }
             for (int i = 0; i < replicas.size(); i++) {
-                if (now >= replicas.get(i).nextTimerNanos()) {
+                if (nowNanos >= replicas.get(i).nextTimerNanos()) {
                     fireTimer(i);
                 }
             }
             if (random.nextInt(6) == 0) {
                 propose(random.nextInt(replicas.size()));
             }
-            disturb();
+            injectRandomFault();
         }
 
         private void deliver(Delivery delivery) {
             if (partitioned == delivery.from() || partitioned == delivery.to()) {
                 return;
             }
-            trace.part('r').number(now).number(delivery.to()).number(delivery.from());
+            trace.part('r').number(nowNanos).number(delivery.to()).number(delivery.from());
             MessageTrace.fields(trace, delivery.message());
-            replicas.get(delivery.to()).onMessage(now, members.get(delivery.from()), delivery.message(),
+            replicas.get(delivery.to()).onMessage(nowNanos, members.get(delivery.from()), delivery.message(),
                 outbox(delivery.to()));
-            end(delivery.to());
+            traceState(delivery.to());
         }
 
         private void fireTimer(int replica) {
-            trace.part('w').number(now).number(replica);
-            replicas.get(replica).onTimer(now, outbox(replica));
-            end(replica);
+            trace.part('w').number(nowNanos).number(replica);
+            replicas.get(replica).onTimer(nowNanos, outbox(replica));
+            traceState(replica);
         }
 
         private void propose(int replica) {
@@ -129,10 +130,10 @@
                     new byte[] {1});
             long index = replicas.get(replica).propose(command).orElse(-1);
             trace.part('P').number(replica).number(index);
-            end(replica);
+            traceState(replica);
         }
 
-        private void disturb() {
+        private void injectRandomFault() {
             int kind = random.nextInt(300);
             if (kind == 0) {
                 partitioned = random.nextInt(replicas.size());
@@ -141,7 +142,7 @@
             } else if (kind == 4) {
                 int restarted = random.nextInt(replicas.size());
                 trace.part('x').number(restarted).end();
-                replicas.set(restarted, replica(members.get(restarted)));
+                replicas.set(restarted, newReplica(members.get(restarted)));
             }
         }
 
@@ -152,16 +153,16 @@
                 }
                 int copies = random.nextInt(20) == 0 ? 2 : 1;
                 for (int copy = 0; copy < copies; copy++) {
-                    long delay = STEP * (1 + random.nextInt(random.nextInt(10) == 0 ? 60 : 5));
-                    inFlight.add(new Delivery(now + delay, order++, from, to.value(), message));
+                    long delay = STEP_NANOS * (1 + random.nextInt(random.nextInt(10) == 0 ? 60 : 5));
+                    inFlight.add(new Delivery(nowNanos + delay, order++, from, to.value(), message));
                 }
             });
         }
 
-        private void end(int replica) {
+        private void traceState(int replica) {
             trace.part('=').number(replicas.get(replica).nextTimerNanos());
-            StateTrace.replica(trace, now, replicas.get(replica));
-            PersistentStateTrace.summary(trace, disks.get(replica));
+            StateTrace.replica(trace, nowNanos, replicas.get(replica));
+            PersistentStateTrace.summary(trace, persistentStates.get(replica));
             trace.end();
         }
     }
--- a/control/src/test/java/spurroad/control/distribution/replication/RoleStateTest.java
+++ b/control/src/test/java/spurroad/control/distribution/replication/RoleStateTest.java
@@ -13,7 +13,7 @@
 import spurroad.control.distribution.DistributionSettings;
 import spurroad.control.distribution.ProcessId;
 
-/** The transitions of a replica's role. */
+/** Tests the transitions of a replica's role. */
 public class RoleStateTest {
     private static final ProcessId SELF = new ProcessId(0);
     private static final ProcessId OTHER = new ProcessId(1);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void aReplicaBecomesLeaderOnlyAfterPreVoteAndVote() {
+    public void becomesLeaderOnlyAfterPreVoteAndVote() {
         assertThrows(IllegalStateException.class, roleState::becomeLeader);
         assertThrows(IllegalStateException.class, roleState::becomeCandidate);
         roleState.becomePreCandidate(0);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void aLaterTermMakesAFollowerWithoutALeaderOrAVote() {
+    public void laterTermClearsLeaderAndVote() {
         roleState.followLeader(0, OTHER, 3);
         roleState.enterLaterTerm(0, 3);
         assertEquals(roleState.leader(), OTHER, "nothing changes in the current term");
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void contactWithALeaderLastsForTheTimeoutAndRestartsTheElectionTimer() {
+    public void leaderContactExpiresAfterTimeoutAndRestartsElectionTimer() {
         roleState.followLeader(100, OTHER, 1);
         assertTrue(roleState.hasLeaderContactWithin(109, 10));
         assertFalse(roleState.hasLeaderContactWithin(110, 10));
--- a/control/src/test/java/spurroad/control/distribution/support/CheckingListener.java
+++ b/control/src/test/java/spurroad/control/distribution/support/CheckingListener.java
@@ -10,29 +10,30 @@
 import spurroad.control.distribution.state.StateListener;
 
 /**
- * Records the changes and purges that take effect at one process; fails where one takes effect twice or out
- * of order.
+ * Records the changes and purges that take effect at one process; fails if one takes effect twice or out of
+ * order.
  */
 public final class CheckingListener implements StateListener {
     public final Map<ResourceKey, Long> sequences = new HashMap<>();
     public long purgeNumber;
-    public long purges;
-    public int resets;
+    public long purgeCount;
+    public int resetCount;
 
     @Override
     public void onConfigurationChange(ConfigurationEntry entry) {
-        Long before = sequences.put(entry.key(), entry.sequence());
-        assertTrue(before == null || before < entry.sequence(),
-            entry.key() + ": " + entry.sequence() + " after "
-                + before);
+        Long previousSequence = sequences.put(entry.key(), entry.sequence());
+        assertTrue(previousSequence == null || previousSequence < entry.sequence(),
+            entry.key() + ": sequence " + entry.sequence() + " after "
+                + previousSequence);
     }
 
     @Override
     public void onPurges(PurgeBatch batch, long fromNumber) {
         assertTrue(fromNumber == purgeNumber,
-            "purges after " + fromNumber + " where " + purgeNumber + " are known");
+            "purges after number " + fromNumber + ", expected after " + purgeNumber
+                + ", the last number");
         assertTrue(batch.fromNumber() <= fromNumber && batch.toNumber() > fromNumber);
-        purges += batch.toNumber() - fromNumber;
+        purgeCount += batch.toNumber() - fromNumber;
         purgeNumber = batch.toNumber();
     }
 
@@ -40,6 +41,6 @@
     public void onPurgeReset(long toNumber) {
         assertTrue(toNumber >= purgeNumber, "reset to " + toNumber + " after " + purgeNumber);
         purgeNumber = toNumber;
-        resets++;
+        resetCount++;
     }
 }
--- a/control/src/test/java/spurroad/control/distribution/support/MessageTrace.java
+++ b/control/src/test/java/spurroad/control/distribution/support/MessageTrace.java
@@ -29,7 +29,7 @@
 import spurroad.control.distribution.state.PurgeUpdate;
 
 /**
- * Writes messages and their parts into a trace: first each field, so that swapped fields are found even if
+ * Writes messages and their parts into a trace: first each field, so that swapped fields are detected even if
  * the codec swaps them back, and then the encoded bytes.
  */
 public final class MessageTrace {
@@ -140,7 +140,8 @@
             snapshot(trace, installation.snapshot());
             trace.number(installation.sentAtMillis());
         } else {
-            throw new IllegalArgumentException("a kind of message that traces don't know");
+            throw new IllegalArgumentException(
+                "unsupported message type: expected a message between replicas");
         }
     }
 
--- a/control/src/test/java/spurroad/control/distribution/support/SimulatedNetwork.java
+++ b/control/src/test/java/spurroad/control/distribution/support/SimulatedNetwork.java
@@ -15,71 +15,73 @@
 import spurroad.control.distribution.message.Participant;
 
 /**
- * Delivers encoded messages in simulated time, and loses, duplicates, delays and reorders them at random, by
- * a seed. Times are nanoseconds.
+ * Delivers encoded messages in simulated time, and loses, duplicates, delays and reorders them at random,
+ * determined by a seed. Times are nanoseconds.
  */
 public final class SimulatedNetwork {
     public static final long NANOS_PER_MILLISECOND = DistributionSettings.NANOS_PER_MILLISECOND;
     public static final long NANOS_PER_SECOND = DistributionSettings.NANOS_PER_SECOND;
 
-    private record Event(long at, long order, Runnable work) implements Comparable<Event> {
+    private record Event(long atNanos, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+            return atNanos != other.atNanos ? Long.compare(atNanos, other.atNanos)
+                : Long.compare(order, other.order);
         }
     }
 
     private final Random random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<ProcessId, Participant> processes = new HashMap<>();
-    private final Map<ProcessId, Long> timerAt = new HashMap<>();
+    private final Map<ProcessId, Long> timerNanos = new HashMap<>();
     private final Set<ProcessId> stopped = new HashSet<>();
-    private long now = NANOS_PER_SECOND;
+    private long nowNanos = NANOS_PER_SECOND;
     private long order;
-    private long shortestDelay = NANOS_PER_MILLISECOND;
-    private long longestDelay = 20 * NANOS_PER_MILLISECOND;
-    private double loss;
-    private double duplication;
-    private BiPredicate<ProcessId, ProcessId> passes = (from, to) -> true;
-    private long sent;
-
-    /** Creates a network without processes, which loses nothing. */
+    private long minDelayNanos = NANOS_PER_MILLISECOND;
+    private long maxDelayNanos = 20 * NANOS_PER_MILLISECOND;
+    private double lossProbability;
+    private double duplicationProbability;
+    private BiPredicate<ProcessId, ProcessId> linkFilter = (from, to) -> true;
+    private long sentCount;
+
+    /** Creates a network without processes, which loses no messages. */
     public SimulatedNetwork(long seed) {
         random = new Random(seed);
     }
 
     public long now() {
-        return now;
+        return nowNanos;
     }
 
-    long sent() {
-        return sent;
+    long sentCount() {
+        return sentCount;
     }
 
     /** Sets the range of delays, in nanoseconds. */
-    public void setDelays(long shortest, long longest) {
-        shortestDelay = shortest;
-        longestDelay = longest;
+    public void setDelays(long minNanos, long maxNanos) {
+        minDelayNanos = minNanos;
+        maxDelayNanos = maxNanos;
     }
 
     /** Sets the probabilities of losing and of duplicating a message. */
-    public void setFaults(double lost, double duplicated) {
-        loss = lost;
-        duplication = duplicated;
+    public void setFaults(double loss, double duplication) {
+        lossProbability = loss;
+        duplicationProbability = duplication;
     }
 
     /**
-     * Delivers from now on only messages of links that match; messages in flight are delivered as well.
+     * Restricts delivery to messages sent from now on over matching links; messages already in flight are
+     * still delivered.
      */
-    public void setPassingLinks(BiPredicate<ProcessId, ProcessId> links) {
-        passes = links;
+    public void setLinkFilter(BiPredicate<ProcessId, ProcessId> matchingLinks) {
+        linkFilter = matchingLinks;
     }
 
-    /** Starts a process, in place of an earlier one of that id. */
+    /** Starts a process, replacing an earlier process with the same id. */
     public void add(ProcessId id, Participant process) {
         processes.put(id, process);
         stopped.remove(id);
-        timerAt.remove(id);
+        timerNanos.remove(id);
         scheduleTimer(id);
     }
 
@@ -87,43 +89,43 @@
     public void stop(ProcessId id) {
         stopped.add(id);
         processes.remove(id);
-        timerAt.remove(id);
+        timerNanos.remove(id);
     }
 
-    void at(long time, Runnable work) {
-        events.add(new Event(Math.max(time, now), order++, work));
+    void schedule(long atNanos, Runnable action) {
+        events.add(new Event(Math.max(atNanos, nowNanos), order++, action));
     }
 
     /** Runs for a duration in nanoseconds. */
-    public void run(long duration) {
-        long until = now + duration;
-        while (!events.isEmpty() && events.peek().at() <= until) {
+    public void run(long durationNanos) {
+        long untilNanos = nowNanos + durationNanos;
+        while (!events.isEmpty() && events.peek().atNanos() <= untilNanos) {
             Event next = events.poll();
-            now = next.at();
-            next.work().run();
+            nowNanos = next.atNanos();
+            next.action().run();
         }
-        now = until;
+        nowNanos = untilNanos;
     }
 
-    /** Sends a message of a process. */
+    /** Sends a message from one process to another. */
     public void send(ProcessId from, ProcessId to, Message message) {
-        sent++;
+        sentCount++;
         byte[] bytes = MessageCodec.encode(message);
-        if (stopped.contains(from) || !passes.test(from, to) || random.nextDouble() < loss) {
+        if (stopped.contains(from) || !linkFilter.test(from, to) || random.nextDouble() < lossProbability) {
             return;
         }
         deliver(from, to, bytes);
-        if (random.nextDouble() < duplication) {
+        if (random.nextDouble() < duplicationProbability) {
             deliver(from, to, bytes);
         }
     }
 
     private void deliver(ProcessId from, ProcessId to, byte[] bytes) {
-        long delay = shortestDelay + (long) (random.nextDouble() * (longestDelay - shortestDelay));
-        at(now + delay, () -> {
+        long delayNanos = minDelayNanos + (long) (random.nextDouble() * (maxDelayNanos - minDelayNanos));
+        schedule(nowNanos + delayNanos, () -> {
             Participant process = processes.get(to);
             if (process != null) {
-                process.onMessage(now, from, decode(bytes), (target, reply) -> send(to, target, reply));
+                process.onMessage(nowNanos, from, decode(bytes), (target, reply) -> send(to, target, reply));
                 scheduleTimer(to);
             }
         });
@@ -139,17 +141,17 @@
 
     private void scheduleTimer(ProcessId id) {
         Participant process = processes.get(id);
-        long next = Math.max(process.nextTimerNanos(), now + NANOS_PER_MILLISECOND / 10);
-        if (next == Long.MAX_VALUE || timerAt.getOrDefault(id, Long.MAX_VALUE) <= next) {
+        long next = Math.max(process.nextTimerNanos(), nowNanos + NANOS_PER_MILLISECOND / 10);
+        if (next == Long.MAX_VALUE || timerNanos.getOrDefault(id, Long.MAX_VALUE) <= next) {
             return;
         }
-        timerAt.put(id, next);
-        at(next, () -> {
-            if (processes.get(id) != process || timerAt.getOrDefault(id, -1L) != next) {
+        timerNanos.put(id, next);
+        schedule(next, () -> {
+            if (processes.get(id) != process || timerNanos.getOrDefault(id, -1L) != next) {
                 return;
             }
-            timerAt.remove(id);
-            process.onTimer(now, (target, reply) -> send(id, target, reply));
+            timerNanos.remove(id);
+            process.onTimer(nowNanos, (target, reply) -> send(id, target, reply));
             scheduleTimer(id);
         });
     }
--- a/control/src/test/java/spurroad/control/distribution/support/SlowReader.java
+++ b/control/src/test/java/spurroad/control/distribution/support/SlowReader.java
@@ -7,13 +7,13 @@
 import spurroad.control.distribution.message.Outbox;
 import spurroad.control.distribution.message.Participant;
 
-/** A process that handles its received messages in batches, at intervals. */
+/** Delays the received messages of a process, which handles them in batches at intervals. */
 public final class SlowReader implements Participant {
-    private record Unread(ProcessId from, Message message) {}
+    private record ReceivedMessage(ProcessId from, Message message) {}
 
     private final Participant process;
     private final long intervalNanos;
-    private final Deque<Unread> inbox = new ArrayDeque<>();
+    private final Deque<ReceivedMessage> inbox = new ArrayDeque<>();
     private long nextReadNanos;
 
     /** Wraps a process; the interval is in nanoseconds. */
@@ -23,21 +23,21 @@
     }
 
     @Override
-    public void onMessage(long now, ProcessId from, Message message, Outbox outbox) {
+    public void onMessage(long nowNanos, ProcessId from, Message message, Outbox outbox) {
         if (inbox.isEmpty()) {
-            nextReadNanos = now + intervalNanos;
+            nextReadNanos = nowNanos + intervalNanos;
         }
-        inbox.add(new Unread(from, message));
+        inbox.add(new ReceivedMessage(from, message));
     }
 
     @Override
-    public void onTimer(long now, Outbox outbox) {
-        while (now >= nextReadNanos && !inbox.isEmpty()) {
-            Unread next = inbox.remove();
-            process.onMessage(now, next.from(), next.message(), outbox);
+    public void onTimer(long nowNanos, Outbox outbox) {
+        while (nowNanos >= nextReadNanos && !inbox.isEmpty()) {
+            ReceivedMessage next = inbox.remove();
+            process.onMessage(nowNanos, next.from(), next.message(), outbox);
         }
-        if (now >= process.nextTimerNanos()) {
-            process.onTimer(now, outbox);
+        if (nowNanos >= process.nextTimerNanos()) {
+            process.onTimer(nowNanos, outbox);
         }
     }
 
--- a/control/src/test/java/spurroad/control/distribution/support/TracedParticipant.java
+++ b/control/src/test/java/spurroad/control/distribution/support/TracedParticipant.java
@@ -8,37 +8,37 @@
 import spurroad.control.distribution.message.Participant;
 
 /**
- * A process whose every call is written into a trace: the arguments, each message that it sends, the time of
+ * Writes each call of a process into a trace: the arguments, each message that the process sends, the time of
  * its next timer and its state after the call.
  */
 public final class TracedParticipant implements Participant {
     private final ProcessId self;
     private final Participant process;
     private final Trace trace;
-    private final LongConsumer stateAt;
+    private final LongConsumer stateWriter;
 
-    /** Wraps a process; {@code stateAt} writes its state at a time. */
-    public TracedParticipant(ProcessId self, Participant process, Trace trace, LongConsumer stateAt) {
+    /** Wraps a process; {@code stateWriter} writes its state at a given time. */
+    public TracedParticipant(ProcessId self, Participant process, Trace trace, LongConsumer stateWriter) {
         this.self = self;
         this.process = process;
         this.trace = trace;
-        this.stateAt = stateAt;
+        this.stateWriter = stateWriter;
     }
 
     @Override
-    public void onMessage(long now, ProcessId from, Message message, Outbox outbox) {
-        begin('r', now);
+    public void onMessage(long nowNanos, ProcessId from, Message message, Outbox outbox) {
+        begin('r', nowNanos);
         MessageTrace.process(trace, from);
         MessageTrace.fields(trace, message);
-        process.onMessage(now, from, message, traced(trace, outbox));
-        end(now);
+        process.onMessage(nowNanos, from, message, traced(trace, outbox));
+        end(nowNanos);
     }
 
     @Override
-    public void onTimer(long now, Outbox outbox) {
-        begin('w', now);
-        process.onTimer(now, traced(trace, outbox));
-        end(now);
+    public void onTimer(long nowNanos, Outbox outbox) {
+        begin('w', nowNanos);
+        process.onTimer(nowNanos, traced(trace, outbox));
+        end(nowNanos);
     }
 
     @Override
@@ -46,18 +46,18 @@
         return process.nextTimerNanos();
     }
 
-    private void begin(char call, long now) {
-        trace.part(call).number(now);
+    private void begin(char call, long nowNanos) {
+        trace.part(call).number(nowNanos);
         MessageTrace.process(trace, self);
     }
 
-    private void end(long now) {
+    private void end(long nowNanos) {
         trace.part('=').number(process.nextTimerNanos());
-        stateAt.accept(now);
+        stateWriter.accept(nowNanos);
         trace.end();
     }
 
-    /** Returns an outbox that writes each message before it passes it on. */
+    /** Returns an outbox that writes each message into the trace before it forwards the message. */
     public static Outbox traced(Trace trace, Outbox outbox) {
         return (to, message) -> {
             trace.part('>');
