--- a/control/src/main/java/spurroad/control/distribution/publish/ChildProgress.java
+++ b/control/src/main/java/spurroad/control/distribution/publish/ChildProgress.java
@@ -114,6 +114,6 @@
         Heartbeat heartbeat = new Heartbeat(status.term(), sent.sequence(), sent.purgeNumber(),
             hasAllPurges ? status.ageMillis() : Freshness.UNKNOWN_AGE_MILLIS, latestSentAtMillis,
             status.isConnected());
-        return new Update(window.countSent(), heartbeat, configuration, purges);
+        return new Update(window.recordSent(), heartbeat, configuration, purges);
     }
 }
--- a/control/src/main/java/spurroad/control/distribution/publish/Publisher.java
+++ b/control/src/main/java/spurroad/control/distribution/publish/Publisher.java
@@ -184,7 +184,7 @@
     }
 
     /** Ends all subscriptions, so that the children search for another parent without a timeout. */
-    public void dismissChildren(RejectionReason reason, Outbox outbox) {
+    public void rejectChildren(RejectionReason reason, Outbox outbox) {
         for (ProcessId child : children.keySet()) {
             outbox.send(child, new SubscriptionRejected(reason, 0));
         }
--- a/control/src/main/java/spurroad/control/distribution/publish/SubscriptionRateLimiter.java
+++ b/control/src/main/java/spurroad/control/distribution/publish/SubscriptionRateLimiter.java
@@ -41,9 +41,9 @@
 
     private void refill(long nowNanos) {
         if (refilledAtNanos != Long.MIN_VALUE) {
-            double refill = (double) (nowNanos - refilledAtNanos) * tokensPerSecond
+            double newTokens = (double) (nowNanos - refilledAtNanos) * tokensPerSecond
                 / DistributionSettings.NANOS_PER_SECOND;
-            tokens = Math.min(maxTokens, tokens + refill);
+            tokens = Math.min(maxTokens, tokens + newTokens);
         }
         refilledAtNanos = nowNanos;
     }
--- a/control/src/main/java/spurroad/control/distribution/publish/UpdateWindow.java
+++ b/control/src/main/java/spurroad/control/distribution/publish/UpdateWindow.java
@@ -22,8 +22,8 @@
         lastAcknowledgementNanos = nowNanos;
     }
 
-    /** Counts an update that is sent; returns its number. */
-    long countSent() {
+    /** Records that an update is sent; returns its number. */
+    long recordSent() {
         sentCount++;
         return sentCount;
     }
--- a/control/src/main/java/spurroad/control/distribution/relay/Relay.java
+++ b/control/src/main/java/spurroad/control/distribution/relay/Relay.java
@@ -48,7 +48,7 @@
     /** Time without a parent after which the lease is released. */
     private static final long RELEASE_TIMEOUT_NANOS = 3 * DistributionSettings.NANOS_PER_SECOND;
     /** Time for which a released lease is not requested again. */
-    private static final long ABSTENTION_NANOS = 5 * DistributionSettings.NANOS_PER_SECOND;
+    private static final long RELEASED_LEASE_BACKOFF_NANOS = 5 * DistributionSettings.NANOS_PER_SECOND;
 
     private final TreePosition position;
     private final Subscriber subscriber;
@@ -58,7 +58,7 @@
     private final FormerChildRetention formerChildRetention;
     private boolean isRelay;
     private long lastAttachedNanos; // or the time of the latest role change
-    private long abstainUntilNanos;
+    private long leaseBackoffEndNanos;
 
     /**
      * Creates a process without state, parent or lease.
@@ -131,7 +131,7 @@
         formerChildRetention.update(nowNanos);
         releaseLeaseWithoutParent(nowNanos);
         updateRole(nowNanos, outbox);
-        lease.onTimer(nowNanos, nowNanos >= abstainUntilNanos, outbox);
+        lease.onTimer(nowNanos, nowNanos >= leaseBackoffEndNanos, outbox);
         publisher.flush(nowNanos, status(nowNanos), outbox);
     }
 
@@ -140,7 +140,7 @@
             lastAttachedNanos = nowNanos;
         } else if (isRelay && nowNanos - lastAttachedNanos >= RELEASE_TIMEOUT_NANOS) {
             lease.release();
-            abstainUntilNanos = nowNanos + ABSTENTION_NANOS;
+            leaseBackoffEndNanos = nowNanos + RELEASED_LEASE_BACKOFF_NANOS;
         }
     }
 
@@ -155,7 +155,7 @@
         if (holdsLease) {
             subscriber.setParentCandidates(nowNanos, position.parentsAsRelay(), List.of());
         } else {
-            publisher.dismissChildren(RejectionReason.NOT_A_RELAY, outbox);
+            publisher.rejectChildren(RejectionReason.NOT_A_RELAY, outbox);
             subscriber.setParentCandidates(nowNanos, position.preferredParents(),
                 position.parentsAsRelay());
         }
--- a/control/src/main/java/spurroad/control/distribution/replication/FollowerProgress.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/FollowerProgress.java
@@ -50,7 +50,7 @@
     }
 
     /** Returns whether a reply to entries or a snapshot is awaited and not overdue. */
-    boolean isAwaitingReply(long nowNanos, long timeoutNanos) {
+    boolean isReplyAwaitedWithin(long nowNanos, long timeoutNanos) {
         return isReplyAwaited() && nowNanos - unansweredSinceNanos < timeoutNanos;
     }
 
--- a/control/src/main/java/spurroad/control/distribution/replication/LeaderReplication.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/LeaderReplication.java
@@ -52,7 +52,7 @@
     void onHeartbeatTimer(long nowNanos, Outbox outbox) {
         nextHeartbeatNanos = nowNanos + settings.heartbeatIntervalNanos;
         followers.forEach((id, progress) -> {
-            if (progress.isAwaitingReply(nowNanos, settings.requestTimeoutNanos)) {
+            if (progress.isReplyAwaitedWithin(nowNanos, settings.requestTimeoutNanos)) {
                 sendEmptyHeartbeat(nowNanos, id, progress, outbox);
             } else {
                 sendEntriesOrSnapshot(nowNanos, id, progress, outbox);
@@ -112,7 +112,7 @@
     }
 
     private void advanceCommitIndex(long nowNanos) {
-        long majorityIndex = reachedByMajority(FollowerProgress::matchIndex, log.lastIndex());
+        long majorityIndex = majorityValue(FollowerProgress::matchIndex, log.lastIndex());
         long currentTerm = persistent.currentTerm();
         if (majorityIndex > stateMachine.commitIndex() && log.termAt(majorityIndex) == currentTerm) {
             stateMachine.applyUpTo(majorityIndex);
@@ -134,14 +134,14 @@
      * or later.
      */
     private long majorityEchoMillis(long nowNanos) {
-        return reachedByMajority(FollowerProgress::latestEchoMillis, MonotonicTime.toMillis(nowNanos));
+        return majorityValue(FollowerProgress::latestEchoMillis, MonotonicTime.toMillis(nowNanos));
     }
 
     /**
      * Returns the highest value that a majority of replicas has reached, where this replica's value is {@code
      * ownValue}.
      */
-    private long reachedByMajority(ToLongFunction<FollowerProgress> valueOf, long ownValue) {
+    private long majorityValue(ToLongFunction<FollowerProgress> valueOf, long ownValue) {
         long[] values = new long[followers.size() + 1];
         int count = 0;
         for (FollowerProgress progress : followers.values()) {
--- a/control/src/main/java/spurroad/control/distribution/replication/Voter.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/Voter.java
@@ -38,12 +38,13 @@
                                   boolean isUpToDate) {
         roleState.enterLaterTerm(nowNanos, request.term());
         boolean isCurrentTerm = request.term() == persistent.currentTerm();
-        boolean isFree = persistent.votedFor() == null || persistent.votedFor().equals(candidate);
-        boolean grants = isCurrentTerm && !roleState.isLeader() && isFree && isUpToDate;
-        if (grants) {
+        boolean hasNotVotedForOther = persistent.votedFor() == null
+            || persistent.votedFor().equals(candidate);
+        boolean isGranted = isCurrentTerm && !roleState.isLeader() && hasNotVotedForOther && isUpToDate;
+        if (isGranted) {
             persistent.voteFor(candidate);
             roleState.restartElectionTimer(nowNanos);
         }
-        return new RequestVoteReply(persistent.currentTerm(), grants, false);
+        return new RequestVoteReply(persistent.currentTerm(), isGranted, false);
     }
 }
--- a/control/src/test/java/spurroad/control/distribution/lease/LeaseTest.java
+++ b/control/src/test/java/spurroad/control/distribution/lease/LeaseTest.java
@@ -42,8 +42,7 @@
         assertTrue(requestLease(grantor, nowNanos + settings.leaseDurationNanos, 3),
             "the lease of the second candidate has ended");
         assertEquals(grantor.holders(nowNanos + settings.leaseDurationNanos, "site"),
-            List.of(new ProcessId(1),
-                new ProcessId(3)));
+            List.of(new ProcessId(1), new ProcessId(3)));
     }
 
     @Test
--- a/control/src/test/java/spurroad/control/distribution/relay/LinkTest.java
+++ b/control/src/test/java/spurroad/control/distribution/relay/LinkTest.java
@@ -62,8 +62,7 @@
         status = new Publisher.Status(1, 0, true);
         listener = new CheckingListener();
         subscriber = new Subscriber(settings, EAST, new ConfigurationState(0), new PurgeLog(0, 0), 0,
-            listener,
-            7);
+            listener, 7);
         subscriber.setParentCandidates(START, List.of(PARENT, OTHER_PARENT), List.of());
         messagesToChild.clear();
         messagesToParent.clear();
--- a/control/src/test/java/spurroad/control/distribution/relay/LinkTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/relay/LinkTraceTest.java
@@ -103,8 +103,7 @@
     }
 
     private static void callPublisherAtRandom(Random random, Source source, Publisher publisher,
-                                              long nowNanos,
-                                              Outbox outbox) {
+                                              long nowNanos, Outbox outbox) {
         ProcessId child = new ProcessId(random.nextInt(CHILDREN));
         Publisher.Status status = new Publisher.Status(2 + nowNanos / (1_000 * STEP_NANOS),
             random.nextInt(9) - 1, random.nextInt(20) > 0);
@@ -122,7 +121,7 @@
         } else if (kind < 99) {
             publisher.retainPurgesAfter(random.nextInt(3) > 0 ? Long.MAX_VALUE : source.purges.startNumber());
         } else if (random.nextInt(5) == 0) {
-            publisher.dismissChildren(RejectionReason.NOT_A_RELAY, outbox);
+            publisher.rejectChildren(RejectionReason.NOT_A_RELAY, outbox);
         }
     }
 
@@ -206,8 +205,7 @@
     }
 
     private static void answerAtRandom(Random random, Source source, Subscriber subscriber,
-                                       Participant traced,
-                                       long nowNanos) {
+                                       Participant traced, long nowNanos) {
         if (random.nextInt(5) == 0) {
             source.changeAtRandom();
         }
--- a/control/src/test/java/spurroad/control/distribution/relay/RelayTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/relay/RelayTraceTest.java
@@ -174,8 +174,7 @@
     @Test
     public void purgeRetentionForFormerChildrenProducesRecordedTrace() {
         Trace trace = Trace.named("relay-return");
-        for (long sinceReturnNanos = 58 * SECOND; sinceReturnNanos
-            < 62 * SECOND; sinceReturnNanos += 4 * STEP_NANOS) {
+        for (long delayNanos = 58 * SECOND; delayNanos < 62 * SECOND; delayNanos += 4 * STEP_NANOS) {
             RelayEnvironment environment = new RelayEnvironment(trace, 1);
             environment.run(8 * SECOND);
             environment.purge(environment.settings.usualPurgeLogCapacity + 10);
@@ -184,7 +183,7 @@
             environment.run(2 * SECOND);
             assertTrue(environment.relay.isRelay() && !environment.relay.subscriber().isAttached());
             environment.isParentUnresponsive = false;
-            environment.run(sinceReturnNanos);
+            environment.run(delayNanos);
             environment.purge(30);
             environment.run(SECOND);
         }
