--- a/control/src/test/java/spurroad/control/distribution/FleetTraceTest.java
+++ b/control/src/test/java/spurroad/control/distribution/FleetTraceTest.java
@@ -86,18 +86,18 @@
         partitionFor(fleet, 9 * SECOND_NANOS, id -> id >= 200); // isolates one region
         partitionFor(fleet, 6 * SECOND_NANOS, id -> id >= 110 && id < 120); // isolates a site
         partitionFor(fleet, 4 * SECOND_NANOS, id -> id < 3); // splits the core three to two
-        fleet.network.setPassingLinks((from, to) -> from.value() < 100 || to.value() != 100); // one direction
+        fleet.network.setLinkFilter((from, to) -> from.value() < 100 || to.value() != 100); // one direction
         fleet.runWithCommands(5 * SECOND_NANOS, 300 * MILLISECOND_NANOS, 4);
-        fleet.network.setPassingLinks((from, to) -> true);
+        fleet.network.setLinkFilter((from, to) -> true);
         fleet.network.run(62 * SECOND_NANOS); // until the purges retained for former children are dropped
         fleet.runWithCommands(3 * SECOND_NANOS, 300 * MILLISECOND_NANOS, 4);
     }
 
     private static void partitionFor(TracedFleet fleet, long durationNanos, IntPredicate isOnFirstSide) {
-        fleet.network.setPassingLinks(
+        fleet.network.setLinkFilter(
             (from, to) -> isOnFirstSide.test(from.value()) == isOnFirstSide.test(to.value()));
         fleet.runWithCommands(durationNanos, 310 * MILLISECOND_NANOS, 4);
-        fleet.network.setPassingLinks((from, to) -> true);
+        fleet.network.setLinkFilter((from, to) -> true);
         fleet.runWithCommands(5 * SECOND_NANOS, 310 * MILLISECOND_NANOS, 4);
     }
 
@@ -145,9 +145,9 @@
         fleet.startAll();
         fleet.network.run(STARTUP_NANOS);
         fleet.runWithCommands(2 * SECOND_NANOS, 200 * MILLISECOND_NANOS, 900);
-        fleet.network.setPassingLinks((from, to) -> isOfLastSite(from) == isOfLastSite(to));
+        fleet.network.setLinkFilter((from, to) -> isOfLastSite(from) == isOfLastSite(to));
         fleet.runWithCommands(9 * SECOND_NANOS, 200 * MILLISECOND_NANOS, 900);
-        fleet.network.setPassingLinks((from, to) -> true);
+        fleet.network.setLinkFilter((from, to) -> true);
         fleet.runWithCommands(6 * SECOND_NANOS, 200 * MILLISECOND_NANOS, 400);
         fleet.network.run(8 * SECOND_NANOS);
     }
--- a/control/src/test/java/spurroad/control/distribution/TreeFailureTest.java
+++ b/control/src/test/java/spurroad/control/distribution/TreeFailureTest.java
@@ -90,7 +90,7 @@
                     .stream().filter(id -> !id.equals(fleet.leader())).limit(2).forEach(fleet::stop)},
             {"a relay of a site receives nothing from its parents", (Consumer<SimulatedFleet>) fleet -> {
                 ProcessId cut = relayOf(fleet, "east0");
-                fleet.network.setPassingLinks((from, to) -> !(to.equals(cut) && from.value() < 110));
+                fleet.network.setLinkFilter((from, to) -> !(to.equals(cut) && from.value() < 110));
             }},
             {"a tenth of all messages is lost, and a tenth duplicated", (Consumer<SimulatedFleet>) fleet -> {
                 fleet.network.setFaults(0.1, 0.1);
@@ -168,7 +168,7 @@
         SimulatedFleet fleet = startedFleet(4);
         Set<ProcessId> west = new HashSet<>(fleet.all().stream()
             .filter(id -> "west".equals(fleet.regionOf.get(id))).toList());
-        fleet.network.setPassingLinks((from, to) -> west.contains(from) == west.contains(to));
+        fleet.network.setLinkFilter((from, to) -> west.contains(from) == west.contains(to));
         fleet.network.run(fleet.settings.freshnessLeaseNanos);
         for (int i = 0; i < 40; i++) {
             fleet.change("", "everywhere");
@@ -184,13 +184,13 @@
             assertTrue(
                 fleet.subscribers.get(id).configuration().value(new ResourceKey("", "everywhere")) != null);
         }
-        fleet.network.setPassingLinks((from, to) -> true);
+        fleet.network.setLinkFilter((from, to) -> true);
         fleet.network.run(25 * SECOND_NANOS);
         assertEquals(fleet.processesBehind(id -> true), List.of());
         for (ProcessId id : west) {
             assertTrue(fleet.subscribers.get(id).freshness().isFresh(fleet.network.now()),
                 id + " should be fresh again");
-            assertEquals(fleet.applied.get(id).purges, fleet.purges, id + " should have received each purge");
+            assertEquals(fleet.applied.get(id).purgeCount, fleet.purges, id + " should have received each purge");
         }
     }
 
@@ -209,14 +209,14 @@
         fleet.purge(100);
         fleet.network.run(2 * SECOND_NANOS);
         fleet.network
-            .setPassingLinks(
+            .setLinkFilter(
                 (from, to) -> "west".equals(fleet.regionOf.get(from)) == "west".equals(fleet.regionOf
                     .get(to)));
         for (int purgedCount = 0; purgedCount < backlog; purgedCount += 30_000) {
             assertTrue(fleet.purge(30_000));
             fleet.network.run(SECOND_NANOS);
         }
-        fleet.network.setPassingLinks((from, to) -> true);
+        fleet.network.setLinkFilter((from, to) -> true);
         int seconds = 0;
         while (!fleet.processesBehind(id -> true).isEmpty() && seconds < 200) {
             fleet.network.run(SECOND_NANOS);
@@ -225,8 +225,8 @@
         assertEquals(fleet.processesBehind(id -> true), List.of(), "after " + seconds + " s");
         fleet.applied.forEach((id, applied) -> {
             if ("west".equals(fleet.regionOf.get(id))) {
-                assertEquals(applied.resets > 1, exceedsLog, id + " was reset " + applied.resets + " times");
-                assertTrue(exceedsLog || applied.purges == fleet.purges, id + " had " + applied.purges);
+                assertEquals(applied.resetCount > 1, exceedsLog, id + " was reset " + applied.resetCount + " times");
+                assertTrue(exceedsLog || applied.purgeCount == fleet.purges, id + " had " + applied.purgeCount);
             }
         });
     }
@@ -291,7 +291,7 @@
             assertEquals(fleet.processesWronglyFresh(), List.of(), "seed " + seed + ", step " + step);
         }
         fleet.network.setFaults(0, 0);
-        fleet.network.setPassingLinks((from, to) -> true);
+        fleet.network.setLinkFilter((from, to) -> true);
         fleet.all().stream().filter(id -> !fleet.isRunning(id)).toList().forEach(fleet::start);
         fleet.network.run(40 * SECOND_NANOS);
         assertTrue(fleet.committedSequences.size() > 5, fleet.committedSequences + " committed");
@@ -314,9 +314,9 @@
                 }
             }
             case 2 -> fleet.network
-                .setPassingLinks((from, to) -> !from.equals(affectedProcess) && !to.equals(affectedProcess));
-            case 3 -> fleet.network.setPassingLinks((from, to) -> !to.equals(affectedProcess));
-            case 4 -> fleet.network.setPassingLinks((from, to) -> true);
+                .setLinkFilter((from, to) -> !from.equals(affectedProcess) && !to.equals(affectedProcess));
+            case 3 -> fleet.network.setLinkFilter((from, to) -> !to.equals(affectedProcess));
+            case 4 -> fleet.network.setLinkFilter((from, to) -> true);
             default -> {}
         }
     }
