--- a/proxy/src/main/java/spurroad/routing/AdmissionController.java
+++ b/proxy/src/main/java/spurroad/routing/AdmissionController.java
@@ -29,13 +29,13 @@
      */
     private static final double RETRY_AFTER_OBJECTIVE_FRACTION = 0.5;
     /**
-     * Number of intervals over which CPU usage is averaged: the platform averages its CPU limit over some 100
-     * ms.
+     * Number of intervals over which CPU usage is averaged: the process's CPU limit is enforced as an average
+     * over some 100 ms.
      */
     private static final int CPU_WINDOW_INTERVALS = 2;
     /**
-     * Number of cached responses, one for each Retry-After in milliseconds; a longer Retry-After is cut to
-     * the last of them.
+     * Number of cached responses, one for each Retry-After in milliseconds; a longer Retry-After is shortened
+     * to the longest of them.
      */
     private static final int MAX_CACHED_RESPONSES = 4096;
     /** Latency objective if no request class has one. */
--- a/proxy/src/main/java/spurroad/routing/BalancerMessage.java
+++ b/proxy/src/main/java/spurroad/routing/BalancerMessage.java
@@ -10,8 +10,9 @@
 import spurroad.protocol.UpstreamReply;
 
 /**
- * A message that the load balancer's thread runs. Messages are records rather than lambdas because the C1
- * compiler calls into the virtual machine at each site that creates a capturing lambda, which is slow.
+ * A message that the load balancer's thread runs. Messages are records rather than lambdas also for speed: in
+ * code compiled by the C1 client compiler, each creation of a capturing lambda is a slow call into the
+ * virtual machine.
  */
 sealed interface BalancerMessage extends Runnable {
     /** A client's request was admitted. */
--- a/proxy/src/main/java/spurroad/routing/ClientConnection.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnection.java
@@ -8,7 +8,7 @@
 
 /**
  * Connection of a client. Answers its commands or admits them as requests, and closes the connection if its
- * descriptor or memory is needed or no more commands are expected. Commands come from {@link CommandReader},
+ * descriptor or memory is needed or no more commands are expected. {@link CommandReader} reads the commands,
  * responses are written by {@link ResponseWriter}. A guest, a client connection without a descriptor of its
  * own, is rejected and closed. Used on the event loop only.
  */
@@ -294,8 +294,8 @@
      * Returns whether the connection is idle between two commands. A connection that was just opened is not:
      * its first command is on its way, and the client does not send it again. Nor is a connection whose
      * client may still be receiving a long response: a reset drops what the operating system has not sent
-     * yet. With four times the usual load, responses of up to 400 KB were cut off so some 14 ms after their
-     * clients' timeouts, and their requests were lost.
+     * yet. With four times the usual load, such resets cut off responses of up to 400 KB some 14 ms after the
+     * clients' timeouts, and the requests were lost.
      */
     private boolean isIdle() {
         long now = clients.now();
--- a/proxy/src/main/java/spurroad/routing/ClientConnections.java
+++ b/proxy/src/main/java/spurroad/routing/ClientConnections.java
@@ -119,9 +119,9 @@
     }
 
     /**
-     * Applies other settings between two commands: commands read from then on are numbered by them, and the
-     * load balancer is notified after the commands numbered before and ahead of those numbered after. May be
-     * called from any thread.
+     * Applies other settings between two commands. The class and tenant numbers of the commands read from
+     * then on refer to them, so the load balancer receives them after all requests that carry numbers of the
+     * previous settings and before the first that carries new ones. May be called from any thread.
      */
     public void applySettings(DeploymentSettings next) {
         loop.execute(() -> {
@@ -232,9 +232,9 @@
     }
 
     /**
-     * Closes silent connections after a while, and idle ones earlier when many are connected. Some clients
-     * send one request and keep the connection open forever, which left no connections for the other clients
-     * that share a connection limit with them.
+     * Closes connections after a time without activity, which is shorter while many clients are connected.
+     * Some clients send one request and keep the connection open forever, which left no connections for the
+     * other clients that share a connection limit with them.
      */
     private void closeInactive() {
         boolean crowded = CROWDED_DIVISOR * connections.size() > maxConnections;
--- a/proxy/src/main/java/spurroad/routing/CloseReason.java
+++ b/proxy/src/main/java/spurroad/routing/CloseReason.java
@@ -9,7 +9,7 @@
     CLIENT_ENDED(true),
     /** The client read its responses too slowly. */
     TAKES_NO_ANSWERS(true),
-    /** An endpoint broke off a long value in the middle: only a reset tells the client. */
+    /** An endpoint broke off a long value: the client can recognize this only by a reset. */
     VALUE_BROKEN_OFF(false),
     /** The client did not finish a command in time. */
     UNFINISHED_COMMAND(false),
--- a/proxy/src/main/java/spurroad/routing/CommandReader.java
+++ b/proxy/src/main/java/spurroad/routing/CommandReader.java
@@ -25,8 +25,8 @@
         boolean discardsInput();
 
         /**
-         * Returns whether the limit of discarded input is exceeded, so that a disconnect after it would not
-         * be seen.
+         * Returns whether the limit of discarded input is exceeded: reading stops there, so a later
+         * disconnect would not be seen.
          */
         boolean exceedsDiscardLimit();
 
--- a/proxy/src/main/java/spurroad/routing/DecisionExecutor.java
+++ b/proxy/src/main/java/spurroad/routing/DecisionExecutor.java
@@ -17,8 +17,7 @@
  * loop through the outbox. Used by the load balancer's thread only, unless a method says otherwise.
  */
 final class DecisionExecutor {
-    // Messages that each request needs are records: the C1 compiler calls into the virtual machine at each
-    // site that creates a capturing lambda, which is slow.
+    // The messages that each request needs are records rather than lambdas; BalancerMessage says why.
     private record StartAttempt(UpstreamRequest attempt) implements Runnable {
         @Override
         public void run() {
--- a/proxy/src/main/java/spurroad/routing/DisconnectDetector.java
+++ b/proxy/src/main/java/spurroad/routing/DisconnectDetector.java
@@ -16,8 +16,8 @@
         boolean isClosed();
 
         /**
-         * Returns whether the limit of discarded input is exceeded, so that a disconnect after it would not
-         * be seen.
+         * Returns whether the limit of discarded input is exceeded: reading stops there, so a later
+         * disconnect would not be seen.
          */
         boolean exceedsDiscardLimit();
 
@@ -41,7 +41,7 @@
     private final EventLoop loop;
     private boolean checkScheduled;
     private boolean readingAhead;
-    private long checkedAtNanos; // time of the last check behind all input
+    private long checkedAtNanos; // when a disconnect was last looked for after all input
     private boolean mayHaveUnreadInput; // the last read filled its buffer
 
     DisconnectDetector(Owner owner, Connection connection, ReadAheadBuffer buffer, EventLoop loop) {
@@ -51,7 +51,10 @@
         this.loop = loop;
     }
 
-    /** Notes the number of bytes that the event loop, or this detector, has read from the connection. */
+    /**
+     * Notes a read of the given number of bytes: more input may be unread if it filled a chunk. Ignores the
+     * reads of this detector, which checks its own buffer.
+     */
     void onRead(int bytes) {
         if (!readingAhead) {
             mayHaveUnreadInput = bytes >= ReadAheadBuffer.CHUNK_BYTES;
@@ -81,7 +84,7 @@
     /** Returns whether the client has disconnected; checks the connection unless the last check is recent. */
     boolean hasDisconnected() {
         if (owner.exceedsDiscardLimit()) {
-            return true; // unknown: no further attempts begin for its requests
+            return true; // not known, so no further attempts begin for the requests of the client
         }
         boolean loopReportsEnd = connection.isReading() && !mayHaveUnreadInput;
         long reportedAtNanos = loopReportsEnd ? loop.earliestArrivalNanos() : checkedAtNanos;
--- a/proxy/src/main/java/spurroad/routing/DiscoveryTiming.java
+++ b/proxy/src/main/java/spurroad/routing/DiscoveryTiming.java
@@ -22,7 +22,9 @@
     private static final long PUSHED_MEAN_PAUSE_NANOS = 100_000_000L;
     /** Mean pause as a fraction of the configured poll interval: the call takes part of the interval. */
     private static final double PAUSE_FRACTION = 0.4;
-    /** Call timeout in configured poll intervals; a failed call must be followed by another within four. */
+    /**
+     * Call timeout in configured poll intervals; the call after a failed one must start within four of them.
+     */
     private static final double CALL_TIMEOUT_POLL_INTERVALS = 2;
     /**
      * Minimum time without a line after which a watch counts as stalled: 1.3 heartbeats, which arrive every 2
--- a/proxy/src/main/java/spurroad/routing/EndpointConnection.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointConnection.java
@@ -19,7 +19,7 @@
  */
 final class EndpointConnection implements Connection.Handler {
     private static final String UNEXPECTED_REPLY = "reply received without a fully sent request";
-    /** Maximum pause within a reply; the rest of a reply that was sent in full arrives sooner. */
+    /** Maximum pause within a reply: an endpoint that has sent the beginning sends the rest sooner. */
     private static final long REPLY_STALL_NANOS = 300_000_000L;
     /** Maximum pause within a long value while the connection is being read. */
     private static final long STREAM_STALL_NANOS = 2_500_000_000L;
@@ -32,7 +32,7 @@
     /** The incarnation of the endpoint to which the connection was opened. */
     final int incarnation;
     private Connection connection;
-    private EventLoop.Timer timeout; // for the connect, or for the rest of a reply
+    private EventLoop.Timer timeout; // of the connect, of a partly received reply, or of a streamed value
     private long readAtNanos;
     private StreamedResponse streamedResponse; // non-null while a long value is passed to a client
     private boolean reusableAfterStream;
--- a/proxy/src/main/java/spurroad/routing/EndpointConnectionPool.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointConnectionPool.java
@@ -22,9 +22,10 @@
     /**
      * The settings and services that all pools share.
      *
-     * @param connectTimeoutNanos maximum time to connect, and to wait for a descriptor
+     * @param connectTimeoutNanos maximum time to connect, and for an attempt to wait for a descriptor
      * @param idleTimeoutNanos time after which an endpoint closes an idle connection
-     * @param reuseDelayNanos pause in the use of a connection after a reply, to notice a surplus reply
+     * @param reuseDelayNanos how long a connection stays unused after a reply, so that a surplus reply is
+     *     noticed
      * @param requestIdleClose asks all pools to close an idle connection when descriptors are short
      * @param listener is notified of the end of each attempt
      * @param onForwarded called for each request that was sent in full
--- a/proxy/src/main/java/spurroad/routing/EndpointRegistry.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointRegistry.java
@@ -123,7 +123,10 @@
         }
     }
 
-    /** Returns whether an endpoint was last listed as a cache node; some years of ids are remembered. */
+    /**
+     * Returns whether an endpoint, listed now or removed, was a cache node when it was last listed. The ids
+     * of some years are remembered.
+     */
     boolean wasListedAsCacheNode(EndpointId id) {
         return Boolean.TRUE.equals(listedAsCacheNode.get(id));
     }
--- a/proxy/src/main/java/spurroad/routing/EndpointWatch.java
+++ b/proxy/src/main/java/spurroad/routing/EndpointWatch.java
@@ -167,8 +167,8 @@
     }
 
     /**
-     * Makes a watch current whose first line arrived after its timeout, and closes the call that was started
-     * beside it.
+     * Makes the previous watch current again because its first line arrived after all, later than its
+     * timeout. Closes the call that was started beside it.
      */
     private void makeCurrent(Watch answered) {
         nextPoll.cancel();
--- a/proxy/src/main/java/spurroad/routing/LoopOutbox.java
+++ b/proxy/src/main/java/spurroad/routing/LoopOutbox.java
@@ -9,7 +9,7 @@
  * so that the loop is woken once for many messages. Used by the load balancer's thread only.
  */
 final class LoopOutbox {
-    /** A record, because C1 creates a capturing lambda by a slow call into the virtual machine. */
+    /** A record rather than a lambda, for the reason given in {@link BalancerMessage}. */
     private record Batch(List<Runnable> messages) implements Runnable {
         @Override
         public void run() {
--- a/proxy/src/main/java/spurroad/routing/ResponseMessage.java
+++ b/proxy/src/main/java/spurroad/routing/ResponseMessage.java
@@ -2,8 +2,7 @@
 
 /**
  * Message to the event loop with the final response of a request. It is a record rather than a lambda because
- * one is created for each request: the C1 client compiler links each capturing lambda by a runtime call at
- * its creation site.
+ * one is created for each request; {@link BalancerMessage} gives the reason.
  *
  * @param streamed the long value that follows the response; null if there is none
  */
--- a/proxy/src/main/java/spurroad/routing/RuleMonitor.java
+++ b/proxy/src/main/java/spurroad/routing/RuleMonitor.java
@@ -15,7 +15,7 @@
         SENT_TO_CLOSED_NODE,
         /** An attempt was sent for a client that has disconnected. */
         SENT_FOR_LEFT_CLIENT,
-        /** An attempt was sent after the request's deadline, or told the endpoint more time than was left. */
+        /** An attempt was sent after the request's deadline, or stated more time than was left. */
         SENT_TOO_LATE,
         /** A connection was closed by the proxy while requests awaited their responses. */
         CLOSED_OVER_REQUESTS,
@@ -28,9 +28,12 @@
     /**
      * State of an attempt when its first byte was sent. The component names are part of the logged subject.
      *
-     * @param id id of its request
-     * @param toldMs time left as reported to the endpoint, in milliseconds
-     * @param leftNs nanoseconds until the request's deadline; negative after it
+     * @param id id of the request that the attempt belongs to
+     * @param node name of the endpoint
+     * @param nodeTakesNew whether the endpoint accepts requests
+     * @param clientLeft whether the client has disconnected
+     * @param toldMs time left as stated in the message to the endpoint, in milliseconds
+     * @param leftNs time left until the request's deadline, in nanoseconds; negative after it
      */
     record Sent(String id, String node, boolean nodeTakesNew, boolean clientLeft, long toldMs, long leftNs) {}
 
@@ -74,7 +77,8 @@
     }
 
     /**
-     * Checks a final response, given whether the request had one before and how long its deadline has passed.
+     * Checks a final response, given whether the request had one before and how many nanoseconds after its
+     * deadline it comes.
      */
     void onResponse(String id, boolean duplicate, long lateNanos) {
         if (duplicate) {
--- a/proxy/src/test/java/spurroad/routing/ClientAnswersFormTest.java
+++ b/proxy/src/test/java/spurroad/routing/ClientAnswersFormTest.java
@@ -199,7 +199,7 @@
         }
     }
 
-    /** A guest is told when to retry, and its connection is closed. */
+    /** A guest receives a Retry-After time, and its connection is closed. */
     @Test
     public void rejectsAndClosesGuest() throws Exception {
         ProxyService small = service(ScriptedPeers.start(1, FEW_DESCRIPTORS, ScriptedPeers.list(1, true)));
--- a/proxy/src/test/java/spurroad/routing/DiscoveryReturnsTest.java
+++ b/proxy/src/test/java/spurroad/routing/DiscoveryReturnsTest.java
@@ -76,7 +76,7 @@
                     LoadBalancerThread loadBalancer = new LoadBalancerThread(start, threads, loop, log, clock,
                         new DescriptorBudget(64),
                         SocketFactory.TCP, NANOS_PER_MILLI);
-                    // the only external poll
+                    // the load balancer's thread does not run: later polls are the watch's own
                     new EndpointWatch(start, threads, loop, log, loadBalancer).poll();
                 }
                 runs.get(settings).put(away, discoveries);
--- a/proxy/src/test/java/spurroad/routing/SlowClientTest.java
+++ b/proxy/src/test/java/spurroad/routing/SlowClientTest.java
@@ -22,8 +22,8 @@
 import spurroad.transport.Threads;
 
 /**
- * Guards against a failure while a client that reads no responses is closed by the very response whose memory
- * overdraws the budget.
+ * Guards against an exception when a response overdraws the memory budget and thereby closes the very client
+ * that it is for, because that client reads no responses.
  */
 public class SlowClientTest {
     private static final int MORE_THAN_PIPE_CAPACITY_BYTES = 1 << 20;
