--- a/proxy/src/test/java/spurroad/routing/DiscoveryTimingTest.java
+++ b/proxy/src/test/java/spurroad/routing/DiscoveryTimingTest.java
@@ -52,7 +52,10 @@
         }
     }
 
-    /** The seven in ten proxies that lose discovery at the same moment call it at different times later. */
+    /**
+     * Proxies that lose discovery at the same moment, here seven in ten of a fleet, call it at different
+     * times after its recovery.
+     */
     @Test
     public void callsAfterSimultaneousOutageAreSpreadOut() {
         int[] calls = new int[6]; // in each half second after the recovery
