--- a/proxy/src/test/java/spurroad/bench/CommandBench.java
+++ b/proxy/src/test/java/spurroad/bench/CommandBench.java
@@ -35,15 +35,15 @@
 @Fork(value = 3,
     jvmArgs = {"-Xms64m", "-Xmx64m", "-Xmn40m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xbatch"})
 public class CommandBench {
-    private static final long NANOS_PER_MS = 1_000_000L;
-    private static final long MAX_QUEUE_DELAY_NANOS = 75 * NANOS_PER_MS;
-    private static final long RETRY_AFTER_NANOS = 150 * NANOS_PER_MS;
-    private static final long MAX_RETRY_AFTER_NANOS = 2_000 * NANOS_PER_MS;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long MAX_QUEUE_DELAY_NANOS = 75 * NANOS_PER_MILLI;
+    private static final long RETRY_AFTER_NANOS = 150 * NANOS_PER_MILLI;
+    private static final long MAX_RETRY_AFTER_NANOS = 2_000 * NANOS_PER_MILLI;
     private static final long SEED = 7;
     private static final int OVERLOAD_INTERVALS = 100;
     private static final int REQUESTS_PER_INTERVAL = 20;
     private static final double OVERLOADED_CPU = 1.2; // of the limit
-    private static final int FORWARDED_DEADLINE_MS = 300;
+    private static final int FORWARDED_DEADLINE_MILLIS = 300;
     private static final int CACHED_REJECTIONS = 4096; // one for each millisecond of Retry-After
     private static final Map<String, Integer> REQUEST_CLASSES = Map.of("room-read", 0, "rent-post", 1);
     private static final Map<String, Integer> TENANTS = Map.of("acme", 0, "lanka", 1, "nallur-hostels", 2);
@@ -93,17 +93,17 @@
         if (admission.admits(requestClass, tenant)) {
             return command;
         }
-        int retryAfterMs = (int) (admission.retryAfterNanos() / NANOS_PER_MS);
-        byte[] rejection = rejections[retryAfterMs];
+        int retryAfterMillis = (int) (admission.retryAfterNanos() / NANOS_PER_MILLI);
+        byte[] rejection = rejections[retryAfterMillis];
         if (rejection == null) {
-            rejection = MetaResponse.rejected(retryAfterMs);
-            rejections[retryAfterMs] = rejection;
+            rejection = MetaResponse.rejected(retryAfterMillis);
+            rejections[retryAfterMillis] = rejection;
         }
         return rejection;
     }
 
     @Benchmark
     public byte[] writtenForANode() {
-        return parsed.forEndpoint(FORWARDED_DEADLINE_MS);
+        return parsed.forEndpoint(FORWARDED_DEADLINE_MILLIS);
     }
 }
--- a/proxy/src/test/java/spurroad/overload/LoadRequest.java
+++ b/proxy/src/test/java/spurroad/overload/LoadRequest.java
@@ -8,11 +8,11 @@
  */
 final class LoadRequest {
     private static final long NANOS_PER_MICRO = 1_000L;
-    private static final long NANOS_PER_MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int KEYS = 2000; // few enough for most reads to hit at their cache nodes
     private static final double KEY_SKEW = 2; // exponent; low keys are more popular
-    private static final long CONNECTION_POLL_NANOS = 5 * NANOS_PER_MS;
-    private static final long MEAN_SPREAD_NANOS = 100 * NANOS_PER_MS;
+    private static final long CONNECTION_POLL_NANOS = 5 * NANOS_PER_MILLI;
+    private static final long MEAN_SPREAD_NANOS = 100 * NANOS_PER_MILLI;
 
     private final LoadGenerator generator;
     private final EventLoop loop;
@@ -56,8 +56,8 @@
 
     /** Returns the command of an attempt, with the rest of the timeout as its deadline. */
     String command() {
-        long remainingMs = Math.max(1, remainingNanos() / NANOS_PER_MS);
-        return "mg k" + key + " v O" + generator.nextRequestId() + " Pc=read,t=acme,d=" + remainingMs
+        long remainingMillis = Math.max(1, remainingNanos() / NANOS_PER_MILLI);
+        return "mg k" + key + " v O" + generator.nextRequestId() + " Pc=read,t=acme,d=" + remainingMillis
             + "\r\n";
     }
 
@@ -80,7 +80,7 @@
     }
 
     /** Handles the rejection of an attempt by the proxy. */
-    void onRejected(long retryAfterMs) {
+    void onRejected(long retryAfterMillis) {
         connection = null;
         statistics.rejections++;
         attempts++;
@@ -90,7 +90,7 @@
         }
         switch (plan.retry()) {
             case AT_ONCE -> loop.execute(this::send);
-            case AS_TOLD -> loop.schedule(retryAfterMs * NANOS_PER_MS, this::send);
+            case AS_TOLD -> loop.schedule(retryAfterMillis * NANOS_PER_MILLI, this::send);
             case SPREAD -> loop.schedule((long) (2 * MEAN_SPREAD_NANOS * generator.random().nextDouble()),
                 this::send);
         }
--- a/proxy/src/test/java/spurroad/overload/Operation.java
+++ b/proxy/src/test/java/spurroad/overload/Operation.java
@@ -24,7 +24,7 @@
  * {@code bans}, {@code upgrades}, {@code readers}.
  */
 public final class Operation {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int MAX_CONNECTIONS = 128;
     private static final int SILENT_CALLERS = 100;
     private static final String FLAGS = "-XX:-UsePerfData -Xms48m -Xmx48m -Xmn28m -XX:+UseSerialGC "
@@ -39,7 +39,7 @@
     private final String command = "java " + FLAGS + " -jar "
         + Path.of(System.getProperty("jar", "proxy/target/spurroad.jar")).toAbsolutePath();
     private final double share = Double.parseDouble(System.getProperty("share", "0.5"));
-    private final double per = Double.parseDouble(System.getProperty("per", "270"));
+    private final double baseRate = Double.parseDouble(System.getProperty("per", "270"));
     private final String configuration;
     private final LoadGenerator load;
 
@@ -64,35 +64,36 @@
     }
 
     public static void main(String[] args) throws Exception {
-        Operation o = new Operation();
+        Operation operation = new Operation();
         try {
-            o.adminCalls();
-            o.drains(Integer.getInteger("bans", 100));
-            o.upgrades(Integer.getInteger("upgrades", 20));
-            o.slowReaders(Integer.getInteger("readers", 200));
+            operation.adminCalls();
+            operation.drains(Integer.getInteger("bans", 100));
+            operation.upgrades(Integer.getInteger("upgrades", 20));
+            operation.slowReaders(Integer.getInteger("readers", 200));
         } finally {
-            o.platform.close();
+            operation.platform.close();
         }
         System.exit(0);
     }
 
-    private Proxy proxy(String text) throws IOException, InterruptedException {
-        Proxy p = platform.ready(text, command);
-        new ProcessBuilder("bin/hold-to-share", Long.toString(p.pid()), Double.toString(share), "10", "600")
+    private Proxy startProxy(String text) throws IOException, InterruptedException {
+        Proxy proxy = platform.ready(text, command);
+        new ProcessBuilder("bin/hold-to-share", Long.toString(proxy.pid()), Double.toString(share), "10",
+            "600")
             .inheritIO()
             .start();
-        return p;
+        return proxy;
     }
 
-    private void startLoad(double times) {
+    private void startLoad(double multiple) {
         Overload.call(clients, () -> {
-            load.start(LoadPlan.of(per * times, MAX_CONNECTIONS, LoadPlan.Retry.SPREAD));
+            load.start(LoadPlan.of(baseRate * multiple, MAX_CONNECTIONS, LoadPlan.Retry.SPREAD));
             return load.takeStatistics();
         });
     }
 
-    private static void print(String format, Object... figures) {
-        System.out.printf(Locale.ROOT, format + "%n", figures);
+    private static void print(String format, Object... values) {
+        System.out.printf(Locale.ROOT, format + "%n", values);
     }
 
     /**
@@ -100,35 +101,38 @@
      * they are disconnected.
      */
     private void adminCalls() throws Exception {
-        Proxy p = proxy(configuration);
+        Proxy proxy = startProxy(configuration);
         for (int i = 0; i < SILENT_CALLERS; i++) {
-            Thread t = new Thread(() -> callSilently(p.adminPort()));
-            t.setDaemon(true);
-            t.start();
+            Thread thread = new Thread(() -> callSilently(proxy.adminPort()));
+            thread.setDaemon(true);
+            thread.start();
         }
         startLoad(16);
         Thread.sleep(2_000);
-        double[] took = new double[60];
-        int wrong = 0;
-        for (int i = 0; i < took.length; i++) {
-            long since = System.nanoTime();
-            wrong += p.call("GET", i % 2 == 0 ? "/stats" : "/healthcheck").startsWith("HTTP/1.1 200") ? 0 : 1;
-            took[i] = (System.nanoTime() - since) / 1e6;
+        double[] latenciesMillis = new double[60];
+        int failed = 0;
+        for (int i = 0; i < latenciesMillis.length; i++) {
+            long startNanos = System.nanoTime();
+            failed += proxy.call("GET", i % 2 == 0 ? "/stats" : "/healthcheck").startsWith("HTTP/1.1 200") ? 0
+                : 1;
+            latenciesMillis[i] = (System.nanoTime() - startNanos) / 1e6;
             Thread.sleep(200);
         }
-        LoadStatistics r = Overload.call(clients, load::takeStatistics);
-        Arrays.sort(took);
+        LoadStatistics statistics = Overload.call(clients, load::takeStatistics);
+        Arrays.sort(latenciesMillis);
         print(
             "admin calls at %d requests a second, %d silent callers: longest %.0f ms, median %.0f ms, "
                 + "%d of %d failed; served in time %d, rejections %d",
-            (int) (16 * per), SILENT_CALLERS, took[took.length - 1], took[took.length / 2], wrong,
-            took.length, r.inTime, r.rejections);
-        p.kill();
-        p.ended(10);
+            (int) (16 * baseRate), SILENT_CALLERS, latenciesMillis[latenciesMillis.length - 1],
+            latenciesMillis[latenciesMillis.length / 2], failed,
+            latenciesMillis.length, statistics.inTime, statistics.rejections);
+        proxy.kill();
+        proxy.ended(10);
     }
 
     private static void callSilently(int port) {
-        for (long until = System.nanoTime() + 20_000 * MS; System.nanoTime() < until;) {
+        for (long deadlineNanos = System.nanoTime() + 20_000 * NANOS_PER_MILLI; System.nanoTime()
+            < deadlineNanos;) {
             try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 s.setSoTimeout(4_000);
                 s.getInputStream().read();
@@ -140,64 +144,65 @@
 
     /** Measures how soon a drained cache node gets no further requests. */
     private void drains(int count) throws Exception {
-        Proxy p = proxy(configuration);
+        Proxy proxy = startProxy(configuration);
         startLoad(1);
         Thread.sleep(2_000);
-        double longest = 0;
+        double longestDelayMillis = 0;
         int late = 0;
-        int unused = 0;
-        int wrong = 0;
+        int unusedAfterReturn = 0;
+        int failed = 0;
         for (int i = 0; i < count; i++) {
             int index = i % FakeFleet.CACHE_NODES;
             FakeEndpoint node = fleet.cacheNode(index);
             String path = "/cache-nodes/" + FakeFleet.cacheNodeId(index);
-            wrong += p.call("POST", path + "/maint").startsWith("HTTP/1.1 200") ? 0
+            failed += proxy.call("POST", path + "/maint").startsWith("HTTP/1.1 200") ? 0
                 : 1;
-            long yes = clock.now();
+            long respondedAtNanos = clock.now();
             Thread.sleep(300);
-            double after = (node.lastRequestNanos() - yes) / 1e6;
-            longest = Math.max(longest, after);
-            late += after > 0 ? 1 : 0;
-            wrong += p.call("POST", path + "/ready").startsWith("HTTP/1.1 200") ? 0
+            double delayMillis = (node.lastRequestNanos() - respondedAtNanos) / 1e6;
+            longestDelayMillis = Math.max(longestDelayMillis, delayMillis);
+            late += delayMillis > 0 ? 1 : 0;
+            failed += proxy.call("POST", path + "/ready").startsWith("HTTP/1.1 200") ? 0
                 : 1;
-            long back = clock.now();
+            long returnedAtNanos = clock.now();
             Thread.sleep(300);
-            unused += node.lastRequestNanos() < back ? 1 : 0;
+            unusedAfterReturn += node.lastRequestNanos() < returnedAtNanos ? 1 : 0;
         }
         print(
             "%d drains at %d requests a second: %d with a request after the response, the latest %.1f ms "
                 + "after; %d calls failed; %d times no request within 0.3 s of the return to use",
-            count, (int) per, late, longest, wrong, unused);
-        p.kill();
-        p.ended(10);
+            count, (int) baseRate, late, longestDelayMillis, failed, unusedAfterReturn);
+        proxy.kill();
+        proxy.ended(10);
     }
 
     /** Measures the rejections and the memory of hot restarts. */
     private void upgrades(int count) throws Exception {
-        Proxy old = proxy(configuration);
+        Proxy old = startProxy(configuration);
         startLoad(1);
         Thread.sleep(2_000);
         Overload.call(clients, load::takeStatistics);
-        double most = 0;
-        double ready = 0;
+        double maxResidentMb = 0;
+        double longestStartSeconds = 0;
         for (int i = 0; i < count; i++) {
-            long since = System.nanoTime();
-            Proxy next = proxy(configuration);
-            ready = Math.max(ready, (System.nanoTime() - since) / 1e9);
+            long startNanos = System.nanoTime();
+            Proxy next = startProxy(configuration);
+            longestStartSeconds = Math.max(longestStartSeconds, (System.nanoTime() - startNanos) / 1e9);
             old.terminate();
             while (old.alive()) {
-                most = Math.max(most, old.residentMb() + next.residentMb());
+                maxResidentMb = Math.max(maxResidentMb, old.residentMb() + next.residentMb());
                 Thread.sleep(20);
             }
             old = next;
             Thread.sleep(500);
         }
-        LoadStatistics r = Overload.call(clients, load::takeStatistics);
+        LoadStatistics statistics = Overload.call(clients, load::takeStatistics);
         print(
             "%d upgrades at %d requests a second: %d of %d requests disconnected, %d failed, %d rejections; "
                 + "ready after %.1f s at most; both processes hold %.0f MiB at most",
-            count, (int) per, r.disconnected, r.offered, r.failed, r.rejections,
-            ready, most);
+            count, (int) baseRate, statistics.disconnected, statistics.offered, statistics.failed,
+            statistics.rejections,
+            longestStartSeconds, maxResidentMb);
         Overload.call(clients, () -> {
             load.stop();
             return null;
@@ -209,20 +214,20 @@
     /** Measures the memory held for clients that read large values slowly. */
     private void slowReaders(int count) throws Exception {
         try (LargeValueNode node = new LargeValueNode()) {
-            Proxy p = proxy(configuration(1024,
+            Proxy proxy = startProxy(configuration(1024,
                 ScriptedPeers.target("s-l", "m1", node.port(), "active", 0)));
-            double before = p.residentMb();
-            double most = 0;
+            double before = proxy.residentMb();
+            double maxResidentMb = 0;
             SlowReaders readers = new SlowReaders(platform.port, count);
             while (readers.running()) {
-                most = Math.max(most, p.residentMb());
+                maxResidentMb = Math.max(maxResidentMb, proxy.residentMb());
                 Thread.sleep(50);
             }
             print(
                 "%d clients reading 4 MiB at some 200 KiB a second: %d complete; "
                     + "%.0f MiB at most, %.0f before",
-                count, readers.completed(), most, before);
-            p.kill();
+                count, readers.completed(), maxResidentMb, before);
+            proxy.kill();
         }
     }
 }
--- a/proxy/src/test/java/spurroad/overload/Overload.java
+++ b/proxy/src/test/java/spurroad/overload/Overload.java
@@ -33,7 +33,7 @@
  */
 public final class Overload {
     private static final int MAX_CONNECTIONS = 341; // a third of the proxy's 1,024 descriptors
-    private static final long SETTLE_MS = 2_000; // at the beginning of each load, not counted
+    private static final long SETTLE_MILLIS = 2_000; // at the beginning of each load, not counted
     private static final String FLAGS = "-XX:-UsePerfData -Xms64m -Xmx64m -Xmn40m -XX:+UseSerialGC "
         + "-XX:TieredStopAtLevel=1 -Xbatch -Xss256k -XX:StackShadowPages=10";
 
@@ -42,10 +42,10 @@
     public static void main(String[] args) throws Exception {
         String jar = System.getProperty("jar", "proxy/target/spurroad.jar");
         double share = Double.parseDouble(System.getProperty("share", "0.42"));
-        double per = Double.parseDouble(System.getProperty("per", "270"));
+        double baseRate = Double.parseDouble(System.getProperty("per", "270"));
         double seconds = Double.parseDouble(System.getProperty("seconds", "8"));
         double stall = Double.parseDouble(System.getProperty("stall", "0"));
-        String[] times = System.getProperty("times", "1,2,4,8,16,1").split(",");
+        String[] multiples = System.getProperty("times", "1,2,4,8,16,1").split(",");
         LoadPlan.Retry retry = LoadPlan.Retry.valueOf(System.getProperty("retry", "AT_ONCE"));
 
         EventLog log = new EventLog();
@@ -55,46 +55,50 @@
         new Threads(log).start("servers", servers);
         new Threads(log).start("clients", clients);
         String[] targets = new FakeFleet(servers, log).targets();
-        int port = free();
-        Process proxy = proxy(jar, port, share, targets);
+        int port = freePort();
+        Process proxy = startProxy(jar, port, share, targets);
         Runtime.getRuntime().addShutdownHook(new Thread(proxy::destroyForcibly));
         awaitReady(port);
         if (share > 0) {
             new ProcessBuilder("bin/hold-to-share", Long.toString(proxy.pid()), Double.toString(share), "10",
-                Double.toString(seconds * times.length + 30)).inheritIO().start();
+                Double.toString(seconds * multiples.length + 30)).inheritIO().start();
         }
         LoadGenerator load = new LoadGenerator(clients,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 7);
         System.out
             .println("times offered/s in-time/s late/s rejections/s timed-out/s failed/s no-conn/s opened/s "
                 + "broken cut-off p50ms p99ms cpu switches/s threads us/answer");
-        for (String t : times) {
-            double x = Double.parseDouble(t);
+        for (String multipleText : multiples) {
+            double multiple = Double.parseDouble(multipleText);
             call(clients, () -> {
-                load.start(LoadPlan.of(per * x, MAX_CONNECTIONS, retry));
+                load.start(LoadPlan.of(baseRate * multiple, MAX_CONNECTIONS, retry));
                 return null;
             });
-            Thread.sleep(SETTLE_MS);
+            Thread.sleep(SETTLE_MILLIS);
             call(clients, load::takeStatistics);
-            ProcessUsage before = ProcessUsage.of(proxy.pid());
+            ProcessUsage usageBefore = ProcessUsage.of(proxy.pid());
             if (stall > 0) {
                 signal("STOP", proxy.pid());
                 Thread.sleep((long) (stall * 1000));
                 signal("CONT", proxy.pid());
             }
             Thread.sleep((long) (seconds * 1000));
-            LoadStatistics r = call(clients, load::takeStatistics);
-            double s = seconds + stall;
-            ProcessUsage after = ProcessUsage.of(proxy.pid());
-            double cpuSeconds = after.cpuSeconds() - before.cpuSeconds();
+            LoadStatistics statistics = call(clients, load::takeStatistics);
+            double elapsedSeconds = seconds + stall;
+            ProcessUsage usageAfter = ProcessUsage.of(proxy.pid());
+            double cpuSeconds = usageAfter.cpuSeconds() - usageBefore.cpuSeconds();
             System.out.printf(Locale.ROOT,
                 "%s %.0f %.0f %.0f %.0f %.0f %.0f %.0f %.0f %d %d %.1f %.1f %.2f %.0f %d %.0f%n",
-                t, r.offered / s, r.inTime / s, r.late / s, r.rejections / s, r.timedOut / s, r.failed / s,
-                r.connectionWaits / s, r.connectionsOpened / s, r.disconnected, r.truncated,
-                r.latencyMicros.getValueAtPercentile(50) / 1e3,
-                r.latencyMicros.getValueAtPercentile(99) / 1e3, cpuSeconds / s,
-                (after.contextSwitches() - before.contextSwitches()) / s, after.threads(),
-                1e6 * cpuSeconds / Math.max(1, r.served() + r.rejections));
+                multipleText, statistics.offered / elapsedSeconds, statistics.inTime / elapsedSeconds,
+                statistics.late / elapsedSeconds, statistics.rejections / elapsedSeconds,
+                statistics.timedOut / elapsedSeconds, statistics.failed / elapsedSeconds,
+                statistics.connectionWaits / elapsedSeconds, statistics.connectionsOpened / elapsedSeconds,
+                statistics.disconnected, statistics.truncated,
+                statistics.latencyMicros.getValueAtPercentile(50) / 1e3,
+                statistics.latencyMicros.getValueAtPercentile(99) / 1e3, cpuSeconds / elapsedSeconds,
+                (usageAfter.contextSwitches() - usageBefore.contextSwitches()) / elapsedSeconds,
+                usageAfter.threads(),
+                1e6 * cpuSeconds / Math.max(1, statistics.served() + statistics.rejections));
         }
         proxy.destroy();
         proxy.waitFor(10, TimeUnit.SECONDS);
@@ -111,16 +115,16 @@
         return done.join();
     }
 
-    static int free() throws IOException {
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return s.getLocalPort();
+    static int freePort() throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
-    private static Process proxy(String jar, int port, double share, String[] targets)
+    private static Process startProxy(String jar, int port, double share, String[] targets)
         throws IOException {
         String start = ScriptedPeers
-            .start(free(), 1024, ScriptedPeers.list(1, true, targets))
+            .start(freePort(), 1024, ScriptedPeers.list(1, true, targets))
             .replace("\"cores\":64.0", "\"cores\":" + (share > 0 ? share : 1))
             .replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\"")
             .replace("\"sloTimeUs\":8000000", "\"sloTimeUs\":300000")
@@ -142,9 +146,9 @@
 
     private static void awaitReady(int port) throws InterruptedException {
         for (int i = 0; i < 200; i++) {
-            try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                s.getOutputStream().write("mn\r\n".getBytes());
-                if (s.getInputStream().read() == 'M') {
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+                socket.getOutputStream().write("mn\r\n".getBytes());
+                if (socket.getInputStream().read() == 'M') {
                     return;
                 }
             } catch (IOException e) {
--- a/proxy/src/test/java/spurroad/overload/Platform.java
+++ b/proxy/src/test/java/spurroad/overload/Platform.java
@@ -68,8 +68,8 @@
     }
 
     private final Process holder;
-    private final BufferedReader replies;
-    private final Writer orders;
+    private final BufferedReader processIds;
+    private final Writer commands;
     private final Path folder;
     private final Set<Long> started = new TreeSet<>();
     /** Port that clients connect to. */
@@ -79,9 +79,9 @@
         folder = Files.createTempDirectory("platform");
         holder = new ProcessBuilder("perl", "-e", HOLDER).redirectError(ProcessBuilder.Redirect.INHERIT)
             .start();
-        replies = new BufferedReader(new InputStreamReader(holder.getInputStream()));
-        orders = new OutputStreamWriter(holder.getOutputStream());
-        port = Integer.parseInt(replies.readLine());
+        processIds = new BufferedReader(new InputStreamReader(holder.getInputStream()));
+        commands = new OutputStreamWriter(holder.getOutputStream());
+        port = Integer.parseInt(processIds.readLine());
     }
 
     /** Returns the hot restart directory of the proxies. */
@@ -96,7 +96,7 @@
      * @param command the command line up to the subcommand `serve`, which is not part of it
      */
     public Proxy start(String configuration, String command) throws IOException {
-        int admin = Overload.free();
+        int admin = Overload.freePort();
         Path file = Files.writeString(Files.createTempFile(folder, "proxy", ".json"), configuration);
         Path log = Path.of(file + ".log");
         Map<String, String> environment = Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR",
@@ -104,9 +104,9 @@
             "BALANCER_LISTEN_FD", "0", "BALANCER_ADMIN_ADDR", "127.0.0.1:" + admin);
         StringBuilder line = new StringBuilder();
         environment.forEach((name, value) -> line.append(name).append('=').append(value).append(' '));
-        orders.write(line + "exec " + command + " serve > " + log + " 2>&1\n");
-        orders.flush();
-        long pid = Long.parseLong(replies.readLine());
+        commands.write(line + "exec " + command + " serve > " + log + " 2>&1\n");
+        commands.flush();
+        long pid = Long.parseLong(processIds.readLine());
         started.add(pid);
         return new Proxy(pid, admin, log);
     }
--- a/proxy/src/test/java/spurroad/program/AdminStatsGoldenTest.java
+++ b/proxy/src/test/java/spurroad/program/AdminStatsGoldenTest.java
@@ -22,7 +22,7 @@
     private static final String END_OF_HEAD = "\r\n\r\n";
 
     @Test
-    public void namesTypesAndOrderAreThoseThatMonitoringKnows() throws Exception {
+    public void keepsNamesTypesAndOrderOfMetrics() throws Exception {
         try (Peer node = new Peer(RunningProxy.hit("v"));
             Peer discovery = new Peer(m -> RunningProxy.WATCH)) {
             ProxyService service = RunningProxy.proxy(discovery, 256,
--- a/proxy/src/test/java/spurroad/program/AttemptLog.java
+++ b/proxy/src/test/java/spurroad/program/AttemptLog.java
@@ -8,10 +8,10 @@
 /** Records when the attempts of one trial arrived at their endpoints, by request id. Thread-safe. */
 final class AttemptLog {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final String OF_LEAVING_CLIENT = "[wf]"; // before the number of the trial
+    private static final String DISCONNECTING_CLIENT_PREFIX = "[wf]"; // precedes the trial number
 
     private final int trial;
-    private final Map<String, Long> arrivedAt = new ConcurrentHashMap<>();
+    private final Map<String, Long> arrivedAtNanos = new ConcurrentHashMap<>();
 
     /** Creates the log of a trial. Ids of other trials are recorded, but never counted. */
     AttemptLog(int trial) {
@@ -28,7 +28,7 @@
      * recorded.
      */
     void record(String id) {
-        arrivedAt.putIfAbsent(id, System.nanoTime());
+        arrivedAtNanos.putIfAbsent(id, System.nanoTime());
     }
 
     /**
@@ -36,24 +36,25 @@
      * fetchesOnly}, only arrivals at the origin are added.
      */
     void addAll(RecordingEndpoints endpoints, boolean fetchesOnly) {
-        endpoints.firstCameAt().forEach((id, at) -> {
+        endpoints.firstCameAt().forEach((id, arrivalNanos) -> {
             if (!fetchesOnly || id.startsWith(RecordingEndpoints.AT_ORIGIN)) {
-                arrivedAt.merge(id.replace(RecordingEndpoints.AT_ORIGIN, ""), at, Math::max);
+                arrivedAtNanos.merge(id.replace(RecordingEndpoints.AT_ORIGIN, ""), arrivalNanos, Math::max);
             }
         });
     }
 
     boolean contains(String id) {
-        return arrivedAt.containsKey(id);
+        return arrivedAtNanos.containsKey(id);
     }
 
     int size() {
-        return arrivedAt.size();
+        return arrivedAtNanos.size();
     }
 
     /** Returns the request ids of this trial's disconnecting clients whose attempts arrived after a time. */
-    List<String> arrivedAfter(long time) {
-        return arrivedAt.keySet().stream().filter(id -> isOfLeavingClient(id) && arrivedAt.get(id) > time)
+    List<String> arrivedAfter(long thresholdNanos) {
+        return arrivedAtNanos.keySet().stream()
+            .filter(id -> isOfDisconnectingClient(id) && arrivedAtNanos.get(id) > thresholdNanos)
             .sorted().toList();
     }
 
@@ -61,13 +62,14 @@
      * Returns how long after its client disconnected the last attempt arrived, in milliseconds; -1 if none
      * arrived.
      */
-    long latestMillisAfter(long[] leftAt) {
-        return arrivedAt.keySet().stream().filter(this::isOfLeavingClient)
-            .mapToLong(id -> (arrivedAt.get(id) - leftAt[client(id)]) / NANOS_PER_MILLI).max().orElse(-1);
+    long latestMillisAfter(long[] disconnectedAtNanos) {
+        return arrivedAtNanos.keySet().stream().filter(this::isOfDisconnectingClient)
+            .mapToLong(id -> (arrivedAtNanos.get(id) - disconnectedAtNanos[client(id)]) / NANOS_PER_MILLI)
+            .max().orElse(-1);
     }
 
-    private boolean isOfLeavingClient(String id) {
-        return id.matches(OF_LEAVING_CLIENT + trial + "n\\d+");
+    private boolean isOfDisconnectingClient(String id) {
+        return id.matches(DISCONNECTING_CLIENT_PREFIX + trial + "n\\d+");
     }
 
     private static int client(String id) {
--- a/proxy/src/test/java/spurroad/program/ClientLimitsTest.java
+++ b/proxy/src/test/java/spurroad/program/ClientLimitsTest.java
@@ -21,12 +21,12 @@
 /** Which client connections are closed when they are idle, unfinished or more than the descriptors allow. */
 public class ClientLimitsTest {
     @Test(timeOut = 60_000)
-    public void silentAndUnfinishedConnectionsAreClosedAndUsedOnesAreNot() throws Exception {
-        try (Peer n = new Peer(hit("v")); Peer o = new Peer(m -> ok(""))) {
-            ProxyService s = proxy(n, o);
-            try (Client asked = new Client(s.port());
-                Client silent = new Client(s.port());
-                Client half = new Client(s.port()).say("mg k v O2 Pc=re")) {
+    public void closesSilentAndUnfinishedConnectionsButNotUsedOnes() throws Exception {
+        try (Peer node = new Peer(hit("v")); Peer origin = new Peer(m -> ok(""))) {
+            ProxyService proxy = proxy(node, origin);
+            try (Client asked = new Client(proxy.port());
+                Client silent = new Client(proxy.port());
+                Client half = new Client(proxy.port()).say("mg k v O2 Pc=re")) {
                 assertEquals(asked.say(READ).line() + asked.line(), "VA 1 O1v");
                 assertNull(silent.line());
                 assertNull(half.line());
@@ -37,81 +37,81 @@
 
     /** Guards against idle clients that hold all connections: they send one request and stay connected. */
     @Test(timeOut = 60_000)
-    public void inACrowdIdleConnectionsAreClosedSoonAndByAReset() throws Exception {
-        try (Peer n = new Peer(hit("v")); Peer o = new Peer(m -> ok(""))) {
-            ProxyService s = proxy(n, o);
-            List<Client> stay = new ArrayList<>();
+    public void resetsIdleConnectionsSoonWhenManyAreConnected() throws Exception {
+        try (Peer node = new Peer(hit("v")); Peer origin = new Peer(m -> ok(""))) {
+            ProxyService proxy = proxy(node, origin);
+            List<Client> idleClients = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                stay.add(new Client(s.port()));
-                assertEquals(stay.get(i).say(READ).line() + stay.get(i).line(), "VA 1 O1v");
+                idleClients.add(new Client(proxy.port()));
+                assertEquals(idleClients.get(i).say(READ).line() + idleClients.get(i).line(), "VA 1 O1v");
             }
-            assertThrows(SocketException.class, () -> stay.get(0).in.readLine(9));
-            for (Client c : stay) {
-                c.close();
+            assertThrows(SocketException.class, () -> idleClients.get(0).in.readLine(9));
+            for (Client client : idleClients) {
+                client.close();
             }
         }
     }
 
     /** Guards against new connections that are closed as idle while their first request is on its way. */
     @Test(timeOut = 60_000)
-    public void aNewConnectionIsNotClosedBeforeItsFirstRequest() throws Exception {
-        try (Peer n = new Peer(hit("v")); Peer o = new Peer(m -> ok(""))) {
-            ProxyService s = proxy(new Peer(m -> WATCH), 70,
-                ScriptedPeers.target("s-1", "m1", n.port, "active", 0));
-            List<Client> fresh = new ArrayList<>();
+    public void keepsNewConnectionUntilItsFirstRequest() throws Exception {
+        try (Peer node = new Peer(hit("v")); Peer origin = new Peer(m -> ok(""))) {
+            ProxyService proxy = proxy(new Peer(m -> WATCH), 70,
+                ScriptedPeers.target("s-1", "m1", node.port, "active", 0));
+            List<Client> newClients = new ArrayList<>();
             for (int i = 0; i < 24; i++) {
-                fresh.add(new Client(s.port()));
+                newClients.add(new Client(proxy.port()));
             }
-            for (Client c : fresh) {
-                assertTrue(c.say(READ).line().matches("VA 1 O1|SERVER_ERROR busy.*"));
-                c.close();
+            for (Client client : newClients) {
+                assertTrue(client.say(READ).line().matches("VA 1 O1|SERVER_ERROR busy.*"));
+                client.close();
             }
         }
     }
 
     /** Guards against connections that are lost in the accept queue when descriptors are scarce. */
     @Test(timeOut = 60_000)
-    public void whereAllClientsAreBusyTheNextIsRejected() throws Exception {
-        try (Peer n = new Peer(m -> null); Peer o = new Peer(m -> null)) {
-            ProxyService s = proxy(new Peer(m -> WATCH), 70,
-                ScriptedPeers.target("s-1", "m1", n.port, "active", 0),
-                ScriptedPeers.target("s-o", "origin", o.port, "active", 0));
+    public void rejectsFurtherClientWhenAllAreBusy() throws Exception {
+        try (Peer node = new Peer(m -> null); Peer origin = new Peer(m -> null)) {
+            ProxyService proxy = proxy(new Peer(m -> WATCH), 70,
+                ScriptedPeers.target("s-1", "m1", node.port, "active", 0),
+                ScriptedPeers.target("s-o", "origin", origin.port, "active", 0));
             List<Client> busy = new ArrayList<>();
             for (int i = 0; i < 24; i++) {
                 // 18 permits and some guests; the begun command keeps a connection from being idle
-                busy.add(new Client(s.port()).say("mn\r\nmg k"));
+                busy.add(new Client(proxy.port()).say("mn\r\nmg k"));
                 assertEquals(busy.get(i).line(), "MN");
             }
-            try (Client next = new Client(s.port())) {
+            try (Client next = new Client(proxy.port())) {
                 assertTrue(next.say(READ).line().startsWith("SERVER_ERROR busy "));
                 assertNull(next.line(), "the rejected connection is not closed");
             }
-            for (Client c : busy) {
-                c.close();
+            for (Client client : busy) {
+                client.close();
             }
         }
     }
 
     @Test(timeOut = 60_000)
-    public void whereDescriptorsRunOutIdleClientsGiveWay() throws Exception {
-        try (Peer n = new Peer(hit("v")); Peer o = new Peer(m -> ok(""))) {
-            ProxyService s = proxy(new Peer(m -> WATCH), 70,
-                ScriptedPeers.target("s-1", "m1", n.port, "active", 0));
+    public void closesIdleClientsWhenDescriptorsRunOut() throws Exception {
+        try (Peer node = new Peer(hit("v")); Peer origin = new Peer(m -> ok(""))) {
+            ProxyService proxy = proxy(new Peer(m -> WATCH), 70,
+                ScriptedPeers.target("s-1", "m1", node.port, "active", 0));
             List<Client> clients = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                Client c = new Client(s.port());
-                String line = c.say(READ).line();
+                Client client = new Client(proxy.port());
+                String line = client.say(READ).line();
                 while (line.startsWith("SERVER_ERROR busy")) {
-                    c.close(); // no client has been idle for long enough yet
-                    c = new Client(s.port());
-                    line = c.say(READ).line();
+                    client.close(); // no client has been idle for long enough yet
+                    client = new Client(proxy.port());
+                    line = client.say(READ).line();
                 }
-                clients.add(c);
-                assertEquals(line + c.line(), "VA 1 O1v");
+                clients.add(client);
+                assertEquals(line + client.line(), "VA 1 O1v");
             }
             assertNull(clients.get(0).line(), "the connection that was idle longest is still open");
-            for (Client c : clients) {
-                c.close();
+            for (Client client : clients) {
+                client.close();
             }
         }
     }
--- a/proxy/src/test/java/spurroad/program/ClockStepTest.java
+++ b/proxy/src/test/java/spurroad/program/ClockStepTest.java
@@ -15,21 +15,23 @@
  * depends on how long ago it can have started.
  */
 public class ClockStepTest {
-    private static final long HOUR_MS = 3_600_000;
+    private static final long HOUR_MILLIS = 3_600_000;
     private static final int REQUESTS = 300;
     private static final double START_CAPACITY = 0.1;
 
     @DataProvider
     Object[][] steps() {
         // reported start relative to now, warm-up time, pause before the requests (ms); its fraction of them
-        return new Object[][] {{0, 600_000, 0, 0, 0.25}, {-HOUR_MS, 600_000, 0, 0, 0.25},
-            {-3_000, 2_000, 0, 0, 0.25}, {HOUR_MS, 600_000, 0, 0, 0.25}, {HOUR_MS, 500, 1_000, 0.3, 0.7},
+        return new Object[][] {{0, 600_000, 0, 0, 0.25}, {-HOUR_MILLIS, 600_000, 0, 0, 0.25},
+            {-3_000, 2_000, 0, 0, 0.25}, {HOUR_MILLIS, 600_000, 0, 0, 0.25},
+            {HOUR_MILLIS, 500, 1_000, 0.3, 0.7},
             {0, 500, 1_000, 0.3, 0.7}};
     }
 
     @Test(dataProvider = "steps")
-    public void aRestartedEndpointWarmsUpForItsTime(long startedMs, long coldMs, long afterMs, double least,
-                                                    double most)
+    public void sendsReducedLoadToRestartedEndpointDuringWarmUp(long startOffsetMillis, long warmUpMillis,
+                                                                long pauseMillis, double minFraction,
+                                                                double maxFraction)
         throws Exception {
         try (Peer steady = new Peer(RunningProxy.hit("v"));
             Peer restarted = new Peer(RunningProxy.hit("v"));
@@ -42,27 +44,28 @@
                     ScriptedPeers.target("s-1", "m1", restarted.port, "active", 0)));
             ProxyService service = RunningProxy
                 .service(new ProxyConfiguration(settings.replace("\"tickUs\"",
-                    "\"obligations\":{\"startCapacity\":" + START_CAPACITY + ",\"coldUs\":" + coldMs * 1_000
+                    "\"obligations\":{\"startCapacity\":" + START_CAPACITY + ",\"coldUs\":"
+                        + warmUpMillis * 1_000
                         + "},\"tickUs\"")));
             try (Client client = new Client(service.port())) {
-                ask(client, "before");
+                sendReads(client, "before");
                 discovery
                     .say(ScriptedPeers.chunk(ScriptedPeers.list(3, false,
                         ScriptedPeers.target("s-1", "m1", restarted.port, "active",
-                            System.currentTimeMillis() + startedMs))));
-                Thread.sleep(200 + afterMs); // until the proxy has applied the list
+                            System.currentTimeMillis() + startOffsetMillis))));
+                Thread.sleep(200 + pauseMillis); // until the proxy has applied the list
                 restarted.heard.clear();
-                ask(client, "after");
+                sendReads(client, "after");
             }
-            double part = (double) restarted.heard.stream().filter(m -> m.startsWith("mg")).count()
+            double fraction = (double) restarted.heard.stream().filter(m -> m.startsWith("mg")).count()
                 / REQUESTS;
-            assertTrue(part >= least && part <= most,
-                "fraction of the requests at the restarted node: " + part);
+            assertTrue(fraction >= minFraction && fraction <= maxFraction,
+                "fraction of the requests at the restarted node: " + fraction);
             RunningProxy.ending(service).join();
         }
     }
 
-    private static void ask(Client client, String key) throws Exception {
+    private static void sendReads(Client client, String key) throws Exception {
         for (int i = 0; i < REQUESTS; i++) {
             String id = key + i;
             client.say("mg " + id + " v O" + id + " Pc=read,t=acme,d=9000\r\n");
--- a/proxy/src/test/java/spurroad/program/CommandTest.java
+++ b/proxy/src/test/java/spurroad/program/CommandTest.java
@@ -19,43 +19,43 @@
         + "expected the path of a JSON file\n";
 
     /** Exit status of a process and all that it wrote. */
-    private record Ended(int exitCode, String output) {}
+    private record ProcessResult(int exitCode, String output) {}
 
     /** Runs the program without a configuration and with an empty standard input. */
-    private static Ended run(String... arguments) throws IOException, InterruptedException {
-        List<String> line = new ArrayList<>(
+    private static ProcessResult run(String... arguments) throws IOException, InterruptedException {
+        List<String> commandLine = new ArrayList<>(
             List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
                 Main.class.getName()));
-        line.addAll(Arrays.asList(arguments));
-        ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true);
+        commandLine.addAll(Arrays.asList(arguments));
+        ProcessBuilder builder = new ProcessBuilder(commandLine).redirectErrorStream(true);
         builder.environment().remove("BALANCER_CONFIG");
         Process process = builder.start();
         process.getOutputStream().close();
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        return new Ended(process.waitFor(), output);
+        return new ProcessResult(process.waitFor(), output);
     }
 
     @DataProvider
-    Object[][] words() {
+    Object[][] subcommands() {
         return new Object[][] {{"serve", Command.SERVE}, {"warm-up", Command.WARM_UP},
             {"simulator", Command.SIMULATOR}, {"rehearse", Command.WARM_UP}, {"wirehost", Command.SIMULATOR}};
     }
 
-    @Test(dataProvider = "words")
-    public void wordsOfThisVersionAndOfTheOneBeforeNameCommands(String word, Command command) {
-        assertEquals(Command.fromArguments(word), Optional.of(command));
+    @Test(dataProvider = "subcommands")
+    public void acceptsSubcommandsOfThisAndPreviousVersion(String subcommand, Command command) {
+        assertEquals(Command.fromArguments(subcommand), Optional.of(command));
     }
 
     @DataProvider
-    Object[][] others() {
+    Object[][] invalidArguments() {
         return new Object[][] {{new String[0]}, {new String[] {""}}, {new String[] {"play"}},
             {new String[] {"SERVE"}}, {new String[] {"warm_up"}}, {new String[] {"serve", "serve"}},
             {new String[] {"serve", "wirehost"}}};
     }
 
-    @Test(dataProvider = "others")
-    public void allElseNamesNoCommand(String[] arguments) {
+    @Test(dataProvider = "invalidArguments")
+    public void rejectsOtherArguments(String[] arguments) {
         assertEquals(Command.fromArguments(arguments), Optional.empty());
     }
 
@@ -69,9 +69,9 @@
     }
 
     @Test(dataProvider = "runs")
-    public void eachWordRunsItsCommandAndAllElseIsToldTheUsage(String[] arguments, int exitCode,
-                                                               String output)
+    public void runsSubcommandOrPrintsUsage(String[] arguments, int exitCode,
+                                            String output)
         throws Exception {
-        assertEquals(run(arguments), new Ended(exitCode, output));
+        assertEquals(run(arguments), new ProcessResult(exitCode, output));
     }
 }
--- a/proxy/src/test/java/spurroad/program/EarlierBuildUpgradeTest.java
+++ b/proxy/src/test/java/spurroad/program/EarlierBuildUpgradeTest.java
@@ -35,13 +35,13 @@
     }
 
     @Test
-    public void thisBuildTakesOverFromTheEarlierOne() throws Exception {
+    public void thisBuildTakesOverFromEarlierBuild() throws Exception {
         upgrade(earlierBuild(), Platform.fromClasses());
     }
 
     /** Covers a rollback to the earlier build. */
     @Test
-    public void theEarlierBuildTakesOverFromThisOne() throws Exception {
+    public void earlierBuildTakesOverFromThisBuild() throws Exception {
         upgrade(Platform.fromClasses(), earlierBuild());
     }
 
@@ -52,18 +52,18 @@
             Platform platform = new Platform()) {
             String configuration = configuration(discovery, first, second);
             Proxy old = platform.ready(configuration, oldCommand);
-            expectYes(old.call("POST", "/cache-nodes/s-1/maint"));
+            expectSuccess(old.call("POST", "/cache-nodes/s-1/maint"));
             expectReads(platform.port, "old", "second");
             Proxy next = platform.ready(configuration, newCommand);
             expectDrained(next, 1);
-            callsAtEitherReachBoth(old, next);
+            expectCallsReachBothProcesses(old, next);
             expectReads(platform.port, "both", "second");
-            endOld(old, next);
+            endOldProcess(old, next);
             expectReads(platform.port, "next", "second");
             assertFalse(first.heard.stream().anyMatch(m -> m.startsWith("mg")),
                 "a drained node received requests");
             expectDrained(next, 1);
-            givenBack(next, platform.port);
+            returnToUse(next, platform.port);
         }
     }
 
@@ -76,18 +76,18 @@
     }
 
     /** Each process confirms an operator's drain only after the other process has applied it. */
-    private static void callsAtEitherReachBoth(Proxy old, Proxy next) throws Exception {
-        for (Proxy asked : new Proxy[] {old, next}) {
-            expectYes(asked.call("POST", "/cache-nodes/s-2/maint"));
+    private static void expectCallsReachBothProcesses(Proxy old, Proxy next) throws Exception {
+        for (Proxy called : new Proxy[] {old, next}) {
+            expectSuccess(called.call("POST", "/cache-nodes/s-2/maint"));
             expectDrained(old, 2);
             expectDrained(next, 2);
-            expectYes(asked.call("POST", "/cache-nodes/s-2/ready"));
+            expectSuccess(called.call("POST", "/cache-nodes/s-2/ready"));
             expectDrained(old, 1);
             expectDrained(next, 1);
         }
     }
 
-    private static void endOld(Proxy old, Proxy next) throws Exception {
+    private static void endOldProcess(Proxy old, Proxy next) throws Exception {
         old.terminate();
         assertTrue(old.ended(END_SECONDS), "the old process is still alive after " + END_SECONDS + " s");
         assertTrue(next.alive());
@@ -97,8 +97,8 @@
             Files.readString(next.log()));
     }
 
-    private static void givenBack(Proxy proxy, int port) throws Exception {
-        expectYes(proxy.call("POST", "/cache-nodes/s-1/ready"));
+    private static void returnToUse(Proxy proxy, int port) throws Exception {
+        expectSuccess(proxy.call("POST", "/cache-nodes/s-1/ready"));
         expectDrained(proxy, 0);
         try (Client client = new Client(port)) {
             boolean used = false;
@@ -109,13 +109,13 @@
         }
     }
 
-    private static void expectYes(String answer) {
+    private static void expectSuccess(String answer) {
         assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
     }
 
     private static void expectDrained(Proxy proxy, int nodes) throws Exception {
-        String figures = proxy.call("GET", "/stats");
-        assertTrue(figures.contains("proxy.ejected:" + nodes + "|g"), figures);
+        String metrics = proxy.call("GET", "/stats");
+        assertTrue(metrics.contains("proxy.ejected:" + nodes + "|g"), metrics);
     }
 
     /** New connections are all served by the node that is in use. */
--- a/proxy/src/test/java/spurroad/program/IdleCrowdTest.java
+++ b/proxy/src/test/java/spurroad/program/IdleCrowdTest.java
@@ -21,31 +21,31 @@
  * are closed.
  */
 public class IdleCrowdTest {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int SOCKETS = 256;
-    private static final int CROWD = 400; // more than the connection limit
-    private static final int QUERIES = 20;
-    private static final long DOWN_MS = 1_500;
+    private static final int IDLE_CLIENTS = 400; // more than the connection limit
+    private static final int REQUESTS = 20;
+    private static final long DISCOVERY_OUTAGE_MILLIS = 1_500;
     // discovery is polled again within 0.2 s if lists are pushed
-    private static final long RETURN_MS = 3_000;
+    private static final long MAX_RECOVERY_MILLIS = 3_000;
 
     /** Clients that each open another connection when the former one is closed. */
-    private static final class Crowd implements AutoCloseable {
-        private final SocketChannel[] connections = new SocketChannel[CROWD];
-        private final InetSocketAddress to;
-        private final String says;
+    private static final class IdleClients implements AutoCloseable {
+        private final SocketChannel[] connections = new SocketChannel[IDLE_CLIENTS];
+        private final InetSocketAddress proxyAddress;
+        private final String sentText;
         private volatile boolean ended;
 
-        private Crowd(int port, String says) {
-            to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-            this.says = says;
+        private IdleClients(int port, String sentText) {
+            proxyAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+            this.sentText = sentText;
             ScriptedPeers.daemon(this::run);
         }
 
         private void run() throws IOException, InterruptedException {
             ByteBuffer buffer = ByteBuffer.allocate(100);
             while (!ended) {
-                for (int i = 0; i < CROWD; i++) {
+                for (int i = 0; i < IDLE_CLIENTS; i++) {
                     if (connections[i] == null || isClosed(connections[i], buffer.clear())) {
                         connections[i] = open();
                     }
@@ -58,9 +58,9 @@
         }
 
         private SocketChannel open() throws IOException {
-            SocketChannel opened = SocketChannel.open(to);
+            SocketChannel opened = SocketChannel.open(proxyAddress);
             opened.configureBlocking(false);
-            opened.write(ByteBuffer.wrap(says.getBytes()));
+            opened.write(ByteBuffer.wrap(sentText.getBytes()));
             return opened;
         }
 
@@ -84,7 +84,7 @@
 
     /** The bytes that each idle client sends: none, or a probe. */
     @DataProvider
-    Object[][] crowds() {
+    Object[][] sentBytes() {
         return new Object[][] {{""}, {"mn\r\n"}};
     }
 
@@ -92,44 +92,49 @@
      * Discovery's poll, connections to endpoints and clients with requests get descriptors despite the idle
      * clients.
      */
-    @Test(dataProvider = "crowds", timeOut = 60_000)
-    public void requestsAreServedOnceDiscoveryReturns(String says) throws Exception {
-        AtomicBoolean up = new AtomicBoolean();
+    @Test(dataProvider = "sentBytes", timeOut = 60_000)
+    public void servesRequestsOnceDiscoveryReturns(String sentText) throws Exception {
+        AtomicBoolean discoveryUp = new AtomicBoolean();
         try (Peer node = new Peer(RunningProxy.hit("v"))) {
             String list = ScriptedPeers.list(2, true,
                 ScriptedPeers.target("s-1", "m1", node.port, "active", 0)) + "\n";
             String answer = RunningProxy.WATCH + Integer.toHexString(list.length()) + "\r\n" + list
                 + "\r\n";
-            try (Peer discovery = new Peer(m -> up.get() ? answer : "")) {
-                ProxyService s = RunningProxy
+            try (Peer discovery = new Peer(message -> discoveryUp.get() ? answer : "")) {
+                ProxyService proxy = RunningProxy
                     .service(new spurroad.configuration.ProxyConfiguration(
                         ScriptedPeers.start(discovery.port, SOCKETS,
                             ScriptedPeers.list(1, true)).replace("on_request", "pushed")));
-                try (Crowd crowd = new Crowd(s.port(), says)) {
+                try (IdleClients idleClients = new IdleClients(proxy.port(), sentText)) {
                     assertNotNull(discovery.await("GET"));
-                    Thread.sleep(DOWN_MS);
-                    long since = System.nanoTime();
-                    up.set(true);
-                    long first = 0;
-                    long longest = 0;
-                    int tries = 0;
-                    for (int i = 0; i < QUERIES; i++) {
-                        long asked = System.nanoTime();
-                        for (boolean served = false; !served; tries++) {
-                            served = isServed(s.port(), i);
+                    Thread.sleep(DISCOVERY_OUTAGE_MILLIS);
+                    long returnedAtNanos = System.nanoTime();
+                    discoveryUp.set(true);
+                    long firstMillis = 0;
+                    long longestMillis = 0;
+                    int attempts = 0;
+                    for (int i = 0; i < REQUESTS; i++) {
+                        long sentAtNanos = System.nanoTime();
+                        for (boolean served = false; !served; attempts++) {
+                            served = isServed(proxy.port(), i);
                         }
-                        assertTrue((System.nanoTime() - since) / MS < 4 * RETURN_MS,
+                        assertTrue(
+                            (System.nanoTime() - returnedAtNanos) / NANOS_PER_MILLI < 4 * MAX_RECOVERY_MILLIS,
                             i + " requests served in four times the allowed time");
-                        first = first == 0 ? (System.nanoTime() - since) / MS : first;
-                        longest = i == 0 ? 0 : Math.max(longest, (System.nanoTime() - asked) / MS);
+                        firstMillis = firstMillis == 0
+                            ? (System.nanoTime() - returnedAtNanos) / NANOS_PER_MILLI : firstMillis;
+                        longestMillis = i == 0 ? 0
+                            : Math.max(longestMillis, (System.nanoTime() - sentAtNanos) / NANOS_PER_MILLI);
                     }
                     System.out.println(
-                        "idle clients that send '" + says.trim() + "': first request served " + first
-                            + " ms after discovery returned, later requests within " + longest + " ms, "
-                            + tries
+                        "idle clients that send '" + sentText.trim() + "': first request served "
+                            + firstMillis
+                            + " ms after discovery returned, later requests within " + longestMillis + " ms, "
+                            + attempts
                             + " tries for "
-                            + QUERIES);
-                    assertTrue(first < RETURN_MS, "served " + first + " ms after discovery's return");
+                            + REQUESTS);
+                    assertTrue(firstMillis < MAX_RECOVERY_MILLIS,
+                        "served " + firstMillis + " ms after discovery's return");
                 }
             }
         }
@@ -139,13 +144,13 @@
      * Sends a request on a connection of its own. Returns false if it is rejected or the connection is closed
      * without a response.
      */
-    private static boolean isServed(int port, int number) throws IOException {
-        try (Client c = new Client(port)) {
-            String line = c.say(RunningProxy.READ.replace("O1", "Oq" + number)).line();
+    private static boolean isServed(int port, int requestIndex) throws IOException {
+        try (Client client = new Client(port)) {
+            String line = client.say(RunningProxy.READ.replace("O1", "Oq" + requestIndex)).line();
             if (line == null || line.startsWith("SERVER_ERROR busy")) {
                 return false;
             }
-            assertEquals(line + c.line(), "VA 1 Oq" + number + "v");
+            assertEquals(line + client.line(), "VA 1 Oq" + requestIndex + "v");
             return true;
         } catch (java.net.SocketException e) {
             return false;
--- a/proxy/src/test/java/spurroad/program/LeavingClientsTest.java
+++ b/proxy/src/test/java/spurroad/program/LeavingClientsTest.java
@@ -29,46 +29,46 @@
 public class LeavingClientsTest {
     private static final int CLIENTS = 200;
     private static final int NODES = 20;
-    private static final int HOLDERS = 8;
-    private static final long MS = 1_000_000L;
-    private static final long KNOWN_MS = 2_000;
-    private static final long GONE_MS = 400;
-    private static final long AFTER_MS = 400;
-    private static final long SETTLE_MS = 300;
+    private static final int MEMORY_HOLDERS = 8;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long MAX_DETECTION_MILLIS = 2_000;
+    private static final long RELEASE_DELAY_MILLIS = 400;
+    private static final long OBSERVATION_MILLIS = 400;
+    private static final long SETTLE_MILLIS = 300;
     private static final int MAX_TRIALS = 5; // until the events occur in the order under test
-    private static final long CONNECTS_MS = 3_500; // the kernel resends SYN, so a connect succeeds within 3 s
+    private static final long CONNECT_MILLIS = 3_500; // the kernel resends SYN within 3 s
     // bulk requests that the memory budget has room for
-    private static final int FEW = 3;
-    private static final long LATEST_MS = 60; // from a disconnect to an attempt; the limit is 100
-    private static final long LEAVE_MS = 400; // period over which clients disconnect one by one
+    private static final int BULK_CLIENTS = 3;
+    private static final long MAX_ATTEMPT_DELAY_MILLIS = 60; // after a disconnect; the limit is 100
+    private static final long DISCONNECT_PERIOD_MILLIS = 400; // if clients disconnect one by one
 
-    private final List<AutoCloseable> open = new ArrayList<>();
-    private final AtomicInteger came = new AtomicInteger(); // accepted connections
+    private final List<AutoCloseable> resources = new ArrayList<>();
+    private final AtomicInteger acceptedConnections = new AtomicInteger(); // accepted connections
     private CountDownLatch gate;
     private AttemptLog attempts;
-    private int trials; // part of the ids, as attempts of an earlier trial may still arrive
+    private int trial; // part of the ids, as attempts of an earlier trial may still arrive
 
     @AfterMethod(alwaysRun = true)
     public void close() throws Exception {
         gate.countDown();
-        for (AutoCloseable each : open) {
+        for (AutoCloseable each : resources) {
             each.close();
         }
-        open.clear();
+        resources.clear();
     }
 
-    private <T extends AutoCloseable> T opened(T what) {
-        open.add(what);
-        return what;
+    private <T extends AutoCloseable> T closeAfterTest(T resource) {
+        resources.add(resource);
+        return resource;
     }
 
-    private static String id(String message) {
+    private static String requestId(String message) {
         return message.startsWith("m") ? message.replaceFirst("(?s).*? O(\\S+).*", "$1")
             : message.replaceFirst("(?s).*X-Request-Id: (\\S+).*", "$1");
     }
 
     private String onCommand(String message) {
-        String id = id(message);
+        String id = requestId(message);
         attempts.record(id);
         return id;
     }
@@ -76,42 +76,45 @@
     /**
      * Begins another trial.
      *
-     * @param open whether the gate is open from the beginning
+     * @param unblocked whether the gate is open from the beginning
      */
-    private void begin(boolean open) {
-        trials++;
-        gate = new CountDownLatch(open ? 0 : 1);
-        attempts = new AttemptLog(trials);
-        came.set(0);
+    private void beginTrial(boolean unblocked) {
+        trial++;
+        gate = new CountDownLatch(unblocked ? 0 : 1);
+        attempts = new AttemptLog(trial);
+        acceptedConnections.set(0);
     }
 
-    private RecordingEndpoints nodes(WaitPoint waits) throws IOException {
-        return opened(new RecordingEndpoints(NODES + 1, id -> answer(waits, id)));
+    private RecordingEndpoints startNodes(WaitPoint waitPoint) throws IOException {
+        return closeAfterTest(new RecordingEndpoints(NODES + 1, id -> response(waitPoint, id)));
     }
 
     /**
      * Returns the ports of the cache nodes, then the origin's. If the trial needs nodes that accept no
      * connection or read nothing, their ports are those of blocked endpoints.
      */
-    private int[] ports(WaitPoint waits, RecordingEndpoints nodes) throws IOException {
+    private int[] startPorts(WaitPoint waitPoint, RecordingEndpoints nodes) throws IOException {
         int[] ports = IntStream.rangeClosed(0, NODES).map(nodes::port).toArray();
-        for (int i = 0; i < NODES && (waits == WaitPoint.CONNECTION || waits == WaitPoint.LAST_BYTE); i++) {
-            ports[i] = opened(new BlockedEndpoint(waits == WaitPoint.LAST_BYTE, gate, came::incrementAndGet,
+        for (int i = 0; i < NODES
+            && (waitPoint == WaitPoint.CONNECTION || waitPoint == WaitPoint.LAST_BYTE); i++) {
+            ports[i] = closeAfterTest(new BlockedEndpoint(waitPoint == WaitPoint.LAST_BYTE, gate,
+                acceptedConnections::incrementAndGet,
                 this::onCommand)).port();
         }
         return ports;
     }
 
     /** Starts a proxy with cache nodes at all ports except the last, which is the port of the origin. */
-    private ProxyService proxy(WaitPoint waits, boolean cancels, int[] ports) throws Exception {
+    private ProxyService startProxy(WaitPoint waitPoint, boolean cancels, int[] ports) throws Exception {
         String[] targets = new String[NODES + 1];
         for (int i = 0; i < NODES; i++) {
             targets[i] = ScriptedPeers.target("s-" + i, "m1", ports[i], "active", 0);
         }
         targets[NODES] = ScriptedPeers.target("s-o", "origin", ports[NODES], "active", 0);
         // 340 leaves some hundred descriptors for endpoints; with 2048 descriptors are not scarce
-        int sockets = waits == WaitPoint.DESCRIPTOR || waits == WaitPoint.PIPELINED_DESCRIPTOR ? 340 : 2048;
-        int discovery = opened(new Peer(m -> RunningProxy.WATCH)).port;
+        int sockets = waitPoint == WaitPoint.DESCRIPTOR || waitPoint == WaitPoint.PIPELINED_DESCRIPTOR ? 340
+            : 2048;
+        int discovery = closeAfterTest(new Peer(m -> RunningProxy.WATCH)).port;
         return RunningProxy
             .service(
                 new ProxyConfiguration(
@@ -120,15 +123,15 @@
                         // bounds the length of a graceful shutdown
                         .replace("\"sloTimeUs\"", "\"statementTimeoutUs\":600000,\"sloTimeUs\"")
                         .replace("\"cancel\":true", "\"cancel\":" + cancels)
-                        .replace("aside", waits == WaitPoint.LAST_BYTE ? "through" : "aside")));
+                        .replace("aside", waitPoint == WaitPoint.LAST_BYTE ? "through" : "aside")));
     }
 
     @DataProvider
-    Object[][] waits() {
+    Object[][] waitPointsAndCancels() {
         List<Object[]> all = new ArrayList<>();
-        for (WaitPoint w : WaitPoint.values()) {
-            all.add(new Object[] {w, true});
-            all.add(new Object[] {w, false});
+        for (WaitPoint each : WaitPoint.values()) {
+            all.add(new Object[] {each, true});
+            all.add(new Object[] {each, false});
         }
         return all.toArray(Object[][]::new);
     }
@@ -138,63 +141,65 @@
      * deployment, this happened to requests that waited for a connection or for the endpoint to read their
      * last bytes.
      */
-    @Test(dataProvider = "waits", timeOut = 60_000)
-    public void nothingIsForwardedForDisconnectedClients(WaitPoint waits, boolean cancels) throws Exception {
-        begin(waits == WaitPoint.NOTHING);
-        RecordingEndpoints nodes = nodes(waits);
-        ProxyService s = proxy(waits, cancels, ports(waits, nodes));
-        if (waits == WaitPoint.NOTHING) {
+    @Test(dataProvider = "waitPointsAndCancels", timeOut = 60_000)
+    public void forwardsNothingForDisconnectedClients(WaitPoint waitPoint, boolean cancels) throws Exception {
+        beginTrial(waitPoint == WaitPoint.NOTHING);
+        RecordingEndpoints nodes = startNodes(waitPoint);
+        ProxyService proxy = startProxy(waitPoint, cancels, startPorts(waitPoint, nodes));
+        if (waitPoint == WaitPoint.NOTHING) {
             nodes.release();
         }
-        List<Client> holders = waits == WaitPoint.MEMORY ? holders(s) : List.of();
+        List<Client> holders = waitPoint == WaitPoint.MEMORY ? openMemoryHolders(proxy) : List.of();
         List<Client> clients = new ArrayList<>();
-        for (int i = 0; i < (waits == WaitPoint.LAST_BYTE ? FEW : CLIENTS); i++) {
-            Client c = new Client(s.port()).say("mn\r\n" + waits.commands(attempts.idSuffix(i)));
-            clients.add(c);
-            if (waits == WaitPoint.NOTHING || waits == WaitPoint.REJECTING_INPUT) {
-                c.close(); // without awaiting a response
+        for (int i = 0; i < (waitPoint == WaitPoint.LAST_BYTE ? BULK_CLIENTS : CLIENTS); i++) {
+            Client client = new Client(proxy.port()).say("mn\r\n" + waitPoint.commands(attempts.idSuffix(i)));
+            clients.add(client);
+            if (waitPoint == WaitPoint.NOTHING || waitPoint == WaitPoint.REJECTING_INPUT) {
+                client.close(); // without awaiting a response
             } else {
-                assertEquals(c.line(), "MN"); // the commands after it are read with it or soon after
+                assertEquals(client.line(), "MN"); // the commands after it are read with it or soon after
             }
         }
-        long[] left = new long[clients.size()];
-        for (int i = 0; i < left.length; i++) {
-            left[i] = System.nanoTime();
+        long[] disconnectedAtNanos = new long[clients.size()];
+        for (int i = 0; i < disconnectedAtNanos.length; i++) {
+            disconnectedAtNanos[i] = System.nanoTime();
             clients.get(i).close();
         }
-        awaitKnown(s);
-        Thread.sleep(GONE_MS);
-        long known = System.nanoTime(); // any later attempt is late, however busy the machine is
-        boolean begun = came.get() > 0;
-        for (Client h : holders) {
-            h.close();
+        awaitDisconnectsDetected(proxy);
+        Thread.sleep(RELEASE_DELAY_MILLIS);
+        long lateAfterNanos = System.nanoTime(); // any later attempt is late, however busy the machine is
+        boolean acceptedBeforeDisconnect = acceptedConnections.get() > 0;
+        for (Client holder : holders) {
+            holder.close();
         }
         gate.countDown();
         nodes.release();
-        long opened = System.nanoTime();
-        long wait = waits == WaitPoint.CONNECTION && !cancels ? CONNECTS_MS : AFTER_MS;
-        while ((System.nanoTime() - opened) / MS < wait && attempts.arrivedAfter(known).isEmpty()) {
+        long releasedAtNanos = System.nanoTime();
+        long waitMillis = waitPoint == WaitPoint.CONNECTION && !cancels ? CONNECT_MILLIS : OBSERVATION_MILLIS;
+        while ((System.nanoTime() - releasedAtNanos) / NANOS_PER_MILLI < waitMillis
+            && attempts.arrivedAfter(lateAfterNanos).isEmpty()) {
             Thread.sleep(10);
-            attempts.addAll(nodes, waits == WaitPoint.ORIGIN_FETCH);
+            attempts.addAll(nodes, waitPoint == WaitPoint.ORIGIN_FETCH);
         }
-        assertEquals(attempts.arrivedAfter(known), List.of(),
-            "forwarded long after the client disconnected; the last " + attempts.latestMillisAfter(left)
+        assertEquals(attempts.arrivedAfter(lateAfterNanos), List.of(),
+            "forwarded long after the client disconnected; the last "
+                + attempts.latestMillisAfter(disconnectedAtNanos)
                 + " ms");
-        assertTrue(waits != WaitPoint.CONNECTION || cancels || came.get() > 2 * NODES,
-            "too few connections accepted by cache nodes: " + came);
-        assertTrue(waits != WaitPoint.LAST_BYTE || begun,
+        assertTrue(waitPoint != WaitPoint.CONNECTION || cancels || acceptedConnections.get() > 2 * NODES,
+            "too few connections accepted by cache nodes: " + acceptedConnections);
+        assertTrue(waitPoint != WaitPoint.LAST_BYTE || acceptedBeforeDisconnect,
             "no cache node accepted a connection before the clients disconnected");
     }
 
     @DataProvider
-    Object[][] leaving() {
+    Object[][] disconnects() {
         List<Object[]> all = new ArrayList<>();
-        for (WaitPoint waits : WaitPoint.values()) {
+        for (WaitPoint waitPoint : WaitPoint.values()) {
             // CONNECTION: the kernel of a node that accepts late drops sent bytes and gets them again
             // much later; LAST_BYTE: these attempts begin before the clients disconnect
-            if (waits != WaitPoint.LAST_BYTE && waits != WaitPoint.CONNECTION) {
-                all.add(new Object[] {waits, true, false});
-                all.add(new Object[] {waits, false, true});
+            if (waitPoint != WaitPoint.LAST_BYTE && waitPoint != WaitPoint.CONNECTION) {
+                all.add(new Object[] {waitPoint, true, false});
+                all.add(new Object[] {waitPoint, false, true});
             }
         }
         return all.toArray(Object[][]::new);
@@ -205,60 +210,65 @@
      * by a close or a reset. A run fails at the third attempt that begins more than 0.1 s after its client
      * closed; here none may.
      */
-    @Test(dataProvider = "leaving", timeOut = 60_000)
-    public void noAttemptBeginsLongAfterItsClientDisconnected(WaitPoint waits, boolean closes, boolean atOnce)
+    @Test(dataProvider = "disconnects", timeOut = 60_000)
+    public void beginsNoAttemptLongAfterClientDisconnected(WaitPoint waitPoint, boolean byClose,
+                                                           boolean allAtOnce)
         throws Exception {
-        boolean speaksLast = waits == WaitPoint.NOTHING || waits == WaitPoint.REJECTING_INPUT;
-        begin(speaksLast);
-        StallMeter stalls = opened(new StallMeter());
-        RecordingEndpoints nodes = nodes(waits);
-        ProxyService s = proxy(waits, true, ports(waits, nodes));
-        List<Client> holders = waits == WaitPoint.MEMORY ? holders(s) : List.of();
+        boolean sendsBeforeDisconnect = waitPoint == WaitPoint.NOTHING
+            || waitPoint == WaitPoint.REJECTING_INPUT;
+        beginTrial(sendsBeforeDisconnect);
+        StallMeter stalls = closeAfterTest(new StallMeter());
+        RecordingEndpoints nodes = startNodes(waitPoint);
+        ProxyService proxy = startProxy(waitPoint, true, startPorts(waitPoint, nodes));
+        List<Client> holders = waitPoint == WaitPoint.MEMORY ? openMemoryHolders(proxy) : List.of();
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(new Client(s.port()));
-            if (!speaksLast) {
-                say(clients.get(i), waits, i);
+            clients.add(new Client(proxy.port()));
+            if (!sendsBeforeDisconnect) {
+                sendCommands(clients.get(i), waitPoint, i);
             }
         }
-        Thread.sleep(SETTLE_MS);
-        if (speaksLast) {
+        Thread.sleep(SETTLE_MILLIS);
+        if (sendsBeforeDisconnect) {
             nodes.release();
         }
-        long[] left = new long[CLIENTS];
+        long[] disconnectedAtNanos = new long[CLIENTS];
         for (int i = CLIENTS - 1; i >= 0; i--) { // the client that connected last waits longest
             if (i == CLIENTS / 2) {
                 release(nodes, holders);
             }
-            if (speaksLast) {
-                clients.get(i).say(waits.commands(attempts.idSuffix(i)));
+            if (sendsBeforeDisconnect) {
+                clients.get(i).say(waitPoint.commands(attempts.idSuffix(i)));
             }
-            if (!atOnce) {
-                Thread.sleep(LEAVE_MS / CLIENTS);
+            if (!allAtOnce) {
+                Thread.sleep(DISCONNECT_PERIOD_MILLIS / CLIENTS);
             }
-            left[i] = System.nanoTime();
-            leave(clients.get(i), closes);
+            disconnectedAtNanos[i] = System.nanoTime();
+            disconnect(clients.get(i), byClose);
         }
-        awaitKnown(s);
-        Thread.sleep(waits == WaitPoint.CONNECTION ? CONNECTS_MS : AFTER_MS);
-        attempts.addAll(nodes, waits == WaitPoint.ORIGIN_FETCH);
-        long stalledMs = Math.max(stalls.longestNanos(), nodes.longestTurnNs()) / MS;
-        String how = (closes ? ", closed" : ", reset") + (atOnce ? " all at once" : " one by one");
-        String figures = waits + how
-            + ": the last attempt arrived " + attempts.latestMillisAfter(left)
+        awaitDisconnectsDetected(proxy);
+        Thread.sleep(waitPoint == WaitPoint.CONNECTION ? CONNECT_MILLIS : OBSERVATION_MILLIS);
+        attempts.addAll(nodes, waitPoint == WaitPoint.ORIGIN_FETCH);
+        long stalledMillis = Math.max(stalls.longestNanos(), nodes.longestTurnNs()) / NANOS_PER_MILLI;
+        String disconnectKind = (byClose ? ", closed" : ", reset")
+            + (allAtOnce ? " all at once" : " one by one");
+        String summary = waitPoint + disconnectKind
+            + ": the last attempt arrived " + attempts.latestMillisAfter(disconnectedAtNanos)
             + " ms after its client disconnected, attempts: "
             + attempts.size()
-            + "; the machine stalled for up to " + stalledMs + " ms";
-        System.out.println(figures);
-        assertTrue(attempts.latestMillisAfter(left) <= LATEST_MS + stalledMs, figures);
+            + "; the machine stalled for up to " + stalledMillis + " ms";
+        System.out.println(summary);
+        assertTrue(
+            attempts.latestMillisAfter(disconnectedAtNanos) <= MAX_ATTEMPT_DELAY_MILLIS + stalledMillis,
+            summary);
     }
 
     /** Returns the response of a cache node or, for a GET, of the origin. */
-    private static String answer(WaitPoint waits, String id) {
+    private static String response(WaitPoint waitPoint, String id) {
         if (id.startsWith(RecordingEndpoints.AT_ORIGIN)) {
             return "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv";
         }
-        return waits == WaitPoint.ORIGIN_FETCH ? "EN O" + id + "\r\n" : "VA 1 O" + id + "\r\nv\r\n";
+        return waitPoint == WaitPoint.ORIGIN_FETCH ? "EN O" + id + "\r\n" : "VA 1 O" + id + "\r\nv\r\n";
     }
 
     private void release(RecordingEndpoints nodes, List<Client> holders) throws IOException {
@@ -269,27 +279,27 @@
         }
     }
 
-    private void say(Client client, WaitPoint waits, int number) throws IOException {
-        String says = waits.commands(attempts.idSuffix(number));
-        if (says.length() > Requests.PIPELINED_BYTES) {
-            client.sayInBackground(says); // the proxy does not read all of it yet
+    private void sendCommands(Client client, WaitPoint waitPoint, int number) throws IOException {
+        String commands = waitPoint.commands(attempts.idSuffix(number));
+        if (commands.length() > Requests.PIPELINED_BYTES) {
+            client.sayInBackground(commands); // the proxy does not read all of it yet
         } else {
-            client.say(says);
+            client.say(commands);
         }
     }
 
-    private static void leave(Client client, boolean closes) throws IOException {
-        if (closes) {
+    private static void disconnect(Client client, boolean byClose) throws IOException {
+        if (byClose) {
             client.close();
         } else {
             client.reset();
         }
     }
 
-    private List<Client> holders(ProxyService s) throws IOException {
+    private List<Client> openMemoryHolders(ProxyService proxy) throws IOException {
         List<Client> holders = new ArrayList<>();
-        for (int i = 0; i < HOLDERS; i++) { // more than the memory budget has room for
-            holders.add(opened(new Client(s.port())));
+        for (int i = 0; i < MEMORY_HOLDERS; i++) { // more than the memory budget has room for
+            holders.add(closeAfterTest(new Client(proxy.port())));
             holders.get(i).say(Requests.BULK.substring(0, 50).replace("#", "h" + i));
         }
         return holders;
@@ -301,55 +311,56 @@
      * until the loop was blocked at that moment.
      */
     @Test(timeOut = 60_000)
-    public void noAttemptBeginsForClientsThatDisconnectedWhileTheLoopWasBlocked() throws Exception {
-        boolean heldUp = false;
-        for (int i = 0; i < MAX_TRIALS && !heldUp; i++) {
-            heldUp = allLeaveWhileTheLoopIsHeldUp();
+    public void beginsNoAttemptForClientsThatDisconnectedWhileLoopWasBlocked() throws Exception {
+        boolean wasBlocked = false;
+        for (int i = 0; i < MAX_TRIALS && !wasBlocked; i++) {
+            wasBlocked = disconnectAllWhileLoopIsBlocked();
         }
-        assertTrue(heldUp, "the loop was never blocked between decisions and attempts");
+        assertTrue(wasBlocked, "the loop was never blocked between decisions and attempts");
     }
 
-    private boolean allLeaveWhileTheLoopIsHeldUp() throws Exception {
-        begin(true);
-        RecordingEndpoints nodes = nodes(WaitPoint.NOTHING);
+    private boolean disconnectAllWhileLoopIsBlocked() throws Exception {
+        beginTrial(true);
+        RecordingEndpoints nodes = startNodes(WaitPoint.NOTHING);
         nodes.release();
-        ProxyService s = proxy(WaitPoint.NOTHING, true, ports(WaitPoint.NOTHING, nodes));
+        ProxyService proxy = startProxy(WaitPoint.NOTHING, true, startPorts(WaitPoint.NOTHING, nodes));
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(new Client(s.port()).say("mn\r\n"));
+            clients.add(new Client(proxy.port()).say("mn\r\n"));
             assertEquals(clients.get(i).line(), "MN");
         }
-        CountDownLatch holds = new CountDownLatch(1);
-        CountDownLatch asked = new CountDownLatch(1);
-        CountDownLatch holdsAgain = new CountDownLatch(1);
-        CountDownLatch gone = new CountDownLatch(1);
-        Runnable holdUpWhileAllLeave = () -> s.setDrained("s-0", false, known -> {
-            holdsAgain.countDown();
-            await(gone);
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch requestsSent = new CountDownLatch(1);
+        CountDownLatch blockedAgain = new CountDownLatch(1);
+        CountDownLatch allDisconnected = new CountDownLatch(1);
+        Runnable blockUntilAllDisconnected = () -> proxy.setDrained("s-0", false, listed -> {
+            blockedAgain.countDown();
+            await(allDisconnected);
         });
-        s.setDrained("s-0", false, known -> { // runs on the loop
-            holds.countDown();
-            await(asked);
+        proxy.setDrained("s-0", false, listed -> { // runs on the loop
+            blocked.countDown();
+            await(requestsSent);
             // the next turn reads all requests, the one after it is blocked
-            s.setDrained("s-0", false, next -> holdUpWhileAllLeave.run());
+            proxy.setDrained("s-0", false, next -> blockUntilAllDisconnected.run());
         });
-        holds.await();
+        blocked.await();
         for (int i = 0; i < CLIENTS; i++) {
-            say(clients.get(i), WaitPoint.NOTHING, i);
+            sendCommands(clients.get(i), WaitPoint.NOTHING, i);
         }
-        asked.countDown();
-        holdsAgain.await();
+        requestsSent.countDown();
+        blockedAgain.await();
         for (Client each : clients) {
             each.close();
         }
-        Thread.sleep(2 * LATEST_MS); // the balancer decides, and attempts that have begun arrive at the nodes
-        int begun = nodes.firstCameAt().size();
-        gone.countDown();
-        awaitKnown(s);
-        Thread.sleep(AFTER_MS);
-        assertEquals(nodes.firstCameAt().size(), begun,
+        // meanwhile the balancer decides, and attempts that have begun arrive at the nodes
+        Thread.sleep(2 * MAX_ATTEMPT_DELAY_MILLIS);
+        int attemptCount = nodes.firstCameAt().size();
+        allDisconnected.countDown();
+        awaitDisconnectsDetected(proxy);
+        Thread.sleep(OBSERVATION_MILLIS);
+        assertEquals(nodes.firstCameAt().size(), attemptCount,
             "attempts, all of which began before the clients disconnected");
-        return begun < CLIENTS / 2;
+        return attemptCount < CLIENTS / 2;
     }
 
     private static void await(CountDownLatch latch) {
@@ -365,34 +376,38 @@
      * is forwarded all the same once the connection is established.
      */
     @Test(timeOut = 60_000)
-    public void nothingIsForwardedOnceTheShutdownHasAnsweredIt() throws Exception {
-        begin(false);
-        ProxyService s = proxy(WaitPoint.CONNECTION, false,
-            ports(WaitPoint.CONNECTION, nodes(WaitPoint.CONNECTION)));
-        Client c = opened(
-            new Client(s.port()).say("mn\r\n" + Requests.READ.replace("#", attempts.idSuffix(1))));
-        assertEquals(c.line(), "MN");
-        Thread end = RunningProxy.ending(s);
-        assertTrue(c.line().startsWith("SERVER_ERROR"));
+    public void forwardsNothingThatShutdownHasAnswered() throws Exception {
+        beginTrial(false);
+        ProxyService proxy = startProxy(WaitPoint.CONNECTION, false,
+            startPorts(WaitPoint.CONNECTION, startNodes(WaitPoint.CONNECTION)));
+        Client client = closeAfterTest(
+            new Client(proxy.port()).say("mn\r\n" + Requests.READ.replace("#", attempts.idSuffix(1))));
+        assertEquals(client.line(), "MN");
+        Thread shutdown = RunningProxy.ending(proxy);
+        assertTrue(client.line().startsWith("SERVER_ERROR"));
         gate.countDown();
-        long opened = System.nanoTime();
-        while (came.get() < 2 * NODES + 1 && (System.nanoTime() - opened) / MS < CONNECTS_MS) {
+        long releasedAtNanos = System.nanoTime();
+        while (acceptedConnections.get() < 2 * NODES + 1
+            && (System.nanoTime() - releasedAtNanos) / NANOS_PER_MILLI < CONNECT_MILLIS) {
             Thread.sleep(10);
         }
-        assertTrue(came.get() > 2 * NODES, "too few connections accepted by cache nodes: " + came);
-        Thread.sleep(AFTER_MS);
+        assertTrue(acceptedConnections.get() > 2 * NODES,
+            "too few connections accepted by cache nodes: " + acceptedConnections);
+        Thread.sleep(OBSERVATION_MILLIS);
         assertFalse(attempts.contains("w" + attempts.idSuffix(1)),
             "forwarded after the shutdown answered it");
-        end.join();
+        shutdown.join();
     }
 
     /** Waits until the proxy has noticed all disconnects, which leaves no response outstanding. */
-    private static void awaitKnown(ProxyService s) throws InterruptedException {
-        AtomicLong owed = new AtomicLong(1);
-        for (long since = System.nanoTime(); owed.get() > 0; Thread.sleep(1)) {
-            owed.set(0);
-            s.metrics().forEach(f -> owed.addAndGet(f.name().equals("outstanding") ? f.value() : 0));
-            assertTrue((System.nanoTime() - since) / MS < KNOWN_MS, owed + " requests are still outstanding");
+    private static void awaitDisconnectsDetected(ProxyService proxy) throws InterruptedException {
+        AtomicLong outstanding = new AtomicLong(1);
+        for (long startedAtNanos = System.nanoTime(); outstanding.get() > 0; Thread.sleep(1)) {
+            outstanding.set(0);
+            proxy.metrics().forEach(
+                metric -> outstanding.addAndGet(metric.name().equals("outstanding") ? metric.value() : 0));
+            assertTrue((System.nanoTime() - startedAtNanos) / NANOS_PER_MILLI < MAX_DETECTION_MILLIS,
+                outstanding + " requests are still outstanding");
         }
     }
 }
--- a/proxy/src/test/java/spurroad/program/LeftServices.java
+++ b/proxy/src/test/java/spurroad/program/LeftServices.java
@@ -12,28 +12,28 @@
  * and tests with time limits failed.
  */
 public final class LeftServices implements IInvokedMethodListener {
-    private record Left(ProxyService service, long test) {}
+    private record LeftService(ProxyService service, long testNumber) {}
 
-    private static final Deque<Left> LEFT = new ArrayDeque<>();
-    private static long tests;
+    private static final Deque<LeftService> LEFT_SERVICES = new ArrayDeque<>();
+    private static long finishedTests;
 
     /** Registers a service of the current test. */
     static synchronized ProxyService add(ProxyService service) {
-        LEFT.add(new Left(service, tests));
+        LEFT_SERVICES.add(new LeftService(service, finishedTests));
         return service;
     }
 
     @Override
     public void afterInvocation(IInvokedMethod method, ITestResult result) {
         if (method.isTestMethod()) {
-            endFormer();
+            closeServicesOfEarlierTests();
         }
     }
 
-    private static synchronized void endFormer() {
-        while (!LEFT.isEmpty() && LEFT.peek().test < tests) {
-            LEFT.poll().service.close();
+    private static synchronized void closeServicesOfEarlierTests() {
+        while (!LEFT_SERVICES.isEmpty() && LEFT_SERVICES.peek().testNumber < finishedTests) {
+            LEFT_SERVICES.poll().service.close();
         }
-        tests++;
+        finishedTests++;
     }
 }
--- a/proxy/src/test/java/spurroad/program/LifecycleTest.java
+++ b/proxy/src/test/java/spurroad/program/LifecycleTest.java
@@ -11,54 +11,54 @@
 
 /** SIGTERM before, during and after the start of a proxy. */
 public class LifecycleTest {
-    private final List<String> seen = new CopyOnWriteArrayList<>();
-    private final Lifecycle<String> lifecycle = new Lifecycle<>(s -> seen.add("stopped " + s));
+    private final List<String> events = new CopyOnWriteArrayList<>();
+    private final Lifecycle<String> lifecycle = new Lifecycle<>(s -> events.add("stopped " + s));
 
     /**
      * Guards against connections lost in the accept queue: the default action of SIGTERM ends the process
      * before it has answered them.
      */
     @Test(timeOut = 60_000)
-    public void aStopWhileTheServiceStartsComesOnceItHasStarted() throws Exception {
-        CountDownLatch starts = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+    public void stopDuringStartRunsOnceServiceHasStarted() throws Exception {
+        CountDownLatch startBegun = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         Thread starting = new Thread(() -> {
             try {
                 lifecycle.start(() -> {
-                    starts.countDown();
-                    go.await();
-                    seen.add("started");
+                    startBegun.countDown();
+                    release.await();
+                    events.add("started");
                     return "s";
                 });
             } catch (Exception e) {
-                seen.add(e.toString());
+                events.add(e.toString());
             }
         });
         starting.start();
-        starts.await();
+        startBegun.await();
         Thread stopping = new Thread(lifecycle::stop);
         stopping.start();
         while (stopping.getState() != Thread.State.BLOCKED) {
             Thread.onSpinWait(); // stop() waits for the start to end
         }
-        go.countDown();
+        release.countDown();
         stopping.join();
         starting.join();
-        assertEquals(seen, List.of("started", "stopped s"));
+        assertEquals(events, List.of("started", "stopped s"));
     }
 
     @Test(timeOut = 60_000)
-    public void nothingStartsAfterAStop() throws Exception {
-        Lifecycle<String> early = new Lifecycle<>(s -> seen.add("stopped early"));
+    public void startsNothingAfterStop() throws Exception {
+        Lifecycle<String> early = new Lifecycle<>(s -> events.add("stopped early"));
         assertFalse(early.stop(), "a service had started before the stop");
         Thread starting = new Thread(() -> {
             try {
                 early.start(() -> {
-                    seen.add("started late");
+                    events.add("started late");
                     return "s";
                 });
             } catch (Exception e) {
-                seen.add("interrupted");
+                events.add("interrupted");
             }
         });
         starting.start();
@@ -68,6 +68,6 @@
         }
         starting.interrupt();
         starting.join();
-        assertFalse(seen.contains("started late"));
+        assertFalse(events.contains("started late"));
     }
 }
--- a/proxy/src/test/java/spurroad/program/LineFormatterTest.java
+++ b/proxy/src/test/java/spurroad/program/LineFormatterTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test(dataProvider = "messages")
-    public void aJsonLineHasTheFieldsOfAPlainOne(String message, String event, String about)
+    public void formatsJsonLineWithFieldsOfPlainLine(String message, String event, String about)
         throws ProtocolException {
         String line = new LineFormatter(true).format(record(message));
         assertEquals(line.indexOf('\n'), line.length() - 1, "expected a single line");
@@ -36,13 +36,13 @@
     }
 
     @Test
-    public void aPlainLineHasTimeLevelAndMessage() {
+    public void formatsPlainLineWithTimeLevelAndMessage() {
         String line = new LineFormatter(false).format(record("serving: n1"));
         assertTrue(line.matches("\\d{4}-\\d\\d-\\d\\dT[\\d:.]{12} WARNING serving: n1\n"), line);
     }
 
     @Test
-    public void anExceptionIsPartOfTheLine() throws ProtocolException {
+    public void includesExceptionInLine() throws ProtocolException {
         LogRecord r = record("an actor failed: x");
         r.setThrown(new IllegalStateException("why"));
         assertTrue(new LineFormatter(false).format(r).endsWith("java.lang.IllegalStateException: why\n"));
--- a/proxy/src/test/java/spurroad/program/LongValueTest.java
+++ b/proxy/src/test/java/spurroad/program/LongValueTest.java
@@ -26,7 +26,7 @@
  * disconnect.
  */
 public class LongValueTest {
-    private static final int LONG = 4 * 1024 * 1024;
+    private static final int LONG_BYTES = 4 * 1024 * 1024;
 
     private interface Script {
         void answer(Socket s, String id) throws Exception;
@@ -35,7 +35,7 @@
     /** A cache node whose responses a script writes. */
     private static final class Node implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        private final AtomicLong given = new AtomicLong();
+        private final AtomicLong writtenBytes = new AtomicLong();
         private final CountDownLatch ended = new CountDownLatch(1);
 
         private Node(Script script) throws IOException {
@@ -62,9 +62,9 @@
             }
         }
 
-        private void give(Socket s, byte[] bytes, int from, int to) throws IOException {
+        private void writeRange(Socket s, byte[] bytes, int from, int to) throws IOException {
             s.getOutputStream().write(bytes, from, to - from);
-            given.addAndGet(to - from);
+            writtenBytes.addAndGet(to - from);
         }
 
         @Override
@@ -84,35 +84,35 @@
     }
 
     private static ProxyService proxy(int node, int origin) throws Exception {
-        return RunningProxy.proxy(new Peer(m -> RunningProxy.WATCH), 256,
+        return RunningProxy.proxy(new Peer(message -> RunningProxy.WATCH), 256,
             ScriptedPeers.target("s-1", "m1", node, "active", 0),
             ScriptedPeers.target("s-o", "origin", origin, "active", 0));
     }
 
     @DataProvider
     Object[][] lengths() {
-        return new Object[][] {{65_536}, {65_537}, {131_072}, {1_000_003}, {LONG}};
+        return new Object[][] {{65_536}, {65_537}, {131_072}, {1_000_003}, {LONG_BYTES}};
     }
 
     @Test(dataProvider = "lengths")
-    public void aValuePassesAsItIsWhereverItIsCut(int length) throws Exception {
+    public void forwardsValueUnchangedWhateverItsSegments(int length) throws Exception {
         byte[] value = value(length);
         Random random = new Random(3);
-        Node[] n = new Node[1];
-        try (Node node = n[0] = new Node((s, id) -> {
+        Node[] holder = new Node[1];
+        try (Node node = holder[0] = new Node((s, id) -> {
             byte[] whole = concat(line("VA " + length + " O" + id + " h1\r\n"), value, line("\r\n"));
             for (int at = 0; at < whole.length;) {
                 int to = Math.min(whole.length, at + 1 + random.nextInt(100_000));
-                n[0].give(s, whole, at, to);
+                holder[0].writeRange(s, whole, at, to);
                 Thread.sleep(random.nextInt(3));
                 at = to;
             }
         }); Client c = new Client(proxy(node.server.getLocalPort(), 1).port())) {
             for (int i = 0; i < 2; i++) {
                 assertEquals(c.say(RunningProxy.READ).line(), "VA " + length + " O1");
-                byte[] got = new byte[length];
-                c.in.readFully(got, 0, length);
-                assertEquals(got, value);
+                byte[] received = new byte[length];
+                c.in.readFully(received, 0, length);
+                assertEquals(received, value);
                 assertEquals(c.line(), "");
             }
             assertEquals(c.say("mn\r\n").line(), "MN", "the connection stays usable");
@@ -121,37 +121,37 @@
 
     private static byte[] concat(byte[]... parts) {
         int length = 0;
-        for (byte[] p : parts) {
-            length += p.length;
+        for (byte[] part : parts) {
+            length += part.length;
         }
         byte[] whole = new byte[length];
         int at = 0;
-        for (byte[] p : parts) {
-            System.arraycopy(p, 0, whole, at, p.length);
-            at += p.length;
+        for (byte[] part : parts) {
+            System.arraycopy(part, 0, whole, at, part.length);
+            at += part.length;
         }
         return whole;
     }
 
     @Test
-    public void theFirstBytesAreForwardedBeforeTheRestArrives() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
-        byte[] value = value(LONG);
-        Node[] n = new Node[1];
-        try (Node node = n[0] = new Node((s, id) -> {
-            n[0].give(s, line("VA " + LONG + " O" + id + "\r\n"), 0,
-                ("VA " + LONG + " O" + id + "\r\n").length());
-            n[0].give(s, value, 0, 100);
-            seen.await();
-            n[0].give(s, value, 100, LONG);
+    public void forwardsFirstBytesBeforeRestArrives() throws Exception {
+        CountDownLatch firstBytesRead = new CountDownLatch(1);
+        byte[] value = value(LONG_BYTES);
+        Node[] holder = new Node[1];
+        try (Node node = holder[0] = new Node((s, id) -> {
+            holder[0].writeRange(s, line("VA " + LONG_BYTES + " O" + id + "\r\n"), 0,
+                ("VA " + LONG_BYTES + " O" + id + "\r\n").length());
+            holder[0].writeRange(s, value, 0, 100);
+            firstBytesRead.await();
+            holder[0].writeRange(s, value, 100, LONG_BYTES);
             s.getOutputStream().write(line("\r\n"));
         }); Client c = new Client(proxy(node.server.getLocalPort(), 1).port())) {
-            assertEquals(c.say(RunningProxy.READ).line(), "VA " + LONG + " O1");
-            byte[] got = new byte[LONG];
-            c.in.readFully(got, 0, 100);
-            seen.countDown();
-            c.in.readFully(got, 100, LONG - 100);
-            assertEquals(got, value);
+            assertEquals(c.say(RunningProxy.READ).line(), "VA " + LONG_BYTES + " O1");
+            byte[] received = new byte[LONG_BYTES];
+            c.in.readFully(received, 0, 100);
+            firstBytesRead.countDown();
+            c.in.readFully(received, 100, LONG_BYTES - 100);
+            assertEquals(received, value);
         }
     }
 
@@ -161,12 +161,12 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aValueThatCantBeFinishedIsSeenNotToBeWhole(String fault) throws Exception {
-        byte[] value = value(LONG);
-        Node[] n = new Node[1];
-        try (Node node = n[0] = new Node((s, id) -> {
-            s.getOutputStream().write(line("VA " + LONG + " O" + id + "\r\n"));
-            n[0].give(s, value, 0, fault.startsWith("spoils") ? LONG : LONG / 2);
+    public void abortsResponseWhoseValueIsIncomplete(String fault) throws Exception {
+        byte[] value = value(LONG_BYTES);
+        Node[] holder = new Node[1];
+        try (Node node = holder[0] = new Node((s, id) -> {
+            s.getOutputStream().write(line("VA " + LONG_BYTES + " O" + id + "\r\n"));
+            holder[0].writeRange(s, value, 0, fault.startsWith("spoils") ? LONG_BYTES : LONG_BYTES / 2);
             if (fault.startsWith("breaks")) {
                 s.close();
             } else if (fault.startsWith("spoils")) {
@@ -175,19 +175,20 @@
         })) {
             ProxyService s = proxy(node.server.getLocalPort(), 1);
             try (Client c = new Client(s.port())) {
-                assertEquals(c.say(RunningProxy.READ).line(), "VA " + LONG + " O1");
-                long got = 0;
+                assertEquals(c.say(RunningProxy.READ).line(), "VA " + LONG_BYTES + " O1");
+                long received = 0;
                 try {
-                    for (byte[] one = new byte[1]; got < LONG + 2; got++) {
+                    for (byte[] one = new byte[1]; received < LONG_BYTES + 2; received++) {
                         c.in.readFully(one, 0, 1);
                     }
                 } catch (IOException e) {
                     // the connection was closed or reset
                 }
-                assertTrue(got <= LONG, "the value was terminated as if it were complete");
-                StringBuilder figures = new StringBuilder();
-                s.metrics().forEach(f -> figures.append(f.name()).append('=').append(f.value()).append(' '));
-                assertTrue(figures.toString().contains("results.read.aborted=1"), figures.toString());
+                assertTrue(received <= LONG_BYTES, "the value was terminated as if it were complete");
+                StringBuilder allMetrics = new StringBuilder();
+                s.metrics().forEach(metric -> allMetrics.append(metric.name()).append('=')
+                    .append(metric.value()).append(' '));
+                assertTrue(allMetrics.toString().contains("results.read.aborted=1"), allMetrics.toString());
             }
         }
     }
@@ -197,14 +198,14 @@
      * and the socket buffers hold.
      */
     @Test
-    public void aSlowClientHoldsUpItsNodeAndNotTheProxy() throws Exception {
-        byte[] value = value(LONG);
-        Node[] n = new Node[1];
-        try (Node node = n[0] = new Node((s, id) -> {
+    public void slowClientDelaysItsNodeButNotTheProxy() throws Exception {
+        byte[] value = value(LONG_BYTES);
+        Node[] holder = new Node[1];
+        try (Node node = holder[0] = new Node((s, id) -> {
             s.setSendBufferSize(64 * 1024);
-            s.getOutputStream().write(line("VA " + LONG + " O" + id + "\r\n"));
-            for (int at = 0; at < LONG; at += 65_536) {
-                n[0].give(s, value, at, at + 65_536);
+            s.getOutputStream().write(line("VA " + LONG_BYTES + " O" + id + "\r\n"));
+            for (int at = 0; at < LONG_BYTES; at += 65_536) {
+                holder[0].writeRange(s, value, at, at + 65_536);
             }
             s.getOutputStream().write(line("\r\n"));
         })) {
@@ -225,16 +226,16 @@
                 slow.get(i).close(); // disconnect in the middle of the value
             }
             InputStream in = slow.get(1).getInputStream();
-            assertEquals(in.readNBytes(LONG + ("VA " + LONG + " Oc1\r\n\r\n").length()).length,
-                LONG + ("VA " + LONG + " Oc1\r\n\r\n").length());
+            assertEquals(in.readNBytes(LONG_BYTES + ("VA " + LONG_BYTES + " Oc1\r\n\r\n").length()).length,
+                LONG_BYTES + ("VA " + LONG_BYTES + " Oc1\r\n\r\n").length());
         }
     }
 
     @Test
-    public void aLongWriteIsHeldAndGoesOnWhole() throws Exception {
+    public void forwardsLongWriteUnchanged() throws Exception {
         byte[] value = value(1_000_003);
-        try (Peer origin = new Peer(m -> "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1");
-            Peer node = new Peer(m -> null)) {
+        try (Peer origin = new Peer(message -> "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1");
+            Peer node = new Peer(message -> null)) {
             ProxyService s = proxy(node.port, origin.port);
             try (Socket c = new Socket(InetAddress.getLoopbackAddress(), s.port())) {
                 c.setSoTimeout(20_000);
@@ -256,7 +257,7 @@
     }
 
     @DataProvider
-    Object[][] badWrites() {
+    Object[][] invalidWrites() {
         return new Object[][] {{"ms k 4194305 O1 Pc=put,t=acme,d=9000,k=5\r\n", "CLIENT_ERROR bad length"},
             {"ms k 70000 O1 Pc=put,t=acme,d=9000,k=5\r\n" + "x".repeat(70_001) + "\r\n",
                 "CLIENT_ERROR bad data chunk"},
@@ -264,9 +265,9 @@
                 "CLIENT_ERROR unknown class"}};
     }
 
-    @Test(dataProvider = "badWrites")
-    public void aLongWriteThatCantBeUsedIsToldSo(String text, String answer) throws Exception {
-        try (Peer node = new Peer(m -> null); Client c = new Client(proxy(node.port, 1).port())) {
+    @Test(dataProvider = "invalidWrites")
+    public void rejectsInvalidLongWriteWithReason(String text, String answer) throws Exception {
+        try (Peer node = new Peer(message -> null); Client c = new Client(proxy(node.port, 1).port())) {
             assertEquals(c.say(text).line(), answer);
         }
     }
--- a/proxy/src/test/java/spurroad/program/MixedShapesTest.java
+++ b/proxy/src/test/java/spurroad/program/MixedShapesTest.java
@@ -28,206 +28,219 @@
  */
 public class MixedShapesTest {
     private static final int NODES = 8;
-    private static final int SILENT = 2;
-    private static final int DRAINED = 3;
-    private static final int COLD = 4;
+    private static final int SILENT_NODE = 2;
+    private static final int DRAINED_NODE = 3;
+    private static final int COLD_NODE = 4;
     private static final int CONNECTIONS = 12; // client connections to each proxy
-    private static final int QUERIES = 150; // requests on each connection
-    private static final long APART_MS = 12;
-    private static final long DRAINS_MS = 700;
-    private static final long GRACE_MS = 500;
+    private static final int REQUESTS_EACH = 150; // requests on each connection
+    private static final long PAUSE_MILLIS = 12;
+    private static final long DRAIN_AT_MILLIS = 700;
+    private static final long GRACE_MILLIS = 500;
     // suffix of request ids sent after all proxies have applied the drain
-    private static final String AFTER = "z";
+    private static final String SENT_AFTER_DRAIN = "z";
 
-    private final List<AutoCloseable> open = new ArrayList<>();
-    private final Map<String, Integer> written = new ConcurrentHashMap<>();
-    private final AtomicInteger[] reads = new AtomicInteger[NODES];
-    private final AtomicInteger late = new AtomicInteger();
-    private final AtomicInteger silentLater = new AtomicInteger();
-    private volatile String change = ""; // of the endpoint list, for proxies that poll again
-    private volatile long startedAt;
-    private volatile long toldMs; // after startedAt; when all proxies had applied the drain
+    private final List<AutoCloseable> resources = new ArrayList<>();
+    private final Map<String, Integer> executionsByKey = new ConcurrentHashMap<>();
+    private final AtomicInteger[] readsByNode = new AtomicInteger[NODES];
+    private final AtomicInteger requestsToDrainedNode = new AtomicInteger();
+    private final AtomicInteger lateRequestsToSilentNode = new AtomicInteger();
+    private volatile String listChange = ""; // of the endpoint list, for proxies that poll again
+    private volatile long startedAtNanos;
+    private volatile long drainAppliedMillis; // after startedAt; when all proxies had applied the drain
 
     /** Outcomes of the requests of one kind of proxy. */
-    private static final class Kind {
-        private final AtomicInteger asked = new AtomicInteger();
-        private final AtomicInteger completed = new AtomicInteger();
-        private final AtomicInteger wrong = new AtomicInteger();
+    private static final class Outcomes {
+        private final AtomicInteger sent = new AtomicInteger();
+        private final AtomicInteger served = new AtomicInteger();
+        private final AtomicInteger invalid = new AtomicInteger();
 
-        private double share() {
-            return (double) completed.get() / asked.get();
+        private double servedFraction() {
+            return (double) served.get() / sent.get();
         }
     }
 
     @AfterMethod(alwaysRun = true)
     public void close() throws Exception {
-        for (AutoCloseable each : open) {
+        for (AutoCloseable each : resources) {
             each.close();
         }
-        open.clear();
+        resources.clear();
     }
 
-    private long sinceMs() {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
+    private long elapsedMillis() {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
     }
 
-    private String node(int number, String message) {
+    private String respondAsNode(int number, String message) {
         if (message.startsWith("mg")) {
-            reads[number].incrementAndGet();
-            late.addAndGet(
-                number == DRAINED && (message.contains(AFTER + " Pc=") || sinceMs() > toldMs + GRACE_MS) ? 1
-                    : 0);
-            silentLater.addAndGet(number == SILENT && sinceMs() > DRAINS_MS ? 1 : 0);
+            readsByNode[number].incrementAndGet();
+            requestsToDrainedNode.addAndGet(
+                number == DRAINED_NODE && (message.contains(SENT_AFTER_DRAIN + " Pc=")
+                    || elapsedMillis() > drainAppliedMillis + GRACE_MILLIS) ? 1
+                        : 0);
+            lateRequestsToSilentNode
+                .addAndGet(number == SILENT_NODE && elapsedMillis() > DRAIN_AT_MILLIS ? 1 : 0);
         }
-        return number == SILENT && message.startsWith("mg") ? null : RunningProxy.hit("v").apply(message);
+        return number == SILENT_NODE && message.startsWith("mg") ? null
+            : RunningProxy.hit("v").apply(message);
     }
 
-    private String origin(String message) {
-        written.merge(message.replaceFirst("(?s).*,k=([a-z0-9]+).*", "$1"), 1, Integer::sum);
+    private String respondAsOrigin(String message) {
+        executionsByKey.merge(message.replaceFirst("(?s).*,k=([a-z0-9]+).*", "$1"), 1, Integer::sum);
         return "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv";
     }
 
     private static List<String> addresses(int count) throws Exception {
-        List<DatagramSocket> held = new ArrayList<>();
+        List<DatagramSocket> sockets = new ArrayList<>();
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            held.add(new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0)));
-            addresses.add("\"127.0.0.1:" + held.get(i).getLocalPort() + "\"");
+            sockets.add(new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0)));
+            addresses.add("\"127.0.0.1:" + sockets.get(i).getLocalPort() + "\"");
         }
-        held.forEach(DatagramSocket::close);
+        sockets.forEach(DatagramSocket::close);
         return addresses;
     }
 
     /**
      * Runs load for some seconds and returns the outcomes of the isolated proxies and of those with peers.
      */
-    private Kind[] play(int old, int talking) throws Exception {
-        written.clear();
-        late.set(0);
-        change = "";
-        toldMs = Long.MAX_VALUE / 2;
-        silentLater.set(0);
+    private Outcomes[] runLoad(int isolated, int peered) throws Exception {
+        executionsByKey.clear();
+        requestsToDrainedNode.set(0);
+        listChange = "";
+        drainAppliedMillis = Long.MAX_VALUE / 2;
+        lateRequestsToSilentNode.set(0);
         String[] targets = new String[NODES + 1];
         String drained = "";
         for (int i = 0; i < NODES; i++) {
             int number = i;
-            reads[i] = new AtomicInteger();
-            Peer n = new Peer(m -> node(number, m));
-            open.add(n);
-            targets[i] = ScriptedPeers.target("s-" + i, "m1", n.port, "active",
-                i == COLD ? System.currentTimeMillis() : 0);
-            drained = i == DRAINED ? targets[i].replace("active", "leaving") : drained;
+            readsByNode[i] = new AtomicInteger();
+            Peer node = new Peer(message -> respondAsNode(number, message));
+            resources.add(node);
+            targets[i] = ScriptedPeers.target("s-" + i, "m1", node.port, "active",
+                i == COLD_NODE ? System.currentTimeMillis() : 0);
+            drained = i == DRAINED_NODE ? targets[i].replace("active", "leaving") : drained;
         }
-        Peer origin = new Peer(this::origin);
-        open.add(origin);
+        Peer origin = new Peer(this::respondAsOrigin);
+        resources.add(origin);
         targets[NODES] = ScriptedPeers.target("s-o", "origin", origin.port, "active", 0);
-        List<String> addresses = addresses(talking);
+        List<String> addresses = addresses(peered);
         List<Peer> discoveries = new ArrayList<>();
         List<ProxyService> proxies = new ArrayList<>();
-        for (int i = 0; i < old + talking; i++) {
-            Peer discovery = new Peer(m -> RunningProxy.WATCH + change);
-            open.add(discovery);
+        for (int i = 0; i < isolated + peered; i++) {
+            Peer discovery = new Peer(message -> RunningProxy.WATCH + listChange);
+            resources.add(discovery);
             discoveries.add(discovery);
             String text = ScriptedPeers.start(discovery.port, 512, ScriptedPeers.list(1, true, targets))
                 .replace("8000000", "400000").replace("\"allowed\":{", "\"obligations\":{\"coldUs\":60000000,"
-                    + "\"startCapacity\":0.3},\"allowed\":{" + (i < old ? "" : "\"peers\":true,"))
+                    + "\"startCapacity\":0.3},\"allowed\":{" + (i < isolated ? "" : "\"peers\":true,"))
                 .replace("\"settings\":{",
-                    (i < old ? "" : "\"proxies\":[" + String.join(",", addresses) + "],")
-                        + "\"settings\":{\"balancers\":" + (i < old ? old : talking) + ",\"index\":"
-                        + (i < old ? i : i - old) + ",");
+                    (i < isolated ? "" : "\"proxies\":[" + String.join(",", addresses) + "],")
+                        + "\"settings\":{\"balancers\":" + (i < isolated ? isolated : peered) + ",\"index\":"
+                        + (i < isolated ? i : i - isolated) + ",");
             proxies.add(RunningProxy.service(new ProxyConfiguration(text)));
         }
-        Kind[] kinds = {new Kind(), new Kind()};
-        CountDownLatch over = new CountDownLatch((old + talking) * CONNECTIONS);
-        startedAt = System.nanoTime();
+        Outcomes[] outcomesByKind = {new Outcomes(), new Outcomes()};
+        CountDownLatch allFinished = new CountDownLatch((isolated + peered) * CONNECTIONS);
+        startedAtNanos = System.nanoTime();
         for (int i = 0; i < proxies.size(); i++) {
             for (int c = 0; c < CONNECTIONS; c++) {
                 Client client = new Client(proxies.get(i).port());
-                open.add(client);
-                String mark = "p" + i + "c" + c;
-                Kind kind = kinds[i < old ? 0 : 1];
+                resources.add(client);
+                String idPrefix = "p" + i + "c" + c;
+                Outcomes outcomes = outcomesByKind[i < isolated ? 0 : 1];
                 Random random = new Random(i * 100 + c);
                 ScriptedPeers.daemon(() -> {
                     try {
-                        ask(client, mark, kind, random);
+                        sendRequests(client, idPrefix, outcomes, random);
                     } finally {
-                        over.countDown();
+                        allFinished.countDown();
                     }
                 });
             }
         }
-        Thread.sleep(DRAINS_MS);
+        Thread.sleep(DRAIN_AT_MILLIS);
         // a further node, draining from the beginning, shows in each proxy's metrics that its balancer has
         // applied the change
-        String list = ScriptedPeers.list(2, false, drained, drained.replace("s-" + DRAINED, "s-further"))
+        String list = ScriptedPeers.list(2, false, drained, drained.replace("s-" + DRAINED_NODE, "s-further"))
             + "\n";
-        change = Integer.toHexString(list.length()) + "\r\n" + list + "\r\n";
+        listChange = Integer.toHexString(list.length()) + "\r\n" + list + "\r\n";
         for (Peer discovery : discoveries) {
-            discovery.say(change);
+            discovery.say(listChange);
         }
-        while (!proxies.stream().allMatch(MixedShapesTest::knows)) {
+        while (!proxies.stream().allMatch(MixedShapesTest::hasAppliedDrain)) {
             Thread.sleep(1);
         }
-        toldMs = sinceMs();
-        assertTrue(over.await(60, TimeUnit.SECONDS), "clients still wait for responses");
-        check(kinds);
-        return kinds;
+        drainAppliedMillis = elapsedMillis();
+        assertTrue(allFinished.await(60, TimeUnit.SECONDS), "clients still wait for responses");
+        check(outcomesByKind);
+        return outcomesByKind;
     }
 
-    private static boolean knows(ProxyService proxy) {
+    private static boolean hasAppliedDrain(ProxyService proxy) {
         AtomicLong listed = new AtomicLong();
-        proxy.metrics().forEach(f -> listed.addAndGet(f.name().equals("discovered") ? f.value() : 0));
+        proxy.metrics()
+            .forEach(metric -> listed.addAndGet(metric.name().equals("discovered") ? metric.value() : 0));
         return listed.get() == NODES + 1;
     }
 
-    private void ask(Client client, String mark, Kind kind, Random random) throws Exception {
-        for (int q = 0; q < QUERIES; q++) {
-            boolean write = q % 10 == 9;
-            String tag = mark + "q" + q + (toldMs > sinceMs() ? "" : AFTER);
-            kind.asked.incrementAndGet();
+    private void sendRequests(Client client, String idPrefix, Outcomes outcomes, Random random)
+        throws Exception {
+        for (int requestIndex = 0; requestIndex < REQUESTS_EACH; requestIndex++) {
+            boolean write = requestIndex % 10 == 9;
+            String requestId = idPrefix + "q" + requestIndex
+                + (drainAppliedMillis > elapsedMillis() ? "" : SENT_AFTER_DRAIN);
+            outcomes.sent.incrementAndGet();
             client.say(write
-                ? "ms k" + random.nextInt(400) + " 1 O" + tag + " Pc=put,t=acme,d=1500,k=" + tag + "\r\na\r\n"
-                : "mg k" + random.nextInt(400) + " v O" + tag + " Pc=read,t=acme,d=1500\r\n");
+                ? "ms k" + random.nextInt(400) + " 1 O" + requestId + " Pc=put,t=acme,d=1500,k=" + requestId
+                    + "\r\na\r\n"
+                : "mg k" + random.nextInt(400) + " v O" + requestId + " Pc=read,t=acme,d=1500\r\n");
             String line = client.line();
             boolean value = line != null && line.startsWith("VA");
             if (value) {
                 client.line();
             }
-            kind.completed.addAndGet(value || line != null && line.startsWith("HD") ? 1 : 0);
-            kind.wrong
-                .addAndGet(line == null || !line.contains(tag) && !line.startsWith("SERVER_ERROR") ? 1 : 0);
-            Thread.sleep(APART_MS);
+            outcomes.served.addAndGet(value || line != null && line.startsWith("HD") ? 1 : 0);
+            outcomes.invalid
+                .addAndGet(
+                    line == null || !line.contains(requestId) && !line.startsWith("SERVER_ERROR") ? 1 : 0);
+            Thread.sleep(PAUSE_MILLIS);
         }
     }
 
-    private void check(Kind[] kinds) {
-        int marks = kinds[0].asked.get() / 10 + kinds[1].asked.get() / 10;
-        assertEquals(kinds[0].wrong.get() + kinds[1].wrong.get(), 0,
+    private void check(Outcomes[] outcomesByKind) {
+        int writes = outcomesByKind[0].sent.get() / 10 + outcomesByKind[1].sent.get() / 10;
+        assertEquals(outcomesByKind[0].invalid.get() + outcomesByKind[1].invalid.get(), 0,
             "missing responses, or responses to other requests");
-        assertTrue(written.size() <= marks && written.values().stream().allMatch(n -> n == 1),
+        assertTrue(
+            executionsByKey.size() <= writes
+                && executionsByKey.values().stream().allMatch(executions -> executions == 1),
             "an effect ran twice");
-        assertEquals(late.get(), 0, "new requests to the drained node");
-        assertTrue(2 * reads[COLD].get() < reads[0].get() + reads[1].get(),
-            "too many requests to the cold node: " + reads[COLD]);
+        assertEquals(requestsToDrainedNode.get(), 0, "new requests to the drained node");
+        assertTrue(2 * readsByNode[COLD_NODE].get() < readsByNode[0].get() + readsByNode[1].get(),
+            "too many requests to the cold node: " + readsByNode[COLD_NODE]);
     }
 
     @Test(timeOut = 120_000)
-    public void neitherKindBreaksARuleOrStarvesTheOther() throws Exception {
-        double oldAlone = play(3, 0)[0].share();
+    public void isolatedAndPeeredProxiesServeTogetherWithoutRuleViolations() throws Exception {
+        double isolatedAlone = runLoad(3, 0)[0].servedFraction();
         close();
-        double newAlone = play(0, 3)[1].share();
-        int sentLater = silentLater.get();
+        double peeredAlone = runLoad(0, 3)[1].servedFraction();
+        int lateAtSilentNode = lateRequestsToSilentNode.get();
         close();
-        Kind[] mixed = play(2, 3);
-        String told = "isolated " + oldAlone + ", with peers " + newAlone + ", together " + mixed[0].share()
+        Outcomes[] mixed = runLoad(2, 3);
+        String summary = "isolated " + isolatedAlone + ", with peers " + peeredAlone + ", together "
+            + mixed[0].servedFraction()
             + " and "
-            + mixed[1].share()
-            + ", late requests to the silent node " + sentLater;
-        assertTrue(mixed[0].share() > 0.9 * oldAlone && mixed[1].share() > 0.9 * newAlone, told);
+            + mixed[1].servedFraction()
+            + ", late requests to the silent node " + lateAtSilentNode;
+        assertTrue(
+            mixed[0].servedFraction() > 0.9 * isolatedAlone && mixed[1].servedFraction() > 0.9 * peeredAlone,
+            summary);
         // with peer updates, half of a silent node's keys move away each second: in this time, most of its
         // eighth of the keys
-        assertTrue(oldAlone > 0.9 && newAlone > 0.8, told);
+        assertTrue(isolatedAlone > 0.9 && peeredAlone > 0.8, summary);
         // without peer updates 218 requests went there, with them 33: one proxy alone sees too few failures
-        assertTrue(sentLater < 110, told);
+        assertTrue(lateAtSilentNode < 110, summary);
     }
 }
--- a/proxy/src/test/java/spurroad/program/NarrowMomentsTest.java
+++ b/proxy/src/test/java/spurroad/program/NarrowMomentsTest.java
@@ -18,19 +18,19 @@
 
 /** Forces orders of events that are rare in production, with a whole proxy between scripted peers. */
 public class NarrowMomentsTest {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     /** Commands after a request without a response: enough that the proxy stops reading from the client. */
-    private static final String BEHIND = "mn\r\n".repeat(15);
+    private static final String PIPELINED_PROBES = "mn\r\n".repeat(15);
 
-    private static String read(String id) {
+    private static String readCommand(String id) {
         return RunningProxy.READ.replace("O1", "O" + id);
     }
 
-    private static ProxyService proxy(String text) throws Exception {
-        return RunningProxy.service(new ProxyConfiguration(text));
+    private static ProxyService proxy(String configuration) throws Exception {
+        return RunningProxy.service(new ProxyConfiguration(configuration));
     }
 
-    private static String start(Peer discovery, Peer... nodes) {
+    private static String configuration(Peer discovery, Peer... nodes) {
         String[] targets = new String[nodes.length];
         for (int i = 0; i < nodes.length; i++) {
             targets[i] = ScriptedPeers.target("s-" + i, "m1", nodes[i].port, "active", 0);
@@ -38,8 +38,8 @@
         return ScriptedPeers.start(discovery.port, 1024, ScriptedPeers.list(1, true, targets));
     }
 
-    private static long msSince(long then) {
-        return (System.nanoTime() - then) / MS;
+    private static long millisSince(long startNanos) {
+        return (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
     }
 
     // ---- graceful shutdown
@@ -60,45 +60,47 @@
      * beyond that of the settings.
      */
     @Test(dataProvider = "kills")
-    public void allThatWasTakenIsAnsweredBeforeTheKillHoweverLongItCouldWait(long timeoutMs, long killMs)
+    public void answersTakenRequestsBeforeKillWhateverTheirTimeout(long timeoutMillis, long killMillis)
         throws Exception {
-        try (Peer hung = new Peer(m -> null); Peer discovery = new Peer(m -> RunningProxy.WATCH)) {
-            ProxyService s = proxy(start(discovery, hung).replace("\"sloTimeUs\":8000000",
-                "\"statementTimeoutUs\":" + timeoutMs * 1000 + ",\"sloTimeUs\":8000000"));
-            try (Client before = new Client(s.port()); Client after = new Client(s.port())) {
-                before.say(read("1"));
+        try (Peer hung = new Peer(message -> null);
+            Peer discovery = new Peer(message -> RunningProxy.WATCH)) {
+            ProxyService proxy = proxy(configuration(discovery, hung).replace("\"sloTimeUs\":8000000",
+                "\"statementTimeoutUs\":" + timeoutMillis * 1000 + ",\"sloTimeUs\":8000000"));
+            try (Client earlier = new Client(proxy.port()); Client later = new Client(proxy.port())) {
+                earlier.say(readCommand("1"));
                 assertNotNull(hung.await("mg"));
-                long since = System.nanoTime();
-                Thread end = RunningProxy.ending(s);
-                after.say(read("2"));
-                assertTrue(before.line().startsWith("SERVER_ERROR"));
-                assertTrue(after.line().startsWith("SERVER_ERROR"));
-                assertTrue(msSince(since) < killMs, "answered after " + msSince(since) + " ms");
-                end.join();
+                long sinceNanos = System.nanoTime();
+                Thread shutdown = RunningProxy.ending(proxy);
+                later.say(readCommand("2"));
+                assertTrue(earlier.line().startsWith("SERVER_ERROR"));
+                assertTrue(later.line().startsWith("SERVER_ERROR"));
+                assertTrue(millisSince(sinceNanos) < killMillis,
+                    "answered after " + millisSince(sinceNanos) + " ms");
+                shutdown.join();
             }
         }
     }
 
     /** Connections that the kernel accepted for a proxy that shuts down before it serves are answered too. */
     @Test
-    public void clientsThatConnectBeforeAcceptanceAreAnsweredAtTheShutdown() throws Exception {
-        CountDownLatch never = new CountDownLatch(1);
-        try (Peer silent = new Peer(m -> held(never, RunningProxy.WATCH));
+    public void answersClientsAcceptedByKernelBeforeServing() throws Exception {
+        CountDownLatch neverOpened = new CountDownLatch(1);
+        try (Peer silent = new Peer(message -> respondAfter(neverOpened, RunningProxy.WATCH));
             Peer node = new Peer(RunningProxy.hit("v"))) {
-            ProxyService s = proxy(start(silent, node).replace("on_request", "pushed"));
-            try (Client c = new Client(s.port())) {
-                c.say(read("1"));
-                Thread end = RunningProxy.ending(s);
-                assertEquals(c.line() + c.line(), "VA 1 O1v");
-                end.join();
+            ProxyService proxy = proxy(configuration(silent, node).replace("on_request", "pushed"));
+            try (Client client = new Client(proxy.port())) {
+                client.say(readCommand("1"));
+                Thread shutdown = RunningProxy.ending(proxy);
+                assertEquals(client.line() + client.line(), "VA 1 O1v");
+                shutdown.join();
             }
-            never.countDown();
+            neverOpened.countDown();
         }
     }
 
-    private static String held(CountDownLatch until, String answer) {
+    private static String respondAfter(CountDownLatch release, String answer) {
         try {
-            until.await();
+            release.await();
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -111,40 +113,43 @@
      * the former settings are answered.
      */
     @Test
-    public void aReloadRightBeforeTheShutdownLosesNoRequest() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        try (Peer node = new Peer(m -> held(go, RunningProxy.hit("v").apply(m)));
-            Peer discovery = new Peer(m -> RunningProxy.WATCH)) {
-            String text = start(discovery, node);
-            String read = text.replaceFirst("(?s).*'tracks':\\[(\\{.*?\\}),.*".replace('\'', '"'), "$1");
-            String other = text.replace(read + ",", "").replace("\"sloTimeUs\":8000000,\"importance\":5}",
-                "\"statementTimeoutUs\":800000,\"sloTimeUs\":400000,\"importance\":5},"
-                    + read.replace("read", "late")
-                    + "," + read.replace("retryable", "fragile"))
+    public void losesNoRequestInReloadRightBeforeShutdown() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        try (Peer node = new Peer(message -> respondAfter(release, RunningProxy.hit("v").apply(message)));
+            Peer discovery = new Peer(message -> RunningProxy.WATCH)) {
+            String configuration = configuration(discovery, node);
+            String readClass = configuration
+                .replaceFirst("(?s).*'tracks':\\[(\\{.*?\\}),.*".replace('\'', '"'), "$1");
+            String changedConfiguration = configuration
+                .replace(readClass + ",", "").replace("\"sloTimeUs\":8000000,\"importance\":5}",
+                    "\"statementTimeoutUs\":800000,\"sloTimeUs\":400000,\"importance\":5},"
+                        + readClass.replace("read", "late")
+                        + "," + readClass.replace("retryable", "fragile"))
                 .replace("\"mostExecutions\":6", "\"mostExecutions\":1");
-            ProxyService s = proxy(text);
-            try (Client before = new Client(s.port()); Client after = new Client(s.port())) {
-                before.say(read("1"));
+            ProxyService proxy = proxy(configuration);
+            try (Client earlier = new Client(proxy.port()); Client later = new Client(proxy.port())) {
+                earlier.say(readCommand("1"));
                 assertNotNull(node.await("mg"));
-                List<Thread> hups = new ArrayList<>();
+                List<Thread> reloads = new ArrayList<>();
                 for (int i = 0; i < 2; i++) {
-                    hups.add(new Thread(() -> s.reload(() -> new ProxyConfiguration(other))));
-                    hups.get(i).start();
+                    reloads.add(
+                        new Thread(() -> proxy.reload(() -> new ProxyConfiguration(changedConfiguration))));
+                    reloads.get(i).start();
                 }
-                for (Thread hup : hups) {
-                    hup.join();
+                for (Thread reload : reloads) {
+                    reload.join();
                 }
                 // the loop applies the settings before it reads on
-                assertEquals(after.say("mn\r\n").line(), "MN");
-                Thread end = RunningProxy.ending(s);
-                after.say(read("2") + read("3").replace("c=read", "c=late")
-                    + read("4").replace("c=read", "c=none"));
+                assertEquals(later.say("mn\r\n").line(), "MN");
+                Thread shutdown = RunningProxy.ending(proxy);
+                later.say(readCommand("2") + readCommand("3").replace("c=read", "c=late")
+                    + readCommand("4").replace("c=read", "c=none"));
                 assertNotNull(node.await("mg"));
-                go.countDown();
-                assertEquals(before.line() + before.line(), "VA 1 O1v");
-                assertEquals(after.line() + after.line() + after.line() + after.line(), "VA 1 O2vVA 1 O3v");
-                assertEquals(after.line(), "CLIENT_ERROR unknown class");
-                end.join();
+                release.countDown();
+                assertEquals(earlier.line() + earlier.line(), "VA 1 O1v");
+                assertEquals(later.line() + later.line() + later.line() + later.line(), "VA 1 O2vVA 1 O3v");
+                assertEquals(later.line(), "CLIENT_ERROR unknown class");
+                shutdown.join();
             }
         }
     }
@@ -153,7 +158,7 @@
 
     /** Whether the stalled watch still sends bytes that never complete a line. */
     @DataProvider
-    Object[][] quiet() {
+    Object[][] stalls() {
         return new Object[][] {{false}, {true}};
     }
 
@@ -161,23 +166,23 @@
      * Guards against a stalled watch that is detected too late: detection took 7 s, but a missed drain counts
      * as a rule violation after 6 s (in calm+brink).
      */
-    @Test(dataProvider = "quiet")
-    public void aSilentWatchIsReplacedInTimeAndKeptUntilTheNewOneSends(boolean trickles)
+    @Test(dataProvider = "stalls")
+    public void replacesStalledWatchInTimeAndKeepsItUntilNewOneSends(boolean sendsBytes)
         throws Exception {
-        AtomicInteger calls = new AtomicInteger();
-        CountDownLatch go = new CountDownLatch(1);
+        AtomicInteger polls = new AtomicInteger();
+        CountDownLatch release = new CountDownLatch(1);
         try (Peer a = new Peer(RunningProxy.hit("a")); Peer b = new Peer(RunningProxy.hit("b"))) {
             String both = ScriptedPeers.list(2, true, ScriptedPeers.target("s-a", "m1", a.port, "active", 0));
             String drained = ScriptedPeers.list(3, true,
                 ScriptedPeers.target("s-a", "m1", a.port, "leaving", 0),
                 ScriptedPeers.target("s-b", "m1", b.port, "active", 0));
-            try (Peer discovery = new Peer(m -> RunningProxy.WATCH
-                + (calls.incrementAndGet() == 1 ? ScriptedPeers.chunk(both)
-                    : held(go, ScriptedPeers.chunk(drained))))) {
-                ProxyService s = proxy(start(discovery, a));
+            try (Peer discovery = new Peer(message -> RunningProxy.WATCH
+                + (polls.incrementAndGet() == 1 ? ScriptedPeers.chunk(both)
+                    : respondAfter(release, ScriptedPeers.chunk(drained))))) {
+                ProxyService proxy = proxy(configuration(discovery, a));
                 assertNotNull(discovery.await("GET"));
-                long since = System.nanoTime();
-                if (trickles) {
+                long sinceNanos = System.nanoTime();
+                if (sendsBytes) {
                     discovery.say("100\r\n");
                     ScriptedPeers.daemon(() -> {
                         while (true) {
@@ -186,17 +191,18 @@
                         }
                     });
                 }
-                String again = discovery.await("GET");
-                assertTrue(again.contains("since=2 "), again);
-                assertTrue(msSince(since) < 5000, "polled again after " + msSince(since) + " ms");
+                String reconnected = discovery.await("GET");
+                assertTrue(reconnected.contains("since=2 "), reconnected);
+                assertTrue(millisSince(sinceNanos) < 5000,
+                    "polled again after " + millisSince(sinceNanos) + " ms");
                 assertTrue(discovery.heard.isEmpty(),
                     "the stalled watch is kept until the new one has sent a list");
-                go.countDown();
+                release.countDown();
                 assertEquals(discovery.await("closed"), "closed");
-                try (Client c = new Client(s.port())) {
-                    String line = c.say(read("1")).line() + c.line();
+                try (Client client = new Client(proxy.port())) {
+                    String line = client.say(readCommand("1")).line() + client.line();
                     for (int i = 0; i < 2000 && line.endsWith("a"); i++) {
-                        line = c.say(read("1")).line() + c.line(); // list not applied yet
+                        line = client.say(readCommand("1")).line() + client.line(); // list not applied yet
                     }
                     assertEquals(line, "VA 1 O1b");
                 }
@@ -209,20 +215,21 @@
      * long as it runs.
      */
     @Test
-    public void wherePushedListsAreUsedNothingIsForwardedBeforeTheFirst() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    public void forwardsNothingBeforeFirstPushedList() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         try (Peer a = new Peer(RunningProxy.hit("a")); Peer b = new Peer(RunningProxy.hit("b"))) {
             String drained = ScriptedPeers.list(3, true,
                 ScriptedPeers.target("s-0", "m1", a.port, "leaving", 0),
                 ScriptedPeers.target("s-b", "m1", b.port, "active", 0));
             try (
-                Peer agent = new Peer(m -> RunningProxy.WATCH + held(go, ScriptedPeers.chunk(drained)))) {
-                ProxyService s = proxy(start(agent, a).replace("on_request", "pushed"));
-                try (Client c = new Client(s.port())) {
-                    c.say("mn\r\n" + read("1"));
+                Peer agent = new Peer(
+                    message -> RunningProxy.WATCH + respondAfter(release, ScriptedPeers.chunk(drained)))) {
+                ProxyService proxy = proxy(configuration(agent, a).replace("on_request", "pushed"));
+                try (Client client = new Client(proxy.port())) {
+                    client.say("mn\r\n" + readCommand("1"));
                     assertNotNull(agent.await("GET"));
-                    go.countDown();
-                    assertEquals(c.line() + c.line() + c.line(), "MNVA 1 O1b");
+                    release.countDown();
+                    assertEquals(client.line() + client.line() + client.line(), "MNVA 1 O1b");
                 }
                 assertTrue(a.heard.isEmpty());
             }
@@ -230,7 +237,7 @@
     }
 
     @DataProvider
-    Object[][] impatient() {
+    Object[][] pollLimits() {
         return new Object[][] {
             {"\"tickUs\"", "\"obligations\":{\"askWithinUs\":500000},\"tickUs\"", 20, 9000},
             {"on_request", "pushed", 12, 5000}};
@@ -240,19 +247,21 @@
      * The balancer's backoff grows to 12 s, past the 10 s for which jaffna-student-housing lets a list be
      * used. With pushed lists, the list of an agent that was away counts as soon as the agent is back.
      */
-    @Test(dataProvider = "impatient")
-    public void discoveryIsPolledWithinTheTimeOfTheSettings(String key, String with, int calls,
-                                                            long ms)
+    @Test(dataProvider = "pollLimits")
+    public void pollsDiscoveryWithinConfiguredTime(String settingText, String replacement, int polls,
+                                                   long maxMillis)
         throws Exception {
-        AtomicInteger came = new AtomicInteger();
+        AtomicInteger pollCount = new AtomicInteger();
         try (Peer node = new Peer(RunningProxy.hit("a"));
-            Peer discovery = new Peer(m -> came.incrementAndGet() < calls ? "" : RunningProxy.WATCH)) {
-            long since = System.nanoTime();
-            proxy(start(discovery, node).replace(key, with));
-            for (int i = 0; i < calls; i++) {
+            Peer discovery = new Peer(
+                message -> pollCount.incrementAndGet() < polls ? "" : RunningProxy.WATCH)) {
+            long sinceNanos = System.nanoTime();
+            proxy(configuration(discovery, node).replace(settingText, replacement));
+            for (int i = 0; i < polls; i++) {
                 assertNotNull(discovery.await("GET"));
             }
-            assertTrue(msSince(since) < ms, calls + " polls took " + msSince(since) + " ms");
+            assertTrue(millisSince(sinceNanos) < maxMillis,
+                polls + " polls took " + millisSince(sinceNanos) + " ms");
         }
     }
 
@@ -263,39 +272,42 @@
      * client with sixteen waiting commands.
      */
     @Test
-    public void theDisconnectOfAClientThatIsNotReadFromIsDetected() throws Exception {
-        try (Peer silent = new Peer(m -> null); Peer discovery = new Peer(m -> RunningProxy.WATCH)) {
-            ProxyService s = proxy(start(discovery, silent));
-            Client c = new Client(s.port()).say(read("1") + BEHIND + read("2"));
+    public void detectsDisconnectOfClientThatIsNotReadFrom() throws Exception {
+        try (Peer silent = new Peer(message -> null);
+            Peer discovery = new Peer(message -> RunningProxy.WATCH)) {
+            ProxyService proxy = proxy(configuration(discovery, silent));
+            Client client = new Client(proxy.port())
+                .say(readCommand("1") + PIPELINED_PROBES + readCommand("2"));
             assertNotNull(silent.await("mg"));
-            long since = System.nanoTime();
-            c.close();
+            long sinceNanos = System.nanoTime();
+            client.close();
             assertEquals(silent.await("closed"), "closed", "the attempt was not cancelled");
-            assertTrue(msSince(since) < 2000, "detected after " + msSince(since) + " ms");
-            assertTrue(silent.heard.stream().noneMatch(m -> m.startsWith("mg")),
+            assertTrue(millisSince(sinceNanos) < 2000, "detected after " + millisSince(sinceNanos) + " ms");
+            assertTrue(silent.heard.stream().noneMatch(message -> message.startsWith("mg")),
                 "the commands after it were forwarded");
         }
     }
 
     /** The proxy does not read either from a client that waits for memory for a long value. */
     @Test
-    public void theDisconnectOfAClientThatWaitsForMemoryIsDetected() throws Exception {
-        try (Peer silent = new Peer(m -> null); Peer discovery = new Peer(m -> RunningProxy.WATCH)) {
-            ProxyService s = proxy(start(discovery, silent));
+    public void detectsDisconnectOfClientThatWaitsForMemory() throws Exception {
+        try (Peer silent = new Peer(message -> null);
+            Peer discovery = new Peer(message -> RunningProxy.WATCH)) {
+            ProxyService proxy = proxy(configuration(discovery, silent));
             String upload = "ms k 4000000 O3 Pc=put,t=acme,d=9000,k=5\r\n";
             List<Client> holders = new ArrayList<>();
             for (int i = 0; i < 8; i++) { // more than the memory budget has room for
-                holders.add(new Client(s.port()).say(upload.replace("O3", "Oh" + i) + "x"));
+                holders.add(new Client(proxy.port()).say(upload.replace("O3", "Oh" + i) + "x"));
             }
-            Client c = new Client(s.port());
-            c.say(read("1") + upload + "x");
+            Client client = new Client(proxy.port());
+            client.say(readCommand("1") + upload + "x");
             assertNotNull(silent.await("mg"));
-            long since = System.nanoTime();
-            c.close();
+            long sinceNanos = System.nanoTime();
+            client.close();
             assertEquals(silent.await("closed"), "closed", "the attempt was not cancelled");
-            assertTrue(msSince(since) < 1500, "detected after " + msSince(since) + " ms");
-            for (Client h : holders) {
-                h.close();
+            assertTrue(millisSince(sinceNanos) < 1500, "detected after " + millisSince(sinceNanos) + " ms");
+            for (Client holder : holders) {
+                holder.close();
             }
         }
     }
@@ -305,17 +317,18 @@
      * the proxy has not yet read the end of its former connection.
      */
     @Test
-    public void aClientThatReconnectsBeforeItsDisconnectIsReadIsServed() throws Exception {
-        CountDownLatch again = new CountDownLatch(1);
-        Function<String, String> rule = m -> again.getCount() > 0 ? null : RunningProxy.hit("v").apply(m);
-        try (Peer node = new Peer(rule); Peer discovery = new Peer(m -> RunningProxy.WATCH)) {
-            ProxyService s = proxy(start(discovery, node));
-            Client former = new Client(s.port()).say(read("1") + BEHIND);
+    public void servesClientThatReconnectsBeforeItsDisconnectIsRead() throws Exception {
+        CountDownLatch reconnected = new CountDownLatch(1);
+        Function<String, String> rule = message -> reconnected.getCount() > 0 ? null
+            : RunningProxy.hit("v").apply(message);
+        try (Peer node = new Peer(rule); Peer discovery = new Peer(message -> RunningProxy.WATCH)) {
+            ProxyService proxy = proxy(configuration(discovery, node));
+            Client disconnected = new Client(proxy.port()).say(readCommand("1") + PIPELINED_PROBES);
             assertNotNull(node.await("mg"));
-            again.countDown();
-            former.close();
-            try (Client c = new Client(s.port())) {
-                assertEquals(c.say(read("1")).line() + c.line(), "VA 1 O1v");
+            reconnected.countDown();
+            disconnected.close();
+            try (Client client = new Client(proxy.port())) {
+                assertEquals(client.say(readCommand("1")).line() + client.line(), "VA 1 O1v");
             }
         }
     }
--- a/proxy/src/test/java/spurroad/program/OverloadTest.java
+++ b/proxy/src/test/java/spurroad/program/OverloadTest.java
@@ -40,14 +40,14 @@
      * reset.
      */
     @Test
-    public void aLongAnswerThatItsClientTakesSlowlyArrivesWholeWhereManyAreConnected() throws Exception {
+    public void sendsWholeResponseToSlowReaderWhenManyAreConnected() throws Exception {
         try (Peer discovery = new Peer(m -> null); Peer node = new Peer(hit("x".repeat(LONG_BYTES)))) {
-            ProxyService s = proxy(discovery, 256, node);
-            List<Client> crowd = new ArrayList<>();
+            ProxyService proxy = proxy(discovery, 256, node);
+            List<Client> others = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                crowd.add(new Client(s.port()).say("mn\r\n"));
+                others.add(new Client(proxy.port()).say("mn\r\n"));
             }
-            try (Client slow = new Client(s.port())) {
+            try (Client slow = new Client(proxy.port())) {
                 assertEquals(slow.say(READ).line(), "VA " + LONG_BYTES + " O1");
                 Thread.sleep(1_000); // three times the idle timeout when many clients are connected
                 byte[] value = new byte[LONG_BYTES];
@@ -55,52 +55,52 @@
                 slow.in.readLineEnd();
                 assertEquals(slow.say("mn\r\n").line(), "MN");
             }
-            for (Client c : crowd) {
-                c.close();
+            for (Client client : others) {
+                client.close();
             }
         }
     }
 
     /** During a shutdown a long response is sent completely, then the connection is closed in order. */
     @Test
-    public void aLongAnswerArrivesWholeAlsoWhenTheProxyEnds() throws Exception {
+    public void sendsWholeResponseToSlowReaderDuringShutdown() throws Exception {
         try (Peer discovery = new Peer(m -> null); Peer node = new Peer(hit("x".repeat(LONG_BYTES)))) {
-            ProxyService s = proxy(discovery, 256, node);
-            try (Client slow = new Client(s.port())) {
+            ProxyService proxy = proxy(discovery, 256, node);
+            try (Client slow = new Client(proxy.port())) {
                 assertEquals(slow.say(READ).line(), "VA " + LONG_BYTES + " O1");
-                Thread end = ending(s);
+                Thread shutdown = ending(proxy);
                 Thread.sleep(900);
                 byte[] value = new byte[LONG_BYTES];
                 slow.in.readFully(value, 0, value.length);
                 slow.in.readLineEnd();
-                end.join();
+                shutdown.join();
             }
         }
     }
 
     /** A proxy that shuts down still serves connected clients, as its successor is up only later. */
     @Test
-    public void connectedClientsAreServedDuringTheShutdown() throws Exception {
+    public void servesConnectedClientsDuringShutdown() throws Exception {
         try (Peer discovery = new Peer(m -> null); Peer node = new Peer(hit("v"))) {
-            ProxyService s = proxy(discovery, 256, node);
-            try (Client c = new Client(s.port())) {
-                assertEquals(c.say(READ).line() + c.line(), "VA 1 O1v");
-                long from = System.nanoTime();
-                Thread end = ending(s);
+            ProxyService proxy = proxy(discovery, 256, node);
+            try (Client client = new Client(proxy.port())) {
+                assertEquals(client.say(READ).line() + client.line(), "VA 1 O1v");
+                long startNanos = System.nanoTime();
+                Thread shutdown = ending(proxy);
                 int served = 0;
-                String line = c.say(READ).line();
+                String line = client.say(READ).line();
                 while ("VA 1 O1".equals(line)) {
-                    c.line();
+                    client.line();
                     served++;
                     Thread.sleep(10);
                     try {
-                        line = c.say(READ).line();
+                        line = client.say(READ).line();
                     } catch (IOException e) {
                         line = null; // closed between two requests
                     }
                 }
-                double seconds = (System.nanoTime() - from) / 1e9;
-                end.join();
+                double seconds = (System.nanoTime() - startNanos) / 1e9;
+                shutdown.join();
                 assertTrue(served > 20 && seconds > 1, served + " served in " + seconds + " s, then " + line);
                 assertTrue(seconds < 4, "ended too close to the kill: " + seconds + " s");
             }
@@ -109,23 +109,23 @@
 
     /** All clients connect at once, as when a data centre recovers. */
     @Test
-    public void everyClientThatConnectsAtOnceHasAnAnswer() throws Exception {
+    public void answersEveryClientOfConnectionBurst() throws Exception {
         try (Peer discovery = new Peer(m -> null); Peer node = new Peer(hit("v"))) {
-            ProxyService s = proxy(discovery, 1024, node);
+            ProxyService proxy = proxy(discovery, 1024, node);
             for (int round = 0; round < 3; round++) {
-                List<Client> all = new ArrayList<>();
+                List<Client> commands = new ArrayList<>();
                 for (int i = 0; i < 300; i++) {
-                    all.add(new Client(s.port()));
+                    commands.add(new Client(proxy.port()));
                 }
-                for (int i = 0; i < all.size(); i++) {
-                    all.get(i).say(READ.replace("O1", "O" + round + "x" + i));
+                for (int i = 0; i < commands.size(); i++) {
+                    commands.get(i).say(READ.replace("O1", "O" + round + "x" + i));
                 }
-                for (Client c : all) {
-                    String line = c.line();
+                for (Client client : commands) {
+                    String line = client.line();
                     assertTrue(line.startsWith("VA 1 O") || line.startsWith("SERVER_ERROR busy"), line);
                 }
-                for (Client c : all) {
-                    c.close();
+                for (Client client : commands) {
+                    client.close();
                 }
             }
         }
@@ -133,7 +133,7 @@
 
     /** Number of commands: as many as one read takes, and more than the read-ahead limit allows. */
     @DataProvider
-    Object[][] many() {
+    Object[][] commandCounts() {
         return new Object[][] {{500}, {40_000}};
     }
 
@@ -142,22 +142,24 @@
      * that exceed the read-ahead limit are rejected, because the proxy could not detect that their client
      * disconnected.
      */
-    @Test(dataProvider = "many")
-    public void pipelinedCommandsAreAnsweredInOrderAndDelayNobody(int count) throws Exception {
+    @Test(dataProvider = "commandCounts")
+    public void answersPipelinedCommandsInOrderWithoutDelayingOthers(int count) throws Exception {
         try (Peer discovery = new Peer(m -> null); Peer node = new Peer(hit("v"))) {
-            ProxyService s = proxy(discovery, 256, node);
-            try (Client many = new Client(s.port()); Client one = new Client(s.port())) {
-                StringBuilder all = new StringBuilder();
+            ProxyService proxy = proxy(discovery, 256, node);
+            try (Client pipelining = new Client(proxy.port()); Client single = new Client(proxy.port())) {
+                StringBuilder commands = new StringBuilder();
                 for (int i = 0; i < count; i++) {
-                    all.append(READ.replace("O1", "O" + (1000 + i)));
+                    commands.append(READ.replace("O1", "O" + (1000 + i)));
                 }
-                many.sayInBackground(all.toString());
-                String other = one.say(READ).line();
-                assertTrue(other.startsWith("VA 1 O1") || other.startsWith("SERVER_ERROR busy "), other);
+                pipelining.sayInBackground(commands.toString());
+                String singleResponse = single.say(READ).line();
+                assertTrue(
+                    singleResponse.startsWith("VA 1 O1") || singleResponse.startsWith("SERVER_ERROR busy "),
+                    singleResponse);
                 for (int i = 0; i < count; i++) {
-                    String line = many.line();
+                    String line = pipelining.line();
                     if (line.startsWith("VA")) {
-                        assertEquals(line + many.line(), "VA 1 O" + (1000 + i) + "v");
+                        assertEquals(line + pipelining.line(), "VA 1 O" + (1000 + i) + "v");
                     } else {
                         // the cache node has reached its limit
                         assertTrue(line.startsWith("SERVER_ERROR busy "), line);
@@ -169,56 +171,57 @@
 
     /** A proxy over its capacity rejects requests at once, and accepts them again when capacity is free. */
     @Test
-    public void whatExceedsTheCapacityIsRejectedAtOnceWithRetryAfter() throws Exception {
+    public void rejectsRequestsOverCapacityWithRetryAfter() throws Exception {
         try (Peer discovery = new Peer(m -> null); Peer node = new Peer(hit("v"))) {
             // a hundredth of a core: this process with its many threads uses many times that
-            ProxyService s = service(new ProxyConfiguration(ScriptedPeers.start(discovery.port, 256,
+            ProxyService proxy = service(new ProxyConfiguration(ScriptedPeers.start(discovery.port, 256,
                 ScriptedPeers.list(1, true, target(node))).replace("\"cores\":64.0", "\"cores\":0.01")));
-            try (Client c = new Client(s.port())) {
-                int away = 0;
-                long until = System.nanoTime() + 15_000_000_000L;
-                for (int i = 0; away == 0 && System.nanoTime() < until; i++) {
-                    String line = c.say(READ.replace("O1", "O" + i)).line();
+            try (Client client = new Client(proxy.port())) {
+                int rejected = 0;
+                long deadlineNanos = System.nanoTime() + 15_000_000_000L;
+                for (int i = 0; rejected == 0 && System.nanoTime() < deadlineNanos; i++) {
+                    String line = client.say(READ.replace("O1", "O" + i)).line();
                     if (line.startsWith("VA")) {
-                        c.line();
+                        client.line();
                     } else {
                         assertTrue(line.matches("SERVER_ERROR busy [0-9]+"), line);
-                        away++;
+                        rejected++;
                     }
                 }
-                assertTrue(away > 0);
+                assertTrue(rejected > 0);
             }
         }
     }
 
     /** A message split at any two positions is read as if it had arrived at once. */
     @Test
-    public void aFedSourceReadsTheSameWhereverItsBytesWereCut() throws Exception {
+    public void readsSameMessagesWhereverBytesAreSplit() throws Exception {
         String text = "mg a v O1 Pc=read,d=5\r\nms b 4 O2 Pc=put,d=5,k=1\r\n\r\n\r\n\r\nmn\r\n";
-        for (int cut = 0; cut <= text.length(); cut++) {
-            for (int second = cut; second <= text.length(); second++) {
+        for (int firstSplit = 0; firstSplit <= text.length(); firstSplit++) {
+            for (int secondSplit = firstSplit; secondSplit <= text.length(); secondSplit++) {
                 ByteSource in = new ByteSource();
-                List<String> read = new ArrayList<>();
-                for (String piece : List.of(text.substring(0, cut), text.substring(cut, second),
-                    text.substring(second))) {
-                    if (!piece.isEmpty()) {
-                        in.feed(ByteBuffer.wrap(piece.getBytes()));
+                List<String> messages = new ArrayList<>();
+                for (String part : List.of(text.substring(0, firstSplit),
+                    text.substring(firstSplit, secondSplit),
+                    text.substring(secondSplit))) {
+                    if (!part.isEmpty()) {
+                        in.feed(ByteBuffer.wrap(part.getBytes()));
                     }
-                    take(in, read);
+                    readMessages(in, messages);
                 }
-                assertEquals(read, List.of("1 0", "2 4", " 0"), cut + ", " + second);
+                assertEquals(messages, List.of("1 0", "2 4", " 0"), firstSplit + ", " + secondSplit);
                 assertEquals(in.available(), 0);
             }
         }
     }
 
-    private static void take(ByteSource in, List<String> read) throws IOException {
+    private static void readMessages(ByteSource in, List<String> messages) throws IOException {
         while (in.mayHaveMessage()) {
             MetaCommand command = in.readMessage(MetaCommand::read);
             if (command == null) {
                 return;
             }
-            read.add(command.id() + " " + command.value.length);
+            messages.add(command.id() + " " + command.value.length);
         }
     }
 }
--- a/proxy/src/test/java/spurroad/program/ProxyServiceTest.java
+++ b/proxy/src/test/java/spurroad/program/ProxyServiceTest.java
@@ -32,51 +32,57 @@
 /** One proxy between scripted clients, cache nodes, an origin and discovery: requests and responses. */
 public class ProxyServiceTest {
     @DataProvider
-    Object[][] queries() {
-        Function<String, String> miss = m -> "EN O" + id(m) + "\r\n";
-        Function<String, String> origin = m -> ok("body");
+    Object[][] requests() {
+        Function<String, String> miss = message -> "EN O" + id(message) + "\r\n";
+        Function<String, String> origin = message -> ok("body");
         String write = "ms k 3 O1 Pc=put,t=acme,d=9000,k=5\r\na\nb\r\n";
-        String big = "x".repeat(65536);
+        String longValue = "x".repeat(65536);
         return new Object[][] {{READ, hit("v"), origin, "VA 1 O1\r\nv\r\n"},
             {READ, hit(""), origin, "VA 0 O1\r\n\r\n"},
-            {READ, hit(big), origin, "VA 65536 O1\r\n" + big + "\r\n"},
+            {READ, hit(longValue), origin, "VA 65536 O1\r\n" + longValue + "\r\n"},
             {READ, miss, origin, "VA 4 O1\r\nbody\r\n"},
             {write, miss, origin, "HD O1 cbody\r\n"},
-            {write.replace("3 O", "65536 O").replace("a\nb", big), miss, origin, "HD O1 cbody\r\n"},
-            {write, miss, (Function<String, String>) m -> "", "SERVER_ERROR"},
-            {READ, (Function<String, String>) m -> "VA 1 O9\r\nv\r\n", origin, "SERVER_ERROR busy"},
-            {READ, (Function<String, String>) m -> "SERVER_ERROR failed\r\n", origin, "SERVER_ERROR busy"},
-            {READ.replace("9000", "300"), (Function<String, String>) m -> null, origin, "SERVER_ERROR"}};
+            {write.replace("3 O", "65536 O").replace("a\nb", longValue), miss, origin, "HD O1 cbody\r\n"},
+            {write, miss, (Function<String, String>) message -> "", "SERVER_ERROR"},
+            {READ, (Function<String, String>) message -> "VA 1 O9\r\nv\r\n", origin, "SERVER_ERROR busy"},
+            {READ, (Function<String, String>) message -> "SERVER_ERROR failed\r\n", origin,
+                "SERVER_ERROR busy"},
+            {READ.replace("9000", "300"), (Function<String, String>) message -> null, origin,
+                "SERVER_ERROR"}};
     }
 
-    @Test(dataProvider = "queries")
-    public void aRequestHasOneResponseWhateverItsEndpointsSend(String query, Function<String, String> node,
-                                                               Function<String, String> origin, String answer)
+    @Test(dataProvider = "requests")
+    public void sendsOneResponsePerRequestWhateverEndpointsSend(String request, Function<String, String> node,
+                                                                Function<String, String> origin,
+                                                                String response)
         throws Exception {
-        try (Peer n = new Peer(node); Peer o = new Peer(origin); Client c = new Client(proxy(n, o).port())) {
-            c.say(query + "mn\r\n");
-            byte[] got = new byte[answer.length()];
-            c.in.readFully(got, 0, got.length);
-            assertEquals(new String(got), answer);
-            String next = c.line();
-            assertEquals(answer.endsWith("\n") ? next : c.line(), "MN",
+        try (Peer cacheNode = new Peer(node);
+            Peer originPeer = new Peer(origin);
+            Client client = new Client(proxy(cacheNode, originPeer).port())) {
+            client.say(request + "mn\r\n");
+            byte[] received = new byte[response.length()];
+            client.in.readFully(received, 0, received.length);
+            assertEquals(new String(received), response);
+            String next = client.line();
+            assertEquals(response.endsWith("\n") ? next : client.line(), "MN",
                 "bytes after the only expected response");
-            if (query.startsWith("ms")) {
-                String heard = o.await("PUT /k HTTP/1.1");
+            if (request.startsWith("ms")) {
+                String heard = originPeer.await("PUT /k HTTP/1.1");
                 assertTrue(heard.contains("X-Request-Id: 1\n"), heard);
                 Matcher list = Pattern.compile("\nX-Extras: c=put,t=acme,d=(\\d+),k=5\n").matcher(heard);
                 assertTrue(list.find(), heard);
-                long toldMs = Long.parseLong(list.group(1));
-                assertTrue(toldMs >= 1 && toldMs < 9000,
-                    "expected the remaining time, below the client's own timeout: " + toldMs);
+                long sentTimeMillis = Long.parseLong(list.group(1));
+                assertTrue(sentTimeMillis >= 1 && sentTimeMillis < 9000,
+                    "expected the remaining time, below the client's own timeout: " + sentTimeMillis);
                 assertTrue(
-                    heard.endsWith("\n" + query.substring(query.indexOf("\r\n") + 2, query.length() - 2)));
+                    heard.endsWith(
+                        "\n" + request.substring(request.indexOf("\r\n") + 2, request.length() - 2)));
             }
         }
     }
 
     @DataProvider
-    Object[][] faulty() {
+    Object[][] invalidCommands() {
         return new Object[][] {{"get a\r\n", "ERROR", true},
             {READ.replace("c=read", "c=x"), "CLIENT_ERROR unknown class", true},
             {READ.replace("acme", "x"), "CLIENT_ERROR unknown tenant", true},
@@ -87,89 +93,93 @@
             {"y".repeat(5000), "CLIENT_ERROR line too long", false}};
     }
 
-    @Test(dataProvider = "faulty")
-    public void badInputEndsItsOwnConnectionAtMostAndReachesNoEndpoint(String command, String answer,
-                                                                       boolean goesOn)
+    @Test(dataProvider = "invalidCommands")
+    public void invalidInputReachesNoEndpointAndAffectsOnlyItsConnection(String command, String response,
+                                                                         boolean staysOpen)
         throws Exception {
-        try (Peer n = new Peer(hit("v")); Peer o = new Peer(m -> ok(""))) {
-            int port = proxy(n, o).port();
-            try (Client c = new Client(port); Client other = new Client(port)) {
-                assertEquals(c.say(command).line(), answer);
-                assertEquals(goesOn ? c.say("mn\r\n").line() : c.line(), goesOn ? "MN" : null);
-                assertTrue(n.heard.isEmpty());
+        try (Peer cacheNode = new Peer(hit("v")); Peer originPeer = new Peer(message -> ok(""))) {
+            int port = proxy(cacheNode, originPeer).port();
+            try (Client client = new Client(port); Client other = new Client(port)) {
+                assertEquals(client.say(command).line(), response);
+                assertEquals(staysOpen ? client.say("mn\r\n").line() : client.line(),
+                    staysOpen ? "MN" : null);
+                assertTrue(cacheNode.heard.isEmpty());
                 assertEquals(other.say(READ).line(), "VA 1 O1");
             }
         }
     }
 
     @Test
-    public void responsesComeInTheOrderOfTheirRequests() throws Exception {
+    public void sendsResponsesInRequestOrder() throws Exception {
         CountDownLatch second = new CountDownLatch(1);
-        Function<String, String> rule = m -> {
-            if (m.contains("O2")) {
+        Function<String, String> rule = message -> {
+            if (message.contains("O2")) {
                 second.countDown();
-            } else if (m.contains("O1")) {
+            } else if (message.contains("O1")) {
                 await(second);
             }
-            return hit("v").apply(m);
+            return hit("v").apply(message);
         };
-        try (Peer n = new Peer(rule);
-            Peer o = new Peer(m -> ok(""));
-            Client c = new Client(proxy(n, o).port())) {
-            c.say(READ + READ.replace("O1", "O2") + "mn\r\n");
-            assertEquals(List.of(c.line(), c.line(), c.line(), c.line(), c.line()),
+        try (Peer cacheNode = new Peer(rule);
+            Peer originPeer = new Peer(message -> ok(""));
+            Client client = new Client(proxy(cacheNode, originPeer).port())) {
+            client.say(READ + READ.replace("O1", "O2") + "mn\r\n");
+            assertEquals(List.of(client.line(), client.line(), client.line(), client.line(), client.line()),
                 List.of("VA 1 O1", "v", "VA 1 O2", "v", "MN"));
         }
     }
 
     @Test
-    public void theAttemptOfAClientThatDisconnectsIsCancelled() throws Exception {
-        try (Peer n = new Peer(m -> null); Peer o = new Peer(m -> ok(""))) {
-            Client c = new Client(proxy(n, o).port());
-            c.say(READ);
-            assertNotNull(n.await("mg k"));
-            c.close();
-            assertEquals(n.await("closed"), "closed");
+    public void cancelsAttemptWhenClientDisconnects() throws Exception {
+        try (Peer cacheNode = new Peer(message -> null); Peer originPeer = new Peer(message -> ok(""))) {
+            Client client = new Client(proxy(cacheNode, originPeer).port());
+            client.say(READ);
+            assertNotNull(cacheNode.await("mg k"));
+            client.close();
+            assertEquals(cacheNode.await("closed"), "closed");
         }
     }
 
     @Test
-    public void theKeysOfALostCacheNodeGoToAnother() throws Exception {
-        Peer lost = new Peer(m -> null);
+    public void forwardsKeysOfLostCacheNodeToAnother() throws Exception {
+        Peer lost = new Peer(message -> null);
         lost.close();
-        try (Peer n = new Peer(hit("v"))) {
-            ProxyService s = proxy(new Peer(m -> WATCH), 256,
+        try (Peer cacheNode = new Peer(hit("v"))) {
+            ProxyService proxyService = proxy(new Peer(message -> WATCH), 256,
                 ScriptedPeers.target("s-1", "m1", lost.port, "active", 0),
-                ScriptedPeers.target("s-2", "m1", n.port, "active", 0));
-            try (Client c = new Client(s.port())) {
+                ScriptedPeers.target("s-2", "m1", cacheNode.port, "active", 0));
+            try (Client client = new Client(proxyService.port())) {
                 for (int i = 0; i < 20; i++) {
-                    assertEquals(c.say(READ.replace("mg k", "mg k" + i)).line(), "VA 1 O1");
-                    assertEquals(c.line(), "v");
+                    assertEquals(client.say(READ.replace("mg k", "mg k" + i)).line(), "VA 1 O1");
+                    assertEquals(client.line(), "v");
                 }
             }
         }
     }
 
     @Test
-    public void aShutdownAnswersAllThatWasTakenAndAcceptsNobodyElse() throws Exception {
+    public void shutdownAnswersTakenRequestsAndAcceptsNoMoreClients() throws Exception {
         CountDownLatch ending = new CountDownLatch(1);
-        try (Peer n = new Peer(heldUntil(ending)); Peer o = new Peer(m -> ok(""))) {
-            ProxyService s = proxy(n, o);
-            try (Client busy = new Client(s.port()); Client idle = new Client(s.port())) {
+        try (Peer cacheNode = new Peer(heldUntil(ending)); Peer originPeer = new Peer(message -> ok(""))) {
+            ProxyService proxyService = proxy(cacheNode, originPeer);
+            try (Client busy = new Client(proxyService.port());
+                Client idle = new Client(proxyService.port())) {
                 assertEquals(idle.say("mn\r\n").line(), "MN");
                 busy.say(READ);
-                n.await("mg k");
-                Thread end = ending(s);
+                cacheNode.await("mg k");
+                Thread end = ending(proxyService);
                 assertNull(idle.line(), "idle connection not closed");
                 ending.countDown();
                 assertEquals(busy.line(), "VA 1 O1");
                 assertEquals(busy.line(), "v");
                 assertNull(busy.line(), "connection not closed after the response");
                 end.join();
-                assertThrows(IOException.class, () -> new Client(s.port()));
-                String again = ScriptedPeers.start(o.port, 256, ScriptedPeers.list(1, true))
-                    .replace("127.0.0.1:0\"", "127.0.0.1:" + s.port() + "\"");
-                try (Client next = new Client(service(new ProxyConfiguration(again)).port())) {
+                assertThrows(IOException.class, () -> new Client(proxyService.port()));
+                String successorConfiguration = ScriptedPeers
+                    .start(originPeer.port, 256, ScriptedPeers.list(1, true))
+                    .replace("127.0.0.1:0\"", "127.0.0.1:" + proxyService.port() + "\"");
+                try (Client next = new Client(
+                    service(new ProxyConfiguration(successorConfiguration)).port())) {
                     assertEquals(next.say("mn\r\n").line(), "MN",
                         "a successor at the same address does not serve");
                 }
@@ -178,15 +188,16 @@
     }
 
     @Test
-    public void theIdOfAnOpenRequestIsRejectedAndTheRequestUndisturbed() throws Exception {
-        CountDownLatch refused = new CountDownLatch(1);
-        try (Peer n = new Peer(heldUntil(refused)); Peer o = new Peer(m -> ok(""))) {
-            ProxyService s = proxy(n, o);
-            try (Client first = new Client(s.port()); Client other = new Client(s.port())) {
+    public void rejectsRequestIdInUseWithoutDisturbingItsRequest() throws Exception {
+        CountDownLatch rejected = new CountDownLatch(1);
+        try (Peer cacheNode = new Peer(heldUntil(rejected)); Peer originPeer = new Peer(message -> ok(""))) {
+            ProxyService proxyService = proxy(cacheNode, originPeer);
+            try (Client first = new Client(proxyService.port());
+                Client other = new Client(proxyService.port())) {
                 first.say(READ + READ);
-                n.await("mg k");
+                cacheNode.await("mg k");
                 assertEquals(other.say(READ).line(), "CLIENT_ERROR request id in use");
-                refused.countDown();
+                rejected.countDown();
                 assertEquals(List.of(first.line(), first.line(), first.line()),
                     List.of("VA 1 O1", "v", "CLIENT_ERROR request id in use"));
                 assertEquals(other.say(READ).line(), "VA 1 O1", "the id is free after the response");
@@ -199,13 +210,13 @@
      * while the client is still sending.
      */
     @Test
-    public void anErrorReachesAClientThatIsStillSending() throws Exception {
-        try (Peer n = new Peer(hit("v"));
-            Peer o = new Peer(m -> ok(""));
-            Client c = new Client(proxy(n, o).port())) {
-            c.say("ms k 60000000 O1 Pc=put,t=acme,d=9000,k=5\r\n" + "x".repeat(200_000));
-            assertEquals(c.line(), "CLIENT_ERROR bad length");
-            assertNull(c.line());
+    public void sendsErrorToClientThatIsStillSending() throws Exception {
+        try (Peer cacheNode = new Peer(hit("v"));
+            Peer originPeer = new Peer(message -> ok(""));
+            Client client = new Client(proxy(cacheNode, originPeer).port())) {
+            client.say("ms k 60000000 O1 Pc=put,t=acme,d=9000,k=5\r\n" + "x".repeat(200_000));
+            assertEquals(client.line(), "CLIENT_ERROR bad length");
+            assertNull(client.line());
         }
     }
 }
--- a/proxy/src/test/java/spurroad/program/RunningProxy.java
+++ b/proxy/src/test/java/spurroad/program/RunningProxy.java
@@ -20,8 +20,8 @@
     }
 
     static Function<String, String> hit(String value) {
-        return m -> m.startsWith("stats") ? "STAT inflight 0\r\nEND\r\n"
-            : "VA " + value.length() + " O" + id(m) + "\r\n" + value + "\r\n";
+        return message -> message.startsWith("stats") ? "STAT inflight 0\r\nEND\r\n"
+            : "VA " + value.length() + " O" + id(message) + "\r\n" + value + "\r\n";
     }
 
     static String ok(String body) {
@@ -40,21 +40,22 @@
     }
 
     static ProxyService proxy(Peer node, Peer origin) throws Exception {
-        return proxy(new Peer(m -> WATCH), 256, ScriptedPeers.target("s-1", "m1", node.port, "active", 0),
+        return proxy(new Peer(message -> WATCH), 256,
+            ScriptedPeers.target("s-1", "m1", node.port, "active", 0),
             ScriptedPeers.target("s-o", "origin", origin.port, "active", 0));
     }
 
     /** Begins a graceful shutdown, on a thread of its own. */
     static Thread ending(ProxyService s) {
-        Thread end = new Thread(() -> {
+        Thread shutdown = new Thread(() -> {
             try {
                 s.end();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
         });
-        end.start();
-        return end;
+        shutdown.start();
+        return shutdown;
     }
 
     static void await(CountDownLatch latch) {
@@ -67,9 +68,9 @@
 
     /** Responds as a cache hit, but not before the latch opens. */
     static Function<String, String> heldUntil(CountDownLatch open) {
-        return m -> {
+        return message -> {
             await(open);
-            return hit("v").apply(m);
+            return hit("v").apply(message);
         };
     }
 
--- a/proxy/src/test/java/spurroad/program/StartBudgetTest.java
+++ b/proxy/src/test/java/spurroad/program/StartBudgetTest.java
@@ -18,23 +18,23 @@
 
 /** A start on a fraction of a core with silent discovery ends in time. */
 public class StartBudgetTest {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /** Elapsed time, and the time then left for the warm-up and for the first list; all in milliseconds. */
     @DataProvider
-    Object[][] starts() {
+    Object[][] budgets() {
         return new Object[][] {{0, 3000, 3000}, {800, 2200, 3000}, {1500, 1500, 2500}, {2900, 500, 1100},
             {3600, 500, 500}, {60_000, 500, 500}};
     }
 
-    @Test(dataProvider = "starts")
-    public void aSlowStartLeavesLessForTheWarmUpAndTheFirstList(long elapsedMillis, long warmUpMillis,
-                                                                long firstListMillis) {
-        AtomicLong now = new AtomicLong(Long.MAX_VALUE - MS); // a nanoTime clock may overflow
+    @Test(dataProvider = "budgets")
+    public void slowStartLeavesLessTimeForWarmUpAndFirstList(long elapsedMillis, long warmUpMillis,
+                                                             long firstListMillis) {
+        AtomicLong now = new AtomicLong(Long.MAX_VALUE - NANOS_PER_MILLI); // a nanoTime clock may overflow
         StartBudget budget = new StartBudget(now::get);
-        now.addAndGet(elapsedMillis * MS);
+        now.addAndGet(elapsedMillis * NANOS_PER_MILLI);
         assertEquals(budget.warmUpMillis(), warmUpMillis);
-        assertEquals(budget.firstListNanos(), firstListMillis * MS);
+        assertEquals(budget.firstListNanos(), firstListMillis * NANOS_PER_MILLI);
     }
 
     /**
@@ -42,33 +42,36 @@
      * all on a tenth of a core.
      */
     @Test(timeOut = 30_000)
-    public void aSlowStartWaitsOnlyShortlyForSilentDiscovery() throws Exception {
-        CountDownLatch never = new CountDownLatch(1);
-        AtomicLong earlier = new AtomicLong();
-        StartBudget budget = new StartBudget(() -> System.nanoTime() + earlier.get());
-        earlier.set(3_600 * MS);
-        try (Peer node = new Peer(RunningProxy.hit("v")); Peer silent = new Peer(m -> held(never))) {
+    public void slowStartWaitsOnlyShortlyForSilentDiscovery() throws Exception {
+        CountDownLatch neverOpened = new CountDownLatch(1);
+        AtomicLong elapsedNanos = new AtomicLong();
+        StartBudget budget = new StartBudget(() -> System.nanoTime() + elapsedNanos.get());
+        elapsedNanos.set(3_600 * NANOS_PER_MILLI);
+        try (Peer node = new Peer(RunningProxy.hit("v"));
+            Peer silent = new Peer(m -> blockUntil(neverOpened))) {
             EventLog log = new EventLog();
             String start = ScriptedPeers.start(silent.port, 256,
                 ScriptedPeers.list(1, true, ScriptedPeers.target("s-1", "m1", node.port, "active", 0)));
-            long since = System.nanoTime();
-            ProxyService s = new ProxyService(new ProxyConfiguration(start.replace("on_request", "pushed")),
+            long startNanos = System.nanoTime();
+            ProxyService service = new ProxyService(
+                new ProxyConfiguration(start.replace("on_request", "pushed")),
                 new Threads(log),
                 log,
                 new Clock(), null, budget);
-            try (Client c = new Client(s.port())) {
+            try (Client c = new Client(service.port())) {
                 assertEquals(c.say("mn\r\n").line(), "MN");
             }
-            long ms = (System.nanoTime() - since) / MS;
-            assertTrue(ms >= 500 && ms < 2_500, "served after " + ms + " ms");
+            long elapsedMillisToServe = (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
+            assertTrue(elapsedMillisToServe >= 500 && elapsedMillisToServe < 2_500,
+                "served after " + elapsedMillisToServe + " ms");
             assertNotNull(silent.await("GET"));
         }
-        never.countDown();
+        neverOpened.countDown();
     }
 
-    private static String held(CountDownLatch until) {
+    private static String blockUntil(CountDownLatch release) {
         try {
-            until.await();
+            release.await();
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
--- a/proxy/src/test/java/spurroad/program/UnfinishedCommandTest.java
+++ b/proxy/src/test/java/spurroad/program/UnfinishedCommandTest.java
@@ -16,28 +16,28 @@
  * answered, whatever the rest becomes.
  */
 public class UnfinishedCommandTest {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     /** Exceeds the timeout of an unfinished command; below the timeout of the request. */
-    private static final long ANSWER_AFTER_MS = 3_000;
+    private static final long RESPONSE_DELAY_MILLIS = 3_000;
     /** Time limit for the error or the close after an unfinished command. */
-    private static final long OWED_MS = 3_000;
-    private static final int LONG_VALUE = 200_000;
+    private static final long MAX_CLOSE_MILLIS = 3_000;
+    private static final int LONG_VALUE_BYTES = 200_000;
     private static final int FLOOD_BYTES = 1_000_000;
 
     @DataProvider
-    Object[][] rests() {
+    Object[][] unfinishedCommands() {
         return new Object[][] {{"half a line", "mg k2 v O2 Pc=re"},
             {"half a value", "ms k2 10 O2 Pc=put,t=acme,d=9000,k=5\r\nabc"},
-            {"half a long value", "ms k2 " + LONG_VALUE + " O2 Pc=put,t=acme,d=9000,k=5\r\nabc"},
+            {"half a long value", "ms k2 " + LONG_VALUE_BYTES + " O2 Pc=put,t=acme,d=9000,k=5\r\nabc"},
             {"a flood of bytes that form no command", "x".repeat(FLOOD_BYTES)}};
     }
 
-    @Test(dataProvider = "rests")
-    public void aWholeRequestBeforeItIsAnswered(String name, String rest) throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    @Test(dataProvider = "unfinishedCommands")
+    public void answersCompleteRequestBeforeUnfinishedCommand(String name, String rest) throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         Function<String, String> held = message -> {
             if (message.startsWith("mg")) {
-                await(go);
+                await(release);
             }
             return RunningProxy.hit("v").apply(message);
         };
@@ -48,15 +48,16 @@
                 client.say(RunningProxy.READ);
                 assertNotNull(node.await("mg"));
                 client.sayInBackground(rest);
-                Thread.sleep(ANSWER_AFTER_MS);
-                go.countDown();
+                Thread.sleep(RESPONSE_DELAY_MILLIS);
+                release.countDown();
                 assertEquals(client.line(), "VA 1 O1", "no response to the complete request");
                 assertEquals(client.line(), "v");
-                long since = System.nanoTime();
+                long sinceNanos = System.nanoTime();
                 for (String line = client.line(); line != null; line = client.line()) {
                     assertTrue(line.startsWith("CLIENT_ERROR"), line);
                 }
-                assertTrue(System.nanoTime() - since < OWED_MS * MS, "the connection was not closed in time");
+                assertTrue(System.nanoTime() - sinceNanos < MAX_CLOSE_MILLIS * NANOS_PER_MILLI,
+                    "the connection was not closed in time");
             }
             RunningProxy.ending(service).join();
         }
--- a/proxy/src/test/java/spurroad/program/UpgradeTest.java
+++ b/proxy/src/test/java/spurroad/program/UpgradeTest.java
@@ -24,8 +24,8 @@
 
     private static String configuration(Peer discovery, Peer... nodes) {
         List<String> targets = new ArrayList<>();
-        for (Peer n : nodes) {
-            targets.add(ScriptedPeers.target("s-" + targets.size(), "m1", n.port, "active", 0));
+        for (Peer node : nodes) {
+            targets.add(ScriptedPeers.target("s-" + targets.size(), "m1", node.port, "active", 0));
         }
         return ScriptedPeers
             .start(discovery.port, 256, ScriptedPeers.list(1, true, targets.toArray(String[]::new)))
@@ -37,59 +37,59 @@
      * response.
      */
     private static final class Load {
-        private final AtomicBoolean on = new AtomicBoolean(true);
+        private final AtomicBoolean running = new AtomicBoolean(true);
         private final AtomicInteger served = new AtomicInteger();
-        private final AtomicInteger unheard = new AtomicInteger();
-        private final AtomicInteger wrong = new AtomicInteger();
+        private final AtomicInteger unanswered = new AtomicInteger();
+        private final AtomicInteger unexpected = new AtomicInteger();
         private final List<Thread> threads = new ArrayList<>();
-        private final Set<String> answers = new ConcurrentSkipListSet<>();
+        private final Set<String> unexpectedResponses = new ConcurrentSkipListSet<>();
 
         private Load(int port) {
             for (int i = 0; i < 4; i++) {
                 int number = i;
-                Thread t = new Thread(() -> run(port, number));
-                t.start();
-                threads.add(t);
+                Thread thread = new Thread(() -> run(port, number));
+                thread.start();
+                threads.add(thread);
             }
         }
 
         private void run(int port, int number) {
-            for (int n = 0; on.get();) {
+            for (int nextId = 0; running.get();) {
                 int i = 0;
                 try (Client c = new Client(port)) {
-                    for (; i < 10 && on.get(); i++, n++) {
-                        String line = c.say(RunningProxy.READ.replace("O1", "Ot" + number + "n" + n))
+                    for (; i < 10 && running.get(); i++, nextId++) {
+                        String line = c.say(RunningProxy.READ.replace("O1", "Ot" + number + "n" + nextId))
                             .line();
                         if (line == null && i > 0) {
                             break; // closed between two requests: retried on a new connection
                         }
                         if (line == null) {
-                            unheard.incrementAndGet();
+                            unanswered.incrementAndGet();
                         } else if (line.startsWith("VA")) {
                             c.line();
                             served.incrementAndGet();
                         } else {
-                            wrong.incrementAndGet();
-                            answers.add(line);
+                            unexpected.incrementAndGet();
+                            unexpectedResponses.add(line);
                         }
                     }
                 } catch (IOException e) {
                     // a command crossed a close between two requests: retried on a new connection
-                    unheard.addAndGet(i == 0 ? 1 : 0);
+                    unanswered.addAndGet(i == 0 ? 1 : 0);
                 }
             }
         }
 
         private void end() throws InterruptedException {
-            on.set(false);
-            for (Thread t : threads) {
-                t.join();
+            running.set(false);
+            for (Thread thread : threads) {
+                thread.join();
             }
         }
     }
 
     @Test
-    public void twoUpgradesUnderLoadRejectNobodyAndKeepTheDrains() throws Exception {
+    public void upgradesUnderLoadRejectNoClientAndKeepDrains() throws Exception {
         try (Peer a = new Peer(RunningProxy.hit("v"));
             Peer b = new Peer(RunningProxy.hit("v"));
             Peer discovery = new Peer(m -> RunningProxy.WATCH);
@@ -113,16 +113,16 @@
             load.end();
             assertTrue(a.heard.stream().noneMatch(m -> m.startsWith("mg")),
                 "new requests to the drained node");
-            assertEquals(load.unheard.get() + load.wrong.get(), 0,
-                load.served + " served, closed before a response " + load.unheard
-                    + ", unexpected responses " + load.answers);
+            assertEquals(load.unanswered.get() + load.unexpected.get(), 0,
+                load.served + " served, closed before a response " + load.unanswered
+                    + ", unexpected responses " + load.unexpectedResponses);
             assertTrue(load.served.get() > 100, "too few requests for an upgrade under load: " + load.served);
             assertTrue(old.call("POST", "/cache-nodes/s-0/ready").startsWith("HTTP/1.1 200"));
         }
     }
 
     @Test
-    public void aNewProcessThatDiesBeforeItServesChangesNothing() throws Exception {
+    public void newProcessThatDiesBeforeServingChangesNothing() throws Exception {
         try (Peer a = new Peer(RunningProxy.hit("v"));
             Peer discovery = new Peer(m -> RunningProxy.WATCH);
             Platform platform = new Platform()) {
--- a/proxy/src/test/java/spurroad/program/WarmUpTest.java
+++ b/proxy/src/test/java/spurroad/program/WarmUpTest.java
@@ -12,7 +12,7 @@
 /** The requests that a proxy sends itself before it serves. */
 public class WarmUpTest {
     @Test(timeOut = 60_000)
-    public void aWarmUpAnswersAllItsRequestsAndLeavesNoThreadOfItsLoadBalancer() throws Exception {
+    public void answersAllWarmUpRequestsAndStopsBalancerThread() throws Exception {
         EventLog log = new EventLog();
         WarmUp warmUp = new WarmUp(
             new ProxyConfiguration(ScriptedPeers.start(1, 256, ScriptedPeers.list(1, true))));
