--- a/core/src/main/java/spurroad/admission/DemandEstimate.java
+++ b/core/src/main/java/spurroad/admission/DemandEstimate.java
@@ -9,8 +9,9 @@
     static final double DECAY_FACTOR = 0.8;
 
     private static final double REJECTION_COST = 0.1; // relative to an admitted request
-    // below this utilization the demand of rejected requests is not extrapolated: the background work of the
-    // process was attributed to the few requests that it admitted, and a service level sustained itself
+    // below this utilization the demand of rejected requests is not extrapolated: otherwise the background
+    // work of the process is attributed to the few admitted requests, and a degraded service level sustains
+    // itself
     private static final double MIN_EXTRAPOLATION_UTILIZATION = 0.6;
 
     private double admitted;
--- a/core/src/main/java/spurroad/admission/ServiceLevels.java
+++ b/core/src/main/java/spurroad/admission/ServiceLevels.java
@@ -6,13 +6,15 @@
  * Changes the service level, one step at a time, by the pressure: the ratio of offered load to capacity. The
  * pressure does not fall as requests are rejected, so a level does not remove its own cause.
  *
- * <p>To prevent flapping, each level is entered at a higher pressure than it is left at and lasts for a
- * minimum stay, which doubles each time the level is entered again soon after it was left. Invariant: a call
- * changes the level by at most one step. Performs no I/O and reads no clock: callers pass the time.
+ * <p>To prevent flapping, each level is entered at a higher pressure than it is left at, and the next better
+ * level follows only after a minimum stay, which doubles each time the level is entered again soon after it
+ * was left. Invariant: a call changes the level by at most one step. Performs no I/O and reads no clock:
+ * callers pass the time.
  */
 public final class ServiceLevels {
-    // pressure at which each level is entered. The last two are for when rejections alone use up the
-    // resources: until then the highest-priority part of all requests has more weight than a single class
+    // pressure at which each level is entered. The last two are for the case that rejections alone use up the
+    // resources: below that, the admitted fraction, which is filled by priority, has more total weight than
+    // the highest class alone
     private static final double[] ENTRY_PRESSURES = {0, 1.05, 1.4, 8, 20};
     // a level is left below this fraction of its entry pressure; measurements fluctuate by less
     private static final double EXIT_PRESSURE_FACTOR = 0.8;
--- a/core/src/main/java/spurroad/balancer/endpoint/OutlierDetector.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/OutlierDetector.java
@@ -30,7 +30,7 @@
     private static final double UNRESPONSIVE_MULTIPLE = 6;
     // above this multiple a load probe is sent, and non-idempotent requests are sent elsewhere
     private static final double SUSPECT_MULTIPLE = UNRESPONSIVE_MULTIPLE / 2;
-    // required without a failed load probe
+    // multiple that makes an endpoint unresponsive if no load probe to it has failed
     private static final double UNCONFIRMED_MULTIPLE = 2 * UNRESPONSIVE_MULTIPLE;
     // lower bound of the usual response time, as a fraction of the shortest latency objective
     private static final double MIN_RESPONSE_TIME_FRACTION = 0.1;
@@ -120,7 +120,8 @@
     /**
      * Records the end of an attempt at a cache endpoint, and ejects the endpoint if it is an outlier.
      *
-     * @param reflectsQueue whether the duration reflects the endpoint's queue
+     * @param reflectsQueue whether the duration reflects the endpoint's queue; only then a duration above the
+     *     latency objective counts as a failure
      * @param durationNanos duration of the attempt, without stalls of this proxy
      */
     public void onAttemptEnd(Attempt attempt, Outcome outcome, boolean reflectsQueue, long durationNanos) {
@@ -174,7 +175,7 @@
      * Checks the watched endpoints if a check is due: sends load probes to suspected endpoints, and ejects
      * unresponsive ones.
      *
-     * @return the unresponsive endpoints, whose attempts in flight are better made elsewhere; empty if no
+     * @return the unresponsive endpoints, whose attempts in flight should be moved to others; empty if no
      * check is due or if more than half of the cache endpoints are unresponsive
      */
     public List<EndpointState> check(EndpointTable endpoints) {
--- a/core/src/main/java/spurroad/balancer/endpoint/SlowStart.java
+++ b/core/src/main/java/spurroad/balancer/endpoint/SlowStart.java
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Returns the fraction of a warm endpoint's requests that the endpoint can handle now, which grows
-     * linearly and reaches 1 at the end of the warm-up.
+     * Returns the fraction of a warm endpoint's requests that the endpoint can handle now. It grows linearly,
+     * reaches 1 at the end of the warm-up and may exceed 1 after it.
      */
     public double sustainableFraction(long now, Deployment settings) {
         double initialFraction = settings.slowStartInitialFraction();
--- a/core/src/main/java/spurroad/balancer/overload/OriginBacklog.java
+++ b/core/src/main/java/spurroad/balancer/overload/OriginBacklog.java
@@ -11,11 +11,11 @@
  * Limits the requests that reach an origin behind the endpoints to an admitted fraction, with gossip.
  *
  * <p>The endpoints fetch from that origin themselves, so no proxy can limit the requests in flight there, and
- * an origin with a backlog answers nothing in time and so keeps its backlog. All proxies report how their
- * writes end to the origin's owner, which publishes the fraction: it decreases exponentially while too many
- * writes are late, and increases linearly otherwise. Reads that may miss are limited first; writes only below
- * {@link #WRITES_LIMITED_BELOW} and while most writes are late, since they then only invalidate what is
- * cached. Invariant: the fraction is at least {@link #MIN_ADMITTED_FRACTION}.
+ * an origin with a backlog answers every request late and does not recover by itself. All proxies report how
+ * their writes end to the origin's owner, which publishes the fraction: it decreases exponentially while too
+ * many writes are late, and increases linearly otherwise. Reads that may miss are limited first; writes only
+ * below {@link #WRITES_LIMITED_BELOW} and while most writes are late, since late writes only invalidate
+ * cached values. Invariant: the fraction is at least {@link #MIN_ADMITTED_FRACTION}.
  */
 public final class OriginBacklog {
     private static final double DECREASE_PER_SECOND = 1.0; // exponential rate; a backlog builds up quickly
@@ -28,7 +28,7 @@
     private static final double MIN_ADMITTED_FRACTION = 0.05; // so that caches continue to be filled
     // time constant of the average over the writes of all proxies
     private static final long LATE_WRITES_DECAY_NANOS = 1_000_000_000L;
-    // an adjustment after a longer pause covers only this time
+    // maximum time that one adjustment covers, after a pause without writes
     private static final long MAX_ADJUSTMENT_NANOS = 1_000_000_000L;
     // older updates are ignored: the owner may have stopped
     private static final long MAX_UPDATE_AGE_NANOS = 4_000_000_000L;
@@ -89,7 +89,7 @@
         return Math.max(MIN_ADMITTED_FRACTION, 1 - (1 - admittedFraction()) / (1 - WRITES_LIMITED_BELOW));
     }
 
-    /** Returns the admitted fraction of writes; all are admitted from 1 on. */
+    /** Returns the admitted fraction of writes; a value of 1 or more admits all. */
     public double admittedWrites() {
         return admittedFraction() / WRITES_LIMITED_BELOW;
     }
--- a/core/src/main/java/spurroad/balancer/request/CandidateFinder.java
+++ b/core/src/main/java/spurroad/balancer/request/CandidateFinder.java
@@ -64,7 +64,7 @@
         return null;
     }
 
-    /** Counts a first attempt for the first endpoint from its ring point, even if it is sent elsewhere. */
+    /** Counts a new request for the first endpoint from its ring point, even if it is sent elsewhere. */
     private void countPrimaryRequest(PendingRequest request) {
         Ring ring = endpoints.ring();
         if (ring.size() > 0) {
@@ -93,7 +93,7 @@
 
     private boolean isCandidate(EndpointState endpoint, PendingRequest request, boolean isPrimary,
                                 boolean availableOnly) {
-        // a hot key that moved away from a full endpoint overloaded a cold one that was next on the ring
+        // otherwise a hot key that moves away from a full endpoint overloads a cold one next on the ring
         if (!isPrimary && deployment.gossipEnabled() && !availability.isWarm(endpoint)) {
             return false;
         }
--- a/core/src/main/java/spurroad/balancer/request/CandidateSelection.java
+++ b/core/src/main/java/spurroad/balancer/request/CandidateSelection.java
@@ -21,11 +21,11 @@
  *
  * <p>With gossip, the soft limit applies to keys instead of requests: the preferred endpoint is the first
  * candidate that keeps the key. A read that should not risk a cache miss waits while the owners of the
- * candidates are queried whether the key is cached there. If no owner replies in time that it is, the read is
+ * candidates are queried whether the key is cached there. If no owner confirms this in time, the read is
  * rejected.
  */
 public final class CandidateSelection {
-    private static final long LOAD_PROBE_WAIT_NANOS = 20_000_000L; // prescribed by the design
+    private static final long LOAD_PROBE_WAIT_NANOS = 20_000_000L; // required by the design
     // fraction of the shortest latency objective: an owner that takes longer is too far away or too busy
     private static final double CACHE_QUERY_WAIT_FRACTION = 0.25;
 
--- a/core/src/main/java/spurroad/balancer/request/ExpectedLatency.java
+++ b/core/src/main/java/spurroad/balancer/request/ExpectedLatency.java
@@ -15,17 +15,19 @@
 public final class ExpectedLatency {
     // fraction of the latency objective: if queueing takes longer, other candidates are probed
     private static final double SOFT_LIMIT_WAIT_FRACTION = 0.1;
-    // weights the cost of an origin fetch: a request sent to another candidate misses about half the time
+    // a request sent to a candidate other than the first misses the cache about half the time
     private static final double MISS_PROBABILITY_WHEN_MOVED = 0.5;
     // fraction of the time until the latency objective: a request expected to take longer is late too often
     private static final double MAX_EXPECTED_FRACTION = 0.7;
     // higher with gossip: the owners publish the queues, so the expected mean is more accurate
     private static final double MAX_EXPECTED_FRACTION_WITH_GOSSIP = 0.85;
-    // fraction of the shortest latency objective: queue limit of lower priorities, to spare the highest
+    // fraction of the shortest latency objective: queue limit of lower priorities, so that the
+    // queues stay short for the highest
     private static final double LOW_PRIORITY_QUEUE_FRACTION = 0.5;
-    // reduces the queueing of reads that may miss, in latency objectives per unit of overloaded fraction
+    // shortens the queue accepted for a read that may miss: multiples of the shortest latency objective at an
+    // overloaded fraction of 1
     private static final double OVERLOAD_PENALTY_OBJECTIVES = 2;
-    // fraction of requests, by their draw, that are always sent without a cache query to fill the caches
+    // fraction of reads, drawn at random, that are sent without a cache query so that caches are filled
     private static final double MIN_UNQUERIED_FRACTION = 0.05;
 
     private final ActiveDeployment deployment;
--- a/core/src/main/java/spurroad/balancer/request/OriginFetch.java
+++ b/core/src/main/java/spurroad/balancer/request/OriginFetch.java
@@ -15,8 +15,8 @@
  *
  * <p>The number in flight is limited to the queue that the origin serves within a bounded wait, or to the
  * concurrency that it has recently sustained if that is higher. The queue is ordered by quota, priority
- * weight, writes before reads, and age. Every few starts, a waiting read goes first: when only writes were
- * sent, which take longer, nothing showed that the origin had recovered. Cache misses of one key share a
+ * weight, writes before reads, and age. Every few starts, a waiting read goes first: if only writes were
+ * sent, which take longer, nothing would show that the origin has recovered. Cache misses of one key share a
  * fetch.
  */
 public final class OriginFetch {
--- a/core/src/main/java/spurroad/balancer/request/RetryPolicy.java
+++ b/core/src/main/java/spurroad/balancer/request/RetryPolicy.java
@@ -88,7 +88,7 @@
         if (outcome == Outcome.NOT_SENT || !isInTime) {
             return false;
         }
-        // beyond its candidates a request misses, taking up capacity at one endpoint after another
+        // beyond its candidates a request misses the cache, taking up capacity at one endpoint after another
         boolean isExemptFromBudget = outcome.provesNotExecuted() && request.excludedCount() < Ring.CANDIDATES
             && !deployment.gossipEnabled();
         return isExemptFromBudget || budget.tryWithdraw();
--- a/proxy/src/main/java/spurroad/transport/DescriptorBudget.java
+++ b/proxy/src/main/java/spurroad/transport/DescriptorBudget.java
@@ -13,7 +13,7 @@
 public final class DescriptorBudget {
     private static final double MAX_CLIENT_FRACTION = 2 / 3.0; // many client connections are idle
     private static final double MAX_ENDPOINT_FRACTION = 1 / 2.0; // a client rarely has two attempts in flight
-    private static final int DISCOVERY_RESERVE = 2; // a watch, and its successor while it closes
+    private static final int DISCOVERY_RESERVE = 2; // a watch that is closing and its successor
     private static final int OVERFLOW_RESERVE = 8; // clients that are answered and closed immediately
     private static final int MIN_UNRESERVED_DESCRIPTORS = 2;
 
--- a/proxy/src/main/java/spurroad/transport/EventLoop.java
+++ b/proxy/src/main/java/spurroad/transport/EventLoop.java
@@ -87,7 +87,8 @@
     }
 
     /**
-     * Creates a loop that wakes up only when there is work to do. Its arrival times are not valid bounds.
+     * Creates a loop that wakes up only when there is work to do. The times that its
+     * {@link #earliestArrivalNanos} returns are not valid bounds.
      *
      * @throws UncheckedIOException if no selector can be opened, even after some retries
      */
--- a/proxy/src/main/java/spurroad/transport/Listener.java
+++ b/proxy/src/main/java/spurroad/transport/Listener.java
@@ -63,8 +63,8 @@
     // assumed for connections of a socket that no process accepted from: longer than any client waits
     private static final long ASSUMED_QUEUE_TIME_NANOS = 2 * 3_600_000_000_000L;
     private static final long QUIET_PERIOD_NANOS = 20_000_000L; // time without a connection before the close
-    // Between two samples of the length of a queue that does not become empty. A connection that has just
-    // arrived counts as queued for that long.
+    // Interval between samples of the length of an accept queue that does not become empty. A connection that
+    // has just arrived counts as queued for up to that long.
     private static final long QUEUE_SAMPLE_INTERVAL_NANOS = 100_000_000L;
 
     private final ServerSocketChannel socket;
--- a/proxy/src/main/java/spurroad/transport/PeerDatagrams.java
+++ b/proxy/src/main/java/spurroad/transport/PeerDatagrams.java
@@ -21,7 +21,7 @@
  */
 public final class PeerDatagrams implements Runnable {
     private static final int MAX_MESSAGE_BYTES = 256;
-    private static final long REOPEN_DELAY_MILLIS = 500; // short compared to a hot restart of seconds
+    private static final long REOPEN_DELAY_MILLIS = 500; // short: a hot restart takes seconds
 
     /** Opens an unbound datagram channel. */
     interface ChannelOpener {
--- a/proxy/src/main/java/spurroad/transport/StallDetector.java
+++ b/proxy/src/main/java/spurroad/transport/StallDetector.java
@@ -7,7 +7,7 @@
  */
 public final class StallDetector implements Runnable {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final long SLEEP_MILLIS = 5; // a hundredth of what requests take, at little CPU cost
+    private static final long SLEEP_MILLIS = 5; // a hundredth of a request's duration, at little CPU cost
     // wake-ups are up to this late even on an idle machine
     private static final long TIMER_SLACK_NANOS = 2 * NANOS_PER_MILLI;
 
