--- a/control/src/test/java/spurroad/control/distribution/TreeFailureTest.java
+++ b/control/src/test/java/spurroad/control/distribution/TreeFailureTest.java
@@ -190,7 +190,8 @@
         for (ProcessId id : west) {
             assertTrue(fleet.subscribers.get(id).freshness().isFresh(fleet.network.now()),
                 id + " should be fresh again");
-            assertEquals(fleet.applied.get(id).purgeCount, fleet.purges, id + " should have received each purge");
+            assertEquals(fleet.applied.get(id).purgeCount, fleet.purges,
+                id + " should have received each purge");
         }
     }
 
@@ -225,8 +226,10 @@
         assertEquals(fleet.processesBehind(id -> true), List.of(), "after " + seconds + " s");
         fleet.applied.forEach((id, applied) -> {
             if ("west".equals(fleet.regionOf.get(id))) {
-                assertEquals(applied.resetCount > 1, exceedsLog, id + " was reset " + applied.resetCount + " times");
-                assertTrue(exceedsLog || applied.purgeCount == fleet.purges, id + " had " + applied.purgeCount);
+                assertEquals(applied.resetCount > 1, exceedsLog,
+                    id + " was reset " + applied.resetCount + " times");
+                assertTrue(exceedsLog || applied.purgeCount == fleet.purges,
+                    id + " had " + applied.purgeCount);
             }
         });
     }
