--- a/control/src/main/java/spurroad/control/distribution/relay/Relay.java
+++ b/control/src/main/java/spurroad/control/distribution/relay/Relay.java
@@ -37,7 +37,8 @@
      * @param group the group whose lease it requests, such as a site
      * @param grantors processes to which it sends lease requests, in the same order at all candidates of the
      *     group
-     * @param parentsAsRelay its parents while it holds the lease, one level up
+     * @param parentsAsRelay its parents while it holds the lease, one level up; its fallback parents while it
+     *     does not
      * @param preferredParents its preferred parents while it does not hold the lease: the other candidates of
      *     its group
      * @param leasesPerSubgroup maximum number of relays of each group below it; 0 if it grants no leases
@@ -57,7 +58,7 @@
     private final LeaseGrantor grantor;
     private final FormerChildRetention formerChildRetention;
     private boolean isRelay;
-    private long lastAttachedNanos; // or the time of the latest role change
+    private long lastAttachedNanos; // latest time with a parent; also set by each role change
     private long leaseBackoffEndNanos;
 
     /**
--- a/control/src/main/java/spurroad/control/distribution/replication/RaftReplica.java
+++ b/control/src/main/java/spurroad/control/distribution/replication/RaftReplica.java
@@ -43,7 +43,7 @@
     private final Election election;
     private final Voter voter;
     private final FollowerReplication followerReplication;
-    private LeaderReplication leaderReplication; // of the latest term led; null before the first
+    private LeaderReplication leaderReplication; // of the latest term that this replica led; null before
 
     /**
      * Starts a replica as a follower.
@@ -208,7 +208,7 @@
         return purges;
     }
 
-    /** Returns the time up to which this replica knows all committed entries. */
+    /** Returns the freshness of this replica, which tracks up to when it knows all committed entries. */
     public Freshness freshness() {
         return freshness;
     }
--- a/proxy/src/main/java/spurroad/admin/AdminConnection.java
+++ b/proxy/src/main/java/spurroad/admin/AdminConnection.java
@@ -93,7 +93,7 @@
     }
 
     private static AdminResponse malformed(IOException e) {
-        // all faults of reading a line have one exception type; only the message identifies a too long line
+        // a line that is too long differs from other malformed requests only in the exception message
         if (e.getMessage().startsWith("a line of over")) {
             return AdminResponse.rejected(Status.HEADER_TOO_LARGE,
                 "expected lines of " + AdminRequest.MAX_LINE_BYTES + " bytes at most");
--- a/proxy/src/main/java/spurroad/configuration/DeploymentSettings.java
+++ b/proxy/src/main/java/spurroad/configuration/DeploymentSettings.java
@@ -20,7 +20,7 @@
  */
 public final class DeploymentSettings {
     private static final long NANOS_PER_MICRO = 1_000L;
-    private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 1_000_000L; // allows for retransmission
+    private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 1_000_000L; // time to resend a lost packet
     private static final long NO_IDLE_TIMEOUT_MICROS = Long.MAX_VALUE / NANOS_PER_MICRO / 4;
     // longer than any pause of discovery
     private static final long DEFAULT_MAX_POLL_INTERVAL_NANOS = 20_000_000_000L;
--- a/proxy/src/main/java/spurroad/program/GracefulShutdown.java
+++ b/proxy/src/main/java/spurroad/program/GracefulShutdown.java
@@ -21,9 +21,9 @@
     private static final long KEEP_ACCEPTING_NANOS = 500_000_000L;
     // ms; a listener without load accepts all queued clients within this time
     private static final long LISTENER_CLOSE_MILLIS = 200;
-    // ns; the platform waits at most this long after the signal, however long clients wait
+    // ns; longer client timeouts count as this long when the deployment platform determines the kill
     private static final long MAX_CLIENT_WAIT_NANOS = 3_000_000_000L;
-    // ns; the platform kills the process 0.7 s after the longest client wait; the rest covers delays
+    // ns; the platform kills the process 0.7 s after the client wait; 0.2 s are left for delays and the exit
     private static final long KILL_GRACE_NANOS = 500_000_000L;
     // ns; time left for the response to the last accepted request
     private static final long LAST_REQUEST_NANOS = 400_000_000L;
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Returns the time in nanoseconds from the signal until the process may be killed. The platform derives
-     * it from the client timeouts in the settings, not from those of single requests.
+     * Returns the time in nanoseconds from the signal until the process may be killed: the longest client
+     * timeout in the settings, capped, plus a grace. Timeouts of single requests don't count.
      */
     private long untilKilledNanos() {
         return Math.min(MAX_CLIENT_WAIT_NANOS, clients.longestTimeoutNanos()) + KILL_GRACE_NANOS;
--- a/proxy/src/main/java/spurroad/program/ProxyProcess.java
+++ b/proxy/src/main/java/spurroad/program/ProxyProcess.java
@@ -22,9 +22,9 @@
     private static final String LOG_FORMAT_PROPERTY = "spurroad.log";
     private static final String JSON_LOG_FORMAT = "json"; // one JSON object a line; plain lines otherwise
     private static final long LOG_FLUSH_MILLIS = 200;
-    private static final long CLOSE_MILLIS = 100; // of the 200 ms left before the kill
+    private static final long CLOSE_MILLIS = 100; // 200 ms are left before the process is killed
 
-    private final StartBudget budget = new StartBudget(); // starts counting here
+    private final StartBudget budget = new StartBudget(); // measures time from its creation
     private final CompletableFuture<ProxyService> started = new CompletableFuture<>();
     private final Lifecycle<ProxyService> lifecycle = new Lifecycle<>(ProxyService::end);
     private volatile AdminServer adminServer; // null if none is configured
@@ -39,7 +39,10 @@
         new CountDownLatch(1).await(); // the threads of the proxy serve until the process ends
     }
 
-    /** Defers a reload until the proxy has started, as the platform may send SIGHUP during the start. */
+    /**
+     * Defers a reload until the proxy has started, as the deployment platform may send SIGHUP during the
+     * start.
+     */
     private void reloadOnHangup() {
         Signal.handle(new Signal("HUP"), signal -> started.thenAccept(
             service -> service.reload(() -> ProxyConfiguration.fromEnvironment(System.getenv()))));
--- a/proxy/src/main/java/spurroad/program/ProxyService.java
+++ b/proxy/src/main/java/spurroad/program/ProxyService.java
@@ -47,7 +47,8 @@
     private final GracefulShutdown gracefulShutdown;
 
     /**
-     * Starts a proxy; it takes requests once this returns.
+     * Starts a proxy. It accepts clients once this returns, but not before the first endpoint list has
+     * arrived or timed out if discovery pushes lists.
      *
      * @param hotRestart coordinates the processes of this proxy; null if there can be no other
      */
@@ -127,8 +128,9 @@
     }
 
     /**
-     * Accepts clients at once, unless discovery pushes lists. A pushed list is valid from the start of the
-     * process, so clients are accepted only after the first list has arrived or the wait for it has ended.
+     * Accepts clients at once, unless discovery pushes lists. A pushed list applies to all requests from the
+     * start of the process, so clients are accepted only after the first list has arrived or the wait for it
+     * has ended.
      */
     private void startAccepting(EndpointWatch endpointWatch, StartBudget budget) {
         if (endpointWatch.isPushed()) {
--- a/proxy/src/main/java/spurroad/program/restart/AdminDrainStore.java
+++ b/proxy/src/main/java/spurroad/program/restart/AdminDrainStore.java
@@ -154,7 +154,9 @@
         }
     }
 
-    /** Returns whether this process has a call about an endpoint that the directory does not contain yet. */
+    /**
+     * Returns whether a call about an endpoint is not applied or not persisted yet; the directory is older.
+     */
     private boolean isNewerThanDirectory(String endpointHash) {
         return applying.contains(endpointHash) || unpersistedByHash.containsKey(endpointHash);
     }
--- a/proxy/src/main/java/spurroad/program/restart/HotRestart.java
+++ b/proxy/src/main/java/spurroad/program/restart/HotRestart.java
@@ -18,7 +18,7 @@
  * {@link #startServing}.
  */
 public final class HotRestart implements Runnable {
-    /** Applies changes of a hot restart to this process. */
+    /** Reads and changes the state of this process that a hot restart affects. */
     public interface ProcessControl {
         /**
          * Drains an endpoint or returns it to use.
--- a/proxy/src/main/java/spurroad/protocol/HttpBody.java
+++ b/proxy/src/main/java/spurroad/protocol/HttpBody.java
@@ -7,7 +7,8 @@
 
 /** Reads HTTP response bodies: of a declared length, chunked, or up to the end of the connection. */
 final class HttpBody {
-    private static final int MAX_UNDECLARED_BYTES = MetaCommand.MAX_BUFFERED_VALUE_BYTES; // no Content-Length
+    // maximum length of a body without Content-Length
+    private static final int MAX_UNDECLARED_BYTES = MetaCommand.MAX_BUFFERED_VALUE_BYTES;
 
     private HttpBody() {}
 
--- a/proxy/src/main/java/spurroad/protocol/MetaCommand.java
+++ b/proxy/src/main/java/spurroad/protocol/MetaCommand.java
@@ -13,7 +13,7 @@
     /** The type of a command. */
     public enum Kind { READ, WRITE, READY, INVALID }
 
-    /** The maximum length in bytes of a value of clients and cache nodes. */
+    /** The maximum length in bytes of a value, from clients as well as from cache nodes. */
     public static final int MAX_VALUE_BYTES = 4 * 1024 * 1024;
     /** The maximum length in bytes of a value that is read with its command; longer ones follow in chunks. */
     public static final int MAX_BUFFERED_VALUE_BYTES = 64 * 1024;
