--- a/.ci/CodeMetrics.java
+++ b/.ci/CodeMetrics.java
@@ -19,7 +19,7 @@
 import javax.tools.ToolProvider;
 
 /**
- * Counts what makes the main sources hard to read: {@code java .ci/CodeMetrics.java FOLDER}. Lists files over
+ * Measures the readability of the main sources: {@code java .ci/CodeMetrics.java FOLDER}. Lists files over
  * 400 lines, methods over 40 lines, classes with over 12 fields that are not final, and public items without
  * a doc comment, then the four counts.
  */
@@ -38,7 +38,7 @@
         this.trees = trees;
     }
 
-    /** The one argument is the root of the repository. */
+    /** Prints the metrics of the repository whose root is the only argument. */
     public static void main(String[] arguments) throws IOException {
         if (arguments.length != 1) {
             System.err.println("usage: java .ci/CodeMetrics.java FOLDER");
--- a/.ci/KnownRed.java
+++ b/.ci/KnownRed.java
@@ -16,15 +16,15 @@
 import org.w3c.dom.NodeList;
 
 /**
- * Tests that are known to fail: reads the list of them and judges Surefire's reports by it.
+ * Reads the list of tests that are known to fail and evaluates Surefire's reports against it.
  *
  * <pre>
  * java .ci/KnownRed.java list ROOT    checks ROOT/KNOWN-RED.txt and prints its tests
- * java .ci/KnownRed.java judge ROOT   judges the reports of all modules below ROOT
+ * java .ci/KnownRed.java judge ROOT   evaluates the reports of all modules below ROOT
  * </pre>
  *
  * <p>Exit code 0: all failures are listed, and each listed test exists; 1: something else failed or did not
- * run; 2: the list itself, or the call, can't be used.
+ * run; 2: the list or the arguments are malformed.
  */
 final class KnownRed {
     private static final String LIST_NAME = "KNOWN-RED.txt";
@@ -33,18 +33,18 @@
             + "\\s*(?<issue>[^,\\s][^,]*)");
     private static final Pattern TEST_SOURCE = Pattern.compile(".*(Test|Properties)\\.java");
 
-    /** What became of a test, over all its rows of data; the worst of them counts. */
+    /** Outcome of a test, from best to worst; a test with several data rows has the worst outcome of them. */
     private enum Outcome {
         PASSED, SKIPPED, FAILED
     }
 
     /**
-     * A line of the list.
+     * An entry of the list.
      *
-     * @param test as {@code fully.qualified.Class#method}
-     * @param command by which it fails, with its seed; without a comma
-     * @param seen what was seen
-     * @param issue in which it is to be mended
+     * @param test name in the form {@code fully.qualified.Class#method}
+     * @param command command that reproduces the failure, with its seed; contains no comma
+     * @param seen observed failure
+     * @param issue issue that tracks the fix
      */
     private record Entry(String test, String command, String seen, String issue) {
         @Override
@@ -53,7 +53,7 @@
         }
     }
 
-    /** The list can't be used. */
+    /** Thrown if the list is malformed. */
     private static final class MalformedListException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -68,7 +68,7 @@
         System.exit(run(arguments, System.out));
     }
 
-    /** As from the command line: the exit code, all that is said to `out`. */
+    /** Runs the program with command line arguments; prints to {@code out} and returns the exit code. */
     static int run(String[] arguments, PrintStream out) throws Exception {
         if (arguments.length != 2 || !arguments[0].matches("list|judge")) {
             out.println("usage: java .ci/KnownRed.java list|judge ROOT");
@@ -109,7 +109,7 @@
         return List.copyOf(entries.values());
     }
 
-    /** Outcome by test, from the reports of all modules. */
+    /** Returns the outcome of each test, by its name, from the reports of all modules. */
     private static Map<String, Outcome> readReports(Path root) throws Exception {
         Map<String, Outcome> outcomes = new TreeMap<>();
         for (Path report : find(root, "*/target/surefire-reports/TEST-*.xml")) {
@@ -124,7 +124,7 @@
         return outcomes;
     }
 
-    /** Without the row of data that a name ends in; jqwik's reports have the package with the suite alone. */
+    /** Strips the data row from a test name; jqwik's reports give the package only in the suite name. */
     private static String testName(Element suite, Element testCase) {
         String suiteName = suite.getAttribute("name");
         String className = testCase.getAttribute("classname");
@@ -147,7 +147,7 @@
         return one.compareTo(other) > 0 ? one : other;
     }
 
-    /** The classes that Surefire takes for tests by their names. */
+    /** Returns the classes whose names Surefire recognises as tests. */
     private static List<String> testClasses(Path root) throws IOException {
         List<String> classes = new ArrayList<>();
         for (Path source : find(root, "*/src/test/java/**.java")) {
@@ -186,7 +186,7 @@
         }
         unlisted.removeIf(test -> outcomes.get(test) != Outcome.FAILED);
         unlisted.forEach(test -> faults.add("failed: " + test));
-        // Surefire does not fail on a fork that ran out of time where failures are ignored
+        // Surefire does not fail on a forked JVM that timed out if test failures are ignored
         classes.stream().filter(name -> outcomes.keySet().stream().noneMatch(t -> t.startsWith(name + "#")))
             .forEach(name -> faults.add("left no report: " + name));
         faults.forEach(out::println);
--- a/cli/src/main/java/spurroad/cli/CheckCommand.java
+++ b/cli/src/main/java/spurroad/cli/CheckCommand.java
@@ -18,14 +18,14 @@
 import spurroad.toml.Diagnostic;
 import spurroad.toml.InvalidFileException;
 
-/** Reads a file with the reader of its kind, and prints all diagnostics. */
+/** Validates a file with the reader for its type and prints all diagnostics. */
 @Command(name = "check", mixinStandardHelpOptions = true, description = {
-    "Checks a file and reports all that is wrong with it, by line and key.",
-    "The kind goes by the file's name: *.json is the platform's configuration, *.toml an operators' file, "
-        + "or a scenario where it has a [load]."})
+    "Checks a file and reports every error in it with its line and key.",
+    "The file name selects the type: *.json is the proxy configuration, *.toml an operators' file, "
+        + "or a scenario if it has a [load] table."})
 final class CheckCommand implements Callable<Integer> {
     private static final String CONFIGURATION_SUFFIX = ".json";
-    private static final String SCENARIO_TABLE = "[load"; // which no operators' file has
+    private static final String SCENARIO_TABLE = "[load"; // operators' files have no such table
 
     @Parameters(paramLabel = "FILE")
     private Path file;
@@ -43,7 +43,7 @@
         } else {
             diagnostics.forEach(out::println);
             out.println(
-                diagnostics.isEmpty() ? file + " is as it should be" : diagnostics.size() + " faults");
+                diagnostics.isEmpty() ? file + " is valid" : diagnostics.size() + " faults");
         }
         return diagnostics.isEmpty() ? 0 : Spurroad.INVALID_INPUT;
     }
--- a/cli/src/main/java/spurroad/cli/ExplainCommand.java
+++ b/cli/src/main/java/spurroad/cli/ExplainCommand.java
@@ -32,32 +32,32 @@
     @Parameters(paramLabel = "KEY")
     private String key;
     @Option(names = "--config", required = true, paramLabel = "FILE",
-        description = "The platform's configuration (JSON); its known list counts without --list.")
+        description = "The proxy configuration (JSON); its known list is used without --list.")
     private Path configurationFile;
     @Option(names = "--list", paramLabel = "FILE",
-        description = "An endpoint list as discovery gives it (JSON).")
+        description = "An endpoint list in the format of discovery (JSON).")
     private Path endpointListFile;
     @Option(names = "--json", description = "Prints the candidates as JSON.")
     private boolean json;
     @Spec
     private CommandSpec spec;
 
-    /** One endpoint with the name that the output gives it. */
+    /** An endpoint and its display name. */
     private record NamedEndpoint(Endpoint endpoint, String name) {}
 
     /**
-     * A candidate as JSON.
+     * JSON representation of a candidate.
      *
-     * @param node its id and address
-     * @param way distance from the key clockwise, as a fraction of the ring
-     * @param part fraction of the ring that it owns
+     * @param node id and address of the endpoint
+     * @param way clockwise distance from the key to the endpoint, as a fraction of the ring
+     * @param part fraction of the ring that the endpoint owns
      */
     private record JsonCandidate(String node, double way, double part) {}
 
     /**
-     * The whole output as JSON.
+     * JSON representation of the whole output.
      *
-     * @param point of the key on the ring, in hexadecimal
+     * @param point position of the key on the ring, in hexadecimal
      * @param leftOut endpoints that are not ready
      */
     private record JsonExplanation(String key, String point, List<JsonCandidate> candidates,
@@ -97,7 +97,7 @@
         return names;
     }
 
-    /** Returns the endpoints that are no candidates for any key, each with its phase. */
+    /** Returns the endpoints that can't be a candidate for any key, each with its phase. */
     private static List<String> notReady(List<NamedEndpoint> endpoints) {
         return endpoints.stream().filter(named -> named.endpoint.phase() != EndpointPhase.READY)
             .map(named -> named.name + ", " + named.endpoint.phase()).toList();
@@ -117,17 +117,17 @@
     private void printText(KeyCandidates candidates, List<NamedEndpoint> endpoints) {
         PrintWriter out = spec.commandLine().getOut();
         Map<EndpointId, String> names = names(endpoints);
-        out.printf("key %s falls to %016x on a ring of %d points%n", key, candidates.point(),
+        out.printf("key %s maps to %016x on a ring of %d points%n", key, candidates.point(),
             candidates.ringPoints());
         int number = 0;
         for (KeyCandidates.Candidate candidate : candidates.candidates()) {
-            out.printf("%d. %s, %.4f%% of the ring further on; it has %.1f%% of the ring%n", ++number,
+            out.printf("%d. %s, %.4f%% of the ring from the key; it owns %.1f%% of the ring%n", ++number,
                 names.get(candidate.endpoint()), 100 * candidate.ringDistance(),
                 100 * candidate.ringFraction());
         }
-        out.println(candidates.candidates().isEmpty() ? "no cache node is ready: it goes to nobody"
-            : "The first takes the query while its queue is under its limit; else the others are asked "
-                + "for theirs.");
+        out.println(candidates.candidates().isEmpty() ? "no cache node is ready: the key has no candidates"
+            : "The first takes the request while its queue is under its limit; else the others are asked "
+                + "for their queue lengths.");
         notReady(endpoints).forEach(name -> out.println("left out: " + name));
     }
 }
--- a/cli/src/main/java/spurroad/cli/FleetCommand.java
+++ b/cli/src/main/java/spurroad/cli/FleetCommand.java
@@ -17,9 +17,9 @@
 import spurroad.testbed.fleet.FleetShape;
 import spurroad.testbed.fleet.FleetTables;
 
-/** Simulates how changes and purges reach a large fleet, in simulated time. */
+/** Simulates the distribution of changes and purges to a large fleet, in simulated time. */
 @Command(name = "fleet", mixinStandardHelpOptions = true, description = {
-    "Simulates how changes and purges reach a fleet of proxies without traffic, on a quiet day and in",
+    "Simulates the distribution of changes and purges to proxies without traffic, on a quiet day and during",
     "failures, and prints latencies, traffic and memory as Markdown tables."})
 final class FleetCommand implements Callable<Integer> {
     private static final int SMALL_FLEET = 600; // proxies
@@ -27,16 +27,16 @@
     private static final int SECONDS_PER_HOUR = 3_600;
 
     @Option(names = "--proxies", paramLabel = "N", split = ",",
-        description = "Sizes (${DEFAULT-VALUE}); all but 16000 run a quiet day and a burst only.")
+        description = "Fleet sizes (${DEFAULT-VALUE}); only 16000 runs more than a quiet day and a burst.")
     private List<Integer> sizes = List.of(6_800, FULL_FLEET);
     @Option(names = "--scenario", paramLabel = "NAME", split = ",",
-        description = "Only these, at every size: ${COMPLETION-CANDIDATES}.")
+        description = "Runs only these scenarios, at every size: ${COMPLETION-CANDIDATES}.")
     private List<FleetScenario> scenarios = List.of();
     @Option(names = "--seed", paramLabel = "N", split = ",",
-        description = "One run for each (${DEFAULT-VALUE}).")
+        description = "Seeds; one run for each (${DEFAULT-VALUE}).")
     private List<Long> seeds = List.of(1L);
     @Option(names = "--hour",
-        description = "Runs only a cut of a whole hour, on a fleet of 600 proxies.")
+        description = "Runs only a partition of one region for a whole hour, on a fleet of 600 proxies.")
     private boolean isHourCut;
     @Spec
     private CommandSpec spec;
@@ -46,7 +46,7 @@
         PrintWriter out = spec.commandLine().getOut();
         List<FleetFootprint> footprints = new ArrayList<>();
         if (!isHourCut) {
-            // measured before any run, as the heap is still empty
+            // measured before the first run, while the heap is still empty
             sizes.forEach(size -> footprints.add(FleetFootprint.measure(FleetShape.of(size))));
             FleetTables.memory(out, footprints);
             out.println();
--- a/cli/src/main/java/spurroad/cli/OperatorsFile.java
+++ b/cli/src/main/java/spurroad/cli/OperatorsFile.java
@@ -6,19 +6,19 @@
 import spurroad.toml.TomlTable;
 
 /**
- * What operators set beside the platform's configuration, in a file of their own. Each feature has its table;
- * without it the feature is off.
+ * Settings of the operators, kept in a file apart from the proxy configuration. Each feature has a table of
+ * its own; without that table the feature is off.
  *
- * @param logFormat how log lines are written
+ * @param logFormat format of the log lines
  */
 record OperatorsFile(LogFormat logFormat) {
     /** The system property that chooses the appender of logback.xml. */
     private static final String LOG_FORMAT_PROPERTY = "spurroad.log";
 
-    /** Plain lines, or one JSON object a line with the same fields. */
+    /** Plain text lines, or one JSON object per line with the same fields. */
     enum LogFormat { PLAIN, JSON }
 
-    /** Reads and checks a file; throws all that is wrong with it at once. */
+    /** Reads and validates a file; the exception carries all errors found in it. */
     static OperatorsFile read(Path path) throws InvalidFileException {
         TomlFile file = TomlFile.read(path);
         TomlTable log = file.root().getTable("log");
@@ -27,7 +27,7 @@
         return new OperatorsFile(logFormat);
     }
 
-    /** Applies the settings to this process; to be called before the proxy starts. */
+    /** Applies the settings to this process; must be called before the proxy starts. */
     void apply() {
         System.setProperty(LOG_FORMAT_PROPERTY, TomlTable.enumName(logFormat));
     }
--- a/cli/src/main/java/spurroad/cli/Progress.java
+++ b/cli/src/main/java/spurroad/cli/Progress.java
@@ -3,9 +3,8 @@
 import java.io.PrintStream;
 
 /**
- * One line on the terminal's standard error that shows the progress of long work; shows nothing where
- * standard error is no terminal. A daemon thread writes the line; {@link #update} may be called from any
- * thread.
+ * Shows the progress of a long operation in one line on standard error; shows nothing if the process has no
+ * console. A daemon thread writes the line; {@link #update} may be called from any thread.
  */
 final class Progress implements AutoCloseable {
     private static final long REFRESH_INTERVAL_MILLIS = 200;
@@ -21,7 +20,7 @@
 
     private Progress() {}
 
-    /** Starts to show the progress of work whose first step is given. */
+    /** Starts the display with the description of the first step. */
     static Progress start(String firstStep) {
         Progress progress = new Progress();
         progress.step = firstStep;
@@ -33,7 +32,7 @@
         return progress;
     }
 
-    /** Shows another step from the next refresh on. */
+    /** Replaces the description of the current step; shown from the next refresh on. */
     void update(String nextStep) {
         step = nextStep;
     }
@@ -51,7 +50,7 @@
         }
     }
 
-    /** Ends the thread and clears the line. */
+    /** Stops the thread and clears the line. */
     @Override
     public void close() {
         isClosed = true;
--- a/cli/src/main/java/spurroad/cli/ResultTables.java
+++ b/cli/src/main/java/spurroad/cli/ResultTables.java
@@ -10,14 +10,14 @@
 import spurroad.testbed.experiment.Comparison;
 import spurroad.testbed.experiment.Result;
 
-/** Prints results as text for people. */
+/** Prints results as human-readable text tables. */
 final class ResultTables {
-    private static final int MAX_VIOLATIONS_SHOWN = 3; // all of them stand in the result's file
+    private static final int MAX_VIOLATIONS_SHOWN = 3; // the result file has all of them
     private static final double NANOS_PER_SECOND = 1e9;
 
     private ResultTables() {}
 
-    /** Prints one run: outcomes, latencies, counts, proxies and rule violations. */
+    /** Prints one run with its outcomes, latencies, counts, proxies and rule violations. */
     static void printResult(PrintWriter out, Result result) {
         String verdict = result.voidFor().isEmpty() ? "" : " - VOID: " + result.voidFor();
         out.printf(Locale.ROOT, "%s, seed %d, %s: goodput %.4f in %.1f s%s%n", result.scenario(),
@@ -44,7 +44,7 @@
         printBreakdown(out, "customer ", result.customers());
     }
 
-    /** Prints a line each; nothing for a single one, as its line would repeat that of all. */
+    /** Prints one line per entry; prints nothing for a single entry, as its line would repeat the total. */
     private static void printBreakdown(PrintWriter out, String prefix,
                                        Map<String, Result.Counts> countsByName) {
         if (countsByName.size() > 1) {
@@ -87,7 +87,7 @@
         return rule.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
-    /** Prints a line for each pair, and the mean difference with its interval. */
+    /** Prints one line per pair, and the mean difference with its 95% interval. */
     static void printComparison(PrintWriter out, Comparison comparison) {
         out.printf("%-10s %12s %12s %12s%n", "seed", "first", "second", "difference");
         comparison.pairs().forEach(pair -> printPair(out, pair));
@@ -105,7 +105,7 @@
             pair.second() - pair.first(), violations);
     }
 
-    /** Returns the exit code of a command that has run these. */
+    /** Returns the exit code for a command that produced the given results; void runs take precedence. */
     static int exitCode(List<Result> results) {
         if (results.stream().anyMatch(result -> !result.voidFor().isEmpty())) {
             return Spurroad.INCONCLUSIVE;
--- a/cli/src/main/java/spurroad/cli/ScaleCommand.java
+++ b/cli/src/main/java/spurroad/cli/ScaleCommand.java
@@ -20,18 +20,18 @@
 import spurroad.testbed.capacity.Series;
 import spurroad.testbed.capacity.SeriesReport;
 
-/** Measures how each role's state, messages, processor time and memory grow; prints Markdown. */
+/** Measures how state, messages, CPU time and memory of each role grow; prints Markdown. */
 @Command(name = "scale", mixinStandardHelpOptions = true, description = {
-    "Measures how state, messages, processor time and memory grow with nodes and proxies; prints Markdown.",
-    "Without a name all measurements are taken (some minutes)."})
+    "Measures how state, messages, CPU time and memory grow with nodes and proxies; prints Markdown.",
+    "Without a name, takes all measurements (some minutes)."})
 final class ScaleCommand implements Callable<Integer> {
     @Parameters(arity = "0..*", paramLabel = "NAME",
         description = "One of requests, changes, list, peers, control, subscribers, watches.")
     private List<String> names = new ArrayList<>();
     @Option(names = "--capacity",
-        description = "Computes what the expected fleet costs; needs all measurements.")
+        description = "Computes the resources that the expected fleet needs; requires all measurements.")
     private boolean capacity;
-    @Option(names = "--short", description = "Small sizes, one run each: shapes only.")
+    @Option(names = "--short", description = "Small sizes, one run each: shows only the shape of the growth.")
     private boolean isShort;
     @Option(names = "--save", paramLabel = "FILE", description = "Stores the results in a file.")
     private Path savedResults;
--- a/cli/src/main/java/spurroad/cli/ScenarioRuns.java
+++ b/cli/src/main/java/spurroad/cli/ScenarioRuns.java
@@ -17,7 +17,8 @@
 import spurroad.toml.InvalidFileException;
 
 /**
- * Runs a scenario with all its seeds and keeps the results; a run that has a result already is not repeated.
+ * Runs a scenario with all its seeds and stores the results; a run with a stored result is repeated only on
+ * request.
  */
 final class ScenarioRuns {
     private static final Logger LOG = LoggerFactory.getLogger("spurroad.testbed");
@@ -33,8 +34,8 @@
     /**
      * Returns the results of a scenario in the order of its seeds.
      *
-     * @param overrides values that replace those of the file, by the paths of their keys
-     * @param seeds used instead of the scenario's own where there are any
+     * @param overrides values that replace those of the file, keyed by key path
+     * @param seeds seeds to use instead of the scenario's own; empty for the scenario's own
      */
     List<Result> run(Path file, Map<String, String> overrides, List<Long> seeds, ScenarioRunner runner,
                      Progress progress)
--- a/cli/src/main/java/spurroad/cli/ServeCommand.java
+++ b/cli/src/main/java/spurroad/cli/ServeCommand.java
@@ -6,10 +6,10 @@
 import picocli.CommandLine.Option;
 import spurroad.program.Main;
 
-/** Runs the proxy as the platform's own start does, with the features that an operators' file switches on. */
+/** Runs the proxy like the plain jar does, with the features that an operators' file enables. */
 @Command(name = "serve", mixinStandardHelpOptions = true, description = {
-    "Runs the proxy until SIGTERM; then it answers the requests that it has accepted and ends.",
-    "BALANCER_CONFIG names the platform's configuration (JSON), as with the lean start."})
+    "Runs the proxy until SIGTERM; it then answers the requests that it has accepted and exits.",
+    "BALANCER_CONFIG names the proxy configuration (JSON), as when the jar is started directly."})
 final class ServeCommand implements Callable<Integer> {
     @Option(names = "--operators", paramLabel = "FILE", description = "An operators' file (TOML).")
     private Path operatorsFile;
--- a/cli/src/main/java/spurroad/cli/SoakCommand.java
+++ b/cli/src/main/java/spurroad/cli/SoakCommand.java
@@ -15,25 +15,25 @@
 import spurroad.testbed.soak.SoakRun;
 import spurroad.testbed.soak.SoakSettings;
 
-/** Runs overlapping random faults against real proxy processes, and checks their invariants. */
+/** Injects overlapping random faults into an environment of real proxy processes and checks invariants. */
 @Command(name = "soak", mixinStandardHelpOptions = true, description = {
     "Runs random faults, two or three at a time, against real proxy processes on loopback and checks their",
-    "invariants by what crossed the sockets. A seed repeats its schedule. Needs gcc and perl."})
+    "invariants from the socket traffic. The same seed repeats its schedule. Needs gcc and perl."})
 final class SoakCommand implements Callable<Integer> {
     /** The name of {@code --inject-fault} before version 0.2.0. */
     static final String DEPRECATED_INJECT_OPTION = "--plant";
 
     @Option(names = "--seed", paramLabel = "N", split = ",",
-        description = "One run for each (${DEFAULT-VALUE}).")
+        description = "Seeds; one run for each (${DEFAULT-VALUE}).")
     private List<Long> seeds = List.of(1L);
-    @Option(names = "--seconds", paramLabel = "N", description = "Of each run (${DEFAULT-VALUE}).")
+    @Option(names = "--seconds", paramLabel = "N", description = "Length of each run (${DEFAULT-VALUE}).")
     private int seconds = 40;
-    @Option(names = "--proxies", paramLabel = "N", description = "Real proxies (${DEFAULT-VALUE}).")
+    @Option(names = "--proxies", paramLabel = "N", description = "Number of real proxies (${DEFAULT-VALUE}).")
     private int proxies = 10;
-    @Option(names = "--nodes", paramLabel = "N", description = "Cache nodes (${DEFAULT-VALUE}).")
+    @Option(names = "--nodes", paramLabel = "N", description = "Number of cache nodes (${DEFAULT-VALUE}).")
     private int nodes = 8;
     @Option(names = {"--inject-fault", SoakCommand.DEPRECATED_INJECT_OPTION}, paramLabel = "FAULT",
-        description = {"Breaks this on purpose; fails unless it is detected: ${COMPLETION-CANDIDATES}.",
+        description = {"Plants this fault; fails unless it is detected: ${COMPLETION-CANDIDATES}.",
             "Deprecated: the former name " + SoakCommand.DEPRECATED_INJECT_OPTION
                 + " is accepted until the next version."})
     private PlantedFault injectedFault = PlantedFault.NONE;
--- a/cli/src/main/java/spurroad/cli/Spurroad.java
+++ b/cli/src/main/java/spurroad/cli/Spurroad.java
@@ -8,22 +8,22 @@
 import picocli.CommandLine.Spec;
 import spurroad.toml.InvalidFileException;
 
-/** The command line of the whole product. */
+/** Entry point of the {@code spurroad} command line. */
 @Command(name = "spurroad", mixinStandardHelpOptions = true, versionProvider = Version.class,
     sortOptions = false,
-    description = "A proxy that spreads keys over cache nodes before a slow origin, and what belongs to it.",
+    description = "A proxy that spreads keys over cache nodes in front of a slow origin, and its tools.",
     subcommands = {ServeCommand.class, CheckCommand.class, ExplainCommand.class, TestbedCommand.class,
         ScaleCommand.class, FleetCommand.class, SoakCommand.class, Version.class,
         AutoComplete.GenerateCompletion.class},
     exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {" 0:done; all rules kept", " 1:it failed, or a rule was broken",
-        " 2:wrong use, or a file that is not as it should be", " 3:a run that is worth nothing, as it says"})
+    exitCodeList = {" 0:success; no rule was violated", " 1:failure, or a rule was violated",
+        " 2:incorrect usage, or an invalid file", " 3:a void run; the output names the reason"})
 public final class Spurroad implements Runnable {
-    /** Exit code where the command failed, or a rule was broken. */
+    /** Exit code if the command failed or a rule was violated. */
     static final int FAILED = 1;
-    /** Exit code of wrong use, or of a file with faults. */
+    /** Exit code for incorrect usage or an invalid file. */
     static final int INVALID_INPUT = 2;
-    /** Exit code of a run that proves nothing, such as one on a busy machine. */
+    /** Exit code for a void run, such as one on a busy machine, or a comparison without valid pairs. */
     static final int INCONCLUSIVE = 3;
 
     @Spec
@@ -34,12 +34,12 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    /** Runs one command and ends the process with its exit code. */
+    /** Runs one command and exits the process with the exit code of that command. */
     public static void main(String[] args) {
         System.exit(commandLine().execute(args));
     }
 
-    /** Returns the command line, which runs a command without ending the process. */
+    /** Returns the configured command line; executing it does not exit the process. */
     static CommandLine commandLine() {
         CommandLine commandLine = new CommandLine(new Spurroad());
         commandLine.setCaseInsensitiveEnumValuesAllowed(true);
--- a/cli/src/main/java/spurroad/cli/TestbedCommand.java
+++ b/cli/src/main/java/spurroad/cli/TestbedCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Groups the commands that run experiments in a test environment round real or simulated proxies. */
+/** Groups the commands that run experiments in a test environment around real or simulated proxies. */
 @Command(name = "testbed", aliases = TestbedCommand.DEPRECATED_NAME, mixinStandardHelpOptions = true,
     description = {
         "Runs experiments in a test environment: clients, cache nodes, origin, discovery and faults.",
--- a/cli/src/main/java/spurroad/cli/TestbedCompareCommand.java
+++ b/cli/src/main/java/spurroad/cli/TestbedCompareCommand.java
@@ -24,9 +24,9 @@
 import spurroad.testbed.scenario.ScenarioFile;
 import spurroad.toml.InvalidFileException;
 
-/** Runs two builds or policies on the same scenario and seeds, in turn. */
+/** Runs two builds or policies alternately with the same scenario and seeds. */
 @Command(name = "compare", mixinStandardHelpOptions = true, description = {
-    "Runs two builds (jars, on sockets) or policies (in simulated time) with the same seeds, in turn, "
+    "Runs two builds (jars, on sockets) or policies (in simulated time) with the same seeds, alternately, "
         + "and prints the differences.",
     "A policy is one of mechanism, random, ring, two_choices, bounded_ring."})
 final class TestbedCompareCommand implements Callable<Integer> {
@@ -34,12 +34,12 @@
     private Path scenarioFile;
     @Parameters(index = "1", paramLabel = "FIRST", description = "A proxy's jar, or a policy.")
     private String first;
-    @Parameters(index = "2", paramLabel = "SECOND", description = "The same.")
+    @Parameters(index = "2", paramLabel = "SECOND", description = "A proxy's jar, or a policy.")
     private String second;
     @Mixin
     private RunnerOptions runnerOptions;
     @Option(names = "--pairs", paramLabel = "N",
-        description = "How many seeds, from 1 on, instead of the scenario's own.")
+        description = "Number of seeds, from 1 on, to use instead of the scenario's own.")
     private int pairs;
     @Mixin
     private ResultOptions resultOptions;
@@ -58,7 +58,7 @@
         return comparison.pairs().isEmpty() ? Spurroad.INCONCLUSIVE : 0;
     }
 
-    /** Runs both in turn, seed by seed, so that a change in the load of the machine affects both. */
+    /** Alternates between both runners, seed by seed, so that a change in machine load affects both. */
     private Comparison compare(ScenarioRunner firstRunner, ScenarioRunner secondRunner) throws Exception {
         List<Result> firstResults = new ArrayList<>();
         List<Result> secondResults = new ArrayList<>();
--- a/cli/src/main/java/spurroad/cli/TestbedEnvironmentCommand.java
+++ b/cli/src/main/java/spurroad/cli/TestbedEnvironmentCommand.java
@@ -16,11 +16,11 @@
 import spurroad.testbed.scenario.Scenario;
 import spurroad.testbed.scenario.ScenarioFile;
 
-/** Opens a scenario's environment with its proxies and without a load, for requests sent by hand. */
+/** Starts the environment and proxies of a scenario without load, for requests sent by hand. */
 @Command(name = "environment", aliases = TestbedEnvironmentCommand.DEPRECATED_NAME,
     mixinStandardHelpOptions = true, description = {
-        "Opens a scenario's environment and its proxies, without a load, and prints their addresses.",
-        "The scenario's faults begin at their times. The command ends after a time, or with Ctrl-C.",
+        "Starts the environment and proxies of a scenario without load, and prints their addresses.",
+        "The scenario's faults begin as scheduled. The command ends after --seconds, or with Ctrl-C.",
         "Deprecated: the former name '" + TestbedEnvironmentCommand.DEPRECATED_NAME
             + "' is accepted until the next version."})
 final class TestbedEnvironmentCommand implements Callable<Integer> {
@@ -29,7 +29,8 @@
 
     @Parameters(paramLabel = "SCENARIO")
     private Path scenarioFile;
-    @Option(names = "--seconds", paramLabel = "N", description = "For how long (${DEFAULT-VALUE}).")
+    @Option(names = "--seconds", paramLabel = "N",
+        description = "How long the environment runs (${DEFAULT-VALUE}).")
     private int seconds = 60;
     @Mixin
     private RunnerOptions runnerOptions;
--- a/cli/src/main/java/spurroad/cli/TestbedReportCommand.java
+++ b/cli/src/main/java/spurroad/cli/TestbedReportCommand.java
@@ -12,14 +12,14 @@
 import spurroad.testbed.experiment.Result;
 import spurroad.testbed.experiment.ResultFolder;
 
-/** Writes one HTML page of all results in a folder. */
+/** Writes an HTML report of all results in a folder. */
 @Command(name = "report", mixinStandardHelpOptions = true,
     description = "Writes one HTML page of all results in a folder, with plots and all rule violations.")
 final class TestbedReportCommand implements Callable<Integer> {
     @Parameters(paramLabel = "PAGE", description = "The page to write.")
     private Path page;
     @Option(names = "--results", paramLabel = "FOLDER",
-        description = "Where results are kept (${DEFAULT-VALUE}).")
+        description = "The folder in which results are stored (${DEFAULT-VALUE}).")
     private Path resultFolder = Path.of("results");
     @Spec
     private CommandSpec spec;
--- a/cli/src/main/java/spurroad/cli/TestbedRunCommand.java
+++ b/cli/src/main/java/spurroad/cli/TestbedRunCommand.java
@@ -18,21 +18,22 @@
 import spurroad.testbed.experiment.ResultFolder;
 import spurroad.testbed.experiment.ScenarioRunner;
 
-/** Runs scenarios and prints the outcomes of their requests and the rules that were broken. */
+/** Runs scenarios and prints the request outcomes and rule violations. */
 @Command(name = "run", mixinStandardHelpOptions = true, description = {
     "Runs scenarios with all their seeds and prints the outcomes of their requests.",
-    "Results that exist are printed again; a run that was cut off is run anew."})
+    "Stored results are printed again; an interrupted run is repeated."})
 final class TestbedRunCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO", arity = "1..*")
     private List<Path> scenarioFiles;
     @Mixin
     private RunnerOptions runnerOptions;
-    @Option(names = "--seeds", split = ",", paramLabel = "N", description = "Instead of the scenario's own.")
+    @Option(names = "--seeds", split = ",", paramLabel = "N",
+        description = "Seeds to use instead of the scenario's own.")
     private List<Long> seeds = List.of();
     @Option(names = "--set", paramLabel = "KEY=V1,V2",
         description = {"Runs the scenarios once with each of these values "
             + "instead of the one in the file,",
-            "and with each combination where it is given more than once."})
+            "and with each combination if it is given more than once."})
     private Map<String, String> valuesByKey = Map.of();
     @Mixin
     private ResultOptions resultOptions;
@@ -65,8 +66,8 @@
     }
 
     /**
-     * Returns every combination of the values of each key, in order; a single empty one where there is no
-     * key.
+     * Returns every combination of the values of all keys, in order; a single empty combination if there are
+     * no keys.
      */
     static List<Map<String, String>> combinations(Map<String, String> valuesByKey) {
         List<Map<String, String>> combinations = List.of(Map.of());
--- a/cli/src/main/java/spurroad/cli/TestbedSearchCommand.java
+++ b/cli/src/main/java/spurroad/cli/TestbedSearchCommand.java
@@ -16,20 +16,22 @@
 import spurroad.testbed.scenario.Scenario;
 import spurroad.testbed.scenario.ScenarioFile;
 
-/** Searches for the script on which a build does worst, in simulated time. */
+/** Searches in simulated time for the fault schedule with the worst result. */
 @Command(name = "search", mixinStandardHelpOptions = true, description = {
-    "Searches in simulated time for the seed and the times of faults on which the decisions do worst,",
-    "shortens the script as far as it still does as badly, and writes it as a scenario of its own."})
+    "Searches in simulated time for the seed and fault schedule with the worst score, shrinks the",
+    "schedule as far as the score stays as bad, and writes it as a scenario file."})
 final class TestbedSearchCommand implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "SCENARIO")
     private Path scenarioFile;
     @Parameters(index = "1", paramLabel = "FOUND", description = "The scenario file that is written.")
     private Path foundFile;
-    @Option(names = "--scripts", paramLabel = "N", description = "How many are tried (${DEFAULT-VALUE}).")
+    @Option(names = "--scripts", paramLabel = "N",
+        description = "Number of fault schedules to try (${DEFAULT-VALUE}).")
     private int scripts = 100;
-    @Option(names = "--seed", paramLabel = "N", description = "Of the search itself (${DEFAULT-VALUE}).")
+    @Option(names = "--seed", paramLabel = "N", description = "Seed of the search itself (${DEFAULT-VALUE}).")
     private long seed = 1;
-    @Option(names = "--policy", paramLabel = "NAME", description = "What decides (${DEFAULT-VALUE}).")
+    @Option(names = "--policy", paramLabel = "NAME",
+        description = "Policy of the simulated proxies (${DEFAULT-VALUE}).")
     private Policy.Kind policy = Policy.Kind.MECHANISM;
     @Spec
     private CommandSpec spec;
--- a/cli/src/main/java/spurroad/cli/Version.java
+++ b/cli/src/main/java/spurroad/cli/Version.java
@@ -9,9 +9,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Prints which build this is. */
+/** Prints the versions of this build, the Java runtime and the operating system. */
 @Command(name = "version",
-    description = "Prints the version, and those of the Java runtime and the operating system.")
+    description = "Prints the versions of this build and the Java runtime, and the operating system.")
 public final class Version implements Callable<Integer>, IVersionProvider {
     private static final String BUILD_PROPERTIES = "/spurroad.properties"; // written by the build
 
--- a/cli/src/main/java/spurroad/cli/package-info.java
+++ b/cli/src/main/java/spurroad/cli/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The command line {@code spurroad}: one class a command, the options that commands share, and result tables.
+ * The command line {@code spurroad}: one class per command, shared options, and result tables.
  */
 package spurroad.cli;
--- a/cli/src/test/java/spurroad/ci/KnownRedTest.java
+++ b/cli/src/test/java/spurroad/ci/KnownRedTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What CI makes of failures, by KNOWN-RED.txt and reports as Surefire writes them. */
+/** Tests how CI evaluates failures, given KNOWN-RED.txt and reports in the format of Surefire. */
 public class KnownRedTest {
     private static final long LONGEST_RUN_S = 60;
     private static final Path PROGRAM = Path.of("..", ".ci", "KnownRed.java");
@@ -37,7 +37,9 @@
 
     private record Run(int code, String output) {}
 
-    /** Compiled once and called here, as starting it for each case takes some ten times as long. */
+    /**
+     * Compiles the program once to call it in this process; a process per case takes about ten times as long.
+     */
     @BeforeClass
     public void compile() throws Exception {
         Path compiled = Files.createTempDirectory("known-red-classes");
@@ -48,7 +50,9 @@
         program.setAccessible(true);
     }
 
-    /** A root with one module, which has one test class that passes and one that has the reports given. */
+    /**
+     * Creates a root with one module of two test classes: one passes, the other gets the reports of the case.
+     */
     @BeforeMethod
     public void makeRoot() throws IOException {
         root = Files.createTempDirectory("known-red-test");
@@ -93,7 +97,7 @@
         return new Run(code, output.toString(StandardCharsets.UTF_8));
     }
 
-    /** The list, the cases in the reports, the exit code and what is said. */
+    /** Rows: the list, the test cases in the reports, the exit code and the expected output. */
     @DataProvider
     public Object[][] judgements() {
         return new Object[][] {{"", PASSED, 0, ""}, {"# none\n\n", PASSED, 0, ""},
@@ -126,7 +130,7 @@
         assertTrue(judged.output.contains("can be taken off"), judged.output);
     }
 
-    /** The list, the exit code and what is said. */
+    /** Rows: the list, the exit code and the expected output. */
     @DataProvider
     public Object[][] lists() {
         String four = "a.T#a, m, b, c\na.T#d, m, b, c\na.T#e, m, b, c\na.T#f, m, b, c\n";
@@ -149,8 +153,8 @@
     }
 
     /**
-     * The list or null for none, the exit code of Maven, what it was called with or null for not at all, and
-     * how the run ends. Maven leaves one failed test.
+     * Rows: the list or null for none, the exit code of Maven, the arguments of Maven or null if it must not
+     * be called, and the exit code of the run. Maven reports one failed test.
      */
     @DataProvider
     public Object[][] runs() {
--- a/cli/src/test/java/spurroad/cli/ArchitectureTest.java
+++ b/cli/src/test/java/spurroad/cli/ArchitectureTest.java
@@ -10,7 +10,9 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.testng.annotations.Test;
 
-/** Dependencies point one way, decisions touch nothing outside, and the lean proxy needs no library. */
+/**
+ * Checks the layering, that decision code has no I/O, clock or threads, and that the proxy needs no library.
+ */
 public class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
         .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("spurroad");
@@ -105,7 +107,7 @@
             .check(ALL);
     }
 
-    /** A checker that read with the proxy's parsers would not see their faults. */
+    /** A checker that used the proxy's parsers could not detect errors in them. */
     @Test
     public void ruleCheckerIsNoPartOfTheProxy() {
         noClasses().that().resideInAnyPackage("spurroad.testbed.checker", "spurroad.testbed.net").should()
@@ -115,7 +117,7 @@
             .check(ALL);
     }
 
-    /** Each part of the distribution is used only by those after it. */
+    /** Each layer of the distribution is used only by the layers listed after it. */
     @Test
     public void partsOfTheDistributionDependOneWay() {
         String root = "spurroad.control.distribution";
@@ -142,7 +144,7 @@
             .resideInAnyPackage("spurroad.toml..", "java..", "com.fasterxml.jackson..").check(ALL);
     }
 
-    /** A scenario is data: what runs it depends on it, not the reverse. */
+    /** Scenarios are data: the code that runs them depends on them, not the reverse. */
     @Test
     public void scenariosAndTimelinesKnowNothingOfWhatRunsThem() {
         noClasses().that().resideInAnyPackage("spurroad.testbed.scenario", "spurroad.testbed.time").should()
--- a/cli/src/test/java/spurroad/cli/SpurroadTest.java
+++ b/cli/src/test/java/spurroad/cli/SpurroadTest.java
@@ -23,7 +23,7 @@
 import picocli.CommandLine;
 
 /**
- * The command line as a user has it: its output, the files and processes that it leaves, and its exit codes.
+ * Tests the command line from the user's side: its output, exit codes, and remaining files and processes.
  */
 public class SpurroadTest {
     private static final String CONFIG = "../deploy/example.json";
@@ -72,11 +72,11 @@
         assertEquals(execute("testbed").code, 2);
         CommandOutput s = execute("chekc", "x");
         assertEquals(s.code, 2);
-        assertTrue(s.err.contains("check"), "the nearest command is named: " + s.err);
+        assertTrue(s.err.contains("check"), "the most similar command is suggested: " + s.err);
         assertEquals(execute("testbed", "compare", FIRST, "randon", "ring").code, 2);
     }
 
-    /** The names before version 0.2.0 are accepted for one more version, and said to be deprecated. */
+    /** The names from before version 0.2.0 are accepted for one more version and described as deprecated. */
     @Test
     public void formerCommandNamesAreAcceptedAsDeprecated() {
         CommandOutput testbed = execute("rig", "--help");
@@ -159,7 +159,7 @@
         assertTrue(s.out.contains("left out: s-5 at 127.0.0.1:115, DRAINING"), s.out);
         CommandOutput one = execute("explain", "7f3a", "--config", CONFIG);
         assertTrue(one.out.contains("1. cache-1 at 127.0.0.1:11301"), one.out);
-        assertFalse(one.out.contains("2. "), "the origin is no candidate");
+        assertFalse(one.out.contains("2. "), "the origin is not a candidate");
     }
 
     // ---- experiments
@@ -192,7 +192,7 @@
         assertEquals(Files.getLastModifiedTime(results().get(0)).toMillis(), at);
     }
 
-    /** The same seed is the same run, byte for byte, in two processes. */
+    /** Two processes that run the same seed must print the same bytes. */
     @Test
     public void simulatedRunsAreEqualByteForByteInTwoProcesses() throws IOException, InterruptedException {
         Path s = scenario("3s");
@@ -221,7 +221,7 @@
             : builder.redirectError(ProcessBuilder.Redirect.DISCARD)).start();
     }
 
-    /** Cut off in the middle, it leaves no process behind, and what is there is marked as partial. */
+    /** An interrupted run must not leave proxy processes behind or look like a finished run. */
     @Test
     public void interruptedRunLeavesNoProcessAndIsMarkedAsPartial() throws IOException, InterruptedException {
         Path s = scenario("30s");
@@ -243,7 +243,7 @@
             for (int i = 0; i < 200 && h.isAlive(); i++) {
                 Thread.sleep(20);
             }
-            assertFalse(h.isAlive(), "the proxy is left behind");
+            assertFalse(h.isAlive(), "the proxy is still running");
         }
         assertEquals(results(), List.of());
         try (Stream<Path> all = Files.walk(folder.resolve("results"))) {
@@ -278,7 +278,7 @@
     }
 
     /**
-     * Cut off or not, what is done of a matrix is not played again; the report shows load against goodput.
+     * Finished runs of a matrix are not repeated after an interruption; the report plots goodput over load.
      */
     @Test
     public void overridesRunEachCombinationOnce() throws IOException {
--- a/toml/src/main/java/spurroad/toml/Diagnostic.java
+++ b/toml/src/main/java/spurroad/toml/Diagnostic.java
@@ -3,17 +3,16 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * One thing that is wrong in a file.
+ * An error found in a file.
  *
- * @param file as the user named it
- * @param line from 1 on; 0 where no line can be named
- * @param key the whole path of the key, such as {@code nodes[1].slots}; empty where the whole file is meant
- * @param message what is wrong and what was expected, as one sentence without its end; {@code expected} in
- *     JSON
+ * @param file name of the file as given by the user
+ * @param line line number, starting at 1; 0 if the line is unknown
+ * @param key full path of the key, such as {@code nodes[1].slots}; empty if the error concerns the whole file
+ * @param message the error and the expected value, without a final full stop; named {@code expected} in JSON
  */
 public record Diagnostic(String file, int line, String key, @JsonProperty("expected") String message) {
     /**
-     * Returns the form that compilers use, {@code file:line: key: message}, so that editors find the place.
+     * Returns {@code file:line: key: message}, the format of compilers, from which editors can open the line.
      */
     @Override
     public String toString() {
--- a/toml/src/main/java/spurroad/toml/DurationFormat.java
+++ b/toml/src/main/java/spurroad/toml/DurationFormat.java
@@ -5,9 +5,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The form of durations in files: a number and its unit, such as {@code 250ms}. */
+/** Parses and formats durations in files: a number and its unit, such as {@code 250ms}. */
 public final class DurationFormat {
-    /** What a file's author is asked for. */
+    /** Description of the expected format, for diagnostics. */
     static final String DESCRIPTION = "a time such as \"250ms\", \"2s\" or \"5min\"";
 
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
@@ -21,7 +21,7 @@
 
     private DurationFormat() {}
 
-    /** Returns a duration in nanoseconds; nothing where the text has another form or is out of its bounds. */
+    /** Returns a duration in nanoseconds; empty if the text is malformed or the duration is out of bounds. */
     static OptionalLong parse(String text, long minNanos, long maxNanos) {
         Matcher matcher = PATTERN.matcher(text);
         if (!matcher.matches()) {
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Returns a duration in the largest unit, up to minutes, that it is a whole number of; else in
-     * microseconds.
+     * Returns a duration as a whole number of the largest possible unit from milliseconds to minutes,
+     * otherwise as a possibly fractional number of microseconds.
      */
     public static String format(long nanos) {
         if (nanos != 0 && nanos % NANOS_PER_MINUTE == 0) {
--- a/toml/src/main/java/spurroad/toml/EditDistance.java
+++ b/toml/src/main/java/spurroad/toml/EditDistance.java
@@ -5,22 +5,22 @@
 import java.util.Comparator;
 import java.util.Optional;
 
-/** Finds the key that a user probably meant, by the edit distance of Levenshtein (1966). */
+/** Suggests the key that a user probably meant, by Levenshtein distance (1966). */
 final class EditDistance {
-    /** A key that differs by more letters is no slip of the pen. */
+    /** Largest distance, in characters, that counts as a typing error. */
     private static final int MAX_TYPO_DISTANCE = 3;
 
     private EditDistance() {}
 
-    /** Returns the candidate nearest to a mistyped word, or nothing where none is near enough. */
+    /** Returns the candidate nearest to a mistyped word; empty if none is near enough. */
     static Optional<String> nearest(String word, Collection<String> candidates) {
         return candidates.stream().filter(candidate -> between(candidate, word) <= MAX_TYPO_DISTANCE)
             .min(Comparator.comparingInt(candidate -> between(candidate, word)));
     }
 
     /**
-     * Returns the least number of letters inserted, deleted or substituted that turns one word into the
-     * other.
+     * Returns the least number of character insertions, deletions and substitutions that turn one word into
+     * the other.
      */
     static int between(String a, String b) {
         int[] row = new int[b.length() + 1];
--- a/toml/src/main/java/spurroad/toml/KeyLines.java
+++ b/toml/src/main/java/spurroad/toml/KeyLines.java
@@ -4,13 +4,14 @@
 import java.util.Map;
 
 /**
- * The lines of a TOML text on which its keys stand. The parser that reads values keeps no places, so this
- * class scans the lines once more and records tables and keys; a key inside an inline table or an array gets
- * the line on which that value begins. Only for texts that the parser has accepted.
+ * Maps the keys of a TOML document to their line numbers. The parser that reads the values does not keep
+ * source positions, so this class scans the lines again and records tables and keys. A key inside an inline
+ * table or an array gets the line on which that value begins. Requires a document that the parser has
+ * accepted.
  */
 final class KeyLines {
     private final Map<String, Integer> lines = new HashMap<>();
-    private final Map<String, Integer> lastIndexes = new HashMap<>(); // of arrays of tables, by their paths
+    private final Map<String, Integer> lastIndexes = new HashMap<>(); // of arrays of tables, by path
     private final ValueScanner value = new ValueScanner();
     private String table = "";
 
@@ -21,7 +22,7 @@
         }
     }
 
-    /** Returns the line of a key, or of the innermost table that holds it; 0 where there is none. */
+    /** Returns the line of a key, or else of the innermost table that contains it; 0 if there is neither. */
     int lineOf(String path) {
         String ancestor = path;
         while (!lines.containsKey(ancestor)) {
@@ -56,7 +57,7 @@
         }
     }
 
-    /** Returns the path of a table's header; each array of tables on the way stands for its last element. */
+    /** Returns the path of a table header; an array of tables in the path refers to its last element. */
     private String tablePath(String header, boolean isArrayElement) {
         String path = "";
         String[] names = unquoted(header).split("\\.");
@@ -80,7 +81,7 @@
         return name.replaceAll("[\"'\\s]", "");
     }
 
-    /** Returns the index of the first equals sign outside quotes; -1 where there is none. */
+    /** Returns the index of the first equals sign outside quotes; -1 if there is none. */
     private static int equalsSignIn(String line) {
         char quote = 0;
         for (int i = 0; i < line.length(); i++) {
--- a/toml/src/main/java/spurroad/toml/TomlFile.java
+++ b/toml/src/main/java/spurroad/toml/TomlFile.java
@@ -15,13 +15,13 @@
 import java.util.Optional;
 
 /**
- * One TOML file as it is read. A reader gets values from the {@link #root} table, naming what is allowed; the
- * file collects the diagnostics, and {@link #validate} throws all of them at once. A key that the reader has
- * not asked for is unknown, and is reported with the nearest key that the reader knows. Not thread-safe.
+ * A TOML file with its diagnostics. Callers read values from the {@link #root} table and state which values
+ * are allowed; the file collects the diagnostics, and {@link #validate} throws all of them at once. A key
+ * that the caller has not read is unknown and is reported with the most similar known key. Not thread-safe.
  */
 public final class TomlFile {
     private static final ObjectMapper PARSER = new TomlMapper();
-    private static final String OVERRIDE_KEY = "value"; // under which an override is parsed
+    private static final String OVERRIDE_KEY = "value"; // key of the document as which an override is parsed
 
     private final String name;
     private final KeyLines lines;
@@ -34,7 +34,7 @@
         root = new TomlTable(this, "", json);
     }
 
-    /** Reads a file; throws where it can't be read or is not TOML. */
+    /** Reads a file; throws if it can't be read or is not TOML. */
     public static TomlFile read(Path path) throws InvalidFileException {
         try {
             return parse(path.toString(), Files.readString(path));
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Parses a text; the name is the one under which diagnostics are reported. */
+    /** Parses a TOML document; diagnostics report the given name as the file. */
     public static TomlFile parse(String name, String text) throws InvalidFileException {
         try {
             JsonNode json = PARSER.readTree(text);
@@ -58,10 +58,11 @@
     }
 
     /**
-     * Replaces the value of a key, before anything is read.
+     * Replaces the value of a key. Must be called before any value is read.
      *
-     * @param path such as {@code load.rate} or {@code world.nodes[0].count}; its tables must be there
-     * @param value as it would stand in the file; the quotes of a single word may be left out
+     * @param path path of the key, such as {@code load.rate} or {@code world.nodes[0].count}; its tables must
+     *     exist
+     * @param value value in TOML syntax; a string may omit its quotes
      */
     public void override(String path, String value) throws InvalidFileException {
         JsonNode parsed = parseOverride(path, value);
@@ -78,7 +79,7 @@
     }
 
     private JsonNode parseOverride(String path, String value) throws InvalidFileException {
-        return parseValue(value).or(() -> parseValue('"' + value + '"')) // a word without its quotes
+        return parseValue(value).or(() -> parseValue('"' + value + '"')) // a string without quotes
             .orElseThrow(() -> invalid(name, 0, path, "is set to " + value + ", which is no value"));
     }
 
@@ -94,7 +95,7 @@
         return step.startsWith("[");
     }
 
-    /** Returns what a step of a path leads to; null where there is nothing. */
+    /** Returns the child that a step of a path selects; null if there is none. */
     private static JsonNode child(JsonNode parent, String step) {
         if (!isIndex(step)) {
             return parent.get(step);
@@ -102,22 +103,23 @@
         try {
             return parent.get(Integer.parseInt(step.substring(1, step.length() - 1)));
         } catch (NumberFormatException e) {
-            return null; // an index that is no number names no table
+            return null; // an index that is not a number selects nothing
         }
     }
 
-    /** Returns the table of the whole file. */
+    /** Returns the top-level table. */
     public TomlTable root() {
         return root;
     }
 
-    /** Returns the file's name, as diagnostics name it. */
+    /** Returns the name of the file in diagnostics. */
     public String name() {
         return name;
     }
 
     /**
-     * Throws all diagnostics, those of unknown keys included; to be called once all values have been read.
+     * Throws all diagnostics, including those of unknown keys, if there are any. Must be called after all
+     * values have been read.
      */
     public void validate() throws InvalidFileException {
         root.rejectUnknownKeys();
--- a/toml/src/main/java/spurroad/toml/TomlTable.java
+++ b/toml/src/main/java/spurroad/toml/TomlTable.java
@@ -17,15 +17,14 @@
 import java.util.stream.Collectors;
 
 /**
- * One table of a TOML file. Each method reads one key. A value that is not allowed is recorded as a
- * diagnostic of the file, and the default (or the least allowed value, where the key is required) is
- * returned, so that reading goes on and all faults are found. A key that no method has asked for is unknown.
- * Not thread-safe.
+ * A table of a TOML file. Each getter reads one key. For an invalid value it records a diagnostic in the file
+ * and returns a substitute (the default, the minimum or an empty value), so that reading continues and all
+ * errors are found. A key that no getter has read is unknown. Not thread-safe.
  */
 public final class TomlTable {
-    private static final int MAX_SHOWN_LENGTH = 40; // characters of a wrong value in a diagnostic
+    private static final int MAX_SHOWN_LENGTH = 40; // characters of an invalid value in a diagnostic
     private static final String ELLIPSIS = "...";
-    private static final double MAX_PLAIN_INTEGER = 1e15; // above it a whole number is written as a double
+    private static final double MAX_PLAIN_INTEGER = 1e15; // whole numbers from here on are printed as doubles
 
     private final TomlFile file;
     private final String path;
@@ -43,56 +42,57 @@
         return json;
     }
 
-    /** Returns the path of a key of this table, as diagnostics name it. */
+    /** Returns the full path of a key of this table, as used in diagnostics. */
     public String path(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
     /**
-     * Records that a key's value can't be used, though it was read; an empty key stands for the whole table.
+     * Records an error in the value of a key, such as one found after reading it; an empty key refers to the
+     * whole table.
      */
     public void addDiagnostic(String key, String message) {
         file.addDiagnostic(key.isEmpty() ? path : path(key), message);
     }
 
-    /** Returns whether the key is present; it counts as known from then on. */
+    /** Returns whether the key is present, and marks it as known. */
     public boolean contains(String key) {
         knownKeys.add(key);
         return json.has(key);
     }
 
-    // ---- plain values
+    // ---- scalar values and lists
 
-    /** Returns a number within its bounds, both allowed; the default where the key is missing. */
+    /** Returns a number from min to max, inclusive; the default if the key is missing. */
     public double getDouble(String key, double defaultValue, double min, double max) {
         return contains(key) ? requireDouble(key, min, max) : defaultValue;
     }
 
-    /** Returns a number within its bounds, both allowed; the key must be present. */
+    /** Returns a number from min to max, inclusive; the key is required. */
     public double requireDouble(String key, double min, double max) {
         return requireValue(key, "a number" + range(min, max),
             value -> value.isNumber() && value.asDouble() >= min && value.asDouble() <= max)
             .map(JsonNode::asDouble).orElse(min);
     }
 
-    /** Returns a whole number within its bounds, both allowed; the default where the key is missing. */
+    /** Returns an integer from min to max, inclusive; the default if the key is missing. */
     public int getInt(String key, int defaultValue, int min, int max) {
         return contains(key) ? requireInt(key, min, max) : defaultValue;
     }
 
-    /** Returns a whole number within its bounds, both allowed; the key must be present. */
+    /** Returns an integer from min to max, inclusive; the key is required. */
     public int requireInt(String key, int min, int max) {
         return requireValue(key, "a whole number" + range(min, max), value -> value.isIntegralNumber()
             && value.canConvertToInt() && value.asInt() >= min && value.asInt() <= max)
             .map(JsonNode::asInt).orElse(min);
     }
 
-    /** Returns a duration in nanoseconds, written with its unit; the default where the key is missing. */
+    /** Returns a duration, written with its unit, in nanoseconds; the default if the key is missing. */
     public long getDurationNanos(String key, long defaultNanos, long minNanos, long maxNanos) {
         return contains(key) ? requireDurationNanos(key, minNanos, maxNanos) : defaultNanos;
     }
 
-    /** Returns a duration in nanoseconds, written with its unit; the key must be present. */
+    /** Returns a duration, written with its unit, in nanoseconds; the key is required. */
     public long requireDurationNanos(String key, long minNanos, long maxNanos) {
         String expected = DurationFormat.DESCRIPTION + " from " + DurationFormat.format(minNanos) + " to "
             + DurationFormat.format(maxNanos);
@@ -108,12 +108,12 @@
         return nanos.orElse(minNanos);
     }
 
-    /** Returns a text that is not empty; the default where the key is missing. */
+    /** Returns a non-empty string; the default if the key is missing. */
     public String getString(String key, String defaultValue) {
         return contains(key) ? requireString(key) : defaultValue;
     }
 
-    /** Returns a text that is not empty; the key must be present. */
+    /** Returns a non-empty string; the key is required. */
     public String requireString(String key) {
         Optional<JsonNode> value = findRequired(key, "a text");
         if (value.isEmpty()) {
@@ -126,7 +126,7 @@
         return isUsable ? value.get().asText() : "";
     }
 
-    /** Returns true or false; the default where the key is missing or is neither. */
+    /** Returns a boolean; the default if the key is missing or its value is not a boolean. */
     public boolean getBoolean(String key, boolean defaultValue) {
         if (!contains(key)) {
             return defaultValue;
@@ -139,7 +139,7 @@
         return value.asBoolean();
     }
 
-    /** Returns the constant that a key names; the default where the key is missing or names none. */
+    /** Returns the enum constant that a key names; the default if the key is missing or names none. */
     public <E extends Enum<E>> E getEnum(String key, Class<E> type, E defaultValue) {
         if (!contains(key)) {
             return defaultValue;
@@ -154,7 +154,7 @@
         return defaultValue;
     }
 
-    /** Returns the constant that a required key names; null where the key is missing or names none. */
+    /** Returns the enum constant that a required key names; null if the key is missing or names none. */
     public <E extends Enum<E>> E requireEnum(String key, Class<E> type) {
         findRequired(key, oneOf(type));
         return getEnum(key, type, null);
@@ -166,23 +166,23 @@
                 .collect(Collectors.joining(", "));
     }
 
-    /** Returns how a file writes an enum's constant: in small letters, with dashes. */
+    /** Returns the name of an enum constant in files: lower case, with dashes. */
     public static String enumName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Returns a list of texts; an empty one where the key is missing. */
+    /** Returns a list of strings; empty if the key is missing. */
     public List<String> getStrings(String key) {
         return getList(key, "a list of texts", value -> value.isTextual() ? value.asText() : null);
     }
 
-    /** Returns a list of whole numbers; an empty one where the key is missing. */
+    /** Returns a list of integers; empty if the key is missing. */
     public List<Long> getLongs(String key) {
         return getList(key, "a list of whole numbers",
             value -> value.isIntegralNumber() ? value.asLong() : null);
     }
 
-    /** Returns a list's elements, each read by a function that returns null for a wrong one. */
+    /** Returns the elements of a list; the reader returns null for an invalid element. */
     private <T> List<T> getList(String key, String expected, Function<JsonNode, T> reader) {
         if (!contains(key)) {
             return new ArrayList<>();
@@ -201,7 +201,7 @@
 
     // ---- tables
 
-    /** Returns an inner table; an empty one where the key is missing, so that its defaults hold. */
+    /** Returns an inner table; an empty one if the key is missing, so that its defaults apply. */
     public TomlTable getTable(String key) {
         JsonNode value = contains(key) ? json.get(key) : JsonNodeFactory.instance.objectNode();
         if (!value.isObject()) {
@@ -211,7 +211,7 @@
         return addInnerTable(path(key), (ObjectNode) value);
     }
 
-    /** Returns an array of tables; an empty list where the key is missing. */
+    /** Returns an array of tables; empty if the key is missing. */
     public List<TomlTable> getTables(String key) {
         List<TomlTable> tables = new ArrayList<>();
         if (!contains(key)) {
@@ -249,7 +249,7 @@
         return Optional.empty();
     }
 
-    /** Returns a required key's value; nothing, with a diagnostic, where it is missing or not allowed. */
+    /** Returns the value of a required key; empty, with a diagnostic, if it is missing or not allowed. */
     private Optional<JsonNode> requireValue(String key, String expected, Predicate<JsonNode> isAllowed) {
         Optional<JsonNode> value = findRequired(key, expected);
         if (value.isPresent() && !isAllowed.test(value.get())) {
@@ -278,7 +278,7 @@
         return isWhole ? Long.toString((long) value) : Double.toString(value);
     }
 
-    /** Records a diagnostic for each key that nobody has asked for, in this table and those inside it. */
+    /** Records a diagnostic for each key that was never read, in this table and its inner tables. */
     void rejectUnknownKeys() {
         for (Iterator<String> names = json.fieldNames(); names.hasNext();) {
             String name = names.next();
--- a/toml/src/main/java/spurroad/toml/ValueScanner.java
+++ b/toml/src/main/java/spurroad/toml/ValueScanner.java
@@ -1,20 +1,20 @@
 package spurroad.toml;
 
 /**
- * Follows a value over its brackets, texts and comments, to know whether the next line still belongs to it.
+ * Scans a TOML value with its brackets, strings and comments, to tell whether it continues on the next line.
  */
 final class ValueScanner {
-    private static final int LONG_QUOTE_LENGTH = 3; // of the quote of a text of several lines
+    private static final int LONG_QUOTE_LENGTH = 3; // length of the quote of a multi-line string
 
-    private String closingQuote; // null outside of a text
+    private String closingQuote; // null outside of a string
     private int openBrackets;
 
-    /** Returns whether the value goes on in the next line. */
+    /** Returns whether the value continues on the next line. */
     boolean isUnfinished() {
         return closingQuote != null || openBrackets > 0;
     }
 
-    /** Scans a value's part of a line. */
+    /** Scans the part of a line that belongs to the value. */
     void scan(String part) {
         int i = 0;
         while (i < part.length()) {
@@ -26,11 +26,11 @@
         }
         boolean isShortText = closingQuote != null && closingQuote.length() < LONG_QUOTE_LENGTH;
         if (isShortText) {
-            closingQuote = null; // a text in single quotes ends with its line
+            closingQuote = null; // a single-line string can't continue on the next line
         }
     }
 
-    /** Returns how many characters were scanned, as {@link #scanOutsideText}. */
+    /** Returns the number of characters scanned, like {@link #scanOutsideText}. */
     private int scanText(String part, int i) {
         boolean isEscape = part.charAt(i) == '\\' && closingQuote.charAt(0) == '"';
         if (isEscape) {
--- a/toml/src/main/java/spurroad/toml/package-info.java
+++ b/toml/src/main/java/spurroad/toml/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads TOML files that people write, such as scenarios and the operators' file, and reports all that is
- * wrong with a file at once, by line and key.
+ * Reads hand-written TOML files, such as scenarios and the operators' file, and reports all errors of a file
+ * at once, by line and key.
  */
 package spurroad.toml;
