--- a/.ci/CodeMetrics.java
+++ b/.ci/CodeMetrics.java
@@ -24,15 +24,15 @@
  * a doc comment, then the four counts.
  */
 final class CodeMetrics {
-    private static final int LONGEST_FILE = 400;
-    private static final int LONGEST_METHOD = 40;
-    private static final int MOST_MUTABLE_FIELDS = 12;
+    private static final int MAX_FILE_LINES = 400;
+    private static final int MAX_METHOD_LINES = 40;
+    private static final int MAX_MUTABLE_FIELDS = 12;
 
     private final DocTrees trees;
-    private final List<String> files = new ArrayList<>();
-    private final List<String> methods = new ArrayList<>();
-    private final List<String> classes = new ArrayList<>();
-    private final List<String> undocumented = new ArrayList<>();
+    private final List<String> longFiles = new ArrayList<>();
+    private final List<String> longMethods = new ArrayList<>();
+    private final List<String> classesWithManyMutableFields = new ArrayList<>();
+    private final List<String> undocumentedItems = new ArrayList<>();
 
     private CodeMetrics(DocTrees trees) {
         this.trees = trees;
@@ -67,8 +67,8 @@
     private void measure(CompilationUnitTree unit) throws IOException {
         String file = Path.of(unit.getSourceFile().toUri()).getFileName().toString();
         long lines = unit.getSourceFile().getCharContent(true).chars().filter(c -> c == '\n').count();
-        if (lines > LONGEST_FILE) {
-            files.add(file + " " + lines);
+        if (lines > MAX_FILE_LINES) {
+            longFiles.add(file + " " + lines);
         }
         new TreePathScanner<Void, Void>() {
             @Override
@@ -91,44 +91,44 @@
 
             private void checkComment(Tree tree, boolean isPublic, String name) {
                 if (isPublic && trees.getDocComment(getCurrentPath()) == null) {
-                    undocumented.add(name);
+                    undocumentedItems.add(name);
                 }
             }
         }.scan(unit, null);
     }
 
     private void measureClass(CompilationUnitTree unit, String file, ClassTree type) {
-        long mutable = type.getMembers().stream()
+        long mutableFields = type.getMembers().stream()
             .filter(member -> member instanceof VariableTree field
                 && !field.getModifiers().getFlags().contains(Modifier.FINAL))
             .count();
         boolean hasState = type.getKind() == Tree.Kind.CLASS || type.getKind() == Tree.Kind.ENUM;
-        if (hasState && mutable > MOST_MUTABLE_FIELDS) {
-            classes.add(file + " " + type.getSimpleName() + " " + mutable);
+        if (hasState && mutableFields > MAX_MUTABLE_FIELDS) {
+            classesWithManyMutableFields.add(file + " " + type.getSimpleName() + " " + mutableFields);
         }
     }
 
     private void measureMethod(CompilationUnitTree unit, String file, MethodTree method) {
-        long from = unit.getLineMap().getLineNumber(
+        long startLine = unit.getLineMap().getLineNumber(
             trees.getSourcePositions().getStartPosition(unit, method));
-        long end = trees.getSourcePositions().getEndPosition(unit, method);
-        if (end >= 0) {
-            long lines = unit.getLineMap().getLineNumber(end) - from + 1;
-            if (lines > LONGEST_METHOD) {
-                methods.add(file + " " + method.getName() + " " + lines);
+        long endPosition = trees.getSourcePositions().getEndPosition(unit, method);
+        if (endPosition >= 0) {
+            long lines = unit.getLineMap().getLineNumber(endPosition) - startLine + 1;
+            if (lines > MAX_METHOD_LINES) {
+                longMethods.add(file + " " + method.getName() + " " + lines);
             }
         }
     }
 
     private void print() {
-        print("files over " + LONGEST_FILE + " lines", files);
-        print("methods over " + LONGEST_METHOD + " lines", methods);
-        print("classes with over " + MOST_MUTABLE_FIELDS + " mutable fields", classes);
-        print("public items without a doc comment", undocumented);
+        print("files over " + MAX_FILE_LINES + " lines", longFiles);
+        print("methods over " + MAX_METHOD_LINES + " lines", longMethods);
+        print("classes with over " + MAX_MUTABLE_FIELDS + " mutable fields", classesWithManyMutableFields);
+        print("public items without a doc comment", undocumentedItems);
     }
 
-    private static void print(String what, List<String> found) {
-        System.out.println(what + ": " + found.size());
-        found.forEach(each -> System.out.println("  " + each));
+    private static void print(String title, List<String> found) {
+        System.out.println(title + ": " + found.size());
+        found.forEach(item -> System.out.println("  " + item));
     }
 }
--- a/.ci/KnownRed.java
+++ b/.ci/KnownRed.java
@@ -43,13 +43,13 @@
      *
      * @param test name in the form {@code fully.qualified.Class#method}
      * @param command command that reproduces the failure, with its seed; contains no comma
-     * @param seen observed failure
+     * @param observedFailure how the test was seen to fail
      * @param issue issue that tracks the fix
      */
-    private record Entry(String test, String command, String seen, String issue) {
+    private record Entry(String test, String command, String observedFailure, String issue) {
         @Override
         public String toString() {
-            return test + ": " + seen + " (" + command + "; " + issue + ")";
+            return test + ": " + observedFailure + " (" + command + "; " + issue + ")";
         }
     }
 
@@ -78,7 +78,7 @@
         try {
             List<Entry> entries = readList(root.resolve(LIST_NAME));
             if (arguments[0].equals("judge")) {
-                return judge(entries, readReports(root), testClasses(root), out) ? 0 : 1;
+                return evaluate(entries, readReports(root), testClasses(root), out) ? 0 : 1;
             }
             entries.forEach(out::println);
             return 0;
@@ -118,7 +118,7 @@
             NodeList cases = suite.getElementsByTagName("testcase");
             for (int i = 0; i < cases.getLength(); i++) {
                 Element testCase = (Element) cases.item(i);
-                outcomes.merge(testName(suite, testCase), outcome(testCase), KnownRed::worse);
+                outcomes.merge(testName(suite, testCase), outcome(testCase), KnownRed::worseOf);
             }
         }
         return outcomes;
@@ -143,8 +143,8 @@
         return element.getElementsByTagName(name).getLength() > 0;
     }
 
-    private static Outcome worse(Outcome one, Outcome other) {
-        return one.compareTo(other) > 0 ? one : other;
+    private static Outcome worseOf(Outcome first, Outcome second) {
+        return first.compareTo(second) > 0 ? first : second;
     }
 
     /** Returns the classes whose names Surefire recognises as tests. */
@@ -152,8 +152,8 @@
         List<String> classes = new ArrayList<>();
         for (Path source : find(root, "*/src/test/java/**.java")) {
             if (TEST_SOURCE.matcher(source.toString()).matches()) {
-                Path inModule = root.relativize(source);
-                String name = inModule.subpath(4, inModule.getNameCount()).toString();
+                Path relativePath = root.relativize(source);
+                String name = relativePath.subpath(4, relativePath.getNameCount()).toString();
                 classes.add(name.replaceFirst("\\.java$", "").replace('/', '.'));
             }
         }
@@ -167,29 +167,29 @@
         }
     }
 
-    private static boolean judge(List<Entry> entries, Map<String, Outcome> outcomes, List<String> classes,
+    private static boolean evaluate(List<Entry> entries, Map<String, Outcome> outcomes, List<String> classes,
                                  PrintStream out) {
-        List<String> faults = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         TreeSet<String> unlisted = new TreeSet<>(outcomes.keySet());
         for (Entry entry : entries) {
             unlisted.remove(entry.test);
             Outcome outcome = outcomes.get(entry.test);
             if (outcome == null) {
-                faults.add("listed, but there is no such test: " + entry);
+                errors.add("listed, but there is no such test: " + entry);
             } else {
                 switch (outcome) {
                     case FAILED -> out.println("known red, passed over: " + entry);
                     case PASSED -> out.println("passes, can be taken off " + LIST_NAME + ": " + entry);
-                    case SKIPPED -> faults.add("listed, but was skipped: " + entry);
+                    case SKIPPED -> errors.add("listed, but was skipped: " + entry);
                 }
             }
         }
         unlisted.removeIf(test -> outcomes.get(test) != Outcome.FAILED);
-        unlisted.forEach(test -> faults.add("failed: " + test));
+        unlisted.forEach(test -> errors.add("failed: " + test));
         // Surefire does not fail on a forked JVM that timed out if test failures are ignored
         classes.stream().filter(name -> outcomes.keySet().stream().noneMatch(t -> t.startsWith(name + "#")))
-            .forEach(name -> faults.add("left no report: " + name));
-        faults.forEach(out::println);
-        return faults.isEmpty();
+            .forEach(name -> errors.add("left no report: " + name));
+        errors.forEach(out::println);
+        return errors.isEmpty();
     }
 }
--- a/cli/src/main/java/spurroad/cli/ExplainCommand.java
+++ b/cli/src/main/java/spurroad/cli/ExplainCommand.java
@@ -78,23 +78,23 @@
     }
 
     private List<NamedEndpoint> readEndpoints(ProxyConfiguration configuration) throws Exception {
-        Object list = endpointListFile != null ? Json.read(Files.readString(endpointListFile))
+        Object listJson = endpointListFile != null ? Json.read(Files.readString(endpointListFile))
             : ((Map<?, ?>) Json.read(Files.readString(configurationFile))).get("known");
-        EndpointList parsed = EndpointList.read(list, configuration.settings.endpointNames);
-        List<?> targets = (List<?>) ((Map<?, ?>) list).get("targets");
+        EndpointList endpointList = EndpointList.read(listJson, configuration.settings.endpointNames);
+        List<?> targets = (List<?>) ((Map<?, ?>) listJson).get("targets");
         List<NamedEndpoint> endpoints = new ArrayList<>();
-        for (int i = 0; i < parsed.endpoints().size(); i++) {
+        for (int i = 0; i < endpointList.endpoints().size(); i++) {
             Map<?, ?> target = (Map<?, ?>) targets.get(i);
-            endpoints.add(new NamedEndpoint(parsed.endpoints().get(i).endpoint(),
+            endpoints.add(new NamedEndpoint(endpointList.endpoints().get(i).endpoint(),
                 target.get("uid") + " at " + target.get("endpoint")));
         }
         return endpoints;
     }
 
-    private static Map<EndpointId, String> names(List<NamedEndpoint> endpoints) {
-        Map<EndpointId, String> names = new HashMap<>();
-        endpoints.forEach(named -> names.put(named.endpoint.id(), named.name));
-        return names;
+    private static Map<EndpointId, String> namesById(List<NamedEndpoint> endpoints) {
+        Map<EndpointId, String> namesById = new HashMap<>();
+        endpoints.forEach(named -> namesById.put(named.endpoint.id(), named.name));
+        return namesById;
     }
 
     /** Returns the endpoints that can't be a candidate for any key, each with its phase. */
@@ -104,9 +104,9 @@
     }
 
     private void printJson(KeyCandidates candidates, List<NamedEndpoint> endpoints) throws IOException {
-        Map<EndpointId, String> names = names(endpoints);
+        Map<EndpointId, String> namesById = namesById(endpoints);
         List<JsonCandidate> jsonCandidates = candidates.candidates().stream()
-            .map(candidate -> new JsonCandidate(names.get(candidate.endpoint()), candidate.ringDistance(),
+            .map(candidate -> new JsonCandidate(namesById.get(candidate.endpoint()), candidate.ringDistance(),
                 candidate.ringFraction()))
             .toList();
         JsonExplanation explanation = new JsonExplanation(key, Long.toHexString(candidates.point()),
@@ -116,13 +116,13 @@
 
     private void printText(KeyCandidates candidates, List<NamedEndpoint> endpoints) {
         PrintWriter out = spec.commandLine().getOut();
-        Map<EndpointId, String> names = names(endpoints);
+        Map<EndpointId, String> namesById = namesById(endpoints);
         out.printf("key %s maps to %016x on a ring of %d points%n", key, candidates.point(),
             candidates.ringPoints());
         int number = 0;
         for (KeyCandidates.Candidate candidate : candidates.candidates()) {
             out.printf("%d. %s, %.4f%% of the ring from the key; it owns %.1f%% of the ring%n", ++number,
-                names.get(candidate.endpoint()), 100 * candidate.ringDistance(),
+                namesById.get(candidate.endpoint()), 100 * candidate.ringDistance(),
                 100 * candidate.ringFraction());
         }
         out.println(candidates.candidates().isEmpty() ? "no cache node is ready: the key has no candidates"
--- a/cli/src/main/java/spurroad/cli/FleetCommand.java
+++ b/cli/src/main/java/spurroad/cli/FleetCommand.java
@@ -37,7 +37,7 @@
     private List<Long> seeds = List.of(1L);
     @Option(names = "--hour",
         description = "Runs only a partition of one region for a whole hour, on a fleet of 600 proxies.")
-    private boolean isHourCut;
+    private boolean isHourLongPartition;
     @Spec
     private CommandSpec spec;
 
@@ -45,7 +45,7 @@
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
         List<FleetFootprint> footprints = new ArrayList<>();
-        if (!isHourCut) {
+        if (!isHourLongPartition) {
             // measured before the first run, while the heap is still empty
             sizes.forEach(size -> footprints.add(FleetFootprint.measure(FleetShape.of(size))));
             FleetTables.memory(out, footprints);
@@ -54,8 +54,8 @@
         FleetTables.latencyHead(out);
         out.flush();
         List<FleetResult> results = new ArrayList<>();
-        if (isHourCut) {
-            seeds.forEach(seed -> add(results, FleetRun.play(FleetShape.small(SMALL_FLEET),
+        if (isHourLongPartition) {
+            seeds.forEach(seed -> addAndPrint(results, FleetRun.play(FleetShape.small(SMALL_FLEET),
                 FleetScenario.REGION_CUT, seed, SECONDS_PER_HOUR)));
         } else {
             runSizes(results);
@@ -64,18 +64,19 @@
         out.println();
         FleetTables.traffic(out, results);
         out.flush();
-        return results.stream().anyMatch(FleetCommand::isBroken) ? Spurroad.FAILED : 0;
+        return results.stream().anyMatch(FleetCommand::hasViolations) ? Spurroad.FAILED : 0;
     }
 
     private void runSizes(List<FleetResult> results) {
         for (int size : sizes) {
             for (FleetScenario scenario : scenariosAt(size)) {
-                seeds.forEach(seed -> add(results, FleetRun.play(FleetShape.of(size), scenario, seed)));
+                seeds.forEach(
+                    seed -> addAndPrint(results, FleetRun.play(FleetShape.of(size), scenario, seed)));
             }
         }
     }
 
-    private void add(List<FleetResult> results, FleetResult result) {
+    private void addAndPrint(List<FleetResult> results, FleetResult result) {
         results.add(result);
         FleetTables.latency(spec.commandLine().getOut(), result);
         spec.commandLine().getOut().flush();
@@ -93,7 +94,7 @@
             : List.of(FleetScenario.QUIET, FleetScenario.BURST);
     }
 
-    private static boolean isBroken(FleetResult result) {
+    private static boolean hasViolations(FleetResult result) {
         return result.lateChanges() > 0 || result.latePurges() > 0 || result.wronglyFresh() > 0
             || result.behind() > 0;
     }
--- a/cli/src/main/java/spurroad/cli/ResultTables.java
+++ b/cli/src/main/java/spurroad/cli/ResultTables.java
@@ -71,19 +71,19 @@
             return;
         }
         String counts = result.breaches().entrySet().stream().filter(entry -> entry.getValue() > 0)
-            .map(entry -> entry.getValue() + " times " + words(entry.getKey()))
+            .map(entry -> entry.getValue() + " times " + displayName(entry.getKey()))
             .collect(Collectors.joining(", "));
         out.println("  RULES BROKEN: " + counts);
         result.stories().stream().limit(MAX_VIOLATIONS_SHOWN).forEach(violation -> print(out, violation));
     }
 
     private static void print(PrintWriter out, RuleViolation violation) {
-        out.printf(Locale.ROOT, "  %s at %.3f s, %s: %s%n", words(violation.rule()),
+        out.printf(Locale.ROOT, "  %s at %.3f s, %s: %s%n", displayName(violation.rule()),
             violation.atNs() / NANOS_PER_SECOND, violation.about(), violation.what());
         violation.story().forEach(event -> out.println("      " + event));
     }
 
-    private static String words(Rule rule) {
+    private static String displayName(Rule rule) {
         return rule.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
--- a/cli/src/main/java/spurroad/cli/ScaleCommand.java
+++ b/cli/src/main/java/spurroad/cli/ScaleCommand.java
@@ -32,12 +32,12 @@
         description = "Computes the resources that the expected fleet needs; requires all measurements.")
     private boolean capacity;
     @Option(names = "--short", description = "Small sizes, one run each: shows only the shape of the growth.")
-    private boolean isShort;
+    private boolean usesShortBudget;
     @Option(names = "--save", paramLabel = "FILE", description = "Stores the results in a file.")
-    private Path savedResults;
+    private Path outputFile;
     @Option(names = "--results", paramLabel = "FILE",
         description = "Uses stored results; measures nothing.")
-    private Path storedResults;
+    private Path inputFile;
     @Spec
     private CommandSpec spec;
 
@@ -47,12 +47,12 @@
             throw new CommandLine.ParameterException(spec.commandLine(), "--capacity needs all measurements");
         }
         PrintWriter out = spec.commandLine().getOut();
-        Results results = storedResults == null ? measure(out) : Results.read(storedResults);
-        if (storedResults != null) {
+        Results results = inputFile == null ? measure(out) : Results.read(inputFile);
+        if (inputFile != null) {
             results.all().forEach(series -> out.println(SeriesReport.markdown(series)));
         }
-        if (savedResults != null) {
-            results.write(savedResults);
+        if (outputFile != null) {
+            results.write(outputFile);
         }
         if (capacity) {
             out.println(CapacityReport.markdown(FleetPlan.expected(), results));
@@ -64,7 +64,8 @@
     private Results measure(PrintWriter out) throws Exception {
         Results results = new Results();
         for (Measure measure : chosenMeasures()) {
-            Series series = Series.of(measure, isShort ? MeasurementBudget.SHORT : MeasurementBudget.FULL);
+            Series series = Series.of(measure,
+                usesShortBudget ? MeasurementBudget.SHORT : MeasurementBudget.FULL);
             results.add(series);
             out.println(SeriesReport.markdown(series));
             out.flush();
@@ -73,10 +74,10 @@
     }
 
     private List<Measure> chosenMeasures() {
-        return names.isEmpty() ? Measures.all() : names.stream().map(this::named).toList();
+        return names.isEmpty() ? Measures.all() : names.stream().map(this::measureNamed).toList();
     }
 
-    private Measure named(String name) {
+    private Measure measureNamed(String name) {
         return Measures.named(name).orElseThrow(
             () -> new CommandLine.ParameterException(spec.commandLine(), "there is no measurement " + name));
     }
--- a/cli/src/main/java/spurroad/cli/TestbedCompareCommand.java
+++ b/cli/src/main/java/spurroad/cli/TestbedCompareCommand.java
@@ -40,7 +40,7 @@
     private RunnerOptions runnerOptions;
     @Option(names = "--pairs", paramLabel = "N",
         description = "Number of seeds, from 1 on, to use instead of the scenario's own.")
-    private int pairs;
+    private int pairCount;
     @Mixin
     private ResultOptions resultOptions;
     @Spec
@@ -73,7 +73,7 @@
     }
 
     private List<Long> seeds() throws InvalidFileException {
-        return pairs > 0 ? LongStream.rangeClosed(1, pairs).boxed().toList()
+        return pairCount > 0 ? LongStream.rangeClosed(1, pairCount).boxed().toList()
             : ScenarioFile.read(scenarioFile).seeds();
     }
 
--- a/cli/src/main/java/spurroad/cli/TestbedSearchCommand.java
+++ b/cli/src/main/java/spurroad/cli/TestbedSearchCommand.java
@@ -24,10 +24,10 @@
     @Parameters(index = "0", paramLabel = "SCENARIO")
     private Path scenarioFile;
     @Parameters(index = "1", paramLabel = "FOUND", description = "The scenario file that is written.")
-    private Path foundFile;
+    private Path outputFile;
     @Option(names = "--scripts", paramLabel = "N",
         description = "Number of fault schedules to try (${DEFAULT-VALUE}).")
-    private int scripts = 100;
+    private int scheduleCount = 100;
     @Option(names = "--seed", paramLabel = "N", description = "Seed of the search itself (${DEFAULT-VALUE}).")
     private long seed = 1;
     @Option(names = "--policy", paramLabel = "NAME",
@@ -42,17 +42,17 @@
         try (Progress progress = Progress.start("searching")) {
             ScenarioSearch search = new ScenarioSearch(policy, progress::update);
             double faultlessScore = search.play(withoutFaults(scenario), scenario.seeds().get(0)).score();
-            ScenarioSearch.Found worst = search.worst(scenario, scripts, seed);
-            ScenarioSearch.Found shortest = search.shrink(worst, faultlessScore);
-            Files.writeString(foundFile, ScenarioText.with(Files.readString(scenarioFile),
-                scenario.name() + "-found", shortest.scenario(), shortest.seed()));
+            ScenarioSearch.Found worst = search.worst(scenario, scheduleCount, seed);
+            ScenarioSearch.Found shrunk = search.shrink(worst, faultlessScore);
+            Files.writeString(outputFile, ScenarioText.with(Files.readString(scenarioFile),
+                scenario.name() + "-found", shrunk.scenario(), shrunk.seed()));
             spec.commandLine().getOut().printf(Locale.ROOT,
                 "without faults %.4f; worst of %d scripts %.4f with %d faults; shortened %.4f with "
                     + "%d faults, seed %d; %d runs; written to %s%n",
-                faultlessScore, scripts, worst.score(), worst.scenario().faults().size(),
-                shortest.score(), shortest.scenario().faults().size(), shortest.seed(), search.played(),
-                foundFile);
-            return shortest.result().broken() > 0 ? Spurroad.FAILED : 0;
+                faultlessScore, scheduleCount, worst.score(), worst.scenario().faults().size(),
+                shrunk.score(), shrunk.scenario().faults().size(), shrunk.seed(), search.played(),
+                outputFile);
+            return shrunk.result().broken() > 0 ? Spurroad.FAILED : 0;
         }
     }
 
--- a/cli/src/main/java/spurroad/cli/Version.java
+++ b/cli/src/main/java/spurroad/cli/Version.java
@@ -20,12 +20,13 @@
 
     @Override
     public String[] getVersion() throws IOException {
-        Properties build = new Properties();
+        Properties buildProperties = new Properties();
         try (InputStream in = Version.class.getResourceAsStream(BUILD_PROPERTIES)) {
-            build.load(in);
+            buildProperties.load(in);
         }
-        return new String[] {"spurroad " + build.getProperty("version"), "Java " + Runtime.version() + ", "
-            + System.getProperty("os.name") + " " + System.getProperty("os.arch")};
+        return new String[] {"spurroad " + buildProperties.getProperty("version"),
+            "Java " + Runtime.version() + ", "
+                + System.getProperty("os.name") + " " + System.getProperty("os.arch")};
     }
 
     @Override
--- a/cli/src/test/java/spurroad/ci/KnownRedTest.java
+++ b/cli/src/test/java/spurroad/ci/KnownRedTest.java
@@ -22,8 +22,8 @@
 
 /** Tests how CI evaluates failures, given KNOWN-RED.txt and reports in the format of Surefire. */
 public class KnownRedTest {
-    private static final long LONGEST_RUN_S = 60;
-    private static final Path PROGRAM = Path.of("..", ".ci", "KnownRed.java");
+    private static final long MAX_RUN_SECONDS = 60;
+    private static final Path KNOWN_RED_SOURCE = Path.of("..", ".ci", "KnownRed.java");
     private static final Path CI_RUN = Path.of("..", ".ci", "run");
     private static final String LISTED = "a.OneTest#red, mvn test seed 5, answers twice, issue 7\n";
     private static final String PASSED = testCase("red", "");
@@ -33,9 +33,9 @@
     private static final String SKIPPED = testCase("red", "<skipped/>");
 
     private Path root;
-    private Method program;
+    private Method runMethod;
 
-    private record Run(int code, String output) {}
+    private record Run(int exitCode, String output) {}
 
     /**
      * Compiles the program once to call it in this process; a process per case takes about ten times as long.
@@ -44,21 +44,21 @@
     public void compile() throws Exception {
         Path compiled = Files.createTempDirectory("known-red-classes");
         assertEquals(ToolProvider.getSystemJavaCompiler().run(null, null, null, "-Xlint:all", "-Werror", "-d",
-            compiled.toString(), PROGRAM.toString()), 0);
+            compiled.toString(), KNOWN_RED_SOURCE.toString()), 0);
         URLClassLoader loader = new URLClassLoader(new URL[] {compiled.toUri().toURL()});
-        program = loader.loadClass("KnownRed").getDeclaredMethod("run", String[].class, PrintStream.class);
-        program.setAccessible(true);
+        runMethod = loader.loadClass("KnownRed").getDeclaredMethod("run", String[].class, PrintStream.class);
+        runMethod.setAccessible(true);
     }
 
     /**
      * Creates a root with one module of two test classes: one passes, the other gets the reports of the case.
      */
     @BeforeMethod
-    public void makeRoot() throws IOException {
+    public void createRoot() throws IOException {
         root = Files.createTempDirectory("known-red-test");
         write("one/src/test/java/a/OneTest.java", "");
         write("one/src/test/java/a/SomeProperties.java", "");
-        report("SomeProperties", "a.SomeProperties",
+        writeReport("SomeProperties", "a.SomeProperties",
             "<testcase name=\"holds\" classname=\"SomeProperties\"/>");
     }
 
@@ -68,7 +68,7 @@
             + "<testcase name=\"" + method + "[b](2)\" classname=\"a.OneTest\"/>";
     }
 
-    private void report(String file, String suite, String cases) throws IOException {
+    private void writeReport(String file, String suite, String cases) throws IOException {
         write("one/target/surefire-reports/TEST-" + file + ".xml",
             "<?xml version=\"1.0\"?><testsuite name=\"" + suite + "\">" + cases + "</testsuite>");
     }
@@ -83,23 +83,23 @@
         Path output = Files.createTempFile("known-red-test", ".out");
         Process process = builder.redirectErrorStream(true).redirectOutput(output.toFile()).start();
         try {
-            assertTrue(process.waitFor(LONGEST_RUN_S, TimeUnit.SECONDS), "still running");
+            assertTrue(process.waitFor(MAX_RUN_SECONDS, TimeUnit.SECONDS), "still running");
             return new Run(process.exitValue(), Files.readString(output));
         } finally {
             process.destroyForcibly();
         }
     }
 
-    private Run knownRed(String action) throws Exception {
+    private Run runKnownRed(String action) throws Exception {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         PrintStream out = new PrintStream(output, true, StandardCharsets.UTF_8);
-        int code = (int) program.invoke(null, new String[] {action, root.toString()}, out);
-        return new Run(code, output.toString(StandardCharsets.UTF_8));
+        int exitCode = (int) runMethod.invoke(null, new String[] {action, root.toString()}, out);
+        return new Run(exitCode, output.toString(StandardCharsets.UTF_8));
     }
 
     /** Rows: the list, the test cases in the reports, the exit code and the expected output. */
     @DataProvider
-    public Object[][] judgements() {
+    public Object[][] evaluations() {
         return new Object[][] {{"", PASSED, 0, ""}, {"# none\n\n", PASSED, 0, ""},
             {"", FAILED, 1, "failed: a.OneTest#red"},
             {LISTED, FAILED, 0, "known red, passed over: a.OneTest#red"},
@@ -112,22 +112,23 @@
     }
 
     @Test(dataProvider = "judgements")
-    public void onlyFailuresThatAreListedArePassedOver(String list, String cases, int code, String said)
+    public void ignoresOnlyListedFailures(String list, String cases, int expectedExitCode,
+                                          String expectedOutput)
         throws Exception {
         write("KNOWN-RED.txt", list);
-        report("TestSuite", "TestSuite", cases);
-        Run judged = knownRed("judge");
-        assertEquals(judged.code, code, judged.output);
-        assertTrue(judged.output.contains(said), judged.output);
+        writeReport("TestSuite", "TestSuite", cases);
+        Run evaluation = runKnownRed("judge");
+        assertEquals(evaluation.exitCode, expectedExitCode, evaluation.output);
+        assertTrue(evaluation.output.contains(expectedOutput), evaluation.output);
     }
 
     @Test
-    public void propertiesGoByTheirFullName() throws Exception {
+    public void matchesPropertiesByFullName() throws Exception {
         write("KNOWN-RED.txt", "a.SomeProperties#holds, mvn test seed 5, fails, issue 7\n");
-        report("TestSuite", "TestSuite", PASSED);
-        Run judged = knownRed("judge");
-        assertEquals(judged.code, 0, judged.output);
-        assertTrue(judged.output.contains("can be taken off"), judged.output);
+        writeReport("TestSuite", "TestSuite", PASSED);
+        Run evaluation = runKnownRed("judge");
+        assertEquals(evaluation.exitCode, 0, evaluation.output);
+        assertTrue(evaluation.output.contains("can be taken off"), evaluation.output);
     }
 
     /** Rows: the list, the exit code and the expected output. */
@@ -145,11 +146,13 @@
     }
 
     @Test(dataProvider = "lists")
-    public void aListThatCannotBeUsedFails(String list, int code, String said) throws Exception {
+    public void acceptsValidListsAndRejectsMalformedOnes(String list, int expectedExitCode,
+                                                         String expectedOutput)
+        throws Exception {
         write("KNOWN-RED.txt", list);
-        Run read = knownRed("list");
-        assertEquals(read.code, code, read.output);
-        assertTrue(read.output.contains(said), read.output);
+        Run read = runKnownRed("list");
+        assertEquals(read.exitCode, expectedExitCode, read.output);
+        assertTrue(read.output.contains(expectedOutput), read.output);
     }
 
     /**
@@ -166,15 +169,16 @@
     }
 
     @Test(dataProvider = "runs")
-    public void failuresAreIgnoredOnlyWhereSomeAreListed(String list, int mavenCode, String called, int code)
+    public void ciIgnoresTestFailuresOnlyIfTestsAreListed(String list, int mavenCode,
+                                                          String expectedArguments, int expectedExitCode)
         throws Exception {
         if (list != null) {
             write("KNOWN-RED.txt", list);
         }
         Files.copy(CI_RUN, write(".ci/x", "").resolveSibling("run"));
-        Files.copy(PROGRAM, root.resolve(".ci/KnownRed.java"));
-        report("Stale", "TestSuite", ERROR);
-        report("TestSuite", "TestSuite", FAILED);
+        Files.copy(KNOWN_RED_SOURCE, root.resolve(".ci/KnownRed.java"));
+        writeReport("Stale", "TestSuite", ERROR);
+        writeReport("TestSuite", "TestSuite", FAILED);
         Files.move(root.resolve("one/target/surefire-reports/TEST-TestSuite.xml"), root.resolve("new.xml"));
         Files.move(root.resolve("one/target/surefire-reports/TEST-SomeProperties.xml"),
             root.resolve("new2.xml"));
@@ -187,11 +191,12 @@
         ProcessBuilder ci = new ProcessBuilder(List.of("bash", root.resolve(".ci/run").toString()));
         ci.environment().merge("PATH", maven.getParent().toString(), (path, first) -> first + ":" + path);
         Run run = run(ci);
-        assertEquals(run.code, code, run.output);
-        Path calledWith = root.resolve("called");
-        assertEquals(Files.exists(calledWith) ? Files.readString(calledWith).strip() : null, called);
+        assertEquals(run.exitCode, expectedExitCode, run.output);
+        Path argumentsFile = root.resolve("called");
+        assertEquals(Files.exists(argumentsFile) ? Files.readString(argumentsFile).strip() : null,
+            expectedArguments);
         assertTrue(
-            called != null || run.output
+            expectedArguments != null || run.output
                 .contains("expected `package.Class#method, command and seed, what was seen, issue`"),
             run.output);
     }
--- a/cli/src/test/java/spurroad/cli/ArchitectureTest.java
+++ b/cli/src/test/java/spurroad/cli/ArchitectureTest.java
@@ -14,7 +14,7 @@
  * Checks the layering, that decision code has no I/O, clock or threads, and that the proxy needs no library.
  */
 public class ArchitectureTest {
-    private static final JavaClasses ALL = new ClassFileImporter()
+    private static final JavaClasses CLASSES = new ClassFileImporter()
         .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("spurroad");
     private static final String[] DECISIONS = {"spurroad.balancer..", "spurroad.model", "spurroad.admission"};
     private static final String[] PROXY = {"spurroad.transport..", "spurroad.protocol..",
@@ -22,58 +22,58 @@
         "spurroad.admin..", "spurroad.configuration..", "spurroad.program..", "spurroad.simulator.."};
 
     @Test
-    public void decisionsTouchNoInputOutputClockOrThread() {
+    public void decisionsUseNoInputOutputClockOrThread() {
         classes().that().resideInAnyPackage(DECISIONS).should().onlyDependOnClassesThat()
             .resideInAnyPackage("spurroad.balancer..", "spurroad.model", "spurroad.admission", "java.lang",
                 "java.lang.runtime",
                 "java.lang.invoke", "java.util", "java.util.function", "java.util.stream")
-            .check(ALL);
+            .check(CLASSES);
         noClasses().that().resideInAnyPackage(DECISIONS).should().callMethod(System.class, "nanoTime")
             .orShould().callMethod(System.class, "currentTimeMillis")
             .orShould().accessClassesThat().areAssignableTo(Thread.class)
             .orShould().accessClassesThat().haveNameMatching("java\\.lang\\.(Process|ProcessBuilder|Runtime)")
-            .check(ALL);
+            .check(CLASSES);
     }
 
     @Test
-    public void theControlServiceDecidesWithoutInputOutputClockOrThread() {
+    public void controlDecisionsUseNoInputOutputClockOrThread() {
         classes().that().resideInAPackage("spurroad.control.decide").should().onlyDependOnClassesThat()
             .resideInAnyPackage("spurroad.control.decide", "java.lang", "java.lang.runtime",
                 "java.lang.invoke",
                 "java.util", "java.util.function", "java.util.stream", "java.security", "java.nio.charset")
-            .check(ALL);
+            .check(CLASSES);
         noClasses().that().resideInAPackage("spurroad.control.decide").should()
             .callMethod(System.class, "nanoTime")
-            .orShould().callMethod(System.class, "currentTimeMillis").check(ALL);
+            .orShould().callMethod(System.class, "currentTimeMillis").check(CLASSES);
     }
 
     @Test
-    public void distributionDecidesWithoutInputOutputClockOrThread() {
+    public void distributionUsesNoInputOutputClockOrThread() {
         classes().that().resideInAPackage("spurroad.control.distribution..").should()
             .onlyDependOnClassesThat()
             .resideInAnyPackage("spurroad.control.distribution..", "java.lang", "java.lang.runtime",
                 "java.lang.invoke",
                 "java.util", "java.util.function", "java.util.stream", "java.util.zip", "java.nio",
                 "java.nio.charset")
-            .check(ALL);
+            .check(CLASSES);
         noClasses().that().resideInAPackage("spurroad.control.distribution..").should()
             .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
-            .check(ALL);
+            .check(CLASSES);
     }
 
     @Test
-    public void modelsOfTheTestbedTouchNoInputOutputClockOrThread() {
+    public void testbedModelsUseNoInputOutputClockOrThread() {
         noClasses().that()
             .resideInAnyPackage("spurroad.testbed.model", "spurroad.testbed.checker", "spurroad.testbed.time",
                 "spurroad.testbed.simulation", "spurroad.testbed.policy")
             .should().dependOnClassesThat()
             .resideInAnyPackage("java.io", "java.net", "java.nio..", "io.netty..").orShould()
             .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
-            .orShould().accessClassesThat().areAssignableTo(Thread.class).check(ALL);
+            .orShould().accessClassesThat().areAssignableTo(Thread.class).check(CLASSES);
     }
 
     @Test
-    public void dependenciesOfTheProxyPointOneWay() {
+    public void proxyLayersDependInOneDirection() {
         layeredArchitecture().consideringOnlyDependenciesInLayers()
             .layer("decisions").definedBy(DECISIONS)
             .layer("transport").definedBy("spurroad.transport..")
@@ -93,33 +93,33 @@
             .whereLayer("transport")
             .mayOnlyBeAccessedByLayers("protocol", "configuration", "routing", "admin", "ends",
                 "product")
-            .check(ALL);
+            .check(CLASSES);
     }
 
     @Test
-    public void theLeanProxyNeedsNoLibrary() {
+    public void proxyUsesNoThirdPartyLibrary() {
         classes().that().resideInAnyPackage(PROXY).should().onlyDependOnClassesThat()
             .resideInAnyPackage("spurroad.balancer..", "spurroad.model..", "spurroad.admission..",
                 "spurroad.transport..",
                 "spurroad.protocol..", "spurroad.routing..", "spurroad.admin..", "spurroad.configuration..",
                 "spurroad.program..",
                 "spurroad.simulator..", "java..", "sun.misc")
-            .check(ALL);
+            .check(CLASSES);
     }
 
     /** A checker that used the proxy's parsers could not detect errors in them. */
     @Test
-    public void ruleCheckerIsNoPartOfTheProxy() {
+    public void ruleCheckerDoesNotDependOnProxy() {
         noClasses().that().resideInAnyPackage("spurroad.testbed.checker", "spurroad.testbed.net").should()
             .dependOnClassesThat()
             .resideInAnyPackage(PROXY).orShould().dependOnClassesThat()
             .haveFullyQualifiedName("spurroad.balancer.LoadBalancer")
-            .check(ALL);
+            .check(CLASSES);
     }
 
     /** Each layer of the distribution is used only by the layers listed after it. */
     @Test
-    public void partsOfTheDistributionDependOneWay() {
+    public void distributionLayersDependInOneDirection() {
         String root = "spurroad.control.distribution";
         layeredArchitecture().consideringOnlyDependenciesInLayers()
             .layer("shared").definedBy(root)
@@ -135,31 +135,31 @@
             .whereLayer("codec").mayNotBeAccessedByAnyLayer()
             .whereLayer("message").mayOnlyBeAccessedByLayers("codec", "parts", "processes")
             .whereLayer("log").mayOnlyBeAccessedByLayers("message", "codec", "parts", "processes")
-            .check(ALL);
+            .check(CLASSES);
     }
 
     @Test
-    public void tomlReaderKnowsNoOtherModule() {
+    public void tomlReaderDependsOnNoOtherModule() {
         classes().that().resideInAPackage("spurroad.toml..").should().onlyDependOnClassesThat()
-            .resideInAnyPackage("spurroad.toml..", "java..", "com.fasterxml.jackson..").check(ALL);
+            .resideInAnyPackage("spurroad.toml..", "java..", "com.fasterxml.jackson..").check(CLASSES);
     }
 
     /** Scenarios are data: the code that runs them depends on them, not the reverse. */
     @Test
-    public void scenariosAndTimelinesKnowNothingOfWhatRunsThem() {
+    public void scenariosAndTimelinesDoNotDependOnTheirRunners() {
         noClasses().that().resideInAnyPackage("spurroad.testbed.scenario", "spurroad.testbed.time").should()
             .dependOnClassesThat().resideInAnyPackage("spurroad.testbed.environment",
                 "spurroad.testbed.experiment", "spurroad.testbed.simulation", "spurroad.testbed.model",
                 "spurroad.testbed.checker", "spurroad.testbed.net", "spurroad.testbed.policy")
-            .check(ALL);
+            .check(CLASSES);
     }
 
     @Test
     public void packagesHaveNoCycles() {
-        slices().matching("spurroad.(testbed.*)").should().beFreeOfCycles().check(ALL);
-        slices().matching("spurroad.(*)").should().beFreeOfCycles().check(ALL);
-        slices().matching("spurroad.balancer.(*)..").should().beFreeOfCycles().check(ALL);
-        slices().matching("spurroad.control.(*)..").should().beFreeOfCycles().check(ALL);
-        slices().matching("spurroad.control.distribution.(*)..").should().beFreeOfCycles().check(ALL);
+        slices().matching("spurroad.(testbed.*)").should().beFreeOfCycles().check(CLASSES);
+        slices().matching("spurroad.(*)").should().beFreeOfCycles().check(CLASSES);
+        slices().matching("spurroad.balancer.(*)..").should().beFreeOfCycles().check(CLASSES);
+        slices().matching("spurroad.control.(*)..").should().beFreeOfCycles().check(CLASSES);
+        slices().matching("spurroad.control.distribution.(*)..").should().beFreeOfCycles().check(CLASSES);
     }
 }
--- a/toml/src/main/java/spurroad/toml/DurationFormat.java
+++ b/toml/src/main/java/spurroad/toml/DurationFormat.java
@@ -14,7 +14,7 @@
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long NANOS_PER_MINUTE = 60 * NANOS_PER_SECOND;
     private static final double NANOS_PER_MICROSECOND = 1_000.0;
-    private static final Pattern PATTERN = Pattern.compile("(\\d+(?:\\.\\d+)?)(us|ms|s|min|h)");
+    private static final Pattern DURATION_PATTERN = Pattern.compile("(\\d+(?:\\.\\d+)?)(us|ms|s|min|h)");
     private static final Map<String, Double> NANOS_PER_UNIT = Map.of("us", 1e3, "ms", 1e6, "s", 1e9, "min",
         60e9,
         "h", 3600e9);
@@ -23,7 +23,7 @@
 
     /** Returns a duration in nanoseconds; empty if the text is malformed or the duration is out of bounds. */
     static OptionalLong parse(String text, long minNanos, long maxNanos) {
-        Matcher matcher = PATTERN.matcher(text);
+        Matcher matcher = DURATION_PATTERN.matcher(text);
         if (!matcher.matches()) {
             return OptionalLong.empty();
         }
--- a/toml/src/main/java/spurroad/toml/KeyLines.java
+++ b/toml/src/main/java/spurroad/toml/KeyLines.java
@@ -10,64 +10,65 @@
  * accepted.
  */
 final class KeyLines {
-    private final Map<String, Integer> lines = new HashMap<>();
-    private final Map<String, Integer> lastIndexes = new HashMap<>(); // of arrays of tables, by path
-    private final ValueScanner value = new ValueScanner();
-    private String table = "";
+    private final Map<String, Integer> lineByPath = new HashMap<>();
+    private final Map<String, Integer> lastIndexByPath = new HashMap<>(); // of arrays of tables, by path
+    private final ValueScanner valueScanner = new ValueScanner();
+    private String currentTable = "";
 
     KeyLines(String text) {
-        int number = 0;
+        int lineNumber = 0;
         for (String line : text.split("\n", -1)) {
-            scanLine(++number, line.strip());
+            scanLine(++lineNumber, line.strip());
         }
     }
 
     /** Returns the line of a key, or else of the innermost table that contains it; 0 if there is neither. */
     int lineOf(String path) {
         String ancestor = path;
-        while (!lines.containsKey(ancestor)) {
-            int end = Math.max(ancestor.lastIndexOf('.'), ancestor.lastIndexOf('['));
-            if (end <= 0) {
+        while (!lineByPath.containsKey(ancestor)) {
+            int separator = Math.max(ancestor.lastIndexOf('.'), ancestor.lastIndexOf('['));
+            if (separator <= 0) {
                 return 0;
             }
-            ancestor = ancestor.substring(0, end);
+            ancestor = ancestor.substring(0, separator);
         }
-        return lines.get(ancestor);
+        return lineByPath.get(ancestor);
     }
 
-    private void scanLine(int number, String line) {
-        if (value.isUnfinished()) {
-            value.scan(line);
+    private void scanLine(int lineNumber, String line) {
+        if (valueScanner.isUnfinished()) {
+            valueScanner.scan(line);
         } else if (line.startsWith("[[")) {
-            table = tablePath(line.substring(2, line.indexOf("]]")), true);
-            lines.putIfAbsent(table, number);
+            currentTable = tablePath(line.substring(2, line.indexOf("]]")), true);
+            lineByPath.putIfAbsent(currentTable, lineNumber);
         } else if (line.startsWith("[")) {
-            table = tablePath(line.substring(1, line.indexOf(']')), false);
-            lines.putIfAbsent(table, number);
+            currentTable = tablePath(line.substring(1, line.indexOf(']')), false);
+            lineByPath.putIfAbsent(currentTable, lineNumber);
         } else if (!line.isEmpty() && line.charAt(0) != '#') {
-            scanKey(number, line);
+            scanKey(lineNumber, line);
         }
     }
 
-    private void scanKey(int number, String line) {
-        int equalsSign = equalsSignIn(line);
+    private void scanKey(int lineNumber, String line) {
+        int equalsSign = indexOfEqualsSign(line);
         if (equalsSign > 0) {
-            lines.putIfAbsent(join(table, unquoted(line.substring(0, equalsSign))), number);
-            value.scan(line.substring(equalsSign + 1));
+            lineByPath.putIfAbsent(join(currentTable, removeQuotesAndSpaces(line.substring(0, equalsSign))),
+                lineNumber);
+            valueScanner.scan(line.substring(equalsSign + 1));
         }
     }
 
     /** Returns the path of a table header; an array of tables in the path refers to its last element. */
     private String tablePath(String header, boolean isArrayElement) {
         String path = "";
-        String[] names = unquoted(header).split("\\.");
+        String[] names = removeQuotesAndSpaces(header).split("\\.");
         for (int i = 0; i < names.length; i++) {
             path = join(path, names[i]);
             if (isArrayElement && i == names.length - 1) {
-                lastIndexes.merge(path, 0, (lastIndex, first) -> lastIndex + 1);
+                lastIndexByPath.merge(path, 0, (lastIndex, first) -> lastIndex + 1);
             }
-            if (lastIndexes.containsKey(path)) {
-                path += "[" + lastIndexes.get(path) + "]";
+            if (lastIndexByPath.containsKey(path)) {
+                path += "[" + lastIndexByPath.get(path) + "]";
             }
         }
         return path;
@@ -77,12 +78,12 @@
         return table.isEmpty() ? key : table + "." + key;
     }
 
-    private static String unquoted(String name) {
+    private static String removeQuotesAndSpaces(String name) {
         return name.replaceAll("[\"'\\s]", "");
     }
 
     /** Returns the index of the first equals sign outside quotes; -1 if there is none. */
-    private static int equalsSignIn(String line) {
+    private static int indexOfEqualsSign(String line) {
         char quote = 0;
         for (int i = 0; i < line.length(); i++) {
             char c = line.charAt(i);
--- a/toml/src/main/java/spurroad/toml/TomlFile.java
+++ b/toml/src/main/java/spurroad/toml/TomlFile.java
@@ -24,13 +24,13 @@
     private static final String OVERRIDE_KEY = "value"; // key of the document as which an override is parsed
 
     private final String name;
-    private final KeyLines lines;
+    private final KeyLines keyLines;
     private final List<Diagnostic> diagnostics = new ArrayList<>();
     private final TomlTable root;
 
     private TomlFile(String name, String text, ObjectNode json) {
         this.name = name;
-        lines = new KeyLines(text);
+        keyLines = new KeyLines(text);
         root = new TomlTable(this, "", json);
     }
 
@@ -66,16 +66,16 @@
      */
     public void override(String path, String value) throws InvalidFileException {
         JsonNode parsed = parseOverride(path, value);
-        String[] steps = path.replace("[", ".[").split("\\.");
-        String lastStep = steps[steps.length - 1];
+        String[] segments = path.replace("[", ".[").split("\\.");
+        String lastSegment = segments[segments.length - 1];
         JsonNode parent = root.json();
-        for (int i = 0; i < steps.length - 1 && parent != null; i++) {
-            parent = child(parent, steps[i]);
+        for (int i = 0; i < segments.length - 1 && parent != null; i++) {
+            parent = child(parent, segments[i]);
         }
-        if (!(parent instanceof ObjectNode table) || isIndex(lastStep)) {
+        if (!(parent instanceof ObjectNode table) || isIndex(lastSegment)) {
             throw invalid(name, 0, path, "can't be set: there is no such table");
         }
-        table.set(lastStep, parsed);
+        table.set(lastSegment, parsed);
     }
 
     private JsonNode parseOverride(String path, String value) throws InvalidFileException {
@@ -91,17 +91,17 @@
         }
     }
 
-    private static boolean isIndex(String step) {
-        return step.startsWith("[");
+    private static boolean isIndex(String segment) {
+        return segment.startsWith("[");
     }
 
     /** Returns the child that a step of a path selects; null if there is none. */
-    private static JsonNode child(JsonNode parent, String step) {
-        if (!isIndex(step)) {
-            return parent.get(step);
+    private static JsonNode child(JsonNode parent, String segment) {
+        if (!isIndex(segment)) {
+            return parent.get(segment);
         }
         try {
-            return parent.get(Integer.parseInt(step.substring(1, step.length() - 1)));
+            return parent.get(Integer.parseInt(segment.substring(1, segment.length() - 1)));
         } catch (NumberFormatException e) {
             return null; // an index that is not a number selects nothing
         }
@@ -130,7 +130,7 @@
     }
 
     void addDiagnostic(String path, String message) {
-        diagnostics.add(new Diagnostic(name, lines.lineOf(path), path, message));
+        diagnostics.add(new Diagnostic(name, keyLines.lineOf(path), path, message));
     }
 
     private static InvalidFileException invalid(String name, int line, String key, String message) {
--- a/toml/src/main/java/spurroad/toml/TomlTable.java
+++ b/toml/src/main/java/spurroad/toml/TomlTable.java
@@ -22,9 +22,9 @@
  * errors are found. A key that no getter has read is unknown. Not thread-safe.
  */
 public final class TomlTable {
-    private static final int MAX_SHOWN_LENGTH = 40; // characters of an invalid value in a diagnostic
+    private static final int MAX_VALUE_LENGTH = 40; // characters of an invalid value in a diagnostic
     private static final String ELLIPSIS = "...";
-    private static final double MAX_PLAIN_INTEGER = 1e15; // whole numbers from here on are printed as doubles
+    private static final double PLAIN_INTEGER_LIMIT = 1e15; // whole numbers from here on are printed as doubles
 
     private final TomlFile file;
     private final String path;
@@ -70,7 +70,7 @@
 
     /** Returns a number from min to max, inclusive; the key is required. */
     public double requireDouble(String key, double min, double max) {
-        return requireValue(key, "a number" + range(min, max),
+        return requireValue(key, "a number" + describeRange(min, max),
             value -> value.isNumber() && value.asDouble() >= min && value.asDouble() <= max)
             .map(JsonNode::asDouble).orElse(min);
     }
@@ -82,7 +82,7 @@
 
     /** Returns an integer from min to max, inclusive; the key is required. */
     public int requireInt(String key, int min, int max) {
-        return requireValue(key, "a whole number" + range(min, max), value -> value.isIntegralNumber()
+        return requireValue(key, "a whole number" + describeRange(min, max), value -> value.isIntegralNumber()
             && value.canConvertToInt() && value.asInt() >= min && value.asInt() <= max)
             .map(JsonNode::asInt).orElse(min);
     }
@@ -103,7 +103,7 @@
         String text = value.get().isTextual() ? value.get().asText() : "";
         OptionalLong nanos = DurationFormat.parse(text, minNanos, maxNanos);
         if (nanos.isEmpty()) {
-            addWrongValue(path(key), value.get(), expected);
+            addInvalidValue(path(key), value.get(), expected);
         }
         return nanos.orElse(minNanos);
     }
@@ -119,11 +119,11 @@
         if (value.isEmpty()) {
             return "";
         }
-        boolean isUsable = value.get().isTextual() && !value.get().asText().isEmpty();
-        if (!isUsable) {
-            addWrongValue(path(key), value.get(), "a text that is not empty");
+        boolean isNonEmptyString = value.get().isTextual() && !value.get().asText().isEmpty();
+        if (!isNonEmptyString) {
+            addInvalidValue(path(key), value.get(), "a text that is not empty");
         }
-        return isUsable ? value.get().asText() : "";
+        return isNonEmptyString ? value.get().asText() : "";
     }
 
     /** Returns a boolean; the default if the key is missing or its value is not a boolean. */
@@ -133,7 +133,7 @@
         }
         JsonNode value = json.get(key);
         if (!value.isBoolean()) {
-            addWrongValue(path(key), value, "true or false");
+            addInvalidValue(path(key), value, "true or false");
             return defaultValue;
         }
         return value.asBoolean();
@@ -150,17 +150,17 @@
                 return constant;
             }
         }
-        addWrongValue(path(key), json.get(key), oneOf(type));
+        addInvalidValue(path(key), json.get(key), describeConstants(type));
         return defaultValue;
     }
 
     /** Returns the enum constant that a required key names; null if the key is missing or names none. */
     public <E extends Enum<E>> E requireEnum(String key, Class<E> type) {
-        findRequired(key, oneOf(type));
+        findRequired(key, describeConstants(type));
         return getEnum(key, type, null);
     }
 
-    private static <E extends Enum<E>> String oneOf(Class<E> type) {
+    private static <E extends Enum<E>> String describeConstants(Class<E> type) {
         return "one of "
             + Arrays.stream(type.getEnumConstants()).map(TomlTable::enumName)
                 .collect(Collectors.joining(", "));
@@ -193,7 +193,7 @@
             elements.add(reader.apply(value));
         }
         if (!list.isArray() || elements.contains(null)) {
-            addWrongValue(path(key), list, expected);
+            addInvalidValue(path(key), list, expected);
             return new ArrayList<>();
         }
         return elements;
@@ -205,7 +205,7 @@
     public TomlTable getTable(String key) {
         JsonNode value = contains(key) ? json.get(key) : JsonNodeFactory.instance.objectNode();
         if (!value.isObject()) {
-            addWrongValue(path(key), value, "a table");
+            addInvalidValue(path(key), value, "a table");
             value = JsonNodeFactory.instance.objectNode();
         }
         return addInnerTable(path(key), (ObjectNode) value);
@@ -219,7 +219,7 @@
         }
         JsonNode array = json.get(key);
         if (!array.isArray()) {
-            addWrongValue(path(key), array, "tables, each under [[" + path(key) + "]]");
+            addInvalidValue(path(key), array, "tables, each under [[" + path(key) + "]]");
             return tables;
         }
         for (int i = 0; i < array.size(); i++) {
@@ -227,7 +227,7 @@
             if (array.get(i) instanceof ObjectNode element) {
                 tables.add(addInnerTable(elementPath, element));
             } else {
-                addWrongValue(elementPath, array.get(i), "a table");
+                addInvalidValue(elementPath, array.get(i), "a table");
             }
         }
         return tables;
@@ -253,28 +253,28 @@
     private Optional<JsonNode> requireValue(String key, String expected, Predicate<JsonNode> isAllowed) {
         Optional<JsonNode> value = findRequired(key, expected);
         if (value.isPresent() && !isAllowed.test(value.get())) {
-            addWrongValue(path(key), value.get(), expected);
+            addInvalidValue(path(key), value.get(), expected);
             return Optional.empty();
         }
         return value;
     }
 
-    private void addWrongValue(String keyPath, JsonNode value, String expected) {
-        file.addDiagnostic(keyPath, "is " + shown(value) + "; expected " + expected);
+    private void addInvalidValue(String keyPath, JsonNode value, String expected) {
+        file.addDiagnostic(keyPath, "is " + abbreviate(value) + "; expected " + expected);
     }
 
-    private static String shown(JsonNode value) {
+    private static String abbreviate(JsonNode value) {
         String text = value.toString();
-        return text.length() > MAX_SHOWN_LENGTH
-            ? text.substring(0, MAX_SHOWN_LENGTH - ELLIPSIS.length()) + ELLIPSIS : text;
+        return text.length() > MAX_VALUE_LENGTH
+            ? text.substring(0, MAX_VALUE_LENGTH - ELLIPSIS.length()) + ELLIPSIS : text;
     }
 
-    private static String range(double min, double max) {
-        return " from " + plain(min) + " to " + plain(max);
+    private static String describeRange(double min, double max) {
+        return " from " + formatNumber(min) + " to " + formatNumber(max);
     }
 
-    private static String plain(double value) {
-        boolean isWhole = value == Math.rint(value) && Math.abs(value) < MAX_PLAIN_INTEGER;
+    private static String formatNumber(double value) {
+        boolean isWhole = value == Math.rint(value) && Math.abs(value) < PLAIN_INTEGER_LIMIT;
         return isWhole ? Long.toString((long) value) : Double.toString(value);
     }
 
--- a/toml/src/main/java/spurroad/toml/ValueScanner.java
+++ b/toml/src/main/java/spurroad/toml/ValueScanner.java
@@ -4,7 +4,7 @@
  * Scans a TOML value with its brackets, strings and comments, to tell whether it continues on the next line.
  */
 final class ValueScanner {
-    private static final int LONG_QUOTE_LENGTH = 3; // length of the quote of a multi-line string
+    private static final int MULTI_LINE_QUOTE_LENGTH = 3; // length of the quote of a multi-line string
 
     private String closingQuote; // null outside of a string
     private int openBrackets;
@@ -15,28 +15,29 @@
     }
 
     /** Scans the part of a line that belongs to the value. */
-    void scan(String part) {
-        int i = 0;
-        while (i < part.length()) {
-            boolean isComment = closingQuote == null && part.charAt(i) == '#';
+    void scan(String linePart) {
+        int index = 0;
+        while (index < linePart.length()) {
+            boolean isComment = closingQuote == null && linePart.charAt(index) == '#';
             if (isComment) {
                 break;
             }
-            i += closingQuote != null ? scanText(part, i) : scanOutsideText(part, i);
+            index += closingQuote != null ? scanInsideString(linePart, index)
+                : scanOutsideString(linePart, index);
         }
-        boolean isShortText = closingQuote != null && closingQuote.length() < LONG_QUOTE_LENGTH;
-        if (isShortText) {
+        boolean isSingleLineString = closingQuote != null && closingQuote.length() < MULTI_LINE_QUOTE_LENGTH;
+        if (isSingleLineString) {
             closingQuote = null; // a single-line string can't continue on the next line
         }
     }
 
-    /** Returns the number of characters scanned, like {@link #scanOutsideText}. */
-    private int scanText(String part, int i) {
-        boolean isEscape = part.charAt(i) == '\\' && closingQuote.charAt(0) == '"';
+    /** Returns the number of characters scanned, like {@link #scanOutsideString}. */
+    private int scanInsideString(String linePart, int index) {
+        boolean isEscape = linePart.charAt(index) == '\\' && closingQuote.charAt(0) == '"';
         if (isEscape) {
             return 2;
         }
-        if (!part.startsWith(closingQuote, i)) {
+        if (!linePart.startsWith(closingQuote, index)) {
             return 1;
         }
         int length = closingQuote.length();
@@ -44,11 +45,11 @@
         return length;
     }
 
-    private int scanOutsideText(String part, int i) {
-        char c = part.charAt(i);
+    private int scanOutsideString(String linePart, int index) {
+        char c = linePart.charAt(index);
         if (c == '"' || c == '\'') {
-            String longQuote = String.valueOf(c).repeat(LONG_QUOTE_LENGTH);
-            closingQuote = part.startsWith(longQuote, i) ? longQuote : String.valueOf(c);
+            String multiLineQuote = String.valueOf(c).repeat(MULTI_LINE_QUOTE_LENGTH);
+            closingQuote = linePart.startsWith(multiLineQuote, index) ? multiLineQuote : String.valueOf(c);
             return closingQuote.length();
         }
         if (c == '[' || c == '{') {
--- a/toml/src/test/java/spurroad/toml/DurationFormatTest.java
+++ b/toml/src/test/java/spurroad/toml/DurationFormatTest.java
@@ -14,13 +14,13 @@
     }
 
     @Test(dataProvider = "durations")
-    public void formatsInTheLargestWholeUnit(long nanos, String text) {
+    public void formatsInLargestWholeUnit(long nanos, String text) {
         assertEquals(DurationFormat.format(nanos), text);
         assertEquals(DurationFormat.parse(text, 0, Long.MAX_VALUE), OptionalLong.of(nanos));
     }
 
     @Test
-    public void parsesNothingOfAnotherFormOrOutOfBounds() {
+    public void rejectsMalformedAndOutOfBoundsDurations() {
         assertEquals(DurationFormat.parse("5", 0, Long.MAX_VALUE), OptionalLong.empty());
         assertEquals(DurationFormat.parse("-5s", 0, Long.MAX_VALUE), OptionalLong.empty());
         assertEquals(DurationFormat.parse("2s", 0, 1_999_999_999L), OptionalLong.empty());
--- a/toml/src/test/java/spurroad/toml/EditDistanceTest.java
+++ b/toml/src/test/java/spurroad/toml/EditDistanceTest.java
@@ -15,13 +15,13 @@
     }
 
     @Test(dataProvider = "words")
-    public void countsEditsInBothDirections(String a, String b, int by) {
-        assertEquals(EditDistance.between(a, b), by);
-        assertEquals(EditDistance.between(b, a), by);
+    public void countsEditsInEitherDirection(String first, String second, int distance) {
+        assertEquals(EditDistance.distance(first, second), distance);
+        assertEquals(EditDistance.distance(second, first), distance);
     }
 
     @Test
-    public void suggestsOnlyANearWord() {
+    public void suggestsOnlySimilarWord() {
         assertEquals(EditDistance.nearest("lenght", List.of("name", "length")), Optional.of("length"));
         assertEquals(EditDistance.nearest("seconds", List.of("name", "length")), Optional.empty());
     }
