--- a/toml/src/main/java/spurroad/toml/TomlFile.java
+++ b/toml/src/main/java/spurroad/toml/TomlFile.java
@@ -15,26 +15,26 @@
 import java.util.Optional;
 
 /**
- * One TOML file as it is read. A reader gets values from the {@link #root} table, naming what is allowed; the
- * file collects the diagnostics, and {@link #validate} throws all of them at once. A key that the reader has
- * not asked for is unknown, and is reported with the nearest key that the reader knows. Not thread-safe.
+ * A TOML file with its diagnostics. Callers read values from the {@link #root} table and state which values
+ * are allowed; the file collects the diagnostics, and {@link #validate} throws all of them at once. A key
+ * that the caller has not read is unknown and is reported with the most similar known key. Not thread-safe.
  */
 public final class TomlFile {
     private static final ObjectMapper PARSER = new TomlMapper();
-    private static final String OVERRIDE_KEY = "value"; // under which an override is parsed
+    private static final String OVERRIDE_KEY = "value"; // key of the document as which an override is parsed
 
     private final String name;
-    private final KeyLines lines;
+    private final KeyLines keyLines;
     private final List<Diagnostic> diagnostics = new ArrayList<>();
     private final TomlTable root;
 
     private TomlFile(String name, String text, ObjectNode json) {
         this.name = name;
-        lines = new KeyLines(text);
+        keyLines = new KeyLines(text);
         root = new TomlTable(this, "", json);
     }
 
-    /** Reads a file; throws where it can't be read or is not TOML. */
+    /** Reads a file; throws if it can't be read or is not TOML. */
     public static TomlFile read(Path path) throws InvalidFileException {
         try {
             return parse(path.toString(), Files.readString(path));
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Parses a text; the name is the one under which diagnostics are reported. */
+    /** Parses a TOML document; diagnostics report the given name as the file. */
     public static TomlFile parse(String name, String text) throws InvalidFileException {
         try {
             JsonNode json = PARSER.readTree(text);
@@ -58,27 +58,28 @@
     }
 
     /**
-     * Replaces the value of a key, before anything is read.
+     * Replaces the value of a key. Must be called before any value is read.
      *
-     * @param path such as {@code load.rate} or {@code world.nodes[0].count}; its tables must be there
-     * @param value as it would stand in the file; the quotes of a single word may be left out
+     * @param path path of the key, such as {@code load.rate} or {@code world.nodes[0].count}; its tables must
+     *     exist
+     * @param value value in TOML syntax; a string may omit its quotes
      */
     public void override(String path, String value) throws InvalidFileException {
         JsonNode parsed = parseOverride(path, value);
-        String[] steps = path.replace("[", ".[").split("\\.");
-        String lastStep = steps[steps.length - 1];
+        String[] segments = path.replace("[", ".[").split("\\.");
+        String lastSegment = segments[segments.length - 1];
         JsonNode parent = root.json();
-        for (int i = 0; i < steps.length - 1 && parent != null; i++) {
-            parent = child(parent, steps[i]);
+        for (int i = 0; i < segments.length - 1 && parent != null; i++) {
+            parent = child(parent, segments[i]);
         }
-        if (!(parent instanceof ObjectNode table) || isIndex(lastStep)) {
+        if (!(parent instanceof ObjectNode table) || isIndex(lastSegment)) {
             throw invalid(name, 0, path, "can't be set: there is no such table");
         }
-        table.set(lastStep, parsed);
+        table.set(lastSegment, parsed);
     }
 
     private JsonNode parseOverride(String path, String value) throws InvalidFileException {
-        return parseValue(value).or(() -> parseValue('"' + value + '"')) // a word without its quotes
+        return parseValue(value).or(() -> parseValue('"' + value + '"')) // a string without quotes
             .orElseThrow(() -> invalid(name, 0, path, "is set to " + value + ", which is no value"));
     }
 
@@ -90,34 +91,35 @@
         }
     }
 
-    private static boolean isIndex(String step) {
-        return step.startsWith("[");
+    private static boolean isIndex(String segment) {
+        return segment.startsWith("[");
     }
 
-    /** Returns what a step of a path leads to; null where there is nothing. */
-    private static JsonNode child(JsonNode parent, String step) {
-        if (!isIndex(step)) {
-            return parent.get(step);
+    /** Returns the child that a step of a path selects; null if there is none. */
+    private static JsonNode child(JsonNode parent, String segment) {
+        if (!isIndex(segment)) {
+            return parent.get(segment);
         }
         try {
-            return parent.get(Integer.parseInt(step.substring(1, step.length() - 1)));
+            return parent.get(Integer.parseInt(segment.substring(1, segment.length() - 1)));
         } catch (NumberFormatException e) {
-            return null; // an index that is no number names no table
+            return null; // an index that is not a number selects nothing
         }
     }
 
-    /** Returns the table of the whole file. */
+    /** Returns the top-level table. */
     public TomlTable root() {
         return root;
     }
 
-    /** Returns the file's name, as diagnostics name it. */
+    /** Returns the name of the file in diagnostics. */
     public String name() {
         return name;
     }
 
     /**
-     * Throws all diagnostics, those of unknown keys included; to be called once all values have been read.
+     * Throws all diagnostics, including those of unknown keys, if there are any. Must be called after all
+     * values have been read.
      */
     public void validate() throws InvalidFileException {
         root.rejectUnknownKeys();
@@ -128,7 +130,7 @@
     }
 
     void addDiagnostic(String path, String message) {
-        diagnostics.add(new Diagnostic(name, lines.lineOf(path), path, message));
+        diagnostics.add(new Diagnostic(name, keyLines.lineOf(path), path, message));
     }
 
     private static InvalidFileException invalid(String name, int line, String key, String message) {
