--- a/.ci/KnownRed.java
+++ b/.ci/KnownRed.java
@@ -168,7 +168,7 @@
     }
 
     private static boolean evaluate(List<Entry> entries, Map<String, Outcome> outcomes, List<String> classes,
-                                 PrintStream out) {
+                                    PrintStream out) {
         List<String> errors = new ArrayList<>();
         TreeSet<String> unlisted = new TreeSet<>(outcomes.keySet());
         for (Entry entry : entries) {
