--- a/proxy/src/test/java/spurroad/program/LifecycleTest.java
+++ b/proxy/src/test/java/spurroad/program/LifecycleTest.java
@@ -19,7 +19,7 @@
      * before it has answered them.
      */
     @Test(timeOut = 60_000)
-    public void stopDuringStartRunsOnceServiceHasStarted() throws Exception {
+    public void runsStopDuringStartOnceServiceHasStarted() throws Exception {
         CountDownLatch startBegun = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         Thread starting = new Thread(() -> {
--- a/proxy/src/test/java/spurroad/program/MixedShapesTest.java
+++ b/proxy/src/test/java/spurroad/program/MixedShapesTest.java
@@ -113,9 +113,9 @@
         String[] targets = new String[NODES + 1];
         String drained = "";
         for (int i = 0; i < NODES; i++) {
-            int number = i;
+            int nodeIndex = i;
             readsByNode[i] = new AtomicInteger();
-            Peer node = new Peer(message -> respondAsNode(number, message));
+            Peer node = new Peer(message -> respondAsNode(nodeIndex, message));
             resources.add(node);
             targets[i] = ScriptedPeers.target("s-" + i, "m1", node.port, "active",
                 i == COLD_NODE ? System.currentTimeMillis() : 0);
