--- a/cli/src/test/java/spurroad/ci/KnownRedTest.java
+++ b/cli/src/test/java/spurroad/ci/KnownRedTest.java
@@ -111,7 +111,7 @@
             {LISTED, "", 1, "left no report: a.OneTest"}};
     }
 
-    @Test(dataProvider = "judgements")
+    @Test(dataProvider = "evaluations")
     public void ignoresOnlyListedFailures(String list, String cases, int expectedExitCode,
                                           String expectedOutput)
         throws Exception {
--- a/toml/src/main/java/spurroad/toml/TomlTable.java
+++ b/toml/src/main/java/spurroad/toml/TomlTable.java
@@ -24,7 +24,7 @@
 public final class TomlTable {
     private static final int MAX_VALUE_LENGTH = 40; // characters of an invalid value in a diagnostic
     private static final String ELLIPSIS = "...";
-    private static final double PLAIN_INTEGER_LIMIT = 1e15; // whole numbers from here on are printed as doubles
+    private static final double PLAIN_INTEGER_LIMIT = 1e15; // larger whole numbers are printed as doubles
 
     private final TomlFile file;
     private final String path;
--- a/toml/src/test/java/spurroad/toml/TomlFileTest.java
+++ b/toml/src/test/java/spurroad/toml/TomlFileTest.java
@@ -58,7 +58,7 @@
             {"2min", 120_000 * NANOS_PER_MILLI}};
     }
 
-    @Test(dataProvider = "times")
+    @Test(dataProvider = "durations")
     public void readsDurationsInEachUnit(String text, long nanos) throws InvalidFileException {
         assertEquals(parse("t = \"" + text + "\"").root().requireDurationNanos("t", 0, Long.MAX_VALUE),
             nanos);
